--- a/crates/papayamux-router/src/agents/agent_link.rs
+++ b/crates/papayamux-router/src/agents/agent_link.rs
@@ -18,33 +18,33 @@
 use papayamux_transport::link::{LinkError, LinkSender};
 
 use super::pending_probes::PendingProbes;
-use super::silence_count::SilenceCount;
-use super::stream_slot::{SlotOrigin, StreamSlot};
-use super::{AgentNews, StreamEvent, StreamHandle};
+use super::silence_detector::SilenceDetector;
+use super::stream_state::{StreamOrigin, StreamState};
+use super::{AgentUpdates, StreamEvent, StreamHandle};
 use crate::metrics::RouterMetrics;
 
 /// How often a connection with open streams is checked for silence.
-const CHECK_EVERY: Duration = Duration::from_secs(1);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A reading of the agent's clock.
 #[derive(Debug, Clone, Copy)]
-struct ClockReading {
+struct ClockSample {
     clock: AgentClock,
-    read: Instant,
+    sampled_at: Instant,
 }
 
 /// A connection over which requests may be sent.
 pub struct AgentLink {
     sender: LinkSender<RouterMessage>,
     welcome: AgentWelcome,
-    reading: Cell<ClockReading>,
-    streams: RefCell<HashMap<u64, Rc<StreamSlot>>>,
+    sample: Cell<ClockSample>,
+    streams: RefCell<HashMap<u64, Rc<StreamState>>>,
     claims: RefCell<HashMap<u64, unbounded::Tx<ClaimReply>>>,
     next_stream: Cell<u64>,
     open: Cell<bool>,
-    leaving: Cell<bool>,
+    draining: Cell<bool>,
     probes: PendingProbes,
-    news: Rc<AgentNews>,
+    updates: Rc<AgentUpdates>,
     metrics: RouterMetrics,
 }
 
@@ -52,23 +52,23 @@
     /// Uses a connection whose ends have proved themselves; its messages have still to be read.
     pub fn new(
         proved: ProvedLink,
-        news: Rc<AgentNews>,
+        updates: Rc<AgentUpdates>,
         metrics: RouterMetrics,
     ) -> (Rc<Self>, AgentReceiver) {
         let ProvedLink { sender, receiver, welcome } = proved;
         let server = welcome.server.clone();
-        let reading = ClockReading { clock: welcome.clock, read: Instant::now() };
+        let sample = ClockSample { clock: welcome.clock, sampled_at: Instant::now() };
         let link = Self {
             sender,
             welcome,
-            reading: Cell::new(reading),
+            sample: Cell::new(sample),
             streams: RefCell::default(),
             claims: RefCell::default(),
             next_stream: Cell::new(CONNECTION + 1),
             open: Cell::new(true),
-            leaving: Cell::new(false),
-            probes: PendingProbes::new(server, news.loads.clone()),
-            news,
+            draining: Cell::new(false),
+            probes: PendingProbes::new(server, updates.loads.clone()),
+            updates,
             metrics,
         };
         (Rc::new(link), receiver)
@@ -80,8 +80,8 @@
     }
 
     /// Whether the agent has said that it takes no new work.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.get()
+    pub fn is_draining(&self) -> bool {
+        self.draining.get()
     }
 
     /// What the agent said of itself.
@@ -91,17 +91,17 @@
 
     /// The agent's clock: never ahead of it.
     pub fn agent_clock(&self) -> AgentClock {
-        let reading = self.reading.get();
-        reading.clock.after(reading.read.elapsed())
+        let sample = self.sample.get();
+        sample.clock.after(sample.sampled_at.elapsed())
     }
 
     /// Opens a stream; `None` where the connection is gone or the agent leaves, and nothing was
     /// sent.
     pub fn open_stream(self: &Rc<Self>, open: OpenRequest) -> Option<StreamHandle> {
-        if self.is_leaving() {
+        if self.is_draining() {
             return None;
         }
-        let origin = SlotOrigin {
+        let origin = StreamOrigin {
             id: open.id,
             agent: Some(open.agent),
             organisation: open.organisation.clone(),
@@ -109,20 +109,20 @@
             idempotent: open.repeat == RepeatRule::Idempotent,
         };
         let (events, inbox) = unbounded::channel();
-        let slot = StreamSlot::new(origin, ResumePoint::Offset(0), events);
-        let sent = self.seat(&slot, RouterMessage::Open(Box::new(open)));
-        sent.then(|| StreamHandle::new(slot, inbox))
+        let state = StreamState::new(origin, ResumePoint::Offset(0), events);
+        let sent = self.attach_stream(&state, RouterMessage::Open(Box::new(open)));
+        sent.then(|| StreamHandle::new(state, inbox))
     }
 
     /// Opens a stream with the rest of an answer that any router began.
     pub fn resume_stream(
         self: &Rc<Self>,
-        origin: SlotOrigin,
+        origin: StreamOrigin,
         from: ResumePoint,
     ) -> Option<StreamHandle> {
         let (events, inbox) = unbounded::channel();
-        let slot = StreamSlot::new(origin, from, events);
-        self.resume_slot(&slot).then(|| StreamHandle::new(slot, inbox))
+        let state = StreamState::new(origin, from, events);
+        self.reattach_stream(&state).then(|| StreamHandle::new(state, inbox))
     }
 
     /// Opens a stream with the answer of an earlier run of a key.
@@ -131,7 +131,7 @@
         id: RequestId,
         recall: RecallRequest,
     ) -> Option<StreamHandle> {
-        let origin = SlotOrigin {
+        let origin = StreamOrigin {
             id,
             agent: Some(self.welcome.incarnation),
             organisation: recall.organisation.clone(),
@@ -139,9 +139,9 @@
             idempotent: false,
         };
         let (events, inbox) = unbounded::channel();
-        let slot = StreamSlot::new(origin, ResumePoint::Offset(0), events);
-        let sent = self.seat(&slot, RouterMessage::Recall(recall));
-        sent.then(|| StreamHandle::new(slot, inbox))
+        let state = StreamState::new(origin, ResumePoint::Offset(0), events);
+        let sent = self.attach_stream(&state, RouterMessage::Recall(recall));
+        sent.then(|| StreamHandle::new(state, inbox))
     }
 
     /// Asks the agent to grant a key; nothing where the connection is gone, or goes before the
@@ -161,22 +161,22 @@
     }
 
     /// Says what became of a claim.
-    pub fn tell_claim(&self, notice: ClaimNotice) {
+    pub fn send_claim_notice(&self, notice: ClaimNotice) {
         self.send(CONNECTION, RouterMessage::ClaimNotice(notice));
     }
 
     /// Lets a stream go on here; `false` where this connection is gone too.
-    pub fn resume_slot(self: &Rc<Self>, slot: &Rc<StreamSlot>) -> bool {
-        self.seat(slot, RouterMessage::Resume(Box::new(slot.resume_request())))
+    pub fn reattach_stream(self: &Rc<Self>, state: &Rc<StreamState>) -> bool {
+        self.attach_stream(state, RouterMessage::Resume(Box::new(state.resume_request())))
     }
 
-    fn seat(self: &Rc<Self>, slot: &Rc<StreamSlot>, first: RouterMessage) -> bool {
+    fn attach_stream(self: &Rc<Self>, state: &Rc<StreamState>, first: RouterMessage) -> bool {
         if !self.is_open() {
             return false;
         }
         let stream = self.next_number();
-        slot.sit(self.clone(), stream);
-        self.streams.borrow_mut().insert(stream, slot.clone());
+        state.attach(self.clone(), stream);
+        self.streams.borrow_mut().insert(stream, state.clone());
         self.send(stream, first)
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Tells the agent that a chat of which it is the home was served elsewhere.
-    pub fn tell_moved(&self, moved: MovedChat) {
+    pub fn send_moved_chat(&self, moved: MovedChat) {
         self.send(CONNECTION, RouterMessage::Moved(moved));
     }
 
@@ -217,25 +217,25 @@
             || !self.probes.is_empty()
     }
 
-    pub(super) fn awaits_heads(&self) -> bool {
-        self.streams.borrow().values().any(|slot| slot.awaits_head())
+    pub(super) fn awaits_any_head(&self) -> bool {
+        self.streams.borrow().values().any(|state| state.awaits_head())
     }
 
     /// Closes the connection for new streams and gives those that were on it.
-    fn lose(&self) -> Vec<Rc<StreamSlot>> {
+    fn take_streams(&self) -> Vec<Rc<StreamState>> {
         self.open.set(false);
         self.claims.borrow_mut().clear();
         self.probes.clear();
-        self.streams.borrow_mut().drain().map(|(_, slot)| slot).collect()
+        self.streams.borrow_mut().drain().map(|(_, state)| state).collect()
     }
 
-    fn take_clock(&self, clock: AgentClock) {
+    fn update_clock(&self, clock: AgentClock) {
         if clock > self.agent_clock() {
-            self.reading.set(ClockReading { clock, read: Instant::now() });
+            self.sample.set(ClockSample { clock, sampled_at: Instant::now() });
         }
     }
 
-    fn slot(&self, stream: u64) -> Option<Rc<StreamSlot>> {
+    fn state(&self, stream: u64) -> Option<Rc<StreamState>> {
         self.streams.borrow().get(&stream).cloned()
     }
 }
@@ -274,11 +274,11 @@
     link: Rc<AgentLink>,
     mut receiver: AgentReceiver,
     metrics: &RouterMetrics,
-) -> Vec<Rc<StreamSlot>> {
+) -> Vec<Rc<StreamState>> {
     let end = read_until_end(&link, &mut receiver, metrics).await;
-    let slots = link.lose();
+    let states = link.take_streams();
     metrics.lost_links.count(end.label());
-    let (server, streams, reason) = (&link.welcome.server, slots.len(), end.label());
+    let (server, streams, reason) = (&link.welcome.server, states.len(), end.label());
     match end {
         LinkEnd::Broken(error) => log::warn!(
             server:% = server, streams = streams, error:% = error;
@@ -289,7 +289,7 @@
             "connection to agent ended"
         ),
     }
-    slots
+    states
 }
 
 async fn read_until_end(
@@ -297,13 +297,13 @@
     receiver: &mut AgentReceiver,
     metrics: &RouterMetrics,
 ) -> LinkEnd {
-    let mut silence = SilenceCount::default();
-    let mut check = Box::pin(monoio::time::sleep(CHECK_EVERY));
+    let mut silence = SilenceDetector::default();
+    let mut check = Box::pin(monoio::time::sleep(SILENCE_CHECK_INTERVAL));
     loop {
         let received = std::pin::pin!(receiver.receive());
         match select(received, check.as_mut()).await {
             Either::Right(_) => {
-                check = Box::pin(monoio::time::sleep(CHECK_EVERY));
+                check = Box::pin(monoio::time::sleep(SILENCE_CHECK_INTERVAL));
                 if silence.check(link) {
                     return LinkEnd::Silent;
                 }
@@ -311,8 +311,8 @@
             Either::Left((None, _)) => return LinkEnd::Closed,
             Either::Left((Some(Err(error)), _)) => return LinkEnd::Broken(error),
             Either::Left((Some(Ok(addressed)), _)) => {
-                silence.note(link, &addressed.message);
-                if !take_message(link, addressed.stream, addressed.message) {
+                silence.record_message(link, &addressed.message);
+                if !handle_message(link, addressed.stream, addressed.message) {
                     metrics.stray_frames.inc();
                 }
             }
@@ -321,14 +321,14 @@
 }
 
 /// Acts on a message; `false` where it belongs to nothing.
-fn take_message(link: &AgentLink, stream: u64, message: AgentMessage) -> bool {
+fn handle_message(link: &AgentLink, stream: u64, message: AgentMessage) -> bool {
     link.metrics.control_bytes.receive(agent_control_length(&message));
     match message {
-        AgentMessage::Load(report) => link.probes.note_load(report),
-        AgentMessage::Probed(reply) => return link.probes.take_reply(stream, reply),
-        AgentMessage::Pong(pong) => link.take_clock(pong.clock),
-        AgentMessage::Leaving => link.leaving.set(true),
-        AgentMessage::Crashes(notices) => link.news.quarantine.take_notices(&notices),
+        AgentMessage::Load(report) => link.probes.record_load(report),
+        AgentMessage::Probed(reply) => return link.probes.deliver_reply(stream, reply),
+        AgentMessage::Pong(pong) => link.update_clock(pong.clock),
+        AgentMessage::Leaving => link.draining.set(true),
+        AgentMessage::Crashes(notices) => link.updates.quarantine.record_notices(&notices),
         AgentMessage::Ping(number) => drop(link.send(CONNECTION, RouterMessage::Pong(number))),
         AgentMessage::Claim(reply) => {
             if let Some(waiting) = link.claims.borrow().get(&stream) {
@@ -337,40 +337,40 @@
         }
         AgentMessage::Welcome(_) | AgentMessage::Serving(_) => return false,
         message => {
-            let Some(slot) = link.slot(stream) else { return false };
-            return take_answer(&slot, message);
+            let Some(state) = link.state(stream) else { return false };
+            return handle_answer_message(&state, message);
         }
     }
     true
 }
 
 /// Passes a stream's message on; one out of order ends the stream as lost.
-fn take_answer(slot: &StreamSlot, message: AgentMessage) -> bool {
+fn handle_answer_message(state: &StreamState, message: AgentMessage) -> bool {
     let in_order = match message {
-        AgentMessage::Resumed(notice) => slot.take_resumed(notice),
-        AgentMessage::Data(data) => slot.take_data(data),
+        AgentMessage::Resumed(notice) => state.receive_resumed(notice),
+        AgentMessage::Data(data) => state.receive_data(data),
         AgentMessage::Head(head) => {
-            slot.take_head(head);
+            state.receive_head(head);
             true
         }
         AgentMessage::Refused(notice) => {
-            slot.take_end(StreamEvent::Refused(notice));
+            state.receive_end(StreamEvent::Refused(notice));
             true
         }
-        AgentMessage::End(AnswerEnd::Whole(length)) if !slot.has_all(length) => false,
+        AgentMessage::End(AnswerEnd::Whole(length)) if !state.has_all(length) => false,
         AgentMessage::End(end) => {
-            slot.take_end(StreamEvent::End(end));
+            state.receive_end(StreamEvent::End(end));
             true
         }
         AgentMessage::NotHeld => {
-            slot.take_end(StreamEvent::NotHeld);
+            state.receive_end(StreamEvent::NotHeld);
             true
         }
         _ => false,
     };
     if !in_order {
-        slot.close(RouterMessage::Cancel);
-        slot.lose();
+        state.close(RouterMessage::Cancel);
+        state.mark_lost();
     }
     in_order
 }
--- a/crates/papayamux-router/src/agents/agent_peer.rs
+++ b/crates/papayamux-router/src/agents/agent_peer.rs
@@ -12,7 +12,7 @@
 
 use super::agent_link::{read_messages, AgentLink};
 use super::stream_recovery::recover_streams;
-use super::AgentNews;
+use super::AgentUpdates;
 use crate::metrics::RouterMetrics;
 
 /// What a router says of itself to agents, and how it keeps to them.
@@ -52,7 +52,7 @@
     address: SocketAddr,
     identity: RouterIdentity,
     metrics: RouterMetrics,
-    news: Rc<AgentNews>,
+    updates: Rc<AgentUpdates>,
     state: RefCell<PeerState>,
 }
 
@@ -63,10 +63,10 @@
         address: SocketAddr,
         identity: RouterIdentity,
         metrics: RouterMetrics,
-        news: Rc<AgentNews>,
+        updates: Rc<AgentUpdates>,
     ) -> Self {
         let state = RefCell::new(PeerState::Down);
-        Self { core: Rc::new(PeerCore { server, address, identity, metrics, news, state }) }
+        Self { core: Rc::new(PeerCore { server, address, identity, metrics, updates, state }) }
     }
 
     /// The server that the agent stands beside.
@@ -102,7 +102,7 @@
     }
 
     /// Lets go of a lost connection, so that its socket is closed.
-    fn forget(&self, lost: &Rc<AgentLink>) {
+    fn release_link(&self, lost: &Rc<AgentLink>) {
         let mut state = self.state.borrow_mut();
         if matches!(&*state, PeerState::Up(link) if Rc::ptr_eq(link, lost)) {
             *state = PeerState::Down;
@@ -140,7 +140,7 @@
         let outcome = match outcome {
             Ok(proved) => {
                 let (link, receiver) =
-                    AgentLink::new(proved, self.news.clone(), self.metrics.clone());
+                    AgentLink::new(proved, self.updates.clone(), self.metrics.clone());
                 *self.state.borrow_mut() = PeerState::Up(link.clone());
                 monoio::spawn(self.clone().serve_link(link.clone(), receiver));
                 Ok(link)
@@ -156,10 +156,10 @@
     }
 
     async fn serve_link(self: Rc<Self>, link: Rc<AgentLink>, receiver: AgentReceiver) {
-        let slots = read_messages(link.clone(), receiver, &self.metrics).await;
-        self.forget(&link);
+        let states = read_messages(link.clone(), receiver, &self.metrics).await;
+        self.release_link(&link);
         drop(link);
-        recover_streams(self, slots).await;
+        recover_streams(self, states).await;
     }
 }
 
--- a/crates/papayamux-router/src/agents/agent_news.rs
+++ b/crates/papayamux-router/src/agents/agent_updates.rs
@@ -8,13 +8,13 @@
 use papayamux_state::crash_record::{CrashNotice, CrashRecord};
 use papayamux_state::request_fingerprint::RequestFingerprint;
 
-use crate::routing::LoadBook;
+use crate::routing::LoadTracker;
 
 /// What agents tell unasked, shared by all their connections.
 #[derive(Default)]
-pub struct AgentNews {
+pub struct AgentUpdates {
     /// The loads of servers.
-    pub loads: Rc<LoadBook>,
+    pub loads: Rc<LoadTracker>,
     /// Requests under which servers ended.
     pub quarantine: RequestQuarantine,
 }
@@ -25,7 +25,7 @@
 
 impl RequestQuarantine {
     /// Takes in what an agent tells.
-    pub fn take_notices(&self, notices: &[CrashNotice]) {
+    pub fn record_notices(&self, notices: &[CrashNotice]) {
         let (mut quarantine, now) = (self.0.borrow_mut(), Instant::now());
         quarantine.forget_old(now);
         for notice in notices {
--- a/crates/papayamux-router/src/agents/pending_probes.rs
+++ b/crates/papayamux-router/src/agents/pending_probes.rs
@@ -10,18 +10,18 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::load::LoadReport;
 
-use crate::routing::LoadBook;
+use crate::routing::LoadTracker;
 
 /// Probes by the number of their stream.
 pub struct PendingProbes {
     server: ServerId,
-    loads: Rc<LoadBook>,
+    loads: Rc<LoadTracker>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<ProbeReply>>>,
 }
 
 impl PendingProbes {
     /// No probes yet on a connection to the agent of `server`.
-    pub fn new(server: ServerId, loads: Rc<LoadBook>) -> Self {
+    pub fn new(server: ServerId, loads: Rc<LoadTracker>) -> Self {
         Self { server, loads, waiting: RefCell::default() }
     }
 
@@ -48,13 +48,13 @@
     }
 
     /// The agent has told its load.
-    pub fn note_load(&self, report: LoadReport) {
-        self.loads.note(&self.server, report, Instant::now());
+    pub fn record_load(&self, report: LoadReport) {
+        self.loads.record_report(&self.server, report, Instant::now());
     }
 
     /// An answer has come; `false` where nobody waits for it.
-    pub fn take_reply(&self, stream: u64, reply: ProbeReply) -> bool {
-        self.note_load(reply.load);
+    pub fn deliver_reply(&self, stream: u64, reply: ProbeReply) -> bool {
+        self.record_load(reply.load);
         let answer = self.waiting.borrow_mut().remove(&stream);
         answer.is_some_and(|answer| answer.send(reply).is_ok())
     }
--- a/crates/papayamux-router/src/agents/stream_handle.rs
+++ b/crates/papayamux-router/src/agents/stream_handle.rs
@@ -8,7 +8,7 @@
     AnswerData, AnswerEnd, AnswerHead, RefusalNotice, RouterMessage, STREAM_WINDOW,
 };
 
-use super::stream_slot::StreamSlot;
+use super::stream_state::StreamState;
 
 /// What happens on a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,18 +29,18 @@
 }
 
 /// Bytes taken after which the agent is told so.
-const ACKNOWLEDGE_EVERY: u64 = STREAM_WINDOW / 4;
+const ACKNOWLEDGE_INTERVAL_BYTES: u64 = STREAM_WINDOW / 4;
 
 /// The taking end of a stream. Dropping it before the end cancels the request.
 pub struct StreamHandle {
-    slot: Rc<StreamSlot>,
+    state: Rc<StreamState>,
     inbox: unbounded::Rx<StreamEvent>,
     acknowledged: u64,
 }
 
 impl StreamHandle {
-    pub(super) fn new(slot: Rc<StreamSlot>, inbox: unbounded::Rx<StreamEvent>) -> Self {
-        Self { slot, inbox, acknowledged: 0 }
+    pub(super) fn new(state: Rc<StreamState>, inbox: unbounded::Rx<StreamEvent>) -> Self {
+        Self { state, inbox, acknowledged: 0 }
     }
 
     /// The next event; after an end, a refusal or a loss there is none.
@@ -55,15 +55,15 @@
 
     /// Tells the agent, now and then, that the caller has taken the answer up to `offset`.
     pub fn acknowledge(&mut self, offset: u64) {
-        if offset.saturating_sub(self.acknowledged) >= ACKNOWLEDGE_EVERY {
+        if offset.saturating_sub(self.acknowledged) >= ACKNOWLEDGE_INTERVAL_BYTES {
             self.acknowledged = offset;
-            self.slot.send(RouterMessage::Acknowledge(offset));
+            self.state.send(RouterMessage::Acknowledge(offset));
         }
     }
 }
 
 impl Drop for StreamHandle {
     fn drop(&mut self) {
-        self.slot.close(RouterMessage::Cancel);
+        self.state.close(RouterMessage::Cancel);
     }
 }
--- a/crates/papayamux-router/src/agents/stream_recovery.rs
+++ b/crates/papayamux-router/src/agents/stream_recovery.rs
@@ -6,62 +6,64 @@
 
 use super::agent_link::AgentLink;
 use super::agent_peer::PeerCore;
-use super::stream_slot::StreamSlot;
+use super::stream_state::StreamState;
 
 /// The pause after the first attempt that failed; each further one is twice as long.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The longest pause between two attempts.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Brings streams back, until the time for it is over.
-pub async fn recover_streams(peer: Rc<PeerCore>, slots: Vec<Rc<StreamSlot>>) {
+pub async fn recover_streams(peer: Rc<PeerCore>, states: Vec<Rc<StreamState>>) {
     let mut waiting: Vec<_> =
-        slots.into_iter().filter(|slot| keep_or_lose(slot.rise(), slot)).collect();
-    let until = Instant::now() + peer.identity().resume_within;
-    let mut pause = FIRST_PAUSE;
+        states.into_iter().filter(|state| keep_or_mark_lost(state.detach(), state)).collect();
+    let deadline = Instant::now() + peer.identity().resume_within;
+    let mut delay = INITIAL_RETRY_DELAY;
     while !waiting.is_empty() {
         match peer.link().await {
             Ok(link) => {
-                waiting.retain(|slot| !resume_on(&peer, &link, slot));
+                waiting.retain(|state| !resume_on(&peer, &link, state));
                 if waiting.is_empty() {
                     return;
                 }
             }
-            Err(_) => waiting.retain(|slot| keep_or_lose(!slot.may_move(), slot)),
+            Err(_) => {
+                waiting.retain(|state| keep_or_mark_lost(!state.may_retry_elsewhere(), state))
+            }
         }
-        waiting.retain(|slot| !slot.is_closed());
-        if Instant::now() + pause >= until {
+        waiting.retain(|state| !state.is_closed());
+        if Instant::now() + delay >= deadline {
             break;
         }
-        monoio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        monoio::time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
-    for slot in waiting {
+    for state in waiting {
         peer.metrics().recoveries.count("given_up");
-        slot.lose();
+        state.mark_lost();
     }
 }
 
 /// Passes `keep` on, and tells a stream that is not kept.
-fn keep_or_lose(keep: bool, slot: &StreamSlot) -> bool {
-    if !keep && !slot.is_closed() {
-        slot.lose();
+fn keep_or_mark_lost(keep: bool, state: &StreamState) -> bool {
+    if !keep && !state.is_closed() {
+        state.mark_lost();
     }
     keep
 }
 
 /// Lets one stream go on over `link`; `false` where it has to wait for another connection.
-fn resume_on(peer: &PeerCore, link: &Rc<AgentLink>, slot: &Rc<StreamSlot>) -> bool {
-    if slot.is_closed() {
+fn resume_on(peer: &PeerCore, link: &Rc<AgentLink>, state: &Rc<StreamState>) -> bool {
+    if state.is_closed() {
         return true;
     }
-    let life = slot.origin().agent;
-    if life.is_some_and(|agent| agent != link.welcome().incarnation) {
+    let origin_incarnation = state.origin().agent;
+    if origin_incarnation.is_some_and(|agent| agent != link.welcome().incarnation) {
         peer.metrics().recoveries.count("agent_replaced");
-        slot.lose();
+        state.mark_lost();
         return true;
     }
-    let resumed = link.resume_slot(slot);
+    let resumed = link.reattach_stream(state);
     if resumed {
         peer.metrics().recoveries.count("resumed");
     }
--- a/crates/papayamux-router/src/agents/stream_slot.rs
+++ b/crates/papayamux-router/src/agents/stream_state.rs
@@ -13,11 +13,11 @@
 use super::StreamEvent;
 
 /// Connections in a row that may be lost without bringing anything of the answer.
-const MOST_FRUITLESS: u32 = 4;
+const MAX_UNPRODUCTIVE_LINKS: u32 = 4;
 
 /// What a stream is for.
 #[derive(Debug, Clone)]
-pub struct SlotOrigin {
+pub struct StreamOrigin {
     /// The attempt's id.
     pub id: RequestId,
     /// The agent's life, where the stream depends on it.
@@ -31,56 +31,56 @@
 }
 
 /// The connection that a stream is on, with its number there.
-struct StreamSeat {
+struct StreamAttachment {
     link: Rc<AgentLink>,
     stream: u64,
 }
 
 /// A stream's state, shared by the connection that brings its events and the handle that takes
 /// them.
-pub struct StreamSlot {
-    origin: SlotOrigin,
+pub struct StreamState {
+    origin: StreamOrigin,
     events: unbounded::Tx<StreamEvent>,
-    seat: RefCell<Option<StreamSeat>>,
+    attachment: RefCell<Option<StreamAttachment>>,
     point: Cell<ResumePoint>,
-    head_came: Cell<bool>,
-    fruitless: Cell<u32>,
+    head_received: Cell<bool>,
+    unproductive_links: Cell<u32>,
     closed: Cell<bool>,
 }
 
-impl StreamSlot {
+impl StreamState {
     /// A stream that starts at `point`.
     pub fn new(
-        origin: SlotOrigin,
+        origin: StreamOrigin,
         point: ResumePoint,
         events: unbounded::Tx<StreamEvent>,
     ) -> Rc<Self> {
         Rc::new(Self {
             origin,
             events,
-            seat: RefCell::default(),
+            attachment: RefCell::default(),
             point: Cell::new(point),
-            head_came: Cell::new(false),
-            fruitless: Cell::new(0),
+            head_received: Cell::new(false),
+            unproductive_links: Cell::new(0),
             closed: Cell::new(false),
         })
     }
 
     /// What the stream is for.
-    pub fn origin(&self) -> &SlotOrigin {
+    pub fn origin(&self) -> &StreamOrigin {
         &self.origin
     }
 
     /// Puts the stream on a connection.
-    pub fn sit(&self, link: Rc<AgentLink>, stream: u64) {
-        *self.seat.borrow_mut() = Some(StreamSeat { link, stream });
+    pub fn attach(&self, link: Rc<AgentLink>, stream: u64) {
+        *self.attachment.borrow_mut() = Some(StreamAttachment { link, stream });
     }
 
     /// Takes the stream off its lost connection; `false` where no other one is to be tried.
-    pub fn rise(&self) -> bool {
-        self.seat.borrow_mut().take();
-        self.fruitless.set(self.fruitless.get() + 1);
-        !self.closed.get() && self.fruitless.get() <= MOST_FRUITLESS
+    pub fn detach(&self) -> bool {
+        self.attachment.borrow_mut().take();
+        self.unproductive_links.set(self.unproductive_links.get() + 1);
+        !self.closed.get() && self.unproductive_links.get() <= MAX_UNPRODUCTIVE_LINKS
     }
 
     /// Whether the handle has been dropped, or the stream has ended.
@@ -89,13 +89,13 @@
     }
 
     /// Whether the request may be tried elsewhere at once when its agent can't be reached.
-    pub fn may_move(&self) -> bool {
-        self.origin.idempotent && !self.head_came.get()
+    pub fn may_retry_elsewhere(&self) -> bool {
+        self.origin.idempotent && !self.head_received.get()
     }
 
     /// Whether the agent has still to say a first word about the stream.
     pub fn awaits_head(&self) -> bool {
-        !self.head_came.get()
+        !self.head_received.get()
     }
 
     /// What to ask the agent for on a new connection.
@@ -111,8 +111,8 @@
 
     /// Sends something about the stream, where it is on a connection.
     pub fn send(&self, message: RouterMessage) {
-        if let Some(seat) = &*self.seat.borrow() {
-            seat.link.send(seat.stream, message);
+        if let Some(attachment) = &*self.attachment.borrow() {
+            attachment.link.send(attachment.stream, message);
         }
     }
 
@@ -121,28 +121,28 @@
         if self.closed.replace(true) {
             return;
         }
-        if let Some(seat) = self.seat.borrow_mut().take() {
-            seat.link.close_stream(seat.stream);
-            seat.link.send(seat.stream, last);
+        if let Some(attachment) = self.attachment.borrow_mut().take() {
+            attachment.link.close_stream(attachment.stream);
+            attachment.link.send(attachment.stream, last);
         }
     }
 
     /// Gives up on the stream.
-    pub fn lose(&self) {
+    pub fn mark_lost(&self) {
         self.closed.set(true);
-        self.seat.borrow_mut().take();
+        self.attachment.borrow_mut().take();
         let _ = self.events.send(StreamEvent::Lost);
     }
 
     /// The answer's head has come; another one after a resume is not passed on.
-    pub fn take_head(&self, head: AnswerHead) {
-        if !self.head_came.replace(true) {
+    pub fn receive_head(&self, head: AnswerHead) {
+        if !self.head_received.replace(true) {
             let _ = self.events.send(StreamEvent::Head(head));
         }
     }
 
     /// The answer goes on; `false` where it goes on at another place than asked for.
-    pub fn take_resumed(&self, notice: ResumeNotice) -> bool {
+    pub fn receive_resumed(&self, notice: ResumeNotice) -> bool {
         if let ResumePoint::Offset(offset) = self.point.get() {
             if offset != notice.offset {
                 return false;
@@ -150,18 +150,18 @@
         }
         self.point.set(ResumePoint::Offset(notice.offset));
         if let Some(head) = notice.head {
-            self.take_head(head);
+            self.receive_head(head);
         }
         true
     }
 
     /// A piece has come; `false` where it is not the next.
-    pub fn take_data(&self, data: AnswerData) -> bool {
+    pub fn receive_data(&self, data: AnswerData) -> bool {
         if self.point.get() != ResumePoint::Offset(data.offset) {
             return false;
         }
         self.point.set(ResumePoint::Offset(data.offset + data.bytes.len() as u64));
-        self.fruitless.set(0);
+        self.unproductive_links.set(0);
         let _ = self.events.send(StreamEvent::Data(data));
         true
     }
@@ -172,7 +172,7 @@
     }
 
     /// The stream's last event has come.
-    pub fn take_end(&self, event: StreamEvent) {
+    pub fn receive_end(&self, event: StreamEvent) {
         self.close(RouterMessage::Received);
         let _ = self.events.send(event);
     }
--- a/crates/papayamux-router/src/callers/answer_stream.rs
+++ b/crates/papayamux-router/src/callers/answer_stream.rs
@@ -14,9 +14,9 @@
 use papayamux_transport::http::{AnswerBody, BodyError};
 
 use super::in_flight::InFlightGuard;
-use super::offer::TakenRequest;
+use super::offer::AcceptedRequest;
 use crate::agents::{StreamEvent, StreamHandle};
-use crate::routing::OccupiedPlace;
+use crate::routing::OccupiedSlot;
 
 /// The media type of streamed answers.
 const EVENT_STREAM: &str = "text/event-stream";
@@ -31,7 +31,7 @@
     /// before the connection is cut.
     Closing(BodyError),
     /// The connection is cut next.
-    Cutting(BodyError),
+    Truncating(BodyError),
     /// It has ended.
     Ended,
 }
@@ -39,23 +39,23 @@
 /// The rest of an answer; it ends well only where every byte came in its order.
 struct AnswerStream {
     stream: StreamHandle,
-    taken: u64,
+    delivered: u64,
     is_event_stream: bool,
     is_between_events: bool,
     progress: AnswerProgress,
     in_flight: Rc<InFlightGuard>,
-    _place: Option<OccupiedPlace>,
+    _slot: Option<OccupiedSlot>,
 }
 
 type AnswerItem = Option<Result<Bytes, BodyError>>;
 
 impl AnswerStream {
-    fn take_event(&mut self, event: StreamEvent) -> AnswerItem {
+    fn handle_event(&mut self, event: StreamEvent) -> AnswerItem {
         match event {
             StreamEvent::Data(data) => {
-                self.taken = data.offset + data.bytes.len() as u64;
+                self.delivered = data.offset + data.bytes.len() as u64;
                 self.is_between_events = data.bytes.ends_with(EVENT_END);
-                self.stream.acknowledge(self.taken);
+                self.stream.acknowledge(self.delivered);
                 Some(Ok(data.bytes))
             }
             StreamEvent::End(AnswerEnd::Whole(_)) => {
@@ -64,25 +64,25 @@
             }
             StreamEvent::End(AnswerEnd::Failed(reason)) => {
                 let (code, outcome) = (FailureCode::ServerFailed, FailureOutcome::Failed);
-                self.cut("server_failed", FailureBody::new(code, outcome, reason))
+                self.truncate("server_failed", FailureBody::new(code, outcome, reason))
             }
             StreamEvent::Lost | StreamEvent::NotHeld => {
                 let (code, outcome) = (FailureCode::ConnectionLost, FailureOutcome::Unknown);
                 let message = "the connection to the server was lost";
-                self.cut("lost", FailureBody::new(code, outcome, message))
+                self.truncate("lost", FailureBody::new(code, outcome, message))
             }
             StreamEvent::Head(_) | StreamEvent::Refused(_) => {
                 let (code, outcome) = (FailureCode::ConnectionLost, FailureOutcome::Unknown);
                 let message = "the answer came out of order";
-                self.cut("out_of_order", FailureBody::new(code, outcome, message))
+                self.truncate("out_of_order", FailureBody::new(code, outcome, message))
             }
         }
     }
 
     /// Ends an answer that is not whole: the connection is cut, and a stream of events says why
     /// in an event of its own.
-    fn cut(&mut self, reason: &'static str, failure: FailureBody) -> AnswerItem {
-        self.in_flight.count_cut(reason);
+    fn truncate(&mut self, reason: &'static str, failure: FailureBody) -> AnswerItem {
+        self.in_flight.count_truncated(reason);
         let error = BodyError(failure.message.clone());
         if !self.is_event_stream || !self.is_between_events {
             self.progress = AnswerProgress::Ended;
@@ -104,33 +104,36 @@
         match std::mem::replace(&mut self.progress, AnswerProgress::Ended) {
             AnswerProgress::Open => {
                 self.progress = AnswerProgress::Open;
-                self.stream.poll_event(context).map(|event| self.take_event(event))
+                self.stream.poll_event(context).map(|event| self.handle_event(event))
             }
             AnswerProgress::Closing(error) => {
-                self.progress = AnswerProgress::Cutting(error);
+                self.progress = AnswerProgress::Truncating(error);
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
-            AnswerProgress::Cutting(error) => Poll::Ready(Some(Err(error))),
+            AnswerProgress::Truncating(error) => Poll::Ready(Some(Err(error))),
             AnswerProgress::Ended => Poll::Ready(None),
         }
     }
 }
 
 /// The response to the caller.
-pub fn answer_response(taken: TakenRequest, in_flight: Rc<InFlightGuard>) -> Response<AnswerBody> {
-    let TakenRequest { id, server, head, stream, place } = taken;
+pub fn answer_response(
+    delivered: AcceptedRequest,
+    in_flight: Rc<InFlightGuard>,
+) -> Response<AnswerBody> {
+    let AcceptedRequest { id, server, head, stream, slot } = delivered;
     let is_event_stream = head.headers.iter().any(|field| {
         field.name == CONTENT_TYPE.as_str() && field.value.starts_with(EVENT_STREAM.as_bytes())
     });
     let stream = AnswerStream {
         stream,
-        taken: 0,
+        delivered: 0,
         is_event_stream,
         is_between_events: true,
         progress: AnswerProgress::Open,
         in_flight,
-        _place: place,
+        _slot: slot,
     };
     let mut response = Response::new(AnswerBody::Stream(Box::pin(stream)));
     *response.status_mut() = StatusCode::from_u16(head.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/papayamux-router/src/callers/chat_handler.rs
+++ b/crates/papayamux-router/src/callers/chat_handler.rs
@@ -7,23 +7,23 @@
 use papayamux_protocol::link::{ChatTarget, RepeatRule};
 
 use super::caller_request::{end_to_end_headers, header_text, CallerRequest};
-use super::offer::{offer_request, RequestOffer, TakenRequest};
-use super::CallerDesk;
+use super::offer::{offer_request, AcceptedRequest, RequestOffer};
+use super::CallerFrontend;
 
 /// Brings a chat request to a server of its model.
 pub async fn handle_chat(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     request: CallerRequest,
-) -> Result<TakenRequest, FailureBody> {
+) -> Result<AcceptedRequest, FailureBody> {
     let conversation = header_text(&request.head.headers, CONVERSATION);
     let call = read_chat_call(&request.organisation, conversation, &request.body)
         .map_err(|error| FailureBody::not_run(FailureCode::InvalidRequest, error.to_string()))?;
-    let servers = desk.directory.serving(&call.model);
+    let servers = frontend.directory.serving(&call.model);
     if servers.is_empty() {
         let message = format!("no server is declared for the model {}", call.model);
         return Err(FailureBody::not_run(FailureCode::UnknownModel, message));
     }
-    let plan = desk.planner.plan_chat(&call, servers).await;
+    let plan = frontend.planner.plan_chat(&call, servers).await;
     let offer = RequestOffer {
         organisation: request.organisation,
         repeat: RepeatRule::Idempotent,
@@ -34,5 +34,5 @@
         headers: end_to_end_headers(&request.head.headers),
         body: request.body,
     };
-    offer_request(desk, &offer, plan).await
+    offer_request(frontend, &offer, plan).await
 }
--- a/crates/papayamux-router/src/callers/in_flight.rs
+++ b/crates/papayamux-router/src/callers/in_flight.rs
@@ -18,7 +18,7 @@
     }
 
     /// Counts an answer that was cut off.
-    pub fn count_cut(&self, reason: &'static str) {
+    pub fn count_truncated(&self, reason: &'static str) {
         self.metrics.cut_answers.count(reason);
     }
 }
--- a/crates/papayamux-router/src/callers/mod.rs
+++ b/crates/papayamux-router/src/callers/mod.rs
@@ -9,5 +9,5 @@
 mod resume_handler;
 mod service_handler;
 
-pub(crate) use offer::{offer_request, RequestOffer, TakenRequest};
-pub use request_handler::CallerDesk;
+pub(crate) use offer::{offer_request, AcceptedRequest, RequestOffer};
+pub use request_handler::CallerFrontend;
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -16,10 +16,10 @@
 use papayamux_state::refusal::RefusalReason;
 use papayamux_state::request_fingerprint::RequestFingerprint;
 
-use super::CallerDesk;
+use super::CallerFrontend;
 use crate::agents::{AgentLink, RequestQuarantine, StreamEvent, StreamHandle};
-use crate::claims::ClaimHold;
-use crate::routing::{OccupiedPlace, RouteCandidate, RoutePlan};
+use crate::claims::ClaimAttempt;
+use crate::routing::{OccupiedSlot, RouteCandidate, RoutePlan};
 
 /// What is offered.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
     /// How the call may be repeated.
     pub repeat: RepeatRule,
     /// The claim under which a call with a key may run.
-    pub claim: Option<Rc<ClaimHold>>,
+    pub claim: Option<Rc<ClaimAttempt>>,
     /// Set for chats.
     pub chat: Option<ChatTarget>,
     /// The HTTP method.
@@ -66,14 +66,14 @@
     /// The time on the agent's clock before which the request must start; none where it is past.
     fn start_before(&self, link: &AgentLink, within: Duration) -> Option<AgentClock> {
         match &self.claim {
-            Some(hold) => hold.deadline(link, within),
+            Some(attempt) => attempt.deadline(link, within),
             None => Some(link.agent_clock().after(within)),
         }
     }
 }
 
 /// A request that a server has taken, with the head of its answer.
-pub struct TakenRequest {
+pub struct AcceptedRequest {
     /// The attempt's id.
     pub id: RequestId,
     /// The server.
@@ -83,12 +83,12 @@
     /// The rest of the answer.
     pub stream: StreamHandle,
     /// Its place in the router's count of requests at the server, where the router offered it.
-    pub place: Option<OccupiedPlace>,
+    pub slot: Option<OccupiedSlot>,
 }
 
 /// What came of offering a request to one server.
 enum OfferOutcome {
-    Taken(Box<TakenRequest>),
+    Accepted(Box<AcceptedRequest>),
     NotRun(RefusalNotice),
     Unknown,
 }
@@ -100,17 +100,17 @@
 /// After a refusal the next server is asked. After an unknown outcome it is asked only where the
 /// request is idempotent, and no later refusal makes the outcome known again.
 pub async fn offer_request(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     offer: &RequestOffer,
     mut plan: RoutePlan,
-) -> Result<TakenRequest, FailureBody> {
+) -> Result<AcceptedRequest, FailureBody> {
     let mut refusal = UNREACHABLE;
     let mut may_have_run = false;
     let mut named = None;
-    let organisation = desk.settings.organisation(&offer.organisation);
-    plan = plan.with_share(organisation.share).with_offers(desk.settings.most_offers);
-    desk.planner.retries().note_request();
-    let quarantine = &desk.directory.news().quarantine;
+    let organisation = frontend.settings.organisation(&offer.organisation);
+    plan = plan.with_share(organisation.share).with_offers(frontend.settings.most_offers);
+    frontend.planner.retries().note_request();
+    let quarantine = &frontend.directory.updates().quarantine;
     while let Some(candidate) = plan.next(named.as_ref()) {
         named = None;
         // Each offer would end one more server, as those before it did.
@@ -118,40 +118,40 @@
             let left = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             log::info!(fingerprint:% = offer.fingerprint(), held_ms = left; "request is held");
             refusal = RefusalNotice::new(RefusalReason::Quarantined, left);
-            desk.metrics.refusals.count(refusal.reason.label());
+            frontend.metrics.refusals.count(refusal.reason.label());
             break;
         }
         let server = candidate.record.entry.server.clone();
-        match offer_to(desk, offer, &candidate).await {
-            OfferOutcome::Taken(taken) => {
-                desk.planner.note_answer(&server);
-                desk.planner.loads().note_taken(&server);
-                plan.note_taken(&server);
-                return Ok(*taken);
+        match offer_to(frontend, offer, &candidate).await {
+            OfferOutcome::Accepted(accepted) => {
+                frontend.planner.record_answer(&server);
+                frontend.planner.loads().record_accepted(&server);
+                plan.record_accepted(&server);
+                return Ok(*accepted);
             }
             OfferOutcome::NotRun(notice) => {
                 if let Some(kind) = evidence_of(notice.reason) {
-                    desk.planner.note_evidence(&server, kind);
+                    frontend.planner.record_evidence(&server, kind);
                 }
-                desk.metrics.refusals.count(notice.reason.label());
+                frontend.metrics.refusals.count(notice.reason.label());
                 refusal = notice;
                 if !refusal.reason.may_ask_elsewhere() {
                     break;
                 }
-                desk.metrics.retries.count(refusal.reason.label());
+                frontend.metrics.retries.count(refusal.reason.label());
                 named.clone_from(&refusal.better);
             }
             OfferOutcome::Unknown => {
-                desk.planner.note_evidence(&server, EvidenceKind::Unreachable);
+                frontend.planner.record_evidence(&server, EvidenceKind::Unreachable);
                 may_have_run = true;
                 if offer.repeat != RepeatRule::Idempotent {
                     break;
                 }
-                if !desk.planner.retries().take_retry() {
-                    desk.metrics.retries_denied.count("connection_lost");
+                if !frontend.planner.retries().take_retry() {
+                    frontend.metrics.retries_denied.count("connection_lost");
                     break;
                 }
-                desk.metrics.retries.count("connection_lost");
+                frontend.metrics.retries.count("connection_lost");
             }
         }
     }
@@ -163,21 +163,21 @@
 
 /// Offers a request to one server, once more where the connection was lost before it arrived.
 async fn offer_to(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     offer: &RequestOffer,
     candidate: &RouteCandidate,
 ) -> OfferOutcome {
-    match attempt_at(desk, offer, candidate).await {
+    match attempt_at(frontend, offer, candidate).await {
         OfferOutcome::NotRun(notice) if notice.reason == RefusalReason::NeverArrived => {
-            desk.metrics.retries.count(notice.reason.label());
-            attempt_at(desk, offer, candidate).await
+            frontend.metrics.retries.count(notice.reason.label());
+            attempt_at(frontend, offer, candidate).await
         }
         outcome => outcome,
     }
 }
 
 async fn attempt_at(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     offer: &RequestOffer,
     candidate: &RouteCandidate,
 ) -> OfferOutcome {
@@ -185,44 +185,44 @@
     let Ok(link) = peer.link().await else {
         return OfferOutcome::NotRun(UNREACHABLE);
     };
-    if link.is_leaving() {
+    if link.is_draining() {
         return OfferOutcome::NotRun(RefusalNotice::new(RefusalReason::Leaving, 0));
     }
-    let Some(start_before) = offer.start_before(&link, desk.settings.start_within) else {
+    let Some(start_before) = offer.start_before(&link, frontend.settings.start_within) else {
         return OfferOutcome::NotRun(RefusalNotice::new(RefusalReason::DeadlinePassed, 0));
     };
-    let id = desk.request_ids.draw();
+    let id = frontend.request_ids.draw();
     let open = OpenRequest {
         id,
         agent: link.welcome().incarnation,
         organisation: offer.organisation.clone(),
-        priority: desk.settings.organisation(&offer.organisation).priority,
+        priority: frontend.settings.organisation(&offer.organisation).priority,
         start_before,
         repeat: offer.repeat.clone(),
-        claim: offer.claim.as_ref().map(|hold| hold.claim()),
+        claim: offer.claim.as_ref().map(|attempt| attempt.claim()),
         chat: offer.chat.clone(),
         method: offer.method.clone(),
         path: offer.path.clone(),
         headers: offer.headers.clone(),
         body: offer.body.clone(),
         placement: candidate.placement,
-        sent_after: offer.begin_attempt(&desk.directory.news().quarantine),
+        sent_after: offer.begin_attempt(&frontend.directory.updates().quarantine),
     };
-    if let Some(hold) = &offer.claim {
-        hold.place(RunPlace { server: peer.server().clone(), agent: peer.address() });
+    if let Some(attempt) = &offer.claim {
+        attempt.place(RunPlace { server: peer.server().clone(), agent: peer.address() });
     }
-    let place = Some(desk.planner.loads().occupy(peer.server()));
+    let slot = Some(frontend.planner.loads().occupy_slot(peer.server()));
     let Some(mut stream) = link.open_stream(open) else {
         return OfferOutcome::NotRun(UNREACHABLE);
     };
     match stream.next_event().await {
         StreamEvent::Refused(notice) => {
-            desk.metrics.refused_request_bytes.inc_by(offer.body.len() as u64);
+            frontend.metrics.refused_request_bytes.inc_by(offer.body.len() as u64);
             OfferOutcome::NotRun(notice)
         }
         StreamEvent::Head(head) => {
             let server = peer.server().clone();
-            OfferOutcome::Taken(Box::new(TakenRequest { id, server, head, stream, place }))
+            OfferOutcome::Accepted(Box::new(AcceptedRequest { id, server, head, stream, slot }))
         }
         StreamEvent::Data(_) | StreamEvent::End(_) | StreamEvent::NotHeld | StreamEvent::Lost => {
             OfferOutcome::Unknown
--- a/crates/papayamux-router/src/callers/request_handler.rs
+++ b/crates/papayamux-router/src/callers/request_handler.rs
@@ -15,26 +15,26 @@
 use super::caller_request::read_request;
 use super::chat_handler::handle_chat;
 use super::in_flight::InFlightGuard;
-use super::offer::TakenRequest;
+use super::offer::AcceptedRequest;
 use super::resume_handler::handle_resume;
 use super::service_handler::handle_service;
-use crate::claims::FleetKeeper;
+use crate::claims::FleetTracker;
 use crate::directory::ServerDirectory;
 use crate::metrics::RouterMetrics;
 use crate::routing::RoutePlanner;
 use crate::settings::RouterSettings;
 
 /// Takes callers' requests and knows the agents they may go to.
-pub struct CallerDesk {
+pub struct CallerFrontend {
     pub(crate) settings: RouterSettings,
     pub(crate) metrics: RouterMetrics,
     pub(crate) request_ids: RequestIdSource,
     pub(crate) directory: Rc<ServerDirectory>,
-    pub(crate) fleets: Rc<FleetKeeper>,
+    pub(crate) fleets: Rc<FleetTracker>,
     pub(crate) planner: RoutePlanner,
 }
 
-impl CallerDesk {
+impl CallerFrontend {
     /// A desk for one life of a router.
     pub fn new(
         settings: RouterSettings,
@@ -44,9 +44,9 @@
         metrics: RouterMetrics,
     ) -> Rc<Self> {
         let request_ids = RequestIdSource::new(incarnation);
-        let fleets = FleetKeeper::new(settings.claims.clone());
+        let fleets = FleetTracker::new(settings.claims.clone());
         match settings.claims.fleet.as_slice() {
-            [] => directory.keep_fleets(fleets.clone()),
+            [] => directory.set_fleet_tracker(fleets.clone()),
             entries => fleets.put_in_force(directory.witness_peers(entries)),
         }
         Rc::new(Self { settings, metrics, request_ids, directory, fleets, planner })
@@ -55,16 +55,16 @@
     /// Answers one request.
     pub async fn handle(self: &Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let in_flight = InFlightGuard::new(&self.metrics);
-        match self.take(request).await {
-            Ok(taken) => answer_response(taken, in_flight),
+        match self.route_request(request).await {
+            Ok(accepted) => answer_response(accepted, in_flight),
             Err(failure) => self.failure_response(&failure),
         }
     }
 
-    async fn take(
+    async fn route_request(
         self: &Rc<Self>,
         request: Request<Incoming>,
-    ) -> Result<TakenRequest, FailureBody> {
+    ) -> Result<AcceptedRequest, FailureBody> {
         let is_chat = request.uri().path() == CHAT_PATH;
         if is_chat && request.method() != Method::POST {
             let message = format!("{CHAT_PATH} takes POST only");
--- a/crates/papayamux-router/src/callers/resume_handler.rs
+++ b/crates/papayamux-router/src/callers/resume_handler.rs
@@ -7,18 +7,18 @@
 use papayamux_state::ids::OrganisationId;
 
 use super::caller_request::{header_text, CallerRequest};
-use super::offer::TakenRequest;
-use super::CallerDesk;
-use crate::agents::{SlotOrigin, StreamEvent};
+use super::offer::AcceptedRequest;
+use super::CallerFrontend;
+use crate::agents::{StreamEvent, StreamOrigin};
 
 /// Brings the caller the rest of the answer whose last event it names. The request's own body is
 /// not run, whatever comes of it.
 pub async fn handle_resume(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     request: &CallerRequest,
-) -> Result<TakenRequest, FailureBody> {
-    let outcome = resume_answer(desk, request).await;
-    desk.metrics.caller_resumes.count(match &outcome {
+) -> Result<AcceptedRequest, FailureBody> {
+    let outcome = resume_answer(frontend, request).await;
+    frontend.metrics.caller_resumes.count(match &outcome {
         Ok(_) => "resumed",
         Err(failure) if failure.code == FailureCode::InvalidRequest => "invalid",
         Err(failure) if failure.code == FailureCode::AnswerGone => "gone",
@@ -28,27 +28,27 @@
 }
 
 async fn resume_answer(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     request: &CallerRequest,
-) -> Result<TakenRequest, FailureBody> {
+) -> Result<AcceptedRequest, FailureBody> {
     let event = read_event_id(request)?;
-    let record = desk.directory.record(&event.server).ok_or_else(gone)?;
+    let record = frontend.directory.record(&event.server).ok_or_else(gone)?;
     let link = record.peer.link().await.map_err(|_| unreachable())?;
     let origin = origin_of(&event, &request.organisation);
     let from = ResumePoint::AfterEvent(event.number);
     let mut stream = link.resume_stream(origin, from).ok_or_else(unreachable)?;
     match stream.next_event().await {
         StreamEvent::Head(head) => {
-            let (id, server, place) = (event.request, event.server, None);
-            Ok(TakenRequest { id, server, head, stream, place })
+            let (id, server, slot) = (event.request, event.server, None);
+            Ok(AcceptedRequest { id, server, head, stream, slot })
         }
         StreamEvent::Lost => Err(unreachable()),
         _ => Err(gone()),
     }
 }
 
-fn origin_of(event: &EventId, organisation: &OrganisationId) -> SlotOrigin {
-    SlotOrigin {
+fn origin_of(event: &EventId, organisation: &OrganisationId) -> StreamOrigin {
+    StreamOrigin {
         id: event.request,
         agent: None,
         organisation: organisation.clone(),
--- a/crates/papayamux-router/src/callers/service_handler.rs
+++ b/crates/papayamux-router/src/callers/service_handler.rs
@@ -8,18 +8,18 @@
 use papayamux_state::ids::IdempotencyKey;
 
 use super::caller_request::{end_to_end_headers, header_text, CallerRequest};
-use super::offer::{offer_request, RequestOffer, TakenRequest};
-use super::CallerDesk;
+use super::offer::{offer_request, AcceptedRequest, RequestOffer};
+use super::CallerFrontend;
 use crate::claims::{run_keyed, KeyedCall};
 use crate::routing::RoutePlan;
 
 /// Brings a call to a server declared for its path.
 pub async fn handle_service(
-    desk: &Rc<CallerDesk>,
+    frontend: &Rc<CallerFrontend>,
     request: CallerRequest,
-) -> Result<TakenRequest, FailureBody> {
+) -> Result<AcceptedRequest, FailureBody> {
     let path = request.head.uri.path();
-    let Some(route) = desk.directory.for_path(path) else {
+    let Some(route) = frontend.directory.for_path(path) else {
         let message = format!("no server is declared for the path {path}");
         return Err(FailureBody::not_run(FailureCode::UnknownRoute, message));
     };
@@ -39,25 +39,25 @@
         headers: end_to_end_headers(&request.head.headers),
         body: request.body,
     };
-    let plan = desk.planner.plan_service(route).await;
+    let plan = frontend.planner.plan_service(route).await;
     match &offer.repeat {
         RepeatRule::AtMostOnce(Some(key)) => {
             let call = KeyedCall::new(&offer, key);
-            run_detached(desk.clone(), call, offer, plan).await
+            run_detached(frontend.clone(), call, offer, plan).await
         }
-        _ => offer_request(desk, &offer, plan).await,
+        _ => offer_request(frontend, &offer, plan).await,
     }
 }
 
 /// Runs a call with a key to the head of its answer, also where the caller goes away meanwhile:
 /// else its claims would stay without anybody to use or release them.
 async fn run_detached(
-    desk: Rc<CallerDesk>,
+    frontend: Rc<CallerFrontend>,
     call: KeyedCall,
     offer: RequestOffer,
     plan: RoutePlan,
-) -> Result<TakenRequest, FailureBody> {
-    monoio::spawn(async move { run_keyed(&desk, &call, offer, plan).await }).await
+) -> Result<AcceptedRequest, FailureBody> {
+    monoio::spawn(async move { run_keyed(&frontend, &call, offer, plan).await }).await
 }
 
 fn read_key(request: &CallerRequest) -> Result<Option<IdempotencyKey>, FailureBody> {
--- a/crates/papayamux-router/src/claims/claim_hold.rs
+++ b/crates/papayamux-router/src/claims/claim_attempt.rs
@@ -11,7 +11,7 @@
 use crate::agents::AgentLink;
 
 /// An attempt that has claimed a key, with the connections on which it did so.
-pub struct ClaimHold {
+pub struct ClaimAttempt {
     key: ClaimKey,
     claim: ClaimId,
     started: Instant,
@@ -19,7 +19,7 @@
     last_change: RefCell<Option<ClaimChange>>,
 }
 
-impl ClaimHold {
+impl ClaimAttempt {
     /// An attempt that began at `started`, before any witness was asked.
     pub fn new(key: ClaimKey, claim: ClaimId, started: Instant) -> Rc<Self> {
         let (links, last_change) = (RefCell::default(), RefCell::default());
@@ -40,37 +40,37 @@
     }
 
     /// Notes that a witness is being asked on `link`.
-    pub fn note_asked(&self, link: Rc<AgentLink>) {
+    pub fn record_link(&self, link: Rc<AgentLink>) {
         self.links.borrow_mut().push(link);
     }
 
     /// Tells a witness that answered late what has become of the attempt meanwhile.
-    pub fn catch_up(&self, link: &AgentLink) {
+    pub fn send_last_change(&self, link: &AgentLink) {
         if let Some(change) = self.last_change.borrow().clone() {
-            link.tell_claim(ClaimNotice { key: self.key, claim: self.claim, change });
+            link.send_claim_notice(ClaimNotice { key: self.key, claim: self.claim, change });
         }
     }
 
     /// Tells the witnesses where the attempt is brought to.
     pub fn place(&self, place: RunPlace) {
-        self.tell(ClaimChange::Placed(place));
+        self.notify_witnesses(ClaimChange::Placed(place));
     }
 
     /// Tells the witnesses that the attempt was not run and never will be.
     pub fn release(&self) {
-        self.tell(ClaimChange::Released);
+        self.notify_witnesses(ClaimChange::Released);
     }
 
-    fn tell(&self, change: ClaimChange) {
+    fn notify_witnesses(&self, change: ClaimChange) {
         *self.last_change.borrow_mut() = Some(change.clone());
         let notice = ClaimNotice { key: self.key, claim: self.claim, change };
         for link in &*self.links.borrow() {
-            link.tell_claim(notice.clone());
+            link.send_claim_notice(notice.clone());
         }
     }
 }
 
-impl fmt::Debug for ClaimHold {
+impl fmt::Debug for ClaimAttempt {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "ClaimHold({} of {})", self.claim, self.key)
     }
--- a/crates/papayamux-router/src/claims/claim_settings.rs
+++ b/crates/papayamux-router/src/claims/claim_settings.rs
@@ -8,7 +8,7 @@
 use papayamux_state::claims::DeclaredServer;
 
 /// Retention must be at least this many times as long as a call may wait for its start.
-const LEAST_RETENTIONS: u32 = 2;
+const MIN_RETENTION_FACTOR: u32 = 2;
 
 /// A declared server whose agent is a witness, where the servers that the router knows are not
 /// all that are declared.
@@ -51,7 +51,7 @@
         if settings.witnesses.is_multiple_of(2) {
             section.report("witnesses", "the number of witnesses must be odd", "take 3 or 5");
         }
-        if settings.retention < start_within * LEAST_RETENTIONS {
+        if settings.retention < start_within * MIN_RETENTION_FACTOR {
             let help = format!("a call may wait for {start_within:?} before it starts");
             section.report("retention", "the retention is too short", &help);
         }
--- a/crates/papayamux-router/src/claims/fleet_keeper.rs
+++ b/crates/papayamux-router/src/claims/fleet_tracker.rs
@@ -21,13 +21,13 @@
 }
 
 /// Learns of each declared fleet and remembers those that still count.
-pub struct FleetKeeper {
+pub struct FleetTracker {
     settings: ClaimSettings,
     window: RefCell<Option<FleetWindow>>,
     peers: RefCell<HashMap<ServerId, Rc<AgentPeer>>>,
 }
 
-impl FleetKeeper {
+impl FleetTracker {
     /// A keeper that knows of no fleet yet.
     pub fn new(settings: ClaimSettings) -> Rc<Self> {
         Rc::new(Self { settings, window: RefCell::default(), peers: RefCell::default() })
--- a/crates/papayamux-router/src/claims/keyed_call.rs
+++ b/crates/papayamux-router/src/claims/keyed_call.rs
@@ -11,14 +11,14 @@
 
 use super::recall::{answer_not_kept, key_in_use, key_reused, recall_answer, RecallOutcome};
 use super::witness_round::{claim_key, RoundOutcome};
-use super::ClaimHold;
-use crate::callers::{offer_request, CallerDesk, RequestOffer, TakenRequest};
+use super::ClaimAttempt;
+use crate::callers::{offer_request, AcceptedRequest, CallerFrontend, RequestOffer};
 use crate::routing::RoutePlan;
 
 /// Rounds of claims for one call, where another attempt is in the way.
-const MOST_ROUNDS: u32 = 4;
+const MAX_CLAIM_ROUNDS: u32 = 4;
 /// The pause before a further round is drawn from this range, so that attempts part.
-const ROUND_PAUSE_MS: std::ops::Range<u64> = 10..60;
+const ROUND_DELAY_MS: std::ops::Range<u64> = 10..60;
 
 /// The key of a call and what it stands for.
 #[derive(Debug, Clone)]
@@ -47,29 +47,31 @@
 
 /// Claims the key and offers the call to the servers of `plan`, or gets the first run's answer.
 pub async fn run_keyed(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     call: &KeyedCall,
     offer: RequestOffer,
     plan: RoutePlan,
-) -> Result<TakenRequest, FailureBody> {
+) -> Result<AcceptedRequest, FailureBody> {
     let started = Instant::now();
     let mut failure = key_in_use("another call with this key is under way");
-    for round in 0..MOST_ROUNDS {
+    for round in 0..MAX_CLAIM_ROUNDS {
         if round > 0 {
-            let pause = rand::random_range(ROUND_PAUSE_MS);
-            monoio::time::sleep(Duration::from_millis(pause)).await;
-            desk.metrics.retries.count(RefusalReason::KeyHeld.label());
+            let delay_ms = rand::random_range(ROUND_DELAY_MS);
+            monoio::time::sleep(Duration::from_millis(delay_ms)).await;
+            frontend.metrics.retries.count(RefusalReason::KeyHeld.label());
         }
-        let claim = ClaimId(desk.request_ids.draw());
-        let hold = ClaimHold::new(call.key, claim, started);
-        match claim_key(&desk.fleets, call, hold, desk.settings.start_within).await {
-            RoundOutcome::Won(hold) => return run_under_claim(desk, offer, plan, hold).await,
+        let claim = ClaimId(frontend.request_ids.draw());
+        let attempt = ClaimAttempt::new(call.key, claim, started);
+        match claim_key(&frontend.fleets, call, attempt, frontend.settings.start_within).await {
+            RoundOutcome::Won(attempt) => {
+                return run_under_claim(frontend, offer, plan, attempt).await
+            }
             RoundOutcome::Lost { held, refusal } => {
-                desk.metrics.refusals.count(refusal.reason.label());
-                match after_lost_round(desk, call, held, refusal).await {
-                    LostRound::Taken(taken) => return Ok(*taken),
+                frontend.metrics.refusals.count(refusal.reason.label());
+                match after_lost_round(frontend, call, held, refusal).await {
+                    LostRound::Accepted(accepted) => return Ok(*accepted),
                     LostRound::Failed(failure) => return Err(failure),
-                    LostRound::TryAgain(reason) => failure = reason,
+                    LostRound::Retry(reason) => failure = reason,
                 }
             }
         }
@@ -79,13 +81,13 @@
 
 /// What follows from a lost round.
 enum LostRound {
-    Taken(Box<TakenRequest>),
+    Accepted(Box<AcceptedRequest>),
     Failed(FailureBody),
-    TryAgain(FailureBody),
+    Retry(FailureBody),
 }
 
 async fn after_lost_round(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     call: &KeyedCall,
     held: Option<HeldClaim>,
     refusal: RefusalNotice,
@@ -95,11 +97,11 @@
     }
     let Some(held) = held else { return LostRound::Failed(no_majority(refusal)) };
     let Some(place) = held.place else {
-        return LostRound::TryAgain(key_in_use("another call with this key is under way"));
+        return LostRound::Retry(key_in_use("another call with this key is under way"));
     };
-    match recall_answer(desk, call, &place).await {
-        RecallOutcome::Taken(taken) => LostRound::Taken(taken),
-        RecallOutcome::NotThere => LostRound::TryAgain(answer_not_kept()),
+    match recall_answer(frontend, call, &place).await {
+        RecallOutcome::Accepted(accepted) => LostRound::Accepted(accepted),
+        RecallOutcome::NotThere => LostRound::Retry(answer_not_kept()),
         RecallOutcome::Failed(failure) => LostRound::Failed(failure),
     }
 }
@@ -115,23 +117,23 @@
 }
 
 async fn run_under_claim(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     offer: RequestOffer,
     plan: RoutePlan,
-    hold: Rc<ClaimHold>,
-) -> Result<TakenRequest, FailureBody> {
-    let offer = RequestOffer { claim: Some(hold.clone()), ..offer };
-    let outcome = offer_request(desk, &offer, plan).await;
+    attempt: Rc<ClaimAttempt>,
+) -> Result<AcceptedRequest, FailureBody> {
+    let offer = RequestOffer { claim: Some(attempt.clone()), ..offer };
+    let outcome = offer_request(frontend, &offer, plan).await;
     match outcome {
         Err(failure) if failure.outcome != FailureOutcome::NotRun => Err(failure),
         Err(failure) if ran_before(&failure) => {
             Err(key_in_use("a call with this key has run").because(RefusalReason::KeyRunBefore))
         }
         Err(failure) => {
-            hold.release();
+            attempt.release();
             Err(failure)
         }
-        Ok(taken) => Ok(taken),
+        Ok(accepted) => Ok(accepted),
     }
 }
 
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -9,7 +9,7 @@
 
 use super::KeyedCall;
 use crate::agents::StreamEvent;
-use crate::callers::{CallerDesk, TakenRequest};
+use crate::callers::{AcceptedRequest, CallerFrontend};
 
 /// Seconds after which a repeat may be worth another try.
 const RETRY_AFTER_SECONDS: u32 = 1;
@@ -17,7 +17,7 @@
 /// What came of asking for the first run's answer.
 pub enum RecallOutcome {
     /// Here it is.
-    Taken(Box<TakenRequest>),
+    Accepted(Box<AcceptedRequest>),
     /// The agent knows of no such run, yet or any more.
     NotThere,
     /// It can't be had.
@@ -25,9 +25,13 @@
 }
 
 /// Asks the agent at `place`.
-pub async fn recall_answer(desk: &CallerDesk, call: &KeyedCall, place: &RunPlace) -> RecallOutcome {
-    let known = desk.fleets.peer(&place.server);
-    let peer = known.unwrap_or_else(|| desk.directory.peer_at(&place.server, place.agent));
+pub async fn recall_answer(
+    frontend: &CallerFrontend,
+    call: &KeyedCall,
+    place: &RunPlace,
+) -> RecallOutcome {
+    let known = frontend.fleets.peer(&place.server);
+    let peer = known.unwrap_or_else(|| frontend.directory.peer_at(&place.server, place.agent));
     let unreachable = || RecallOutcome::Failed(key_in_use("the first run's agent is out of reach"));
     let Ok(link) = peer.link().await else { return unreachable() };
     let request = RecallRequest {
@@ -35,7 +39,7 @@
         key: call.idempotency_key.clone(),
         fingerprint: call.fingerprint,
     };
-    let id = desk.request_ids.draw();
+    let id = frontend.request_ids.draw();
     let Some(mut stream) = link.recall_stream(id, request) else { return unreachable() };
     match stream.next_event().await {
         StreamEvent::Head(mut head) => {
@@ -44,7 +48,13 @@
                 value: Bytes::from_static(b"true"),
             });
             let server = place.server.clone();
-            RecallOutcome::Taken(Box::new(TakenRequest { id, server, head, stream, place: None }))
+            RecallOutcome::Accepted(Box::new(AcceptedRequest {
+                id,
+                server,
+                head,
+                stream,
+                slot: None,
+            }))
         }
         StreamEvent::Refused(notice) => match notice.reason {
             RefusalReason::AnswerNotKept => RecallOutcome::NotThere,
--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -11,18 +11,18 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::refusal::RefusalReason;
 
-use super::fleet_keeper::WitnessSets;
-use super::{ClaimHold, FleetKeeper, KeyedCall};
+use super::fleet_tracker::WitnessSets;
+use super::{ClaimAttempt, FleetTracker, KeyedCall};
 
 /// How long a lost round still waits for answers that may say who holds the key.
-const LAST_ANSWERS_WITHIN: Duration = Duration::from_millis(50);
+const LATE_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
 /// Time after which to try again where no fleet is known.
 const NO_FLEET_RETRY_MS: u32 = 5_000;
 
 /// What came of a round.
 pub enum RoundOutcome {
     /// The attempt holds the key.
-    Won(Rc<ClaimHold>),
+    Won(Rc<ClaimAttempt>),
     /// It does not, and has released what it held.
     Lost {
         /// The attempt that some witness has granted the key to.
@@ -35,12 +35,12 @@
 /// Asks all witnesses at once. A won round goes on without those that have not answered; they are
 /// still told, so that the key outlives the loss of those that have.
 pub async fn claim_key(
-    keeper: &Rc<FleetKeeper>,
+    tracker: &Rc<FleetTracker>,
     call: &KeyedCall,
-    hold: Rc<ClaimHold>,
+    attempt: Rc<ClaimAttempt>,
     start_within: Duration,
 ) -> RoundOutcome {
-    let Some(WitnessSets { digests, fleets }) = keeper.witnesses(call.key) else {
+    let Some(WitnessSets { digests, fleets }) = tracker.witnesses(call.key) else {
         let reason = RefusalReason::OtherFleet;
         let refusal = RefusalNotice::new(reason, NO_FLEET_RETRY_MS);
         return RoundOutcome::Lost { held: None, refusal };
@@ -48,18 +48,18 @@
     let ask = ClaimAsk {
         key: call.key,
         fingerprint: call.fingerprint,
-        claim: hold.claim(),
+        claim: attempt.claim(),
         views: digests,
     };
     let mut round = ClaimRound::new(fleets);
-    let claim_within = keeper.settings().claim_within;
+    let claim_within = tracker.settings().claim_within;
     let mut replies: FuturesUnordered<_> = round
         .asked()
         .into_iter()
         .map(|witness| {
-            let (keeper, hold, ask) = (keeper.clone(), hold.clone(), ask.clone());
+            let (tracker, attempt, ask) = (tracker.clone(), attempt.clone(), ask.clone());
             async move {
-                let asked = ask_witness(&keeper, &witness, ask, &hold, start_within);
+                let asked = ask_witness(&tracker, &witness, ask, &attempt, start_within);
                 let reply = monoio::time::timeout(claim_within, asked).await;
                 (witness, reply.ok().flatten())
             }
@@ -71,31 +71,31 @@
     }
     if round.verdict() == ClaimVerdict::Won {
         monoio::spawn(async move { while replies.next().await.is_some() {} });
-        return RoundOutcome::Won(hold);
+        return RoundOutcome::Won(attempt);
     }
     let rest = async {
         while let Some((witness, reply)) = replies.next().await {
             round.take(&witness, reply);
         }
     };
-    let _ = monoio::time::timeout(LAST_ANSWERS_WITHIN, rest).await;
-    hold.release();
+    let _ = monoio::time::timeout(LATE_REPLY_TIMEOUT, rest).await;
+    attempt.release();
     RoundOutcome::Lost { held: round.held().cloned(), refusal: round.refusal() }
 }
 
 async fn ask_witness(
-    keeper: &FleetKeeper,
+    tracker: &FleetTracker,
     witness: &ServerId,
     ask: ClaimAsk,
-    hold: &ClaimHold,
+    attempt: &ClaimAttempt,
     start_within: Duration,
 ) -> Option<ClaimReply> {
-    let link = keeper.peer(witness)?.link().await.ok()?;
-    let grant_before = hold.deadline(&link, start_within)?;
+    let link = tracker.peer(witness)?.link().await.ok()?;
+    let grant_before = attempt.deadline(&link, start_within)?;
     let agent = link.welcome().incarnation;
     let request = ClaimRequest { agent, grant_before, ask };
-    hold.note_asked(link.clone());
+    attempt.record_link(link.clone());
     let reply = link.claim(request).await;
-    hold.catch_up(&link);
+    attempt.send_last_change(&link);
     reply
 }
--- a/crates/papayamux-router/src/configuration.rs
+++ b/crates/papayamux-router/src/configuration.rs
@@ -33,7 +33,7 @@
     while changes.next().await.is_some() {
         if view.is_settled() {
             directory.replace(server_entries(&view.in_force()));
-            directory.set_leaving(view.leaving_servers());
+            directory.set_draining(view.leaving_servers());
         }
     }
 }
--- a/crates/papayamux-router/src/daemon.rs
+++ b/crates/papayamux-router/src/daemon.rs
@@ -25,8 +25,8 @@
 use serde_json::json;
 use thiserror::Error;
 
-use crate::agents::{AgentNews, RouterIdentity};
-use crate::callers::CallerDesk;
+use crate::agents::{AgentUpdates, RouterIdentity};
+use crate::callers::CallerFrontend;
 use crate::configuration::{follow_configuration, start_configuration};
 use crate::directory::ServerDirectory;
 use crate::metrics::RouterMetrics;
@@ -81,11 +81,11 @@
         let router = router.drain();
         let finish = std::pin::pin!(router.finish());
         let cause = match select(finish, signals.next()).await {
-            Either::Left((DrainEnd::Whole, _)) => return Ok(()),
-            Either::Left((DrainEnd::Bound, _)) => "the drain's bound",
+            Either::Left((DrainEnd::Complete, _)) => return Ok(()),
+            Either::Left((DrainEnd::TimedOut, _)) => "the drain's bound",
             Either::Right(_) => "a second signal",
         };
-        Err(router.cut(cause))
+        Err(router.abort(cause))
     })?
 }
 
@@ -105,14 +105,14 @@
 
 /// How a drain ended by itself.
 enum DrainEnd {
-    Whole,
-    Bound,
+    Complete,
+    TimedOut,
 }
 
 /// What a drain's end cut off.
 #[derive(Debug, Error)]
 #[error("{cause} cut off {requests} requests")]
-struct DrainCut {
+struct DrainError {
     cause: &'static str,
     requests: i64,
 }
@@ -159,20 +159,20 @@
         ShutdownSignal::new(),
     ));
     let incarnation = identity.incarnation;
-    let news = Rc::new(AgentNews::default());
-    let loads = news.loads.clone();
+    let updates = Rc::new(AgentUpdates::default());
+    let loads = updates.loads.clone();
     let servers = settings.servers.clone();
-    let directory = ServerDirectory::new(identity, metrics.clone(), news, servers);
+    let directory = ServerDirectory::new(identity, metrics.clone(), updates, servers);
     let planner = RoutePlanner::new(settings.policy, loads, metrics.clone());
     let limits = caller_limits(&settings, &metrics);
     if let Some(view) = configuration {
         monoio::spawn(follow_configuration(view, directory.clone()));
     }
-    let desk = CallerDesk::new(settings, directory, planner, incarnation, metrics);
-    let life = view.clone();
+    let frontend = CallerFrontend::new(settings, directory, planner, incarnation, metrics);
+    let router_view = view.clone();
     let handler = Rc::new(move |request| {
-        let (desk, life) = (desk.clone(), life.clone());
-        async move { close_when_draining(&life, desk.handle(request).await) }
+        let (frontend, router_view) = (frontend.clone(), router_view.clone());
+        async move { close_when_draining(&router_view, frontend.handle(request).await) }
     });
     let served = monoio::spawn(serve(callers, limits, shutdown.clone(), handler));
     Ok(ServingRouter { view, shutdown, served })
@@ -221,21 +221,21 @@
         let settings = &self.view.settings;
         monoio::time::sleep(settings.balancer_delay).await;
         self.shutdown.give();
-        let Some(served) = self.served.take() else { return DrainEnd::Whole };
+        let Some(served) = self.served.take() else { return DrainEnd::Complete };
         match monoio::time::timeout(settings.drain_within, served).await {
             Ok(_) => {
                 log::info!("router drained");
-                DrainEnd::Whole
+                DrainEnd::Complete
             }
-            Err(_) => DrainEnd::Bound,
+            Err(_) => DrainEnd::TimedOut,
         }
     }
 
     /// Ends the drain before its end.
-    fn cut(&self, cause: &'static str) -> Box<dyn Error> {
+    fn abort(&self, cause: &'static str) -> Box<dyn Error> {
         let requests = self.view.metrics.in_flight.get();
         self.view.metrics.cut_requests.inc_by(requests.unsigned_abs());
         log::warn!(cause = cause, requests = requests; "drain cut off");
-        DrainCut { cause, requests }.into()
+        DrainError { cause, requests }.into()
     }
 }
--- a/crates/papayamux-router/src/directory.rs
+++ b/crates/papayamux-router/src/directory.rs
@@ -8,8 +8,8 @@
 use papayamux_state::claims::DeclaredServer;
 use papayamux_state::ids::{ModelId, ServerId};
 
-use crate::agents::{AgentNews, AgentPeer, RouterIdentity};
-use crate::claims::{FleetKeeper, WitnessEntry};
+use crate::agents::{AgentPeer, AgentUpdates, RouterIdentity};
+use crate::claims::{FleetTracker, WitnessEntry};
 use crate::metrics::RouterMetrics;
 use crate::settings::ServerEntry;
 
@@ -35,10 +35,10 @@
 pub struct ServerDirectory {
     identity: RouterIdentity,
     metrics: RouterMetrics,
-    news: Rc<AgentNews>,
+    updates: Rc<AgentUpdates>,
     records: RefCell<HashMap<ServerId, Rc<ServerRecord>>>,
-    leaving: RefCell<Rc<BTreeSet<ServerId>>>,
-    fleets: RefCell<Option<Rc<FleetKeeper>>>,
+    draining: RefCell<Rc<BTreeSet<ServerId>>>,
+    fleets: RefCell<Option<Rc<FleetTracker>>>,
 }
 
 impl ServerDirectory {
@@ -46,15 +46,15 @@
     pub fn new(
         identity: RouterIdentity,
         metrics: RouterMetrics,
-        news: Rc<AgentNews>,
+        updates: Rc<AgentUpdates>,
         entries: Vec<ServerEntry>,
     ) -> Rc<Self> {
         let directory = Self {
             identity,
             metrics,
-            news,
+            updates,
             records: RefCell::default(),
-            leaving: RefCell::default(),
+            draining: RefCell::default(),
             fleets: RefCell::default(),
         };
         directory.replace(entries);
@@ -62,8 +62,8 @@
     }
 
     /// What agents tell unasked.
-    pub fn news(&self) -> &AgentNews {
-        &self.news
+    pub fn updates(&self) -> &AgentUpdates {
+        &self.updates
     }
 
     /// Puts `entries` in force in place of all servers known before.
@@ -78,30 +78,30 @@
             };
             records.insert(entry.server.clone(), Rc::new(ServerRecord { entry, peer }));
         }
-        self.news.loads.retain(|server| records.contains_key(server));
+        self.updates.loads.retain(|server| records.contains_key(server));
         drop(records);
-        self.tell_fleet();
+        self.update_fleet_tracker();
     }
 
     /// Gives no new work to the servers in `leaving`, in place of those named before. They stay
     /// declared, and their agents witnesses: lists that differ must not make fleets differ.
-    pub fn set_leaving(&self, leaving: Rc<BTreeSet<ServerId>>) {
-        *self.leaving.borrow_mut() = leaving;
+    pub fn set_draining(&self, draining: Rc<BTreeSet<ServerId>>) {
+        *self.draining.borrow_mut() = draining;
     }
 
     /// Has `keeper` told of the servers in force, now and whenever they are replaced.
-    pub fn keep_fleets(&self, keeper: Rc<FleetKeeper>) {
-        *self.fleets.borrow_mut() = Some(keeper);
-        self.tell_fleet();
+    pub fn set_fleet_tracker(&self, tracker: Rc<FleetTracker>) {
+        *self.fleets.borrow_mut() = Some(tracker);
+        self.update_fleet_tracker();
     }
 
-    fn tell_fleet(&self) {
-        let Some(keeper) = self.fleets.borrow().clone() else { return };
+    fn update_fleet_tracker(&self) {
+        let Some(tracker) = self.fleets.borrow().clone() else { return };
         let declare = |record: &Rc<ServerRecord>| {
             let (server, domain) = (record.entry.server.clone(), record.entry.domain.clone());
             (DeclaredServer { server, domain }, record.peer.clone())
         };
-        keeper.put_in_force(self.records.borrow().values().map(declare).collect());
+        tracker.put_in_force(self.records.borrow().values().map(declare).collect());
     }
 
     /// The declared servers of `entries`, each with its agent.
@@ -126,8 +126,8 @@
 
     fn connect_to(&self, server: &ServerId, address: SocketAddr) -> Rc<AgentPeer> {
         let (identity, metrics) = (self.identity.clone(), self.metrics.clone());
-        let news = self.news.clone();
-        Rc::new(AgentPeer::new(server.clone(), address, identity, metrics, news))
+        let updates = self.updates.clone();
+        Rc::new(AgentPeer::new(server.clone(), address, identity, metrics, updates))
     }
 
     /// The server of that name.
@@ -154,8 +154,8 @@
     }
 
     fn select(&self, wanted: impl Fn(&ServerEntry) -> bool) -> Vec<Rc<ServerRecord>> {
-        let (records, leaving) = (self.records.borrow(), self.leaving.borrow());
-        let takes_work = |entry: &ServerEntry| !leaving.contains(&entry.server);
+        let (records, draining) = (self.records.borrow(), self.draining.borrow());
+        let takes_work = |entry: &ServerEntry| !draining.contains(&entry.server);
         let fits = |record: &&Rc<ServerRecord>| wanted(&record.entry) && takes_work(&record.entry);
         records.values().filter(fits).cloned().collect()
     }
--- a/crates/papayamux-router/src/routing/baselines.rs
+++ b/crates/papayamux-router/src/routing/baselines.rs
@@ -9,14 +9,14 @@
 use papayamux_state::ids::{ChatKey, ServerId};
 use papayamux_state::load::GroupId;
 
-use super::load_book::LoadBook;
+use super::load_tracker::LoadTracker;
 use super::probe::probe_all;
 use crate::directory::ServerRecord;
 
 /// How far a server's requests may lie above the mean before bounded hashing passes it by.
-const BOUNDED_FACTOR: f64 = 1.25;
+const BOUNDED_LOAD_FACTOR: f64 = 1.25;
 /// Rings that are kept.
-const MOST_RINGS: usize = 256;
+const MAX_RINGS: usize = 256;
 
 /// Rings by group, each rebuilt when the group's servers change.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
         if let Some(ring) = rings.get(&group).filter(|ring| ring.is_of(&names)) {
             return ring.clone();
         }
-        if rings.len() >= MOST_RINGS {
+        if rings.len() >= MAX_RINGS {
             rings.clear();
         }
         let ring = Rc::new(HashRing::new(names));
@@ -59,7 +59,7 @@
 pub fn shuffled(servers: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
     let mut order: Vec<_> =
         servers.iter().map(|record| (rand::random::<u64>(), record.clone())).collect();
-    order.sort_unstable_by_key(|(draw, _)| *draw);
+    order.sort_unstable_by_key(|(sample, _)| *sample);
     order.into_iter().map(|(_, record)| record).collect()
 }
 
@@ -82,10 +82,10 @@
 }
 
 /// The servers of `walk`, those last at which this router has its share times the factor.
-pub fn pass_full(walk: Vec<Rc<ServerRecord>>, book: &LoadBook) -> Vec<Rc<ServerRecord>> {
-    let in_flight = |record: &Rc<ServerRecord>| book.in_flight(&record.entry.server);
+pub fn defer_full(walk: Vec<Rc<ServerRecord>>, tracker: &LoadTracker) -> Vec<Rc<ServerRecord>> {
+    let in_flight = |record: &Rc<ServerRecord>| tracker.in_flight(&record.entry.server);
     let total: u64 = walk.iter().map(in_flight).sum();
-    let bound = (BOUNDED_FACTOR * (total + 1) as f64 / walk.len().max(1) as f64).ceil() as u64;
+    let bound = (BOUNDED_LOAD_FACTOR * (total + 1) as f64 / walk.len().max(1) as f64).ceil() as u64;
     let (open, full): (Vec<_>, Vec<_>) =
         walk.into_iter().partition(|record| in_flight(record) < bound);
     open.into_iter().chain(full).collect()
--- a/crates/papayamux-router/src/routing/first_token.rs
+++ b/crates/papayamux-router/src/routing/first_token.rs
@@ -25,23 +25,23 @@
 
 /// Leading blocks by which prompts count as sharing their opening; shorter ones are as soon
 /// computed as found.
-const OPENING_BLOCKS: usize = 64;
+const PREFIX_BLOCKS: usize = 64;
 /// Servers asked in one round.
 const PROBES_PER_ROUND: usize = 2;
 /// Age up to which a load report replaces a probe.
-const FRESH: Duration = Duration::from_millis(150);
+const MAX_LOAD_AGE: Duration = Duration::from_millis(150);
 /// Prompt backlog up to which a home is taken unasked.
-const SHORT_BACKLOG: Duration = Duration::from_millis(20);
+const MAX_HOME_BACKLOG: Duration = Duration::from_millis(20);
 /// How long a request may wait at a home that was not asked.
-const HOME_PATIENCE: Duration = Duration::from_millis(30);
+const HOME_WAIT_BUDGET: Duration = Duration::from_millis(30);
 /// How much longer than expected the wait may have become when the request arrives.
-const WAIT_NOISE: f64 = 1.5;
+const WAIT_TOLERANCE_FACTOR: f64 = 1.5;
 /// How long a request may wait at any server that was chosen by its cost.
-const LEAST_PATIENCE: Duration = Duration::from_millis(10);
+const MIN_WAIT_BUDGET: Duration = Duration::from_millis(10);
 /// How long a request may wait where no other server's cost is known.
-const LAST_LEAD: Duration = Duration::from_millis(50);
+const DEFAULT_COST_MARGIN: Duration = Duration::from_millis(50);
 /// Expected wait beyond which further servers are asked.
-const SHORT_WAIT: Duration = Duration::from_millis(40);
+const SECOND_ROUND_BACKLOG: Duration = Duration::from_millis(40);
 
 /// A server that answered.
 struct ProbedServer {
@@ -59,7 +59,7 @@
     candidates: Vec<Rc<ServerRecord>>,
     checkpoints: PromptCheckpoints,
     chat: u64,
-    returns: bool,
+    is_returning: bool,
 }
 
 impl<'a> ChatDecision<'a> {
@@ -75,8 +75,8 @@
         let tokens = TokenCount::new(prompt_tokens(prompt.len()));
         let by_chat = ranked(&servers, |server| rendezvous_weight(&call.chat, server));
         let home = by_chat.first()?.clone();
-        let opening = hashes.get(OPENING_BLOCKS - 1).copied();
-        let others = match opening.and_then(|hash| format!("{hash:016x}").parse().ok()) {
+        let prefix_hash = hashes.get(PREFIX_BLOCKS - 1).copied();
+        let others = match prefix_hash.and_then(|hash| format!("{hash:016x}").parse().ok()) {
             Some(key) => ranked(&servers, |server| rendezvous_weight(&key, server)),
             None => by_chat,
         };
@@ -93,32 +93,32 @@
             candidates,
             checkpoints: PromptCheckpoints::new(&hashes, tokens),
             chat: chat_hash(&call.chat),
-            returns: opening.is_none() && call.request.messages.len() > 1,
+            is_returning: prefix_hash.is_none() && call.request.messages.len() > 1,
         })
     }
 
     /// Plans the offers.
     pub async fn plan(mut self) -> RoutePlan {
-        if self.home_is_fine() {
+        if self.may_skip_probes() {
             self.planner.metrics().decisions.count("home");
-            let (record, patience) = (self.home.clone(), HOME_PATIENCE);
-            let order = self.with_rest(vec![PlannedServer { record, patience }]);
-            return self.into_plan(order).sent_straight_home();
+            let (record, wait_budget) = (self.home.clone(), HOME_WAIT_BUDGET);
+            let order = self.append_remaining(vec![PlannedServer { record, wait_budget }]);
+            return self.into_plan(order).with_unprobed_home();
         }
-        let mut probed = self.probe(self.reliable(&self.candidates)).await;
+        let mut probed = self.probe(self.not_ejected(&self.candidates)).await;
         let further = self.further_servers(&probed);
         let rounds = if further.is_empty() { "probed_once" } else { "probed_twice" };
         self.planner.metrics().decisions.count(rounds);
         if !further.is_empty() {
             probed.extend(self.probe(further).await);
         }
-        let order = self.with_rest(self.in_order(probed));
+        let order = self.append_remaining(self.order_by_cost(probed));
         self.group_load = self.planner.loads().group_load(self.group, &self.servers);
         self.into_plan(order)
     }
 
     /// The servers by their cost. At each, the request waits as long as the next is no better.
-    fn in_order(&self, probed: Vec<ProbedServer>) -> Vec<PlannedServer> {
+    fn order_by_cost(&self, probed: Vec<ProbedServer>) -> Vec<PlannedServer> {
         let cost_of = |server: ProbedServer| {
             let cost = route_cost(&server.reply, &self.checkpoints)?;
             Some((cost, server.reply.load.backlog, server.record))
@@ -128,29 +128,29 @@
         let next_costs: Vec<_> = costs.iter().skip(1).map(|(cost, _, _)| *cost).collect();
         let mut planned = Vec::new();
         for (index, (cost, backlog, record)) in costs.into_iter().enumerate() {
-            let lead = next_costs.get(index).map_or(LAST_LEAD, |next| *next - cost);
+            let margin = next_costs.get(index).map_or(DEFAULT_COST_MARGIN, |next| *next - cost);
             planned.push(PlannedServer {
                 record,
-                patience: backlog.mul_f64(WAIT_NOISE) + lead + LEAST_PATIENCE,
+                wait_budget: backlog.mul_f64(WAIT_TOLERANCE_FACTOR) + margin + MIN_WAIT_BUDGET,
             });
         }
         planned
     }
 
     /// Whether a returning chat may go to its home without a question.
-    fn home_is_fine(&self) -> bool {
+    fn may_skip_probes(&self) -> bool {
         let (home, now) = (&self.home.entry.server, Instant::now());
         let standing = self.planner.standing(home, now);
-        if !self.returns || standing != ServerStanding::Good {
+        if !self.is_returning || standing != ServerStanding::Good {
             return false;
         }
-        let is_open = self.home.peer.current_link().is_some_and(|link| !link.is_leaving());
+        let is_open = self.home.peer.current_link().is_some_and(|link| !link.is_draining());
         let Some(load) = self.planner.loads().get(home, now) else { return false };
         let mean = self.group_load.map_or(0.0, |load| load.mean);
         is_open
-            && now.saturating_duration_since(load.arrived) < FRESH
+            && now.saturating_duration_since(load.arrived) < MAX_LOAD_AGE
             && load.report.has_place()
-            && load.report.backlog < SHORT_BACKLOG
+            && load.report.backlog < MAX_HOME_BACKLOG
             && load.report.running.get() as f64 <= mean + 1.0
     }
 
@@ -167,7 +167,7 @@
         let named = self.servers.iter().filter(|record| Some(&record.entry.server) == named);
         let mut further: Vec<_> = named.filter(is_new).cloned().collect();
         let shortest = probed.iter().map(|server| server.reply.load.backlog).min();
-        if shortest.is_none_or(|wait| wait > SHORT_WAIT) {
+        if shortest.is_none_or(|wait| wait > SECOND_ROUND_BACKLOG) {
             let named = further.first().cloned();
             let is_named =
                 |record: &Rc<ServerRecord>| named.as_ref().is_some_and(|it| Rc::ptr_eq(it, record));
@@ -188,12 +188,12 @@
         }
     }
 
-    fn reliable(&self, records: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
+    fn not_ejected(&self, records: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
         let now = Instant::now();
-        let is_reliable = |record: &&Rc<ServerRecord>| {
+        let is_not_ejected = |record: &&Rc<ServerRecord>| {
             self.planner.standing(&record.entry.server, now) != ServerStanding::Held
         };
-        records.iter().filter(is_reliable).cloned().collect()
+        records.iter().filter(is_not_ejected).cloned().collect()
     }
 
     async fn probe(&self, records: Vec<Rc<ServerRecord>>) -> Vec<ProbedServer> {
@@ -206,7 +206,7 @@
         let replies = probe_all(&records, &probe).await;
         let mut probed = Vec::new();
         for (record, reply) in records.into_iter().zip(replies) {
-            self.planner.note_probe(&record.entry.server, reply.is_some());
+            self.planner.record_probe(&record.entry.server, reply.is_some());
             probed.extend(reply.map(|reply| ProbedServer { record, reply }));
         }
         probed
@@ -217,17 +217,17 @@
         by_known_load(self.planner, &self.servers)
     }
 
-    fn with_rest(&self, mut order: Vec<PlannedServer>) -> Vec<PlannedServer> {
+    fn append_remaining(&self, mut order: Vec<PlannedServer>) -> Vec<PlannedServer> {
         for record in self.by_known_load() {
             if !order.iter().any(|known| Rc::ptr_eq(&known.record, &record)) {
-                order.push(PlannedServer { record, patience: LAST_LEAD });
+                order.push(PlannedServer { record, wait_budget: DEFAULT_COST_MARGIN });
             }
         }
         order
     }
 
     fn into_plan(self, order: Vec<PlannedServer>) -> RoutePlan {
-        let home = ChatHome { chat: self.chat, home: self.home, asked: self.candidates };
+        let home = ChatHome { chat: self.chat, home: self.home, probe_targets: self.candidates };
         RoutePlan::new(order, PlanBound::MeanLoad(self.group_load)).with_home(home)
     }
 }
--- a/crates/papayamux-router/src/routing/load_book.rs
+++ b/crates/papayamux-router/src/routing/load_tracker.rs
@@ -13,19 +13,19 @@
 
 /// Loads that servers reported, and how many requests of this router each has.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     table: RefCell<LoadTable>,
     in_flight: RefCell<HashMap<ServerId, u64>>,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Notes a report.
-    pub fn note(&self, server: &ServerId, report: LoadReport, now: Instant) {
+    pub fn record_report(&self, server: &ServerId, report: LoadReport, now: Instant) {
         self.table.borrow_mut().note(server, report, now);
     }
 
     /// Counts a request that was taken into the last report, until the next one comes.
-    pub fn note_taken(&self, server: &ServerId) {
+    pub fn record_accepted(&self, server: &ServerId) {
         self.table.borrow_mut().add_request(server);
     }
 
@@ -51,22 +51,22 @@
     }
 
     /// Counts a request of this router at `server` until the guard is dropped.
-    pub fn occupy(self: &Rc<Self>, server: &ServerId) -> OccupiedPlace {
+    pub fn occupy_slot(self: &Rc<Self>, server: &ServerId) -> OccupiedSlot {
         *self.in_flight.borrow_mut().entry(server.clone()).or_default() += 1;
-        OccupiedPlace { book: self.clone(), server: server.clone() }
+        OccupiedSlot { tracker: self.clone(), server: server.clone() }
     }
 }
 
 /// A request of this router at a server.
 #[derive(Debug)]
-pub struct OccupiedPlace {
-    book: Rc<LoadBook>,
+pub struct OccupiedSlot {
+    tracker: Rc<LoadTracker>,
     server: ServerId,
 }
 
-impl Drop for OccupiedPlace {
+impl Drop for OccupiedSlot {
     fn drop(&mut self) {
-        let mut in_flight = self.book.in_flight.borrow_mut();
+        let mut in_flight = self.tracker.in_flight.borrow_mut();
         let left = in_flight.get_mut(&self.server).map(|count| {
             *count = count.saturating_sub(1);
             *count
--- a/crates/papayamux-router/src/routing/mod.rs
+++ b/crates/papayamux-router/src/routing/mod.rs
@@ -2,7 +2,7 @@
 
 mod baselines;
 mod first_token;
-mod load_book;
+mod load_tracker;
 mod planning;
 mod policy;
 mod probe;
@@ -10,7 +10,7 @@
 mod route_planner;
 mod service_call;
 
-pub use load_book::{LoadBook, OccupiedPlace};
+pub use load_tracker::{LoadTracker, OccupiedSlot};
 pub use policy::{PolicyError, RoutingPolicy};
 pub use route_plan::{PlanBound, RouteCandidate, RoutePlan};
 pub use route_planner::RoutePlanner;
--- a/crates/papayamux-router/src/routing/planning.rs
+++ b/crates/papayamux-router/src/routing/planning.rs
@@ -5,7 +5,7 @@
 use papayamux_protocol::chat::ChatCall;
 use papayamux_state::load::GroupId;
 
-use super::baselines::{pass_full, shuffled, two_choices};
+use super::baselines::{defer_full, shuffled, two_choices};
 use super::first_token::ChatDecision;
 use super::route_plan::{PlanBound, PlannedServer, RoutePlan};
 use super::route_planner::RoutePlanner;
@@ -22,7 +22,7 @@
             RoutingPolicy::TwoChoices => two_choices(&servers).await,
             RoutingPolicy::ConsistentHash => self.rings.walk(group, &call.chat, &servers),
             RoutingPolicy::BoundedHash => {
-                pass_full(self.rings.walk(group, &call.chat, &servers), self.loads())
+                defer_full(self.rings.walk(group, &call.chat, &servers), self.loads())
             }
             RoutingPolicy::Papayamux => {
                 if let Some(decision) = ChatDecision::new(self, call, servers) {
@@ -31,7 +31,7 @@
                 Vec::new()
             }
         };
-        RoutePlan::new(PlannedServer::patient(order), PlanBound::Capacity)
+        RoutePlan::new(PlannedServer::with_unbounded_wait(order), PlanBound::Capacity)
     }
 
     /// Plans a call to a plain service among the servers of its route.
@@ -42,6 +42,6 @@
             RoutingPolicy::Papayamux => return plan_service_call(self, group, route.servers).await,
             _ => shuffled(&route.servers),
         };
-        RoutePlan::new(PlannedServer::patient(order), PlanBound::Capacity)
+        RoutePlan::new(PlannedServer::with_unbounded_wait(order), PlanBound::Capacity)
     }
 }
--- a/crates/papayamux-router/src/routing/probe.rs
+++ b/crates/papayamux-router/src/routing/probe.rs
@@ -10,7 +10,7 @@
 use crate::directory::ServerRecord;
 
 /// How long a decision waits for the answers to its probes.
-const PROBE_WITHIN: Duration = Duration::from_millis(40);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Asks the agents of all `servers` at once; `None` stands for those that did not answer in time.
 pub async fn probe_all(servers: &[Rc<ServerRecord>], probe: &LoadProbe) -> Vec<Option<ProbeReply>> {
@@ -18,7 +18,7 @@
         let (peer, probe) = (record.peer.clone(), probe.clone());
         // The task outlives the wait: a connection that opens late is there for the next request.
         let answer = monoio::spawn(async move { probe_one(&peer, probe).await });
-        async move { monoio::time::timeout(PROBE_WITHIN, answer).await.ok().flatten() }
+        async move { monoio::time::timeout(PROBE_TIMEOUT, answer).await.ok().flatten() }
     });
     join_all(asked).await
 }
--- a/crates/papayamux-router/src/routing/route_plan.rs
+++ b/crates/papayamux-router/src/routing/route_plan.rs
@@ -26,7 +26,7 @@
     /// The server that is told where the chat went.
     pub home: Rc<ServerRecord>,
     /// Servers that are asked anyway when the chat returns.
-    pub asked: Vec<Rc<ServerRecord>>,
+    pub probe_targets: Vec<Rc<ServerRecord>>,
 }
 
 /// A server that a request may be offered to.
@@ -35,14 +35,14 @@
     /// The server.
     pub record: Rc<ServerRecord>,
     /// How long the request may be expected to wait there before the next server is better.
-    pub patience: Duration,
+    pub wait_budget: Duration,
 }
 
 impl PlannedServer {
     /// Servers at which the request waits as long as it has to.
-    pub fn patient(records: Vec<Rc<ServerRecord>>) -> Vec<Self> {
-        let patience = Duration::MAX;
-        records.into_iter().map(|record| Self { record, patience }).collect()
+    pub fn with_unbounded_wait(records: Vec<Rc<ServerRecord>>) -> Vec<Self> {
+        let wait_budget = Duration::MAX;
+        records.into_iter().map(|record| Self { record, wait_budget }).collect()
     }
 }
 
@@ -52,7 +52,7 @@
     bound: PlanBound,
     home: Option<ChatHome>,
     share: u32,
-    straight_home: bool,
+    home_unprobed: bool,
     offers_left: usize,
 }
 
@@ -72,7 +72,7 @@
             bound,
             home: None,
             share: 1,
-            straight_home: false,
+            home_unprobed: false,
             offers_left: usize::MAX,
         }
     }
@@ -96,8 +96,8 @@
     }
 
     /// The first server was not asked for its warmth, and may say that it knows a better one.
-    pub fn sent_straight_home(mut self) -> Self {
-        self.straight_home = true;
+    pub fn with_unprobed_home(mut self) -> Self {
+        self.home_unprobed = true;
         self
     }
 
@@ -106,7 +106,7 @@
         self.offers_left = self.offers_left.checked_sub(1)?;
         let is_named = |planned: &PlannedServer| Some(&planned.record.entry.server) == named;
         let index = self.untried.iter().position(is_named).unwrap_or(0);
-        let PlannedServer { record, patience } = self.untried.remove(index)?;
+        let PlannedServer { record, wait_budget } = self.untried.remove(index)?;
         let last = self.offers_left == 0 || self.untried.is_empty();
         let group_load = match self.bound {
             PlanBound::Capacity => None,
@@ -114,21 +114,21 @@
         };
         let placement = PlacementRule {
             share: self.share,
-            patience: if last { Duration::MAX } else { patience },
-            may_redirect: std::mem::take(&mut self.straight_home),
+            patience: if last { Duration::MAX } else { wait_budget },
+            may_redirect: std::mem::take(&mut self.home_unprobed),
             group_load,
         };
         Some(RouteCandidate { record, placement })
     }
 
     /// Tells the chat's home where the chat was served, if it could not be found there again.
-    pub fn note_taken(&self, server: &ServerId) {
-        let Some(ChatHome { chat, home, asked }) = &self.home else { return };
-        if asked.iter().any(|record| record.entry.server == *server) {
+    pub fn record_accepted(&self, server: &ServerId) {
+        let Some(ChatHome { chat, home, probe_targets }) = &self.home else { return };
+        if probe_targets.iter().any(|record| record.entry.server == *server) {
             return;
         }
         if let Some(link) = home.peer.current_link() {
-            link.tell_moved(MovedChat { chat: *chat, server: server.clone() });
+            link.send_moved_chat(MovedChat { chat: *chat, server: server.clone() });
         }
     }
 }
--- a/crates/papayamux-router/src/routing/route_planner.rs
+++ b/crates/papayamux-router/src/routing/route_planner.rs
@@ -9,14 +9,14 @@
 use papayamux_state::ids::ServerId;
 
 use super::baselines::RingCache;
-use super::{LoadBook, RoutingPolicy};
+use super::{LoadTracker, RoutingPolicy};
 use crate::directory::ServerRecord;
 use crate::metrics::RouterMetrics;
 
 /// What routing knows, shared by all requests of a router.
 pub struct RoutePlanner {
     pub(super) policy: RoutingPolicy,
-    loads: Rc<LoadBook>,
+    loads: Rc<LoadTracker>,
     pub(super) rings: RingCache,
     evidence: RefCell<EvidenceBook>,
     retries: RetryBudget,
@@ -25,7 +25,7 @@
 
 impl RoutePlanner {
     /// A planner that follows `policy`.
-    pub fn new(policy: RoutingPolicy, loads: Rc<LoadBook>, metrics: RouterMetrics) -> Self {
+    pub fn new(policy: RoutingPolicy, loads: Rc<LoadTracker>, metrics: RouterMetrics) -> Self {
         Self {
             policy,
             loads,
@@ -37,7 +37,7 @@
     }
 
     /// The loads that servers reported.
-    pub fn loads(&self) -> &Rc<LoadBook> {
+    pub fn loads(&self) -> &Rc<LoadTracker> {
         &self.loads
     }
 
@@ -51,22 +51,22 @@
     }
 
     /// Notes what was seen of a server.
-    pub fn note_evidence(&self, server: &ServerId, kind: EvidenceKind) {
+    pub fn record_evidence(&self, server: &ServerId, kind: EvidenceKind) {
         self.metrics.evidence.count(kind.label());
         self.evidence.borrow_mut().note(server, kind, Instant::now());
     }
 
     /// Notes what came of a probe.
-    pub(super) fn note_probe(&self, server: &ServerId, answered: bool) {
+    pub(super) fn record_probe(&self, server: &ServerId, answered: bool) {
         self.metrics.probes.count(if answered { "answered" } else { "silent" });
         match answered {
-            true => self.note_answer(server),
-            false => self.note_evidence(server, EvidenceKind::Silent),
+            true => self.record_answer(server),
+            false => self.record_evidence(server, EvidenceKind::Silent),
         }
     }
 
     /// Notes that a server answered.
-    pub fn note_answer(&self, server: &ServerId) {
+    pub fn record_answer(&self, server: &ServerId) {
         self.evidence.borrow_mut().note_answer(server, Instant::now());
     }
 
--- a/crates/papayamux-router/src/routing/service_call.rs
+++ b/crates/papayamux-router/src/routing/service_call.rs
@@ -19,9 +19,9 @@
 /// Servers whose loads are compared; the rest follow in random order.
 const COMPARED_SERVERS: usize = 4;
 /// Age up to which a server's own report is believed; an older one counts as the mean.
-const FRESH: Duration = Duration::from_millis(200);
+const MAX_LOAD_AGE: Duration = Duration::from_millis(200);
 /// Age of a report up to which its server needs no question whether it still answers.
-const HEARD_WITHIN: Duration = Duration::from_secs(2);
+const MAX_UNPROBED_AGE: Duration = Duration::from_secs(2);
 /// Servers that are asked where the best one was not heard of lately.
 const PROBED_SERVERS: usize = 2;
 const MILLI: f64 = 1_000.0;
@@ -35,27 +35,27 @@
     servers: Vec<Rc<ServerRecord>>,
 ) -> RoutePlan {
     let mut order = by_expected_load(planner, group, servers);
-    let heard = order.first().is_some_and(|record| was_heard(planner, record));
-    planner.metrics().decisions.count(if heard { "service_known" } else { "service_probed" });
-    match heard {
+    let recent = order.first().is_some_and(|record| has_recent_report(planner, record));
+    planner.metrics().decisions.count(if recent { "service_known" } else { "service_probed" });
+    match recent {
         true => planner.begin_trials(&order[..1]),
-        false => ask_first(planner, group, &mut order).await,
+        false => probe_first(planner, group, &mut order).await,
     }
     let group_load = planner.loads().group_load(group, &order);
-    let patience = Duration::ZERO;
-    let planned = order.into_iter().map(|record| PlannedServer { record, patience }).collect();
+    let wait_budget = Duration::ZERO;
+    let planned = order.into_iter().map(|record| PlannedServer { record, wait_budget }).collect();
     RoutePlan::new(planned, PlanBound::MeanLoad(group_load))
 }
 
-fn was_heard(planner: &RoutePlanner, record: &ServerRecord) -> bool {
+fn has_recent_report(planner: &RoutePlanner, record: &ServerRecord) -> bool {
     let now = Instant::now();
     let known = planner.loads().get(&record.entry.server, now);
-    known.is_some_and(|load| now.saturating_duration_since(load.arrived) < HEARD_WITHIN)
+    known.is_some_and(|load| now.saturating_duration_since(load.arrived) < MAX_UNPROBED_AGE)
 }
 
 /// Asks the first servers for their loads. Those with a place go first, and those without an answer
 /// or a place last; where none has one, the order stays.
-async fn ask_first(planner: &RoutePlanner, group: GroupId, order: &mut Vec<Rc<ServerRecord>>) {
+async fn probe_first(planner: &RoutePlanner, group: GroupId, order: &mut Vec<Rc<ServerRecord>>) {
     let group_load = planner.loads().group_load(group, order);
     let rest = order.split_off(order.len().min(PROBED_SERVERS));
     planner.begin_trials(order);
@@ -63,7 +63,7 @@
     let replies = probe_all(order, &probe).await;
     let (mut open, mut closed) = (Vec::new(), Vec::new());
     for (record, reply) in order.drain(..).zip(replies) {
-        planner.note_probe(&record.entry.server, reply.is_some());
+        planner.record_probe(&record.entry.server, reply.is_some());
         match reply.map(|reply| reply.load).filter(|load| load.has_place()) {
             Some(load) => open.push((load.running, record)),
             None => closed.push(record),
@@ -88,7 +88,7 @@
     let expected_load = |record: &Rc<ServerRecord>| {
         let server = &record.entry.server;
         let known = loads.get(server, now);
-        let fresh = known.filter(|load| now.saturating_duration_since(load.arrived) < FRESH);
+        let fresh = known.filter(|load| now.saturating_duration_since(load.arrived) < MAX_LOAD_AGE);
         let own = loads.in_flight(server) as f64;
         let reported =
             fresh.map_or(mean, |load| (load.report.running + load.report.waiting).get() as f64);
--- a/crates/papayamux-router/src/settings.rs
+++ b/crates/papayamux-router/src/settings.rs
@@ -16,7 +16,7 @@
 use crate::routing::RoutingPolicy;
 
 /// How long a request may wait before it has to start, where nothing else is set.
-const START_WITHIN: Duration = Duration::from_secs(30);
+const DEFAULT_START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One backend server as the router knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 }
 
 /// The priority class of organisations for which none is set.
-pub const USUAL_PRIORITY: u32 = 2;
+pub const DEFAULT_PRIORITY: u32 = 2;
 
 /// What is set for one organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 
 impl Default for OrganisationEntry {
     fn default() -> Self {
-        Self { priority: USUAL_PRIORITY, share: 1 }
+        Self { priority: DEFAULT_PRIORITY, share: 1 }
     }
 }
 
@@ -66,7 +66,7 @@
     #[builder(default = ByteCount::new(4 * 1024 * 1024))]
     pub longest_body: ByteCount,
     /// How long a request may wait before it has to start.
-    #[builder(default = START_WITHIN)]
+    #[builder(default = DEFAULT_START_TIMEOUT)]
     pub start_within: Duration,
     /// Servers that one request may be offered to.
     #[builder(default = 4)]
@@ -135,7 +135,7 @@
     let allow = section.list("allow");
     let policy = section.optional("policy");
     section.refuse_other_keys();
-    let start_longest = start_within.map_or(START_WITHIN, |within: Millis| within.0);
+    let start_longest = start_within.map_or(DEFAULT_START_TIMEOUT, |within: Millis| within.0);
     let claims = ClaimSettings::read(file, start_longest);
     let spread = read_spread(file);
     let servers: Vec<_> =
@@ -169,9 +169,9 @@
 fn read_organisation(file: &IniFile, name: &str) -> Option<(OrganisationId, OrganisationEntry)> {
     let section = file.section(&format!("organisation {name}"));
     let organisation = section.own_name();
-    let usual = OrganisationEntry::default();
-    let priority = section.or("priority", usual.priority);
-    let share = section.or("share", usual.share);
+    let defaults = OrganisationEntry::default();
+    let priority = section.or("priority", defaults.priority);
+    let share = section.or("share", defaults.share);
     if share == 0 {
         section.report("share", "the share must be at least 1", "");
     }
--- a/crates/papayamux-router/tests/settings.rs
+++ b/crates/papayamux-router/tests/settings.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn all_findings_come_together_with_their_lines() {
+fn all_findings_are_reported_with_line_numbers() {
     let text = GOOD
         .replace("127.0.0.1:8080", "localhost")
         .replace("failure_domain = tainan-a", "failure_domian = tainan-a")
