--- a/crates/papayamux-router/src/callers/answer_stream.rs
+++ b/crates/papayamux-router/src/callers/answer_stream.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on to the caller as the caller takes it.
+//! Streams an answer to the caller at the rate at which the caller reads it.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -20,23 +20,23 @@
 
 /// The media type of streamed answers.
 const EVENT_STREAM: &str = "text/event-stream";
-/// What stands between two events.
+/// The separator of events.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// How far an answer has been passed on.
+/// The state of an answer stream.
 enum AnswerProgress {
-    /// It goes on.
+    /// More of the answer follows.
     Open,
-    /// Its last words are on their way; the body has to wait once, so that they are written
-    /// before the connection is cut.
+    /// The error event has been handed over. The body returns `Pending` once, so that the event is
+    /// written before the connection is closed.
     Closing(BodyError),
-    /// The connection is cut next.
+    /// The next poll returns the error, which closes the connection.
     Truncating(BodyError),
-    /// It has ended.
+    /// The stream has ended.
     Ended,
 }
 
-/// The rest of an answer; it ends well only where every byte came in its order.
+/// The body of an answer. It ends without an error only if every byte arrived in order.
 struct AnswerStream {
     stream: StreamHandle,
     delivered: u64,
@@ -73,14 +73,14 @@
             }
             StreamEvent::Head(_) | StreamEvent::Refused(_) => {
                 let (code, outcome) = (FailureCode::ConnectionLost, FailureOutcome::Unknown);
-                let message = "the answer came out of order";
+                let message = "the answer arrived out of order";
                 self.truncate("out_of_order", FailureBody::new(code, outcome, message))
             }
         }
     }
 
-    /// Ends an answer that is not whole: the connection is cut, and a stream of events says why
-    /// in an event of its own.
+    /// Ends an incomplete answer with an error, which closes the connection. An event stream that
+    /// stands between two events first gets an event with the reason.
     fn truncate(&mut self, reason: &'static str, failure: FailureBody) -> AnswerItem {
         self.in_flight.count_truncated(reason);
         let error = BodyError(failure.message.clone());
@@ -117,7 +117,7 @@
     }
 }
 
-/// The response to the caller.
+/// Builds the response to the caller.
 pub fn answer_response(
     delivered: AcceptedRequest,
     in_flight: Rc<InFlightGuard>,
--- a/crates/papayamux-router/src/callers/caller_request.rs
+++ b/crates/papayamux-router/src/callers/caller_request.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request: who calls, and the body within its bound.
+//! Reads a caller's request: its organisation, and its body up to the size limit.
 
 use bytes::Bytes;
 use http::request::Parts;
@@ -11,17 +11,18 @@
 use papayamux_state::ids::OrganisationId;
 use papayamux_state::quantities::ByteCount;
 
-/// A request whose body has arrived.
+/// A request with its complete body.
 pub struct CallerRequest {
     /// Method, path and headers.
     pub head: Parts,
     /// The body.
     pub body: Bytes,
-    /// Who calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
 }
 
-/// Reads a request to its end, or says what is wrong with it.
+/// Reads a request with its whole body. Fails if the organisation is missing or invalid, or the
+/// body is too long or incomplete.
 pub async fn read_request(
     request: Request<Incoming>,
     longest_body: ByteCount,
@@ -34,7 +35,7 @@
             let message = format!("the body is longer than {longest_body} bytes");
             FailureBody::not_run(FailureCode::BodyTooLarge, message)
         } else {
-            let message = format!("the body did not arrive: {error}");
+            let message = format!("failed to read the body: {error}");
             FailureBody::not_run(FailureCode::InvalidRequest, message)
         }
     })?;
@@ -50,7 +51,7 @@
     text.parse().map_err(|error| unknown(format!("the header {ORGANISATION}: {error}")))
 }
 
-/// The headers that go on to the backend server.
+/// Returns the headers that are forwarded to the backend server.
 pub fn end_to_end_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
@@ -62,7 +63,7 @@
         .collect()
 }
 
-/// The text of a header, where it stands there and is text.
+/// Returns the value of a header, if the header is present and is text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/papayamux-router/src/callers/chat_handler.rs
+++ b/crates/papayamux-router/src/callers/chat_handler.rs
@@ -1,4 +1,4 @@
-//! Chat completions.
+//! Handles chat completions.
 
 use papayamux_protocol::chat::read_chat_call;
 use papayamux_protocol::engine::CHAT_PATH;
@@ -10,7 +10,7 @@
 use super::offer::{offer_request, AcceptedRequest, RequestOffer};
 use super::CallerFrontend;
 
-/// Brings a chat request to a server of its model.
+/// Offers a chat request to the servers of its model.
 pub async fn handle_chat(
     frontend: &CallerFrontend,
     request: CallerRequest,
--- a/crates/papayamux-router/src/callers/in_flight.rs
+++ b/crates/papayamux-router/src/callers/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight, and answers that were cut off, as metrics count them.
+//! Counts requests in flight and truncated answers in the metrics.
 
 use std::rc::Rc;
 
@@ -10,14 +10,14 @@
 }
 
 impl InFlightGuard {
-    /// Counts until it is dropped.
+    /// Counts a request as received, and as in flight until the guard is dropped.
     pub fn new(metrics: &RouterMetrics) -> Rc<Self> {
         metrics.requests.inc();
         metrics.in_flight.inc();
         Rc::new(Self { metrics: metrics.clone() })
     }
 
-    /// Counts an answer that was cut off.
+    /// Counts a truncated answer.
     pub fn count_truncated(&self, reason: &'static str) {
         self.metrics.cut_answers.count(reason);
     }
--- a/crates/papayamux-router/src/callers/mod.rs
+++ b/crates/papayamux-router/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of callers.
+//! Handles the requests of callers.
 
 mod answer_stream;
 mod caller_request;
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -1,4 +1,4 @@
-//! Offering a request to one server after the other until one takes it.
+//! Offers a request to one server after another until one accepts it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 use crate::claims::ClaimAttempt;
 use crate::routing::{OccupiedSlot, RouteCandidate, RoutePlan};
 
-/// What is offered.
+/// A request as it is offered to servers.
 #[derive(Debug, Clone)]
 pub struct RequestOffer {
-    /// Who calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
-    /// How the call may be repeated.
+    /// The rule for retries of the call.
     pub repeat: RepeatRule,
-    /// The claim under which a call with a key may run.
+    /// The claim under which a call with an idempotency key may run.
     pub claim: Option<Rc<ClaimAttempt>>,
-    /// Set for chats.
+    /// The chat's model, adapter and key; `None` for calls to plain services.
     pub chat: Option<ChatTarget>,
     /// The HTTP method.
     pub method: String,
@@ -47,7 +47,7 @@
         content_fingerprint(&self.method, &self.path, &self.organisation, &self.body)
     }
 
-    /// How long the request is still to be kept from servers, since others have ended under it.
+    /// Returns the time for which the request stays quarantined because servers crashed under it.
     fn hold_left(&self, quarantine: &RequestQuarantine) -> Option<Duration> {
         match quarantine.is_empty() {
             true => None,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The crashes that the request is sent after.
+    /// Records an attempt and returns the crashes under the request so far.
     fn begin_attempt(&self, quarantine: &RequestQuarantine) -> CrashRecord {
         match quarantine.is_empty() {
             true => CrashRecord::default(),
@@ -63,7 +63,8 @@
         }
     }
 
-    /// The time on the agent's clock before which the request must start; none where it is past.
+    /// Returns the deadline for the start of the request, on the agent's clock. Returns `None` if
+    /// it has passed.
     fn start_before(&self, link: &AgentLink, within: Duration) -> Option<AgentClock> {
         match &self.claim {
             Some(attempt) => attempt.deadline(link, within),
@@ -72,7 +73,7 @@
     }
 }
 
-/// A request that a server has taken, with the head of its answer.
+/// A request that a server has accepted, with the head of its answer.
 pub struct AcceptedRequest {
     /// The attempt's id.
     pub id: RequestId,
@@ -82,11 +83,12 @@
     pub head: AnswerHead,
     /// The rest of the answer.
     pub stream: StreamHandle,
-    /// Its place in the router's count of requests at the server, where the router offered it.
+    /// Counts the request as one of this router's at the server; `None` if this router didn't offer
+    /// it.
     pub slot: Option<OccupiedSlot>,
 }
 
-/// What came of offering a request to one server.
+/// The outcome of offering a request to one server.
 enum OfferOutcome {
     Accepted(Box<AcceptedRequest>),
     NotRun(RefusalNotice),
@@ -97,8 +99,8 @@
 
 /// Offers a request to the servers of `plan`.
 ///
-/// After a refusal the next server is asked. After an unknown outcome it is asked only where the
-/// request is idempotent, and no later refusal makes the outcome known again.
+/// A refused request is offered to the next server. After an unknown outcome this is done only if
+/// the request is idempotent, and the outcome stays unknown even if all later servers refuse.
 pub async fn offer_request(
     frontend: &CallerFrontend,
     offer: &RequestOffer,
@@ -113,7 +115,7 @@
     let quarantine = &frontend.directory.updates().quarantine;
     while let Some(candidate) = plan.next(named.as_ref()) {
         named = None;
-        // Each offer would end one more server, as those before it did.
+        // Servers crashed under this request before, so each further offer could crash another.
         if let Some(left) = offer.hold_left(quarantine) {
             let left = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             log::info!(fingerprint:% = offer.fingerprint(), held_ms = left; "request is held");
@@ -161,7 +163,8 @@
     })
 }
 
-/// Offers a request to one server, once more where the connection was lost before it arrived.
+/// Offers a request to one server, and retries once if the connection was lost before the request
+/// arrived.
 async fn offer_to(
     frontend: &CallerFrontend,
     offer: &RequestOffer,
@@ -230,7 +233,7 @@
     }
 }
 
-/// What a refusal says of the server that refused.
+/// Returns the failure evidence that a refusal gives against the server.
 fn evidence_of(reason: RefusalReason) -> Option<EvidenceKind> {
     match reason {
         RefusalReason::NoAgentReachable => Some(EvidenceKind::Unreachable),
@@ -241,7 +244,7 @@
 }
 
 fn refused(notice: &RefusalNotice) -> FailureBody {
-    let message = format!("no server took the request: {}", notice.reason);
+    let message = format!("no server accepted the request: {}", notice.reason);
     FailureBody::not_run(FailureCode::Refused, message)
         .because(notice.reason)
         .retry_after(notice.retry_after_ms.div_ceil(1_000).max(1))
@@ -250,7 +253,7 @@
 fn lost(repeat: &RepeatRule) -> FailureBody {
     let message = match repeat {
         RepeatRule::Idempotent => "the connection to the server was lost",
-        RepeatRule::AtMostOnce(_) => "the connection to the server was lost; it may have run",
+        RepeatRule::AtMostOnce(_) => "the connection to the server was lost; the call may have run",
     };
     FailureBody::new(FailureCode::ConnectionLost, FailureOutcome::Unknown, message)
 }
--- a/crates/papayamux-router/src/callers/request_handler.rs
+++ b/crates/papayamux-router/src/callers/request_handler.rs
@@ -1,4 +1,4 @@
-//! Every request of a caller, from its arrival to its response.
+//! Handles callers' requests from arrival to response.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 use crate::routing::RoutePlanner;
 use crate::settings::RouterSettings;
 
-/// Takes callers' requests and knows the agents they may go to.
+/// Handles callers' requests and routes them to agents.
 pub struct CallerFrontend {
     pub(crate) settings: RouterSettings,
     pub(crate) metrics: RouterMetrics,
@@ -35,7 +35,7 @@
 }
 
 impl CallerFrontend {
-    /// A desk for one life of a router.
+    /// Creates the frontend for one incarnation of a router.
     pub fn new(
         settings: RouterSettings,
         directory: Rc<ServerDirectory>,
@@ -52,7 +52,7 @@
         Rc::new(Self { settings, metrics, request_ids, directory, fleets, planner })
     }
 
-    /// Answers one request.
+    /// Handles one request and returns the response.
     pub async fn handle(self: &Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let in_flight = InFlightGuard::new(&self.metrics);
         match self.route_request(request).await {
@@ -67,7 +67,7 @@
     ) -> Result<AcceptedRequest, FailureBody> {
         let is_chat = request.uri().path() == CHAT_PATH;
         if is_chat && request.method() != Method::POST {
-            let message = format!("{CHAT_PATH} takes POST only");
+            let message = format!("{CHAT_PATH} accepts POST only");
             return Err(FailureBody::not_run(FailureCode::InvalidRequest, message));
         }
         let request = read_request(request, self.settings.longest_body).await?;
@@ -83,7 +83,7 @@
     fn failure_response(&self, failure: &FailureBody) -> Response<AnswerBody> {
         let code = code_label(failure.code);
         let reason = failure.reason.as_deref().unwrap_or_default();
-        // The failure's message may quote the request, which belongs in no log.
+        // The failure's message isn't logged, since it may quote the request.
         log::info!(code = code, reason = reason; "request failed");
         self.metrics.failures.count(code);
         let mut response = Response::new(AnswerBody::from(failure.to_json()));
--- a/crates/papayamux-router/src/callers/resume_handler.rs
+++ b/crates/papayamux-router/src/callers/resume_handler.rs
@@ -1,4 +1,4 @@
-//! A caller that goes on with a streamed answer, at this router or another one.
+//! Resumes a streamed answer for a caller, whichever router began it.
 
 use papayamux_protocol::event_id::EventId;
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
@@ -11,8 +11,8 @@
 use super::CallerFrontend;
 use crate::agents::{StreamEvent, StreamOrigin};
 
-/// Brings the caller the rest of the answer whose last event it names. The request's own body is
-/// not run, whatever comes of it.
+/// Returns the rest of the answer whose last received event the caller names. The request's own
+/// body is never run.
 pub async fn handle_resume(
     frontend: &CallerFrontend,
     request: &CallerRequest,
@@ -66,13 +66,13 @@
 }
 
 fn gone() -> FailureBody {
-    let message = "the rest of the answer is no longer held; what became of it is not known, and \
-                   nothing was run for this request";
+    let message = "the rest of the answer is no longer kept, so its outcome is unknown; nothing \
+                   was run for this request";
     FailureBody::new(FailureCode::AnswerGone, FailureOutcome::Unknown, message)
 }
 
 fn unreachable() -> FailureBody {
-    let message = "the agent that holds the answer can't be reached; nothing was run for this \
+    let message = "the agent that holds the answer is unreachable; nothing was run for this \
                    request";
     FailureBody::new(FailureCode::ConnectionLost, FailureOutcome::Unknown, message).retry_after(1)
 }
--- a/crates/papayamux-router/src/callers/service_handler.rs
+++ b/crates/papayamux-router/src/callers/service_handler.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Handles calls to plain services.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::claims::{run_keyed, KeyedCall};
 use crate::routing::RoutePlan;
 
-/// Brings a call to a server declared for its path.
+/// Offers a call to the servers that are declared for its path.
 pub async fn handle_service(
     frontend: &Rc<CallerFrontend>,
     request: CallerRequest,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Runs a call with a key to the head of its answer, also where the caller goes away meanwhile:
-/// else its claims would stay without anybody to use or release them.
+/// Runs a call with an idempotency key up to the head of its answer, even if the caller disconnects
+/// meanwhile. Otherwise its claims would remain, neither used nor released.
 async fn run_detached(
     frontend: Rc<CallerFrontend>,
     call: KeyedCall,
--- a/crates/papayamux-router/src/routing/baselines.rs
+++ b/crates/papayamux-router/src/routing/baselines.rs
@@ -1,4 +1,4 @@
-//! The policies that the product's own is measured against.
+//! Baseline routing policies, which the default policy is compared with.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,12 +13,13 @@
 use super::probe::probe_all;
 use crate::directory::ServerRecord;
 
-/// How far a server's requests may lie above the mean before bounded hashing passes it by.
+/// Maximum ratio of a server's requests in flight to the mean in consistent hashing with bounded
+/// loads.
 const BOUNDED_LOAD_FACTOR: f64 = 1.25;
-/// Rings that are kept.
+/// Maximum number of cached rings.
 const MAX_RINGS: usize = 256;
 
-/// Rings by group, each rebuilt when the group's servers change.
+/// A cache of hash rings by group. A ring is rebuilt when the servers of its group change.
 #[derive(Debug, Default)]
 pub struct RingCache {
     rings: RefCell<HashMap<GroupId, Rc<HashRing>>>,
@@ -41,7 +42,7 @@
         ring
     }
 
-    /// The servers in the order of a walk around the ring from the chat's point.
+    /// Returns the servers in ring order, starting at the chat's position.
     pub fn walk(
         &self,
         group: GroupId,
@@ -55,7 +56,7 @@
     }
 }
 
-/// The servers in random order.
+/// Returns the servers in random order.
 pub fn shuffled(servers: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
     let mut order: Vec<_> =
         servers.iter().map(|record| (rand::random::<u64>(), record.clone())).collect();
@@ -63,7 +64,7 @@
     order.into_iter().map(|(_, record)| record).collect()
 }
 
-/// The servers in random order, but the less loaded of the first two goes first.
+/// Returns the servers in random order, with the less loaded of the first two in front.
 pub async fn two_choices(servers: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
     let mut order = shuffled(servers);
     let probe = LoadProbe { checkpoints: Vec::new(), chat: 0, group_load: None };
@@ -81,7 +82,8 @@
     order
 }
 
-/// The servers of `walk`, those last at which this router has its share times the factor.
+/// Moves the servers at which this router's requests in flight reach [`BOUNDED_LOAD_FACTOR`] times
+/// the mean, with the new request included, to the end of `walk`.
 pub fn defer_full(walk: Vec<Rc<ServerRecord>>, tracker: &LoadTracker) -> Vec<Rc<ServerRecord>> {
     let in_flight = |record: &Rc<ServerRecord>| tracker.in_flight(&record.entry.server);
     let total: u64 = walk.iter().map(in_flight).sum();
--- a/crates/papayamux-router/src/routing/first_token.rs
+++ b/crates/papayamux-router/src/routing/first_token.rs
@@ -1,8 +1,8 @@
-//! The product's own policy: the shortest expected time to the first token.
+//! The default policy: routes a chat to the server with the shortest expected time to first token.
 //!
-//! A chat's candidates are its home by rendezvous hashing, and the first servers for the opening
-//! of its prompt, which other chats may share. All of them are functions of the request and of the
-//! declared servers, so that each router asks the same agents without a word between routers.
+//! A chat's candidates are its home, chosen by rendezvous hashing of the chat, and the top-ranked
+//! servers for the prefix of its prompt, which other chats may share. Candidates depend only on the
+//! request and the declared servers, so all routers probe the same agents without coordination.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -23,33 +23,34 @@
 use super::route_planner::RoutePlanner;
 use crate::directory::ServerRecord;
 
-/// Leading blocks by which prompts count as sharing their opening; shorter ones are as soon
-/// computed as found.
+/// Number of leading blocks that identify a shared prompt prefix. Shorter prefixes are ignored:
+/// computing them takes no longer than finding them in a cache.
 const PREFIX_BLOCKS: usize = 64;
-/// Servers asked in one round.
+/// Maximum number of servers probed in one round.
 const PROBES_PER_ROUND: usize = 2;
-/// Age up to which a load report replaces a probe.
+/// Maximum age of a load report that replaces a probe.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(150);
-/// Prompt backlog up to which a home is taken unasked.
+/// Maximum prefill backlog at which a home is chosen without a probe.
 const MAX_HOME_BACKLOG: Duration = Duration::from_millis(20);
-/// How long a request may wait at a home that was not asked.
+/// Wait budget at a home that was not probed.
 const HOME_WAIT_BUDGET: Duration = Duration::from_millis(30);
-/// How much longer than expected the wait may have become when the request arrives.
+/// Factor by which the wait may have grown between the probe and the arrival of the request.
 const WAIT_TOLERANCE_FACTOR: f64 = 1.5;
-/// How long a request may wait at any server that was chosen by its cost.
+/// Minimum wait budget at a server that was chosen by cost.
 const MIN_WAIT_BUDGET: Duration = Duration::from_millis(10);
-/// How long a request may wait where no other server's cost is known.
+/// Cost margin over the next server where its cost is unknown, and the wait budget at servers that
+/// were not probed.
 const DEFAULT_COST_MARGIN: Duration = Duration::from_millis(50);
-/// Expected wait beyond which further servers are asked.
+/// Backlog at the best probed server above which a second round of probes is sent.
 const SECOND_ROUND_BACKLOG: Duration = Duration::from_millis(40);
 
-/// A server that answered.
+/// A server that replied to a probe.
 struct ProbedServer {
     record: Rc<ServerRecord>,
     reply: ProbeReply,
 }
 
-/// What one decision goes by.
+/// The inputs of one routing decision.
 pub(super) struct ChatDecision<'a> {
     planner: &'a RoutePlanner,
     group: GroupId,
@@ -63,7 +64,8 @@
 }
 
 impl<'a> ChatDecision<'a> {
-    /// A decision on a chat among the servers of its model; `None` where there are none.
+    /// Prepares a decision on a chat among the servers of its model. Returns `None` if `servers` is
+    /// empty.
     pub fn new(
         planner: &'a RoutePlanner,
         call: &ChatCall,
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Plans the offers.
+    /// Plans the order in which servers are offered the chat, probing them where needed.
     pub async fn plan(mut self) -> RoutePlan {
         if self.may_skip_probes() {
             self.planner.metrics().decisions.count("home");
@@ -117,7 +119,8 @@
         self.into_plan(order)
     }
 
-    /// The servers by their cost. At each, the request waits as long as the next is no better.
+    /// Returns the probed servers, cheapest first. The wait budget at each lasts until the next
+    /// server would be cheaper.
     fn order_by_cost(&self, probed: Vec<ProbedServer>) -> Vec<PlannedServer> {
         let cost_of = |server: ProbedServer| {
             let cost = route_cost(&server.reply, &self.checkpoints)?;
@@ -137,7 +140,7 @@
         planned
     }
 
-    /// Whether a returning chat may go to its home without a question.
+    /// Returns whether a returning chat may be sent to its home without a probe.
     fn may_skip_probes(&self) -> bool {
         let (home, now) = (&self.home.entry.server, Instant::now());
         let standing = self.planner.standing(home, now);
@@ -154,8 +157,8 @@
             && load.report.running.get() as f64 <= mean + 1.0
     }
 
-    /// Where else to ask: at the place that the home names, and where places may be free if none
-    /// of those asked has one.
+    /// Returns the servers for a second round of probes: the server that the home suggests and, if
+    /// all probed servers have a long backlog, servers that may have a shorter one.
     fn further_servers(&self, probed: &[ProbedServer]) -> Vec<Rc<ServerRecord>> {
         let is_new = |record: &&Rc<ServerRecord>| {
             !probed.iter().any(|server| Rc::ptr_eq(&server.record, record))
@@ -179,7 +182,8 @@
         further
     }
 
-    /// Whether the wait at a server may be much shorter than `wait`, by what is known of it.
+    /// Returns whether a server's backlog may be less than half of `wait`, by its last load report.
+    /// Servers without a report always qualify.
     fn may_be_shorter(&self, record: &ServerRecord, wait: Option<Duration>) -> bool {
         let known = self.planner.loads().get(&record.entry.server, Instant::now());
         match (known, wait) {
@@ -212,7 +216,7 @@
         probed
     }
 
-    /// All servers, the reliable first, and then those with the lowest load that is known.
+    /// Returns all servers ordered by standing, then by last known load.
     fn by_known_load(&self) -> Vec<Rc<ServerRecord>> {
         by_known_load(self.planner, &self.servers)
     }
--- a/crates/papayamux-router/src/routing/load_tracker.rs
+++ b/crates/papayamux-router/src/routing/load_tracker.rs
@@ -1,4 +1,4 @@
-//! What this router knows of all servers' loads, shared by its connections.
+//! The loads of all servers as known to this router, shared by its connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
 
 use crate::directory::ServerRecord;
 
-/// Loads that servers reported, and how many requests of this router each has.
+/// Tracks the loads that servers report, and the number of this router's requests at each server.
 #[derive(Debug, Default)]
 pub struct LoadTracker {
     table: RefCell<LoadTable>,
@@ -19,33 +19,34 @@
 }
 
 impl LoadTracker {
-    /// Notes a report.
+    /// Records a load report.
     pub fn record_report(&self, server: &ServerId, report: LoadReport, now: Instant) {
         self.table.borrow_mut().note(server, report, now);
     }
 
-    /// Counts a request that was taken into the last report, until the next one comes.
+    /// Adds an accepted request to the last load report of `server`, until the next report replaces
+    /// it.
     pub fn record_accepted(&self, server: &ServerId) {
         self.table.borrow_mut().add_request(server);
     }
 
-    /// Forgets the reports of all servers but those in `keep`.
+    /// Drops the reports of all servers for which `keep` returns `false`.
     pub fn retain(&self, keep: impl Fn(&ServerId) -> bool) {
         self.table.borrow_mut().retain(keep);
     }
 
-    /// The last report of a server.
+    /// Returns the last report of a server.
     pub fn get(&self, server: &ServerId, now: Instant) -> Option<DatedLoad> {
         self.table.borrow().get(server, now)
     }
 
-    /// The mean over the servers of a group.
+    /// Returns the mean load over the servers of a group.
     pub fn group_load(&self, group: GroupId, servers: &[Rc<ServerRecord>]) -> Option<GroupLoad> {
         let names = servers.iter().map(|record| &record.entry.server);
         self.table.borrow().group_load(group, names, Instant::now())
     }
 
-    /// Requests of this router that `server` has.
+    /// Returns the number of this router's requests at `server`.
     pub fn in_flight(&self, server: &ServerId) -> u64 {
         self.in_flight.borrow().get(server).copied().unwrap_or(0)
     }
@@ -57,7 +58,7 @@
     }
 }
 
-/// A request of this router at a server.
+/// Counts one request of this router at a server until it is dropped.
 #[derive(Debug)]
 pub struct OccupiedSlot {
     tracker: Rc<LoadTracker>,
--- a/crates/papayamux-router/src/routing/mod.rs
+++ b/crates/papayamux-router/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Choosing the servers that a request is offered to.
+//! Selects the servers that a request is offered to.
 
 mod baselines;
 mod first_token;
--- a/crates/papayamux-router/src/routing/planning.rs
+++ b/crates/papayamux-router/src/routing/planning.rs
@@ -1,4 +1,4 @@
-//! Planning: which servers a request is offered to, by the router's policy.
+//! Plans the servers that a request is offered to, according to the router's policy.
 
 use std::rc::Rc;
 
--- a/crates/papayamux-router/src/routing/policy.rs
+++ b/crates/papayamux-router/src/routing/policy.rs
@@ -1,27 +1,29 @@
-//! The policies by which a router chooses servers.
+//! The routing policies.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// How a router chooses among the servers of a model.
+/// Selects how a router chooses among the servers of a model.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RoutingPolicy {
-    /// Any server, each as likely.
+    /// A server chosen uniformly at random.
     Random,
-    /// The less loaded of two random servers, both asked at that moment.
+    /// The less loaded of two random servers, both of which are probed for the decision.
     TwoChoices,
     /// The server that the chat's key hashes to.
     ConsistentHash,
-    /// The same, but past servers at which this router has too many requests in flight.
+    /// Consistent hashing with bounded loads: skips servers at which this router has too many
+    /// requests in flight.
     BoundedHash,
-    /// The shortest expected time to the first token, by fresh load and true warmth.
+    /// The shortest expected time to first token, by current load and the prompt blocks that the
+    /// server actually has cached.
     #[default]
     Papayamux,
 }
 
-/// The text names no policy.
+/// The error of parsing a [`RoutingPolicy`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("known policies: random, two-choices, consistent-hash, bounded-hash, papayamux")]
 pub struct PolicyError;
--- a/crates/papayamux-router/src/routing/probe.rs
+++ b/crates/papayamux-router/src/routing/probe.rs
@@ -1,4 +1,4 @@
-//! Asking agents for their load and warmth at the moment of a decision.
+//! Probes agents for their load and cached prompt blocks during a routing decision.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,14 +9,16 @@
 use crate::agents::AgentPeer;
 use crate::directory::ServerRecord;
 
-/// How long a decision waits for the answers to its probes.
+/// Maximum time that a decision waits for replies to its probes.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Asks the agents of all `servers` at once; `None` stands for those that did not answer in time.
+/// Probes the agents of all `servers` concurrently. The result is `None` for agents that did not
+/// reply on time.
 pub async fn probe_all(servers: &[Rc<ServerRecord>], probe: &LoadProbe) -> Vec<Option<ProbeReply>> {
     let asked = servers.iter().map(|record| {
         let (peer, probe) = (record.peer.clone(), probe.clone());
-        // The task outlives the wait: a connection that opens late is there for the next request.
+        // The task isn't cancelled by the timeout, so a connection that opens late is available to
+        // the next request.
         let answer = monoio::spawn(async move { probe_one(&peer, probe).await });
         async move { monoio::time::timeout(PROBE_TIMEOUT, answer).await.ok().flatten() }
     });
--- a/crates/papayamux-router/src/routing/route_plan.rs
+++ b/crates/papayamux-router/src/routing/route_plan.rs
@@ -1,4 +1,4 @@
-//! The servers that one request is offered to, in order.
+//! The ordered list of servers that one request is offered to.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -10,22 +10,23 @@
 
 use crate::directory::ServerRecord;
 
-/// How a plan's requests are bounded at the agents.
+/// The limit that agents apply to the requests of a plan.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PlanBound {
-    /// By the agents' capacity only; a request waits where it arrives first.
+    /// The agent's capacity only: a request waits at the first server it reaches.
     Capacity,
-    /// By the mean load too, as far as it is known; a request goes on while it may find a place.
+    /// The mean load as well, where it is known: a request moves on while another server may have a
+    /// free slot.
     MeanLoad(Option<GroupLoad>),
 }
 
-/// Where a chat is looked for when it returns.
+/// The servers where a chat is looked up when it returns.
 pub struct ChatHome {
-    /// The chat, as a hash.
+    /// The hash of the chat.
     pub chat: u64,
-    /// The server that is told where the chat went.
+    /// The server that is notified if another one serves the chat.
     pub home: Rc<ServerRecord>,
-    /// Servers that are asked anyway when the chat returns.
+    /// The servers that are probed in any case when the chat returns.
     pub probe_targets: Vec<Rc<ServerRecord>>,
 }
 
@@ -34,19 +35,20 @@
 pub struct PlannedServer {
     /// The server.
     pub record: Rc<ServerRecord>,
-    /// How long the request may be expected to wait there before the next server is better.
+    /// The longest expected wait at which the request stays there, before the next server is a
+    /// better choice.
     pub wait_budget: Duration,
 }
 
 impl PlannedServer {
-    /// Servers at which the request waits as long as it has to.
+    /// Returns planned servers at which the request waits without a limit.
     pub fn with_unbounded_wait(records: Vec<Rc<ServerRecord>>) -> Vec<Self> {
         let wait_budget = Duration::MAX;
         records.into_iter().map(|record| Self { record, wait_budget }).collect()
     }
 }
 
-/// The servers not asked yet, the best first.
+/// The servers that have not been offered the request yet, best first.
 pub struct RoutePlan {
     untried: VecDeque<PlannedServer>,
     bound: PlanBound,
@@ -56,16 +58,16 @@
     offers_left: usize,
 }
 
-/// A server to be asked now.
+/// The server that is offered the request next.
 pub struct RouteCandidate {
     /// The server.
     pub record: Rc<ServerRecord>,
-    /// What its agent may do with the request.
+    /// The rule by which its agent queues, refuses or redirects the request.
     pub placement: PlacementRule,
 }
 
 impl RoutePlan {
-    /// A plan to ask servers in the order of `untried`.
+    /// Creates a plan that offers the request to servers in the order of `untried`.
     pub fn new(untried: Vec<PlannedServer>, bound: PlanBound) -> Self {
         Self {
             untried: untried.into(),
@@ -77,31 +79,33 @@
         }
     }
 
-    /// Gives the organisation's weight among those that wait.
+    /// Sets the organisation's weight among those with queued requests.
     pub fn with_share(mut self, share: u32) -> Self {
         self.share = share;
         self
     }
 
-    /// Offers the request to at most `most_offers` servers.
+    /// Limits the number of servers that are offered the request to `most_offers`.
     pub fn with_offers(mut self, most_offers: usize) -> Self {
         self.offers_left = most_offers;
         self
     }
 
-    /// Gives the chat's home.
+    /// Sets the chat's home.
     pub fn with_home(mut self, home: ChatHome) -> Self {
         self.home = Some(home);
         self
     }
 
-    /// The first server was not asked for its warmth, and may say that it knows a better one.
+    /// Marks the first server as a home that was not probed, so that it may redirect the request to
+    /// a server that it knows to be better.
     pub fn with_unprobed_home(mut self) -> Self {
         self.home_unprobed = true;
         self
     }
 
-    /// The next server: the one that an agent named, if it was not asked yet, else the best left.
+    /// Removes and returns the next server: the one that an agent suggested as `named`, if it has
+    /// not been offered the request yet, otherwise the best of the rest.
     pub fn next(&mut self, named: Option<&ServerId>) -> Option<RouteCandidate> {
         self.offers_left = self.offers_left.checked_sub(1)?;
         let is_named = |planned: &PlannedServer| Some(&planned.record.entry.server) == named;
@@ -121,7 +125,8 @@
         Some(RouteCandidate { record, placement })
     }
 
-    /// Tells the chat's home where the chat was served, if it could not be found there again.
+    /// Records the server that accepted the request. If a returning chat wouldn't be looked up
+    /// there, notifies the chat's home of it.
     pub fn record_accepted(&self, server: &ServerId) {
         let Some(ChatHome { chat, home, probe_targets }) = &self.home else { return };
         if probe_targets.iter().any(|record| record.entry.server == *server) {
--- a/crates/papayamux-router/src/routing/route_planner.rs
+++ b/crates/papayamux-router/src/routing/route_planner.rs
@@ -1,4 +1,4 @@
-//! What routing knows, shared by all requests of a router.
+//! The routing state that all requests of a router share.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 use crate::directory::ServerRecord;
 use crate::metrics::RouterMetrics;
 
-/// What routing knows, shared by all requests of a router.
+/// Plans routes, and holds the routing state that all requests of a router share.
 pub struct RoutePlanner {
     pub(super) policy: RoutingPolicy,
     loads: Rc<LoadTracker>,
@@ -24,7 +24,7 @@
 }
 
 impl RoutePlanner {
-    /// A planner that follows `policy`.
+    /// Creates a planner that follows `policy`.
     pub fn new(policy: RoutingPolicy, loads: Rc<LoadTracker>, metrics: RouterMetrics) -> Self {
         Self {
             policy,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The loads that servers reported.
+    /// Returns the reported loads of the servers.
     pub fn loads(&self) -> &Rc<LoadTracker> {
         &self.loads
     }
 
-    /// The budget for running requests again.
+    /// Returns the budget for retries of requests.
     pub fn retries(&self) -> &RetryBudget {
         &self.retries
     }
@@ -50,13 +50,13 @@
         &self.metrics
     }
 
-    /// Notes what was seen of a server.
+    /// Records evidence on the state of a server.
     pub fn record_evidence(&self, server: &ServerId, kind: EvidenceKind) {
         self.metrics.evidence.count(kind.label());
         self.evidence.borrow_mut().note(server, kind, Instant::now());
     }
 
-    /// Notes what came of a probe.
+    /// Records the outcome of a probe.
     pub(super) fn record_probe(&self, server: &ServerId, answered: bool) {
         self.metrics.probes.count(if answered { "answered" } else { "silent" });
         match answered {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Notes that a server answered.
+    /// Records that a server answered.
     pub fn record_answer(&self, server: &ServerId) {
         self.evidence.borrow_mut().note_answer(server, Instant::now());
     }
--- a/crates/papayamux-router/src/routing/service_call.rs
+++ b/crates/papayamux-router/src/routing/service_call.rs
@@ -1,8 +1,8 @@
-//! Choosing a server for a call to a plain service.
+//! Routes calls to plain services.
 //!
-//! Plain services hold no context, so that any of them is as good as the least loaded one. What is
-//! known of their loads decides, without a question: a question costs a round trip, and the agents'
-//! bound corrects a wrong guess at the price of one hop.
+//! Plain services hold no context, so the least loaded server is the best choice. The router
+//! decides by the last known loads rather than by probes: a probe costs a round trip, while a wrong
+//! choice is corrected by the load limit at the agent at the price of one extra hop.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,19 +16,21 @@
 use super::route_planner::RoutePlanner;
 use crate::directory::ServerRecord;
 
-/// Servers whose loads are compared; the rest follow in random order.
+/// Number of servers whose loads are compared; the rest follow in random order.
 const COMPARED_SERVERS: usize = 4;
-/// Age up to which a server's own report is believed; an older one counts as the mean.
+/// Maximum age of a load report that is used. A server with an older one is assumed to have the
+/// mean load.
 const MAX_LOAD_AGE: Duration = Duration::from_millis(200);
-/// Age of a report up to which its server needs no question whether it still answers.
+/// Maximum age of the last report of a server that is assumed reachable without a probe.
 const MAX_UNPROBED_AGE: Duration = Duration::from_secs(2);
-/// Servers that are asked where the best one was not heard of lately.
+/// Number of servers probed if the best one sent no recent report.
 const PROBED_SERVERS: usize = 2;
 const MILLI: f64 = 1_000.0;
 
 /// Plans a call among the servers of its path.
 ///
-/// A call never waits at a server while there are others: it is refused and goes on.
+/// The wait budget is zero at all servers but the last: a server without a free slot refuses the
+/// call, which is then offered to the next one.
 pub(super) async fn plan_service_call(
     planner: &RoutePlanner,
     group: GroupId,
@@ -53,8 +55,9 @@
     known.is_some_and(|load| now.saturating_duration_since(load.arrived) < MAX_UNPROBED_AGE)
 }
 
-/// Asks the first servers for their loads. Those with a place go first, and those without an answer
-/// or a place last; where none has one, the order stays.
+/// Probes the first servers for their loads. Those with a free slot move to the front, least loaded
+/// first; those without a reply or a free slot move to the end. If none of them has a free slot,
+/// the order stays.
 async fn probe_first(planner: &RoutePlanner, group: GroupId, order: &mut Vec<Rc<ServerRecord>>) {
     let group_load = planner.loads().group_load(group, order);
     let rest = order.split_off(order.len().min(PROBED_SERVERS));
@@ -75,8 +78,8 @@
     order.extend(last.into_iter().flatten());
 }
 
-/// The servers in random order, but the reliable ones first, and the least loaded first among
-/// those that are compared.
+/// Returns the servers ordered by standing and otherwise at random. Among the first
+/// [`COMPARED_SERVERS`], those of the same standing are ordered by expected load.
 fn by_expected_load(
     planner: &RoutePlanner,
     group: GroupId,
