--- a/crates/papayamux-router/src/agents/agent_link.rs
+++ b/crates/papayamux-router/src/agents/agent_link.rs
@@ -1,4 +1,4 @@
-//! One connection to an agent, with its streams.
+//! A connection to an agent and its streams.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,17 +23,17 @@
 use super::{AgentUpdates, StreamEvent, StreamHandle};
 use crate::metrics::RouterMetrics;
 
-/// How often a connection with open streams is checked for silence.
+/// Interval at which a connection with open streams is checked for silence.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A reading of the agent's clock.
+/// A sample of the agent's clock.
 #[derive(Debug, Clone, Copy)]
 struct ClockSample {
     clock: AgentClock,
     sampled_at: Instant,
 }
 
-/// A connection over which requests may be sent.
+/// A connection to an agent, over which requests are sent.
 pub struct AgentLink {
     sender: LinkSender<RouterMessage>,
     welcome: AgentWelcome,
@@ -49,7 +49,8 @@
 }
 
 impl AgentLink {
-    /// Uses a connection whose ends have proved themselves; its messages have still to be read.
+    /// Creates the link for a connection whose ends are authenticated. The caller has to read the
+    /// returned receiver with [`read_messages`].
     pub fn new(
         proved: ProvedLink,
         updates: Rc<AgentUpdates>,
@@ -74,29 +75,29 @@
         (Rc::new(link), receiver)
     }
 
-    /// Whether requests may be sent here.
+    /// Returns whether requests may be sent on this connection.
     pub fn is_open(&self) -> bool {
         self.open.get() && !self.sender.is_closed()
     }
 
-    /// Whether the agent has said that it takes no new work.
+    /// Returns whether the agent is draining and accepts no new requests.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// What the agent said of itself.
+    /// Returns the agent's welcome message.
     pub fn welcome(&self) -> &AgentWelcome {
         &self.welcome
     }
 
-    /// The agent's clock: never ahead of it.
+    /// Returns an estimate of the agent's clock that is never ahead of it.
     pub fn agent_clock(&self) -> AgentClock {
         let sample = self.sample.get();
         sample.clock.after(sample.sampled_at.elapsed())
     }
 
-    /// Opens a stream; `None` where the connection is gone or the agent leaves, and nothing was
-    /// sent.
+    /// Opens a stream. Returns `None` if the connection is lost or the agent is draining; nothing
+    /// was sent then.
     pub fn open_stream(self: &Rc<Self>, open: OpenRequest) -> Option<StreamHandle> {
         if self.is_draining() {
             return None;
@@ -114,7 +115,7 @@
         sent.then(|| StreamHandle::new(state, inbox))
     }
 
-    /// Opens a stream with the rest of an answer that any router began.
+    /// Opens a stream with the rest of an answer, whichever router began it.
     pub fn resume_stream(
         self: &Rc<Self>,
         origin: StreamOrigin,
@@ -125,7 +126,7 @@
         self.reattach_stream(&state).then(|| StreamHandle::new(state, inbox))
     }
 
-    /// Opens a stream with the answer of an earlier run of a key.
+    /// Opens a stream with the answer of an earlier run under an idempotency key.
     pub fn recall_stream(
         self: &Rc<Self>,
         id: RequestId,
@@ -144,8 +145,8 @@
         sent.then(|| StreamHandle::new(state, inbox))
     }
 
-    /// Asks the agent to grant a key; nothing where the connection is gone, or goes before the
-    /// agent has answered.
+    /// Requests a claim of a key from the agent. Returns `None` if the connection is lost before
+    /// the agent replies.
     pub async fn claim(&self, request: ClaimRequest) -> Option<ClaimReply> {
         if !self.is_open() {
             return None;
@@ -160,12 +161,12 @@
         reply.recv().await
     }
 
-    /// Says what became of a claim.
+    /// Notifies the agent of a change of a claim.
     pub fn send_claim_notice(&self, notice: ClaimNotice) {
         self.send(CONNECTION, RouterMessage::ClaimNotice(notice));
     }
 
-    /// Lets a stream go on here; `false` where this connection is gone too.
+    /// Resumes a stream on this connection. Returns `false` if this connection is lost too.
     pub fn reattach_stream(self: &Rc<Self>, state: &Rc<StreamState>) -> bool {
         self.attach_stream(state, RouterMessage::Resume(Box::new(state.resume_request())))
     }
@@ -186,7 +187,7 @@
         stream
     }
 
-    /// Asks the agent for its load; `None` where the connection is lost meanwhile.
+    /// Probes the agent for its load. Returns `None` if the connection is lost before the reply.
     pub async fn probe(&self, probe: LoadProbe) -> Option<ProbeReply> {
         let stream = self.next_number();
         let reply = self.probes.begin(stream);
@@ -197,7 +198,7 @@
         reply.await.ok()
     }
 
-    /// Tells the agent that a chat of which it is the home was served elsewhere.
+    /// Notifies the agent that a chat whose home it is was served by another server.
     pub fn send_moved_chat(&self, moved: MovedChat) {
         self.send(CONNECTION, RouterMessage::Moved(moved));
     }
@@ -221,7 +222,7 @@
         self.streams.borrow().values().any(|state| state.awaits_head())
     }
 
-    /// Closes the connection for new streams and gives those that were on it.
+    /// Closes the connection to new streams, and removes and returns the streams that were on it.
     fn take_streams(&self) -> Vec<Rc<StreamState>> {
         self.open.set(false);
         self.claims.borrow_mut().clear();
@@ -240,7 +241,7 @@
     }
 }
 
-/// A claim that waits for its answer; dropping it ends the wait.
+/// A claim that awaits its reply; dropping it removes it from the link.
 struct PendingClaim<'a> {
     link: &'a AgentLink,
     stream: u64,
@@ -252,7 +253,7 @@
     }
 }
 
-/// Why a connection ended.
+/// The reason for the end of a connection.
 enum LinkEnd {
     Closed,
     Silent,
@@ -269,7 +270,7 @@
     }
 }
 
-/// Reads to the connection's end and gives the streams that were on it then.
+/// Reads messages until the connection ends, and returns the streams that were on it at that time.
 pub async fn read_messages(
     link: Rc<AgentLink>,
     mut receiver: AgentReceiver,
@@ -320,7 +321,7 @@
     }
 }
 
-/// Acts on a message; `false` where it belongs to nothing.
+/// Handles a message. Returns `false` if it matches no stream, probe or state of the connection.
 fn handle_message(link: &AgentLink, stream: u64, message: AgentMessage) -> bool {
     link.metrics.control_bytes.receive(agent_control_length(&message));
     match message {
@@ -344,7 +345,8 @@
     true
 }
 
-/// Passes a stream's message on; one out of order ends the stream as lost.
+/// Passes a message to its stream. Returns `false` if it is out of order, which cancels the stream
+/// and reports it as lost.
 fn handle_answer_message(state: &StreamState, message: AgentMessage) -> bool {
     let in_order = match message {
         AgentMessage::Resumed(notice) => state.receive_resumed(notice),
--- a/crates/papayamux-router/src/agents/agent_peer.rs
+++ b/crates/papayamux-router/src/agents/agent_peer.rs
@@ -1,4 +1,4 @@
-//! One agent as the router knows it: its address, and the connection while there is one.
+//! The router's view of one agent: its address, and the connection while one is open.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 use super::AgentUpdates;
 use crate::metrics::RouterMetrics;
 
-/// What a router says of itself to agents, and how it keeps to them.
+/// The identity with which a router connects to agents, and the bound on resuming streams.
 #[derive(Debug, Clone)]
 pub struct RouterIdentity {
-    /// The router's life.
+    /// The router's incarnation.
     pub incarnation: Incarnation,
     /// The router's failure domain.
     pub domain: FailureDomain,
-    /// The fleet's secret, where agents have to know it.
+    /// The fleet's shared secret, if connections to agents are authenticated with one.
     pub secret: Option<SharedSecret>,
-    /// How long streams of a lost connection wait for another one.
+    /// Maximum time that streams of a lost connection wait to be resumed on a new one.
     pub resume_within: Duration,
 }
 
@@ -41,12 +41,12 @@
     Up(Rc<AgentLink>),
 }
 
-/// An agent with its connection, opened when it is first needed.
+/// An agent with its connection, which is opened on first use.
 pub struct AgentPeer {
     core: Rc<PeerCore>,
 }
 
-/// What the peer's tasks share.
+/// The state that the tasks of a peer share.
 pub struct PeerCore {
     server: ServerId,
     address: SocketAddr,
@@ -57,7 +57,7 @@
 }
 
 impl AgentPeer {
-    /// The agent of `server` at `address`.
+    /// Creates a peer for the agent of `server` at `address`, without connecting to it.
     pub fn new(
         server: ServerId,
         address: SocketAddr,
@@ -69,39 +69,40 @@
         Self { core: Rc::new(PeerCore { server, address, identity, metrics, updates, state }) }
     }
 
-    /// The server that the agent stands beside.
+    /// Returns the server that the agent runs beside.
     pub fn server(&self) -> &ServerId {
         &self.core.server
     }
 
-    /// The open connection, if there is one.
+    /// Returns the open connection, if any.
     pub fn current_link(&self) -> Option<Rc<AgentLink>> {
         self.core.current_link()
     }
 
-    /// Where the agent listens.
+    /// Returns the address that the agent listens on.
     pub fn address(&self) -> SocketAddr {
         self.core.address
     }
 
-    /// The open connection, or a new one. Callers that come while one is being opened share it.
+    /// Returns the open connection, or opens one. Concurrent callers share the connection that is
+    /// being opened.
     pub async fn link(&self) -> Result<Rc<AgentLink>, AgentLinkError> {
         self.core.link().await
     }
 }
 
 impl PeerCore {
-    /// What the router says of itself.
+    /// Returns the identity with which the router connects.
     pub fn identity(&self) -> &RouterIdentity {
         &self.identity
     }
 
-    /// The router's metrics.
+    /// Returns the router's metrics.
     pub fn metrics(&self) -> &RouterMetrics {
         &self.metrics
     }
 
-    /// Lets go of a lost connection, so that its socket is closed.
+    /// Drops a lost connection, so that its socket is closed.
     fn release_link(&self, lost: &Rc<AgentLink>) {
         let mut state = self.state.borrow_mut();
         if matches!(&*state, PeerState::Up(link) if Rc::ptr_eq(link, lost)) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The open connection, or a new one.
+    /// Returns the open connection, or opens one.
     pub async fn link(self: &Rc<Self>) -> Result<Rc<AgentLink>, AgentLinkError> {
         if let Some(link) = self.current_link() {
             return Ok(link);
@@ -163,7 +164,7 @@
     }
 }
 
-/// Ends the connecting state, also where the caller that connects is dropped on the way.
+/// Leaves the `Connecting` state when dropped, even if the connecting caller is cancelled.
 struct ConnectAttempt<'a> {
     peer: &'a PeerCore,
     done: ShutdownSignal,
--- a/crates/papayamux-router/src/agents/agent_updates.rs
+++ b/crates/papayamux-router/src/agents/agent_updates.rs
@@ -1,4 +1,4 @@
-//! What agents tell unasked.
+//! Updates that agents send without a query.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,21 +10,21 @@
 
 use crate::routing::LoadTracker;
 
-/// What agents tell unasked, shared by all their connections.
+/// State that agents update without a query, shared by all connections to agents.
 #[derive(Default)]
 pub struct AgentUpdates {
     /// The loads of servers.
     pub loads: Rc<LoadTracker>,
-    /// Requests under which servers ended.
+    /// Requests under which servers crashed.
     pub quarantine: RequestQuarantine,
 }
 
-/// Requests under which servers ended.
+/// The quarantine of requests under which servers crashed.
 #[derive(Default)]
 pub struct RequestQuarantine(RefCell<CrashQuarantine>);
 
 impl RequestQuarantine {
-    /// Takes in what an agent tells.
+    /// Records the crash notices of an agent.
     pub fn record_notices(&self, notices: &[CrashNotice]) {
         let (mut quarantine, now) = (self.0.borrow_mut(), Instant::now());
         quarantine.forget_old(now);
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Whether no request is suspect.
+    /// Returns whether no request is suspected of crashing servers.
     pub fn is_empty(&self) -> bool {
         self.0.borrow().is_empty()
     }
 
-    /// How long a request is still to be kept from servers.
+    /// Returns the time for which a request stays quarantined, or `None` if it isn't.
     pub fn hold_left(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
         self.0.borrow().hold_left(fingerprint, Instant::now())
     }
 
-    /// Notes that a request is about to be sent; returns the crashes that it is sent after.
+    /// Records that a request is about to be sent, and returns the crashes under it so far.
     pub fn begin_attempt(&self, fingerprint: RequestFingerprint) -> CrashRecord {
         self.0.borrow_mut().begin_attempt(fingerprint, Instant::now())
     }
--- a/crates/papayamux-router/src/agents/pending_probes.rs
+++ b/crates/papayamux-router/src/agents/pending_probes.rs
@@ -1,4 +1,4 @@
-//! Probes on one connection that wait for their answers, and the loads that come with them.
+//! The pending probes of a connection, and the loads that arrive with their replies.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 
 use crate::routing::LoadTracker;
 
-/// Probes by the number of their stream.
+/// The pending probes of a connection, by stream number.
 pub struct PendingProbes {
     server: ServerId,
     loads: Rc<LoadTracker>,
@@ -20,39 +20,39 @@
 }
 
 impl PendingProbes {
-    /// No probes yet on a connection to the agent of `server`.
+    /// Creates an empty set for a connection to the agent of `server`.
     pub fn new(server: ServerId, loads: Rc<LoadTracker>) -> Self {
         Self { server, loads, waiting: RefCell::default() }
     }
 
-    /// Waits for the answer on a stream from now on.
+    /// Registers a probe on a stream and returns the receiver of its reply.
     pub fn begin(&self, stream: u64) -> oneshot::Receiver<ProbeReply> {
         let (answer, answered) = oneshot::channel();
         self.waiting.borrow_mut().insert(stream, answer);
         answered
     }
 
-    /// Waits no longer for the answer on a stream.
+    /// Removes the probe on a stream.
     pub fn end(&self, stream: u64) {
         self.waiting.borrow_mut().remove(&stream);
     }
 
-    /// Whether no answer is waited for.
+    /// Returns whether no probe is pending.
     pub fn is_empty(&self) -> bool {
         self.waiting.borrow().is_empty()
     }
 
-    /// Gives up on all answers: the connection is lost.
+    /// Removes all probes, after which their receivers fail. Called when the connection is lost.
     pub fn clear(&self) {
         self.waiting.borrow_mut().clear();
     }
 
-    /// The agent has told its load.
+    /// Records the load that the agent reported.
     pub fn record_load(&self, report: LoadReport) {
         self.loads.record_report(&self.server, report, Instant::now());
     }
 
-    /// An answer has come; `false` where nobody waits for it.
+    /// Delivers the reply to a probe. Returns `false` if no probe waits for it.
     pub fn deliver_reply(&self, stream: u64, reply: ProbeReply) -> bool {
         self.record_load(reply.load);
         let answer = self.waiting.borrow_mut().remove(&stream);
--- a/crates/papayamux-router/src/agents/silence_detector.rs
+++ b/crates/papayamux-router/src/agents/silence_detector.rs
@@ -1,17 +1,17 @@
-//! Whether an agent has gone silent on a connection.
+//! Detects agents that have gone silent on a connection.
 
 use papayamux_protocol::link::{AgentMessage, RouterMessage};
 use papayamux_transport::agent_link::CONNECTION;
 
 use super::agent_link::AgentLink;
 
-/// Pings without an answer after which the connection counts as silent.
+/// Number of unanswered pings after which a connection is considered silent.
 const MAX_UNANSWERED_PINGS: u32 = 3;
 
-/// How long the agent has been silent, counted in pings.
+/// Measures an agent's silence as a number of unanswered pings.
 ///
-/// Any frame shows that the way from the agent works. The way to the agent may be dead all the
-/// same while answers still flow; where a stream waits for its first word, only a pong counts.
+/// Any frame shows that the direction from the agent works. The direction to the agent may still be
+/// broken while answers arrive, so while a stream awaits its head, only a pong resets the count.
 #[derive(Default)]
 pub struct SilenceDetector {
     received: bool,
@@ -19,7 +19,7 @@
 }
 
 impl SilenceDetector {
-    /// Notes a message of the agent.
+    /// Records that the agent sent a message.
     pub fn record_message(&mut self, link: &AgentLink, message: &AgentMessage) {
         self.received = true;
         if matches!(message, AgentMessage::Pong(_)) || !link.awaits_any_head() {
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Pings where it is due; `true` where the agent counts as silent.
+    /// Sends a ping if no message arrived since the last check or a stream awaits its head. Returns
+    /// `true` if the agent is considered silent. A connection without open streams never is.
     pub fn check(&mut self, link: &AgentLink) -> bool {
         let received = std::mem::take(&mut self.received);
         if !link.has_streams() || (received && !link.awaits_any_head()) {
--- a/crates/papayamux-router/src/agents/stream_handle.rs
+++ b/crates/papayamux-router/src/agents/stream_handle.rs
@@ -1,4 +1,4 @@
-//! The caller's end of a request's stream.
+//! The caller's handle on the stream of a request.
 
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -10,7 +10,7 @@
 
 use super::stream_state::StreamState;
 
-/// What happens on a stream.
+/// An event on a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamEvent {
     /// The request was not run.
@@ -21,17 +21,17 @@
     Data(AnswerData),
     /// The answer's end.
     End(AnswerEnd),
-    /// The agent does not hold what a caller asked to go on with.
+    /// The agent doesn't hold the answer that the caller asked to resume.
     NotHeld,
-    /// The agent was lost and the stream could not go on: what becomes of the request is not
-    /// known.
+    /// The connection was lost and the stream could not be resumed, so the outcome of the request
+    /// is unknown.
     Lost,
 }
 
-/// Bytes taken after which the agent is told so.
+/// Number of consumed bytes after which an acknowledgement is sent to the agent.
 const ACKNOWLEDGE_INTERVAL_BYTES: u64 = STREAM_WINDOW / 4;
 
-/// The taking end of a stream. Dropping it before the end cancels the request.
+/// The receiving end of a stream. Dropping it before the last event cancels the request.
 pub struct StreamHandle {
     state: Rc<StreamState>,
     inbox: unbounded::Rx<StreamEvent>,
@@ -43,7 +43,7 @@
         Self { state, inbox, acknowledged: 0 }
     }
 
-    /// The next event; after an end, a refusal or a loss there is none.
+    /// Returns the next event. `End`, `Refused`, `NotHeld` and `Lost` are each the last one.
     pub async fn next_event(&mut self) -> StreamEvent {
         std::future::poll_fn(|context| self.poll_event(context)).await
     }
@@ -53,7 +53,8 @@
         self.inbox.poll_recv(context).map(|event| event.unwrap_or(StreamEvent::Lost))
     }
 
-    /// Tells the agent, now and then, that the caller has taken the answer up to `offset`.
+    /// Acknowledges that the caller has consumed the answer up to `offset`. A message is sent only
+    /// once per [`ACKNOWLEDGE_INTERVAL_BYTES`].
     pub fn acknowledge(&mut self, offset: u64) {
         if offset.saturating_sub(self.acknowledged) >= ACKNOWLEDGE_INTERVAL_BYTES {
             self.acknowledged = offset;
--- a/crates/papayamux-router/src/agents/stream_recovery.rs
+++ b/crates/papayamux-router/src/agents/stream_recovery.rs
@@ -1,5 +1,5 @@
-//! What happens to the streams of a lost connection: each goes on over a new one, at the byte
-//! that came last, or is given up.
+//! Recovers the streams of a lost connection: each is resumed on a new connection after the last
+//! byte received, or reported as lost.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -8,12 +8,13 @@
 use super::agent_peer::PeerCore;
 use super::stream_state::StreamState;
 
-/// The pause after the first attempt that failed; each further one is twice as long.
+/// Delay after the first failed attempt; it doubles with each further attempt.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The longest pause between two attempts.
+/// Maximum delay between two attempts.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Brings streams back, until the time for it is over.
+/// Resumes streams, and reports those as lost that aren't resumed within
+/// [`RouterIdentity::resume_within`](super::RouterIdentity::resume_within).
 pub async fn recover_streams(peer: Rc<PeerCore>, states: Vec<Rc<StreamState>>) {
     let mut waiting: Vec<_> =
         states.into_iter().filter(|state| keep_or_mark_lost(state.detach(), state)).collect();
@@ -44,7 +45,7 @@
     }
 }
 
-/// Passes `keep` on, and tells a stream that is not kept.
+/// Returns `keep`, and reports the stream as lost if it is `false`.
 fn keep_or_mark_lost(keep: bool, state: &StreamState) -> bool {
     if !keep && !state.is_closed() {
         state.mark_lost();
@@ -52,7 +53,7 @@
     keep
 }
 
-/// Lets one stream go on over `link`; `false` where it has to wait for another connection.
+/// Resumes a stream on `link`. Returns `false` if the stream has to wait for another connection.
 fn resume_on(peer: &PeerCore, link: &Rc<AgentLink>, state: &Rc<StreamState>) -> bool {
     if state.is_closed() {
         return true;
--- a/crates/papayamux-router/src/agents/stream_state.rs
+++ b/crates/papayamux-router/src/agents/stream_state.rs
@@ -1,4 +1,4 @@
-//! One request's stream, over however many connections it takes.
+//! The state of a request's stream, which may span several connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,32 +12,32 @@
 use super::agent_link::AgentLink;
 use super::StreamEvent;
 
-/// Connections in a row that may be lost without bringing anything of the answer.
+/// Maximum number of consecutive connections that may be lost without delivering answer data.
 const MAX_UNPRODUCTIVE_LINKS: u32 = 4;
 
-/// What a stream is for.
+/// The request that a stream belongs to.
 #[derive(Debug, Clone)]
 pub struct StreamOrigin {
     /// The attempt's id.
     pub id: RequestId,
-    /// The agent's life, where the stream depends on it.
+    /// The agent's incarnation, if the stream depends on it.
     pub agent: Option<Incarnation>,
-    /// Who called.
+    /// The calling organisation.
     pub organisation: OrganisationId,
-    /// The attempt's deadline to start, where this router made the attempt.
+    /// The attempt's deadline to start, if this router made the attempt.
     pub start_before: Option<AgentClock>,
-    /// Whether the request may be run again elsewhere before its head has come.
+    /// Whether the request may be retried on another server before its head has arrived.
     pub idempotent: bool,
 }
 
-/// The connection that a stream is on, with its number there.
+/// The connection that a stream is attached to, with the stream's number on it.
 struct StreamAttachment {
     link: Rc<AgentLink>,
     stream: u64,
 }
 
-/// A stream's state, shared by the connection that brings its events and the handle that takes
-/// them.
+/// The state of a stream, shared by the connection that delivers its events and the handle that
+/// consumes them.
 pub struct StreamState {
     origin: StreamOrigin,
     events: unbounded::Tx<StreamEvent>,
@@ -49,7 +49,7 @@
 }
 
 impl StreamState {
-    /// A stream that starts at `point`.
+    /// Creates a stream that starts at `point`.
     pub fn new(
         origin: StreamOrigin,
         point: ResumePoint,
@@ -66,39 +66,41 @@
         })
     }
 
-    /// What the stream is for.
+    /// Returns the request that the stream belongs to.
     pub fn origin(&self) -> &StreamOrigin {
         &self.origin
     }
 
-    /// Puts the stream on a connection.
+    /// Attaches the stream to a connection.
     pub fn attach(&self, link: Rc<AgentLink>, stream: u64) {
         *self.attachment.borrow_mut() = Some(StreamAttachment { link, stream });
     }
 
-    /// Takes the stream off its lost connection; `false` where no other one is to be tried.
+    /// Detaches the stream from its lost connection. Returns `false` if it must not be resumed on
+    /// another one.
     pub fn detach(&self) -> bool {
         self.attachment.borrow_mut().take();
         self.unproductive_links.set(self.unproductive_links.get() + 1);
         !self.closed.get() && self.unproductive_links.get() <= MAX_UNPRODUCTIVE_LINKS
     }
 
-    /// Whether the handle has been dropped, or the stream has ended.
+    /// Returns whether the handle has been dropped or the stream has ended.
     pub fn is_closed(&self) -> bool {
         self.closed.get()
     }
 
-    /// Whether the request may be tried elsewhere at once when its agent can't be reached.
+    /// Returns whether the request may be retried on another server at once if its agent is
+    /// unreachable.
     pub fn may_retry_elsewhere(&self) -> bool {
         self.origin.idempotent && !self.head_received.get()
     }
 
-    /// Whether the agent has still to say a first word about the stream.
+    /// Returns whether the head of the answer hasn't arrived yet.
     pub fn awaits_head(&self) -> bool {
         !self.head_received.get()
     }
 
-    /// What to ask the agent for on a new connection.
+    /// Returns the request that resumes the stream on a new connection.
     pub fn resume_request(&self) -> ResumeRequest {
         ResumeRequest {
             id: self.origin.id,
@@ -109,14 +111,14 @@
         }
     }
 
-    /// Sends something about the stream, where it is on a connection.
+    /// Sends a message on the stream, if it is attached to a connection.
     pub fn send(&self, message: RouterMessage) {
         if let Some(attachment) = &*self.attachment.borrow() {
             attachment.link.send(attachment.stream, message);
         }
     }
 
-    /// Closes the stream with a last word to the agent.
+    /// Closes the stream and sends `last` to the agent, if the stream is attached to a connection.
     pub fn close(&self, last: RouterMessage) {
         if self.closed.replace(true) {
             return;
@@ -127,21 +129,22 @@
         }
     }
 
-    /// Gives up on the stream.
+    /// Closes the stream and reports it as lost.
     pub fn mark_lost(&self) {
         self.closed.set(true);
         self.attachment.borrow_mut().take();
         let _ = self.events.send(StreamEvent::Lost);
     }
 
-    /// The answer's head has come; another one after a resume is not passed on.
+    /// Passes on the head of the answer. A head that arrives again after a resume is ignored.
     pub fn receive_head(&self, head: AnswerHead) {
         if !self.head_received.replace(true) {
             let _ = self.events.send(StreamEvent::Head(head));
         }
     }
 
-    /// The answer goes on; `false` where it goes on at another place than asked for.
+    /// Handles the agent's notice that the stream is resumed. Returns `false` if the offset differs
+    /// from the requested one.
     pub fn receive_resumed(&self, notice: ResumeNotice) -> bool {
         if let ResumePoint::Offset(offset) = self.point.get() {
             if offset != notice.offset {
@@ -155,7 +158,7 @@
         true
     }
 
-    /// A piece has come; `false` where it is not the next.
+    /// Passes on a piece of the answer. Returns `false` if it doesn't continue the previous one.
     pub fn receive_data(&self, data: AnswerData) -> bool {
         if self.point.get() != ResumePoint::Offset(data.offset) {
             return false;
@@ -166,12 +169,12 @@
         true
     }
 
-    /// Whether an answer of `length` bytes has come to its end.
+    /// Returns whether all `length` bytes of the answer have arrived.
     pub fn has_all(&self, length: u64) -> bool {
         self.point.get() == ResumePoint::Offset(length)
     }
 
-    /// The stream's last event has come.
+    /// Closes the stream, confirms receipt to the agent and passes on the last event.
     pub fn receive_end(&self, event: StreamEvent) {
         self.close(RouterMessage::Received);
         let _ = self.events.send(event);
--- a/crates/papayamux-router/src/callers/answer_stream.rs
+++ b/crates/papayamux-router/src/callers/answer_stream.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Ends an incomplete answer with an error, which closes the connection. An event stream that
-    /// stands between two events first gets an event with the reason.
+    /// Ends an incomplete answer with an error, which closes the connection. If an event stream is
+    /// at an event boundary, an event with the reason is sent first.
     fn truncate(&mut self, reason: &'static str, failure: FailureBody) -> AnswerItem {
         self.in_flight.count_truncated(reason);
         let error = BodyError(failure.message.clone());
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -99,8 +99,9 @@
 
 /// Offers a request to the servers of `plan`.
 ///
-/// A refused request is offered to the next server. After an unknown outcome this is done only if
-/// the request is idempotent, and the outcome stays unknown even if all later servers refuse.
+/// A refused request is offered to the next server if the reason of the refusal permits. After an
+/// unknown outcome, the request must be idempotent and the retry budget must not be used up; the
+/// outcome stays unknown even if all later servers refuse.
 pub async fn offer_request(
     frontend: &CallerFrontend,
     offer: &RequestOffer,
--- a/crates/papayamux-router/src/claims/claim_attempt.rs
+++ b/crates/papayamux-router/src/claims/claim_attempt.rs
@@ -1,4 +1,4 @@
-//! A key that an attempt holds.
+//! An attempt to claim an idempotency key.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -10,7 +10,7 @@
 
 use crate::agents::AgentLink;
 
-/// An attempt that has claimed a key, with the connections on which it did so.
+/// An attempt to claim a key, with the connections to the witnesses that it has asked.
 pub struct ClaimAttempt {
     key: ClaimKey,
     claim: ClaimId,
@@ -20,43 +20,43 @@
 }
 
 impl ClaimAttempt {
-    /// An attempt that began at `started`, before any witness was asked.
+    /// Creates an attempt that began at `started`, before any witness was asked.
     pub fn new(key: ClaimKey, claim: ClaimId, started: Instant) -> Rc<Self> {
         let (links, last_change) = (RefCell::default(), RefCell::default());
         Rc::new(Self { key, claim, started, links, last_change })
     }
 
-    /// The attempt.
+    /// Returns the id of the attempt's claim.
     pub fn claim(&self) -> ClaimId {
         self.claim
     }
 
-    /// The time on an agent's clock before which the attempt must have got what it asks for: at
-    /// most `within` after it began, however long the router was paused since.
+    /// Returns the attempt's deadline on an agent's clock: `within` after the attempt began, even
+    /// if the router was paused since. Returns `None` if it has passed.
     pub fn deadline(&self, link: &AgentLink, within: Duration) -> Option<AgentClock> {
         let clock = link.agent_clock();
         let left = within.checked_sub(self.started.elapsed())?;
         Some(clock.after(left))
     }
 
-    /// Notes that a witness is being asked on `link`.
+    /// Records the connection to a witness, which is notified of changes of the claim from now on.
     pub fn record_link(&self, link: Rc<AgentLink>) {
         self.links.borrow_mut().push(link);
     }
 
-    /// Tells a witness that answered late what has become of the attempt meanwhile.
+    /// Sends the last change of the claim again, for a witness that answered after it.
     pub fn send_last_change(&self, link: &AgentLink) {
         if let Some(change) = self.last_change.borrow().clone() {
             link.send_claim_notice(ClaimNotice { key: self.key, claim: self.claim, change });
         }
     }
 
-    /// Tells the witnesses where the attempt is brought to.
+    /// Notifies the witnesses of the server that the call is offered to.
     pub fn place(&self, place: RunPlace) {
         self.notify_witnesses(ClaimChange::Placed(place));
     }
 
-    /// Tells the witnesses that the attempt was not run and never will be.
+    /// Notifies the witnesses that the call was not run under this claim and never will be.
     pub fn release(&self) {
         self.notify_witnesses(ClaimChange::Released);
     }
@@ -72,6 +72,6 @@
 
 impl fmt::Debug for ClaimAttempt {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "ClaimHold({} of {})", self.claim, self.key)
+        write!(formatter, "ClaimAttempt({} of {})", self.claim, self.key)
     }
 }
--- a/crates/papayamux-router/src/claims/claim_settings.rs
+++ b/crates/papayamux-router/src/claims/claim_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of claims: section `[claims]` of the router's settings.
+//! Settings of claims, in section `[claims]` of the router's settings.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 use papayamux_settings::{IniFile, Millis};
 use papayamux_state::claims::DeclaredServer;
 
-/// Retention must be at least this many times as long as a call may wait for its start.
+/// Minimum ratio of the retention to the time that a call may wait for its start.
 const MIN_RETENTION_FACTOR: u32 = 2;
 
-/// A declared server whose agent is a witness, where the servers that the router knows are not
-/// all that are declared.
+/// A declared server whose agent is a witness. Listed only if the router doesn't know all declared
+/// servers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WitnessEntry {
     /// The server with its failure domain.
     pub declared: DeclaredServer,
-    /// Where its agent listens.
+    /// The address that its agent listens on.
     pub agent: SocketAddr,
 }
 
@@ -24,16 +24,16 @@
 /// digest of the fleet that a claim names covers them.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct ClaimSettings {
-    /// How long a key is remembered.
+    /// The time for which a key is remembered.
     #[builder(default = Duration::from_secs(900))]
     pub retention: Duration,
-    /// Witnesses of a key.
+    /// The number of witnesses of a key.
     #[builder(default = 3)]
     pub witnesses: usize,
-    /// How long a witness may take to answer.
+    /// Maximum time that a witness may take to answer.
     #[builder(default = Duration::from_secs(1))]
     pub claim_within: Duration,
-    /// All declared servers; where there are none here, the servers that the router knows.
+    /// All declared servers. If empty, the servers that the router knows.
     #[builder(default)]
     pub fleet: Vec<WitnessEntry>,
 }
--- a/crates/papayamux-router/src/claims/fleet_tracker.rs
+++ b/crates/papayamux-router/src/claims/fleet_tracker.rs
@@ -1,4 +1,4 @@
-//! The declared fleet as claims need it, with the fleets before it and their agents.
+//! Tracks the declared fleets that determine the witnesses of claims, and the agents in them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,15 +12,15 @@
 use super::ClaimSettings;
 use crate::agents::AgentPeer;
 
-/// Whom to ask for a key.
+/// The witnesses of a key.
 pub struct WitnessSets {
-    /// The fleets that count, the one in force first.
+    /// The digests of the valid fleets, the one in force first.
     pub digests: Vec<FleetDigest>,
-    /// The key's witnesses in each of them.
+    /// The key's witnesses in each of these fleets.
     pub fleets: Vec<Vec<ServerId>>,
 }
 
-/// Learns of each declared fleet and remembers those that still count.
+/// Tracks the fleet in force, and earlier fleets for as long as they are valid.
 pub struct FleetTracker {
     settings: ClaimSettings,
     window: RefCell<Option<FleetWindow>>,
@@ -28,12 +28,12 @@
 }
 
 impl FleetTracker {
-    /// A keeper that knows of no fleet yet.
+    /// Creates a tracker without a fleet.
     pub fn new(settings: ClaimSettings) -> Rc<Self> {
         Rc::new(Self { settings, window: RefCell::default(), peers: RefCell::default() })
     }
 
-    /// The settings of claims.
+    /// Returns the settings of claims.
     pub fn settings(&self) -> &ClaimSettings {
         &self.settings
     }
@@ -60,7 +60,7 @@
         peers.retain(|server, _| counting.contains(server));
     }
 
-    /// Whom to ask for `key`; nothing where no fleet is known, or too many count.
+    /// Returns the witnesses of `key`. Returns `None` if no fleet is known or too many are valid.
     pub fn witnesses(&self, key: ClaimKey) -> Option<WitnessSets> {
         let now = Instant::now();
         let window = self.window.borrow();
@@ -68,7 +68,7 @@
         Some(WitnessSets { digests: window.digests(now)?, fleets: window.witnesses(key, now) })
     }
 
-    /// The agent of a server that counts.
+    /// Returns the agent of a server in a valid fleet.
     pub fn peer(&self, server: &ServerId) -> Option<Rc<AgentPeer>> {
         self.peers.borrow().get(server).cloned()
     }
--- a/crates/papayamux-router/src/claims/keyed_call.rs
+++ b/crates/papayamux-router/src/claims/keyed_call.rs
@@ -1,4 +1,5 @@
-//! A call with an idempotency key: run once, or answered with the first run's answer.
+//! Runs calls with an idempotency key at most once, and answers retries with the answer of the
+//! first run.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,26 +16,27 @@
 use crate::callers::{offer_request, AcceptedRequest, CallerFrontend, RequestOffer};
 use crate::routing::RoutePlan;
 
-/// Rounds of claims for one call, where another attempt is in the way.
+/// Maximum number of claim rounds for one call while other attempts hold its key.
 const MAX_CLAIM_ROUNDS: u32 = 4;
-/// The pause before a further round is drawn from this range, so that attempts part.
+/// Range of the random delay before a further round. The jitter keeps competing attempts from
+/// colliding again.
 const ROUND_DELAY_MS: std::ops::Range<u64> = 10..60;
 
-/// The key of a call and what it stands for.
+/// The idempotency key of a call, and the call that it identifies.
 #[derive(Debug, Clone)]
 pub struct KeyedCall {
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
     /// The key as the caller sent it.
     pub idempotency_key: IdempotencyKey,
-    /// The key as witnesses know it.
+    /// The key as sent to witnesses.
     pub key: ClaimKey,
-    /// The call.
+    /// The fingerprint of the call, which tells a retry from another call under the same key.
     pub fingerprint: CallFingerprint,
 }
 
 impl KeyedCall {
-    /// The keyed call that `offer` makes.
+    /// Creates the keyed call for `offer`.
     pub fn new(offer: &RequestOffer, idempotency_key: &IdempotencyKey) -> Self {
         Self {
             organisation: offer.organisation.clone(),
@@ -45,7 +47,7 @@
     }
 }
 
-/// Claims the key and offers the call to the servers of `plan`, or gets the first run's answer.
+/// Claims the key and offers the call to the servers of `plan`, or returns the first run's answer.
 pub async fn run_keyed(
     frontend: &CallerFrontend,
     call: &KeyedCall,
@@ -53,7 +55,7 @@
     plan: RoutePlan,
 ) -> Result<AcceptedRequest, FailureBody> {
     let started = Instant::now();
-    let mut failure = key_in_use("another call with this key is under way");
+    let mut failure = key_in_use("another call with this key is in progress");
     for round in 0..MAX_CLAIM_ROUNDS {
         if round > 0 {
             let delay_ms = rand::random_range(ROUND_DELAY_MS);
@@ -79,7 +81,7 @@
     Err(failure)
 }
 
-/// What follows from a lost round.
+/// The outcome of a lost round for its call.
 enum LostRound {
     Accepted(Box<AcceptedRequest>),
     Failed(FailureBody),
@@ -97,7 +99,7 @@
     }
     let Some(held) = held else { return LostRound::Failed(no_majority(refusal)) };
     let Some(place) = held.place else {
-        return LostRound::Retry(key_in_use("another call with this key is under way"));
+        return LostRound::Retry(key_in_use("another call with this key is in progress"));
     };
     match recall_answer(frontend, call, &place).await {
         RecallOutcome::Accepted(accepted) => LostRound::Accepted(accepted),
@@ -106,8 +108,8 @@
     }
 }
 
-/// Nobody is known to hold the key, but too few witnesses granted it: this call was not run.
-/// Whether an earlier one with its key was can't be told.
+/// Returns the failure for a key that no attempt is known to hold, but that too few witnesses
+/// granted. This call was not run; whether an earlier one with its key was is unknown.
 fn no_majority(refusal: RefusalNotice) -> FailureBody {
     let message = format!("too few witnesses of the idempotency key agreed: {}", refusal.reason);
     FailureBody::not_run(FailureCode::ClaimsUnavailable, message)
--- a/crates/papayamux-router/src/claims/mod.rs
+++ b/crates/papayamux-router/src/claims/mod.rs
@@ -1,4 +1,5 @@
-//! Calls with an idempotency key: claims at witnesses, and the first run's answer for repeats.
+//! Handles calls with an idempotency key: claims the key at witnesses, and returns the answer of
+//! the first run to retries.
 
 mod claim_attempt;
 mod claim_settings;
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -1,4 +1,4 @@
-//! Getting the first run's answer for a repeat.
+//! Fetches the answer of the first run for a retry.
 
 use bytes::Bytes;
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
@@ -11,20 +11,20 @@
 use crate::agents::StreamEvent;
 use crate::callers::{AcceptedRequest, CallerFrontend};
 
-/// Seconds after which a repeat may be worth another try.
+/// Seconds after which the caller may retry.
 const RETRY_AFTER_SECONDS: u32 = 1;
 
-/// What came of asking for the first run's answer.
+/// The outcome of fetching the first run's answer.
 pub enum RecallOutcome {
-    /// Here it is.
+    /// The agent sends the answer.
     Accepted(Box<AcceptedRequest>),
-    /// The agent knows of no such run, yet or any more.
+    /// The agent has no record of the run: not yet, or no longer.
     NotThere,
-    /// It can't be had.
+    /// The answer can't be fetched.
     Failed(FailureBody),
 }
 
-/// Asks the agent at `place`.
+/// Fetches the answer from the agent at `place`.
 pub async fn recall_answer(
     frontend: &CallerFrontend,
     call: &KeyedCall,
@@ -32,7 +32,7 @@
 ) -> RecallOutcome {
     let known = frontend.fleets.peer(&place.server);
     let peer = known.unwrap_or_else(|| frontend.directory.peer_at(&place.server, place.agent));
-    let unreachable = || RecallOutcome::Failed(key_in_use("the first run's agent is out of reach"));
+    let unreachable = || RecallOutcome::Failed(key_in_use("the first run's agent is unreachable"));
     let Ok(link) = peer.link().await else { return unreachable() };
     let request = RecallRequest {
         organisation: call.organisation.clone(),
@@ -68,27 +68,27 @@
     match reason {
         RefusalReason::KeyReused => key_reused(),
         RefusalReason::FirstRunFailed => {
-            let message = "the first run with this key did not end with a whole answer";
+            let message = "the first run with this key did not end with a complete answer";
             unknown(FailureCode::FirstRunFailed, message).because(reason)
         }
         reason => key_in_use("the first run's answer could not be fetched").because(reason),
     }
 }
 
-/// The key was used for another call; this one was not run.
+/// Returns the failure for a key that was used for another call. This call was not run.
 pub fn key_reused() -> FailureBody {
     let message = "the idempotency key was used for a call with another method, path or body";
     FailureBody::not_run(FailureCode::KeyReused, message).because(RefusalReason::KeyReused)
 }
 
-/// Another attempt holds the key, and what became of it can't be told.
+/// Returns the failure for a key that another attempt holds, whose outcome is unknown.
 pub fn key_in_use(message: &str) -> FailureBody {
     unknown(FailureCode::KeyInUse, message).retry_after(RETRY_AFTER_SECONDS)
 }
 
-/// The first run's answer is held no longer, if it ever was.
+/// Returns the failure for a first run whose answer isn't kept, or never was.
 pub fn answer_not_kept() -> FailureBody {
-    let message = "an earlier call with this key was brought to a server that holds no answer";
+    let message = "an earlier call with this key was sent to a server that holds no answer to it";
     unknown(FailureCode::AnswerNotKept, message)
         .because(RefusalReason::AnswerNotKept)
         .retry_after(RETRY_AFTER_SECONDS)
--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -1,4 +1,4 @@
-//! Asking all witnesses of a key for one attempt.
+//! Requests a claim from all witnesses of a key.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,26 +14,28 @@
 use super::fleet_tracker::WitnessSets;
 use super::{ClaimAttempt, FleetTracker, KeyedCall};
 
-/// How long a lost round still waits for answers that may say who holds the key.
+/// Maximum time that a lost round waits for outstanding replies, which may name the attempt that
+/// holds the key.
 const LATE_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
-/// Time after which to try again where no fleet is known.
+/// Delay until a retry if no fleet is known.
 const NO_FLEET_RETRY_MS: u32 = 5_000;
 
-/// What came of a round.
+/// The outcome of a round.
 pub enum RoundOutcome {
     /// The attempt holds the key.
     Won(Rc<ClaimAttempt>),
-    /// It does not, and has released what it held.
+    /// The attempt doesn't hold the key, and has released the claims it was granted.
     Lost {
-        /// The attempt that some witness has granted the key to.
+        /// The attempt that a witness has granted the key to, if known.
         held: Option<HeldClaim>,
-        /// What speaks against this attempt.
+        /// The reason why this attempt lost.
         refusal: RefusalNotice,
     },
 }
 
-/// Asks all witnesses at once. A won round goes on without those that have not answered; they are
-/// still told, so that the key outlives the loss of those that have.
+/// Requests a claim from all witnesses concurrently. A won round doesn't wait for outstanding
+/// replies, but these requests still complete in the background, so that the claim survives the
+/// loss of the witnesses that have replied.
 pub async fn claim_key(
     tracker: &Rc<FleetTracker>,
     call: &KeyedCall,
--- a/crates/papayamux-router/src/configuration.rs
+++ b/crates/papayamux-router/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The router's use of what is in force.
+//! Applies the configuration in force to the router.
 
 use std::io;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use crate::directory::ServerDirectory;
 use crate::settings::ServerEntry;
 
-/// Starts the spread of the configuration, where the settings ask for it.
+/// Starts the spread of the configuration between routers, if the settings enable it.
 pub(crate) fn start_configuration(
     settings: Option<SpreadSettings>,
     identity: SpreadIdentity,
@@ -25,9 +25,9 @@
     ConfigurationView::start(settings, identity, registry).map(Some)
 }
 
-/// Puts in force in `directory` what is in force in the fleet, after each change. Nothing is put
-/// in force before the process has asked its peers. Servers that the platform says are leaving get
-/// no new work.
+/// Applies each change of the configuration in force in the fleet to `directory`. Nothing is applied
+/// before the process has queried its peers. Servers that the platform reports as draining get no
+/// new requests.
 pub(crate) async fn follow_configuration(view: ConfigurationView, directory: Rc<ServerDirectory>) {
     let mut changes = view.subscribe();
     while changes.next().await.is_some() {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The servers in force as the directory holds them.
+/// Returns the servers in force as entries of the directory.
 pub(crate) fn server_entries(in_force: &InForce) -> Vec<ServerEntry> {
     let servers = in_force.servers.iter();
     servers.map(|(server, declared)| server_entry(in_force, server, &declared.value)).collect()
@@ -61,8 +61,8 @@
     }
 }
 
-/// A directory entry knows one answer for all methods: calls may be run again where those of the
-/// method that is never idempotent by itself may.
+/// Returns whether all calls of a route may be retried. A directory entry has one flag for all
+/// methods, so this is decided by POST, which is never idempotent by itself.
 fn may_repeat_all(route: &Route) -> bool {
     route.idempotent_methods.contains(&MethodName::of(&Method::POST))
 }
--- a/crates/papayamux-router/src/daemon.rs
+++ b/crates/papayamux-router/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The router's life: start, serve, drain, end.
+//! The lifecycle of the router: start, serve, drain, exit.
 
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -42,7 +42,8 @@
 }
 
 impl RouterView {
-    /// Servers declared, or those of the settings where no configuration is spread.
+    /// Returns the number of declared servers, or of those in the settings if no configuration is
+    /// spread.
     fn server_count(&self) -> usize {
         match &self.configuration {
             Some(configuration) => configuration.in_force().servers.len(),
@@ -71,7 +72,7 @@
     }
 }
 
-/// Runs a router until a signal ends it.
+/// Runs a router until a signal stops it and its requests in flight have finished.
 pub fn run_router(settings: RouterSettings) -> Result<(), Box<dyn Error>> {
     start_logging("papayamux-router", log::LevelFilter::Info);
     let mut signals = catch_end_signals()?;
@@ -82,34 +83,34 @@
         let finish = std::pin::pin!(router.finish());
         let cause = match select(finish, signals.next()).await {
             Either::Left((DrainEnd::Complete, _)) => return Ok(()),
-            Either::Left((DrainEnd::TimedOut, _)) => "the drain's bound",
+            Either::Left((DrainEnd::TimedOut, _)) => "the drain timeout",
             Either::Right(_) => "a second signal",
         };
         Err(router.abort(cause))
     })?
 }
 
-/// A router that serves.
+/// A router that serves requests.
 struct ServingRouter {
     view: Rc<RouterView>,
     shutdown: ShutdownSignal,
     served: JoinHandle<io::Result<()>>,
 }
 
-/// A router that is not ready any more and lets requests in flight finish.
+/// A router that reports itself as not ready and lets requests in flight finish.
 struct DrainingRouter {
     view: Rc<RouterView>,
     shutdown: ShutdownSignal,
     served: RefCell<Option<JoinHandle<io::Result<()>>>>,
 }
 
-/// How a drain ended by itself.
+/// The outcome of a drain that no signal interrupted.
 enum DrainEnd {
     Complete,
     TimedOut,
 }
 
-/// What a drain's end cut off.
+/// The error of a drain that ended with requests in flight.
 #[derive(Debug, Error)]
 #[error("{cause} cut off {requests} requests")]
 struct DrainError {
@@ -205,8 +206,8 @@
 }
 
 impl ServingRouter {
-    /// Turns readiness off. Each answer from now on closes its connection, so that the balancer
-    /// sends the next request to another router.
+    /// Reports the router as not ready. From now on each response closes its connection, so that
+    /// the load balancer sends the next request to another router.
     fn drain(self) -> DrainingRouter {
         log::info!("router drains");
         self.view.ready.set(false);
@@ -216,7 +217,7 @@
 }
 
 impl DrainingRouter {
-    /// Waits for the balancer, then lets requests in flight finish.
+    /// Gives the load balancer time to notice, then lets requests in flight finish.
     async fn finish(&self) -> DrainEnd {
         let settings = &self.view.settings;
         monoio::time::sleep(settings.balancer_delay).await;
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Ends the drain before its end.
+    /// Aborts the drain and counts the requests in flight as cut off.
     fn abort(&self, cause: &'static str) -> Box<dyn Error> {
         let requests = self.view.metrics.in_flight.get();
         self.view.metrics.cut_requests.inc_by(requests.unsigned_abs());
--- a/crates/papayamux-router/src/directory.rs
+++ b/crates/papayamux-router/src/directory.rs
@@ -1,4 +1,4 @@
-//! The backend servers that the router knows, each with its agent.
+//! The backend servers known to the router, each with its agent.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -25,13 +25,13 @@
 pub struct PathRoute {
     /// The declared path prefix.
     pub prefix: String,
-    /// Whether calls may be run again.
+    /// Whether calls may be retried.
     pub idempotent: bool,
     /// The servers.
     pub servers: Vec<Rc<ServerRecord>>,
 }
 
-/// All servers in force. Replacing them keeps the connections of those that stay.
+/// All servers in force. Replacing them keeps the connections to those that remain.
 pub struct ServerDirectory {
     identity: RouterIdentity,
     metrics: RouterMetrics,
@@ -42,7 +42,7 @@
 }
 
 impl ServerDirectory {
-    /// A directory with the given servers.
+    /// Creates a directory of the given servers.
     pub fn new(
         identity: RouterIdentity,
         metrics: RouterMetrics,
@@ -61,12 +61,12 @@
         Rc::new(directory)
     }
 
-    /// What agents tell unasked.
+    /// Returns the state that agents update without a query.
     pub fn updates(&self) -> &AgentUpdates {
         &self.updates
     }
 
-    /// Puts `entries` in force in place of all servers known before.
+    /// Replaces all servers by `entries`.
     pub fn replace(&self, entries: Vec<ServerEntry>) {
         let mut records = self.records.borrow_mut();
         let mut previous = std::mem::take(&mut *records);
@@ -83,13 +83,15 @@
         self.update_fleet_tracker();
     }
 
-    /// Gives no new work to the servers in `leaving`, in place of those named before. They stay
-    /// declared, and their agents witnesses: lists that differ must not make fleets differ.
+    /// Replaces the set of draining servers, which get no new requests. They stay declared, and
+    /// their agents stay witnesses: routers with different lists of draining servers must still
+    /// agree on the fleet.
     pub fn set_draining(&self, draining: Rc<BTreeSet<ServerId>>) {
         *self.draining.borrow_mut() = draining;
     }
 
-    /// Has `keeper` told of the servers in force, now and whenever they are replaced.
+    /// Sets the tracker that is updated with the servers in force, now and whenever they are
+    /// replaced.
     pub fn set_fleet_tracker(&self, tracker: Rc<FleetTracker>) {
         *self.fleets.borrow_mut() = Some(tracker);
         self.update_fleet_tracker();
@@ -104,13 +106,13 @@
         tracker.put_in_force(self.records.borrow().values().map(declare).collect());
     }
 
-    /// The declared servers of `entries`, each with its agent.
+    /// Returns the declared servers of `entries`, each with its agent.
     pub fn witness_peers(&self, entries: &[WitnessEntry]) -> Vec<(DeclaredServer, Rc<AgentPeer>)> {
         let peer_of = |entry: &WitnessEntry| self.peer_at(&entry.declared.server, entry.agent);
         entries.iter().map(|entry| (entry.declared.clone(), peer_of(entry))).collect()
     }
 
-    /// The agent of `server` at `address`, also where this router does not know it.
+    /// Returns the agent of `server` at `address`, even if this router doesn't know the server.
     pub fn peer_at(&self, server: &ServerId, address: SocketAddr) -> Rc<AgentPeer> {
         let records = self.records.borrow();
         let known = records.get(server).filter(|record| record.entry.agent == address);
@@ -130,17 +132,17 @@
         Rc::new(AgentPeer::new(server.clone(), address, identity, metrics, updates))
     }
 
-    /// The server of that name.
+    /// Returns the record of `server`, if it is known.
     pub fn record(&self, server: &ServerId) -> Option<Rc<ServerRecord>> {
         self.records.borrow().get(server).cloned()
     }
 
-    /// The servers of a model, in no particular order.
+    /// Returns the servers of a model that accept new requests, in no particular order.
     pub fn serving(&self, model: &ModelId) -> Vec<Rc<ServerRecord>> {
         self.select(|entry| entry.models.contains(model))
     }
 
-    /// The servers for a path, by its longest declared prefix.
+    /// Returns the servers for a path that accept new requests, by its longest declared prefix.
     pub fn for_path(&self, path: &str) -> Option<PathRoute> {
         let longest = {
             let records = self.records.borrow();
--- a/crates/papayamux-router/src/lib.rs
+++ b/crates/papayamux-router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The router: takes requests from callers and brings them to the agents of backend servers.
+//! The router: accepts requests from callers and forwards them to the agents of backend servers.
 
 mod agents;
 mod callers;
--- a/crates/papayamux-router/src/main.rs
+++ b/crates/papayamux-router/src/main.rs
@@ -8,7 +8,7 @@
 
 const NAME: DaemonName = DaemonName {
     program: "papayamux-router",
-    purpose: "takes requests from callers and brings them to the agents of backend servers",
+    purpose: "accepts requests from callers and forwards them to the agents of backend servers",
 };
 
 fn main() -> ExitCode {
--- a/crates/papayamux-router/src/metrics.rs
+++ b/crates/papayamux-router/src/metrics.rs
@@ -14,17 +14,17 @@
     pub in_flight: Gauge,
     /// Refusals that agents gave, by reason.
     pub refusals: ReasonCounters,
-    /// Failures told to callers, by code.
+    /// Failures returned to callers, by code.
     pub failures: ReasonCounters,
-    /// Requests offered to a further server, by reason.
+    /// Retries of requests, by reason.
     pub retries: ReasonCounters,
-    /// Requests that were not offered again because the retry budget was used up, by reason.
+    /// Requests that were not retried because the retry budget was used up, by reason.
     pub retries_denied: ReasonCounters,
-    /// Probes by what came of them.
+    /// Probes, by outcome.
     pub probes: ReasonCounters,
-    /// Decisions by the way they were made.
+    /// Routing decisions, by the way they were made.
     pub decisions: ReasonCounters,
-    /// First-hand evidence against servers, by kind.
+    /// Failure evidence against servers that this router observed itself, by kind.
     pub evidence: ReasonCounters,
     /// Bytes of control messages.
     pub control_bytes: ControlBytes,
@@ -36,15 +36,15 @@
     pub lost_links: ReasonCounters,
     /// Connections to agents that could not be opened, by reason.
     pub failed_links: ReasonCounters,
-    /// Streams of lost connections, by what became of them.
+    /// Streams of lost connections, by the outcome of their recovery.
     pub recoveries: ReasonCounters,
-    /// Answers that callers asked to go on with, by outcome.
+    /// Answers that callers asked to resume, by outcome.
     pub caller_resumes: ReasonCounters,
-    /// Answers that were cut off, by reason.
+    /// Truncated answers, by reason.
     pub cut_answers: ReasonCounters,
     /// Connections of callers that were refused, by reason.
     pub refused_callers: ReasonCounters,
-    /// Requests that the end of a drain cut off.
+    /// Requests that were cut off at the end of a drain.
     pub cut_requests: Counter,
 }
 
--- a/crates/papayamux-router/src/settings.rs
+++ b/crates/papayamux-router/src/settings.rs
@@ -15,35 +15,35 @@
 use crate::claims::ClaimSettings;
 use crate::routing::RoutingPolicy;
 
-/// How long a request may wait before it has to start, where nothing else is set.
+/// Default for the time that a request may wait before it starts.
 const DEFAULT_START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One backend server as the router knows it.
+/// The router's entry for one backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
-    /// Where its agent listens.
+    /// The address that its agent listens on.
     pub agent: SocketAddr,
-    /// Its failure domain, where it is declared.
+    /// Its failure domain, if declared.
     pub domain: Option<FailureDomain>,
-    /// Models it serves; none for a plain service.
+    /// The models that it serves; empty for a plain service.
     pub models: Vec<ModelId>,
-    /// Path prefixes that lead to it; none for a model engine.
+    /// The path prefixes that are routed to it; empty for a model engine.
     pub paths: Vec<String>,
-    /// Whether its calls may be run again; chats always may.
+    /// Whether its calls may be retried. Chats may always be.
     pub idempotent: bool,
 }
 
-/// The priority class of organisations for which none is set.
+/// The default priority class of an organisation.
 pub const DEFAULT_PRIORITY: u32 = 2;
 
-/// What is set for one organisation.
+/// The settings of one organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrganisationEntry {
-    /// The priority class; 0 goes first.
+    /// The priority class; 0 is the highest.
     pub priority: u32,
-    /// The weight among the organisations that wait in the same class.
+    /// The weight among organisations with queued requests in the same class.
     pub share: u32,
 }
 
@@ -56,60 +56,61 @@
 /// All settings of a router.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct RouterSettings {
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// The address of the operations interface.
     pub operations: SocketAddr,
     /// The router's failure domain.
     pub domain: FailureDomain,
-    /// Bytes of the longest request body.
+    /// Maximum length of a request body in bytes.
     #[builder(default = ByteCount::new(4 * 1024 * 1024))]
     pub longest_body: ByteCount,
-    /// How long a request may wait before it has to start.
+    /// Maximum time that a request may wait before it starts.
     #[builder(default = DEFAULT_START_TIMEOUT)]
     pub start_within: Duration,
-    /// Servers that one request may be offered to.
+    /// Maximum number of servers that one request is offered to.
     #[builder(default = 4)]
     pub most_offers: usize,
-    /// How long the balancer needs to see that the router is not ready.
+    /// Time that the load balancer needs to notice that the router is not ready.
     #[builder(default = Duration::from_secs(2))]
     pub balancer_delay: Duration,
-    /// How long requests in flight may take to finish at a shutdown.
+    /// Maximum time that requests in flight may take to finish at a shutdown.
     #[builder(default = Duration::from_secs(600))]
     pub drain_within: Duration,
-    /// How long streams of a lost connection to an agent wait for another one.
+    /// Maximum time that streams of a lost connection to an agent wait to be resumed on a new one.
     #[builder(default = Duration::from_secs(8))]
     pub resume_within: Duration,
-    /// How long a caller may take nothing of what is written to it.
+    /// Maximum time that a caller may read nothing of the response while data is pending.
     #[builder(default = Duration::from_secs(30))]
     pub caller_stall: Duration,
-    /// The fleet's secret, where agents have to know it.
+    /// The fleet's shared secret, if connections to agents are authenticated with one.
     pub secret: Option<SharedSecret>,
-    /// Addresses that callers may connect from; all where it is empty.
+    /// The addresses that callers may connect from. If empty, all addresses are allowed.
     #[builder(default)]
     pub allow: Vec<AddressRange>,
-    /// Claims of idempotency keys.
+    /// The settings of claims of idempotency keys.
     #[builder(default = ClaimSettings::builder().build())]
     pub claims: ClaimSettings,
-    /// How servers are chosen.
+    /// The policy by which servers are chosen.
     #[builder(default)]
     pub policy: RoutingPolicy,
-    /// What is set for single organisations.
+    /// The settings of individual organisations.
     #[builder(default)]
     pub organisations: HashMap<OrganisationId, OrganisationEntry>,
-    /// The backend servers, where no configuration is spread.
+    /// The backend servers, if no configuration is spread.
     pub servers: Vec<ServerEntry>,
-    /// How the configuration is spread, where it is.
+    /// The settings of the spread of the configuration, if it is spread.
     pub spread: Option<SpreadSettings>,
 }
 
 impl RouterSettings {
-    /// What is set for an organisation.
+    /// Returns the settings of an organisation, or the defaults if it has none.
     pub fn organisation(&self, organisation: &OrganisationId) -> OrganisationEntry {
         self.organisations.get(organisation).copied().unwrap_or_default()
     }
 
-    /// Reads the settings from the text of an INI file, or reports all that is wrong with it.
+    /// Reads the settings from the text of an INI file. Returns all findings if any part is
+    /// invalid.
     pub fn read(name: &str, text: &str) -> Result<Self, Findings> {
         let file = IniFile::parse(name, text)?;
         let settings = read_router(&file);
--- a/crates/papayamux-router/tests/operators_pages.rs
+++ b/crates/papayamux-router/tests/operators_pages.rs
@@ -1,4 +1,4 @@
-//! The example, the page of settings and the page of metrics agree with the router.
+//! Checks that the example and the pages on settings and metrics agree with the router.
 
 use papayamux_router::metrics::RouterMetrics;
 use papayamux_router::settings::RouterSettings;
@@ -9,7 +9,7 @@
 const SETTINGS_PAGE: &str = include_str!("../../../docs/operators/settings.md");
 const METRICS_PAGE: &str = include_str!("../../../docs/metrics.md");
 
-/// One section of each kind, each with a key that no reader knows.
+/// One section of each kind, each with an unknown key.
 const UNKNOWN_KEYS: &str = "[router]\nzzz = 1\n[claims]\nzzz = 1\n[spread]\nzzz = 1\n\
                             [server a]\nzzz = 1\n[witness a]\nzzz = 1\n[organisation a]\nzzz = 1\n";
 
@@ -47,7 +47,8 @@
     assert_page("papayamux_spread_", &registry);
 }
 
-/// The text form of a registry leaves out families without values, `Debug` does not.
+/// Compares the metrics on the page with those of the registry. Uses the `Debug` form of the
+/// registry, since its text encoding omits families without values.
 fn assert_page(prefix: &str, registry: &Registry) {
     let text = format!("{registry:?}");
     let mut registered: Vec<_> = text
--- a/crates/papayamux-router/tests/policy_setting.rs
+++ b/crates/papayamux-router/tests/policy_setting.rs
@@ -1,4 +1,4 @@
-//! The setting that names the routing policy.
+//! Tests the setting of the routing policy.
 
 use papayamux_router::routing::RoutingPolicy;
 use papayamux_router::settings::RouterSettings;
--- a/crates/papayamux-router/tests/settings.rs
+++ b/crates/papayamux-router/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The router's settings and their findings.
+//! Tests parsing of the router's settings and the findings on invalid ones.
 
 use papayamux_router::settings::RouterSettings;
 
