--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -61,7 +61,7 @@
         .map(|witness| {
             let (tracker, attempt, ask) = (tracker.clone(), attempt.clone(), ask.clone());
             async move {
-                let asked = ask_witness(&tracker, &witness, ask, &attempt, start_within);
+                let asked = request_claim(&tracker, &witness, ask, &attempt, start_within);
                 let reply = monoio::time::timeout(claim_within, asked).await;
                 (witness, reply.ok().flatten())
             }
@@ -85,7 +85,7 @@
     RoundOutcome::Lost { held: round.held().cloned(), refusal: round.refusal() }
 }
 
-async fn ask_witness(
+async fn request_claim(
     tracker: &FleetTracker,
     witness: &ServerId,
     ask: ClaimAsk,
--- a/crates/papayamux-router/src/routing/baselines.rs
+++ b/crates/papayamux-router/src/routing/baselines.rs
@@ -68,8 +68,8 @@
 pub async fn two_choices(servers: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
     let mut order = shuffled(servers);
     let probe = LoadProbe { checkpoints: Vec::new(), chat: 0, group_load: None };
-    let asked = &order[..order.len().min(2)];
-    let loads: Vec<_> = probe_all(asked, &probe)
+    let probed = &order[..order.len().min(2)];
+    let loads: Vec<_> = probe_all(probed, &probe)
         .await
         .into_iter()
         .map(|reply| {
--- a/crates/papayamux-router/src/routing/probe.rs
+++ b/crates/papayamux-router/src/routing/probe.rs
@@ -15,14 +15,14 @@
 /// Probes the agents of all `servers` concurrently. The result is `None` for agents that did not
 /// reply on time.
 pub async fn probe_all(servers: &[Rc<ServerRecord>], probe: &LoadProbe) -> Vec<Option<ProbeReply>> {
-    let asked = servers.iter().map(|record| {
+    let probes = servers.iter().map(|record| {
         let (peer, probe) = (record.peer.clone(), probe.clone());
         // The task isn't cancelled by the timeout, so a connection that opens late is available to
         // the next request.
         let answer = monoio::spawn(async move { probe_one(&peer, probe).await });
         async move { monoio::time::timeout(PROBE_TIMEOUT, answer).await.ok().flatten() }
     });
-    join_all(asked).await
+    join_all(probes).await
 }
 
 async fn probe_one(peer: &AgentPeer, probe: LoadProbe) -> Option<ProbeReply> {
