--- a/crates/papayamux-router/src/callers/answer_stream.rs
+++ b/crates/papayamux-router/src/callers/answer_stream.rs
@@ -73,7 +73,7 @@
             }
             StreamEvent::Head(_) | StreamEvent::Refused(_) => {
                 let (code, outcome) = (FailureCode::ConnectionLost, FailureOutcome::Unknown);
-                let message = "the answer arrived out of order";
+                let message = "the answer came out of order";
                 self.truncate("out_of_order", FailureBody::new(code, outcome, message))
             }
         }
--- a/crates/papayamux-router/src/callers/caller_request.rs
+++ b/crates/papayamux-router/src/callers/caller_request.rs
@@ -35,7 +35,7 @@
             let message = format!("the body is longer than {longest_body} bytes");
             FailureBody::not_run(FailureCode::BodyTooLarge, message)
         } else {
-            let message = format!("failed to read the body: {error}");
+            let message = format!("the body did not arrive: {error}");
             FailureBody::not_run(FailureCode::InvalidRequest, message)
         }
     })?;
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -245,7 +245,7 @@
 }
 
 fn refused(notice: &RefusalNotice) -> FailureBody {
-    let message = format!("no server accepted the request: {}", notice.reason);
+    let message = format!("no server took the request: {}", notice.reason);
     FailureBody::not_run(FailureCode::Refused, message)
         .because(notice.reason)
         .retry_after(notice.retry_after_ms.div_ceil(1_000).max(1))
@@ -254,7 +254,7 @@
 fn lost(repeat: &RepeatRule) -> FailureBody {
     let message = match repeat {
         RepeatRule::Idempotent => "the connection to the server was lost",
-        RepeatRule::AtMostOnce(_) => "the connection to the server was lost; the call may have run",
+        RepeatRule::AtMostOnce(_) => "the connection to the server was lost; it may have run",
     };
     FailureBody::new(FailureCode::ConnectionLost, FailureOutcome::Unknown, message)
 }
--- a/crates/papayamux-router/src/callers/request_handler.rs
+++ b/crates/papayamux-router/src/callers/request_handler.rs
@@ -67,7 +67,7 @@
     ) -> Result<AcceptedRequest, FailureBody> {
         let is_chat = request.uri().path() == CHAT_PATH;
         if is_chat && request.method() != Method::POST {
-            let message = format!("{CHAT_PATH} accepts POST only");
+            let message = format!("{CHAT_PATH} takes POST only");
             return Err(FailureBody::not_run(FailureCode::InvalidRequest, message));
         }
         let request = read_request(request, self.settings.longest_body).await?;
--- a/crates/papayamux-router/src/callers/resume_handler.rs
+++ b/crates/papayamux-router/src/callers/resume_handler.rs
@@ -66,13 +66,13 @@
 }
 
 fn gone() -> FailureBody {
-    let message = "the rest of the answer is no longer kept, so its outcome is unknown; nothing \
-                   was run for this request";
+    let message = "the rest of the answer is no longer held; what became of it is not known, and \
+                   nothing was run for this request";
     FailureBody::new(FailureCode::AnswerGone, FailureOutcome::Unknown, message)
 }
 
 fn unreachable() -> FailureBody {
-    let message = "the agent that holds the answer is unreachable; nothing was run for this \
+    let message = "the agent that holds the answer can't be reached; nothing was run for this \
                    request";
     FailureBody::new(FailureCode::ConnectionLost, FailureOutcome::Unknown, message).retry_after(1)
 }
--- a/crates/papayamux-router/src/claims/keyed_call.rs
+++ b/crates/papayamux-router/src/claims/keyed_call.rs
@@ -55,7 +55,7 @@
     plan: RoutePlan,
 ) -> Result<AcceptedRequest, FailureBody> {
     let started = Instant::now();
-    let mut failure = key_in_use("another call with this key is in progress");
+    let mut failure = key_in_use("another call with this key is under way");
     for round in 0..MAX_CLAIM_ROUNDS {
         if round > 0 {
             let delay_ms = rand::random_range(ROUND_DELAY_MS);
@@ -99,7 +99,7 @@
     }
     let Some(held) = held else { return LostRound::Failed(no_majority(refusal)) };
     let Some(place) = held.place else {
-        return LostRound::Retry(key_in_use("another call with this key is in progress"));
+        return LostRound::Retry(key_in_use("another call with this key is under way"));
     };
     match recall_answer(frontend, call, &place).await {
         RecallOutcome::Accepted(accepted) => LostRound::Accepted(accepted),
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -32,7 +32,7 @@
 ) -> RecallOutcome {
     let known = frontend.fleets.peer(&place.server);
     let peer = known.unwrap_or_else(|| frontend.directory.peer_at(&place.server, place.agent));
-    let unreachable = || RecallOutcome::Failed(key_in_use("the first run's agent is unreachable"));
+    let unreachable = || RecallOutcome::Failed(key_in_use("the first run's agent is out of reach"));
     let Ok(link) = peer.link().await else { return unreachable() };
     let request = RecallRequest {
         organisation: call.organisation.clone(),
@@ -68,7 +68,7 @@
     match reason {
         RefusalReason::KeyReused => key_reused(),
         RefusalReason::FirstRunFailed => {
-            let message = "the first run with this key did not end with a complete answer";
+            let message = "the first run with this key did not end with a whole answer";
             unknown(FailureCode::FirstRunFailed, message).because(reason)
         }
         reason => key_in_use("the first run's answer could not be fetched").because(reason),
@@ -88,7 +88,7 @@
 
 /// Returns the failure for a first run whose answer isn't kept, or never was.
 pub fn answer_not_kept() -> FailureBody {
-    let message = "an earlier call with this key was sent to a server that holds no answer to it";
+    let message = "an earlier call with this key was brought to a server that holds no answer";
     unknown(FailureCode::AnswerNotKept, message)
         .because(RefusalReason::AnswerNotKept)
         .retry_after(RETRY_AFTER_SECONDS)
--- a/crates/papayamux-router/src/daemon.rs
+++ b/crates/papayamux-router/src/daemon.rs
@@ -83,7 +83,7 @@
         let finish = std::pin::pin!(router.finish());
         let cause = match select(finish, signals.next()).await {
             Either::Left((DrainEnd::Complete, _)) => return Ok(()),
-            Either::Left((DrainEnd::TimedOut, _)) => "the drain timeout",
+            Either::Left((DrainEnd::TimedOut, _)) => "the drain's bound",
             Either::Right(_) => "a second signal",
         };
         Err(router.abort(cause))
