--- a/crates/papayamux-router/src/callers/request_handler.rs
+++ b/crates/papayamux-router/src/callers/request_handler.rs
@@ -1,4 +1,4 @@
-//! Every request of a caller, from its arrival to its response.
+//! Handles callers' requests from arrival to response.
 
 use std::rc::Rc;
 
@@ -15,27 +15,27 @@
 use super::caller_request::read_request;
 use super::chat_handler::handle_chat;
 use super::in_flight::InFlightGuard;
-use super::offer::TakenRequest;
+use super::offer::AcceptedRequest;
 use super::resume_handler::handle_resume;
 use super::service_handler::handle_service;
-use crate::claims::FleetKeeper;
+use crate::claims::FleetTracker;
 use crate::directory::ServerDirectory;
 use crate::metrics::RouterMetrics;
 use crate::routing::RoutePlanner;
 use crate::settings::RouterSettings;
 
-/// Takes callers' requests and knows the agents they may go to.
-pub struct CallerDesk {
+/// Handles callers' requests and routes them to agents.
+pub struct CallerFrontend {
     pub(crate) settings: RouterSettings,
     pub(crate) metrics: RouterMetrics,
     pub(crate) request_ids: RequestIdSource,
     pub(crate) directory: Rc<ServerDirectory>,
-    pub(crate) fleets: Rc<FleetKeeper>,
+    pub(crate) fleets: Rc<FleetTracker>,
     pub(crate) planner: RoutePlanner,
 }
 
-impl CallerDesk {
-    /// A desk for one life of a router.
+impl CallerFrontend {
+    /// Creates the frontend for one incarnation of a router.
     pub fn new(
         settings: RouterSettings,
         directory: Rc<ServerDirectory>,
@@ -44,27 +44,27 @@
         metrics: RouterMetrics,
     ) -> Rc<Self> {
         let request_ids = RequestIdSource::new(incarnation);
-        let fleets = FleetKeeper::new(settings.claims.clone());
+        let fleets = FleetTracker::new(settings.claims.clone());
         match settings.claims.fleet.as_slice() {
-            [] => directory.keep_fleets(fleets.clone()),
+            [] => directory.set_fleet_tracker(fleets.clone()),
             entries => fleets.put_in_force(directory.witness_peers(entries)),
         }
         Rc::new(Self { settings, metrics, request_ids, directory, fleets, planner })
     }
 
-    /// Answers one request.
+    /// Handles one request and returns the response.
     pub async fn handle(self: &Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let in_flight = InFlightGuard::new(&self.metrics);
-        match self.take(request).await {
-            Ok(taken) => answer_response(taken, in_flight),
+        match self.route_request(request).await {
+            Ok(accepted) => answer_response(accepted, in_flight),
             Err(failure) => self.failure_response(&failure),
         }
     }
 
-    async fn take(
+    async fn route_request(
         self: &Rc<Self>,
         request: Request<Incoming>,
-    ) -> Result<TakenRequest, FailureBody> {
+    ) -> Result<AcceptedRequest, FailureBody> {
         let is_chat = request.uri().path() == CHAT_PATH;
         if is_chat && request.method() != Method::POST {
             let message = format!("{CHAT_PATH} takes POST only");
@@ -83,7 +83,7 @@
     fn failure_response(&self, failure: &FailureBody) -> Response<AnswerBody> {
         let code = code_label(failure.code);
         let reason = failure.reason.as_deref().unwrap_or_default();
-        // The failure's message may quote the request, which belongs in no log.
+        // The failure's message isn't logged, since it may quote the request.
         log::info!(code = code, reason = reason; "request failed");
         self.metrics.failures.count(code);
         let mut response = Response::new(AnswerBody::from(failure.to_json()));
--- a/crates/papayamux-router/src/claims/keyed_call.rs
+++ b/crates/papayamux-router/src/claims/keyed_call.rs
@@ -1,4 +1,5 @@
-//! A call with an idempotency key: run once, or answered with the first run's answer.
+//! Runs calls with an idempotency key at most once, and answers retries with the answer of the
+//! first run.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,30 +12,31 @@
 
 use super::recall::{answer_not_kept, key_in_use, key_reused, recall_answer, RecallOutcome};
 use super::witness_round::{claim_key, RoundOutcome};
-use super::ClaimHold;
-use crate::callers::{offer_request, CallerDesk, RequestOffer, TakenRequest};
+use super::ClaimAttempt;
+use crate::callers::{offer_request, AcceptedRequest, CallerFrontend, RequestOffer};
 use crate::routing::RoutePlan;
 
-/// Rounds of claims for one call, where another attempt is in the way.
-const MOST_ROUNDS: u32 = 4;
-/// The pause before a further round is drawn from this range, so that attempts part.
-const ROUND_PAUSE_MS: std::ops::Range<u64> = 10..60;
+/// Maximum number of claim rounds for one call while other attempts hold its key.
+const MAX_CLAIM_ROUNDS: u32 = 4;
+/// Range of the random delay before a further round. The jitter keeps competing attempts from
+/// colliding again.
+const ROUND_DELAY_MS: std::ops::Range<u64> = 10..60;
 
-/// The key of a call and what it stands for.
+/// The idempotency key of a call, and the call that it identifies.
 #[derive(Debug, Clone)]
 pub struct KeyedCall {
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
     /// The key as the caller sent it.
     pub idempotency_key: IdempotencyKey,
-    /// The key as witnesses know it.
+    /// The key as sent to witnesses.
     pub key: ClaimKey,
-    /// The call.
+    /// The fingerprint of the call, which tells a retry from another call under the same key.
     pub fingerprint: CallFingerprint,
 }
 
 impl KeyedCall {
-    /// The keyed call that `offer` makes.
+    /// Creates the keyed call for `offer`.
     pub fn new(offer: &RequestOffer, idempotency_key: &IdempotencyKey) -> Self {
         Self {
             organisation: offer.organisation.clone(),
@@ -45,31 +47,33 @@
     }
 }
 
-/// Claims the key and offers the call to the servers of `plan`, or gets the first run's answer.
+/// Claims the key and offers the call to the servers of `plan`, or returns the first run's answer.
 pub async fn run_keyed(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     call: &KeyedCall,
     offer: RequestOffer,
     plan: RoutePlan,
-) -> Result<TakenRequest, FailureBody> {
+) -> Result<AcceptedRequest, FailureBody> {
     let started = Instant::now();
     let mut failure = key_in_use("another call with this key is under way");
-    for round in 0..MOST_ROUNDS {
+    for round in 0..MAX_CLAIM_ROUNDS {
         if round > 0 {
-            let pause = rand::random_range(ROUND_PAUSE_MS);
-            monoio::time::sleep(Duration::from_millis(pause)).await;
-            desk.metrics.retries.count(RefusalReason::KeyHeld.label());
+            let delay_ms = rand::random_range(ROUND_DELAY_MS);
+            monoio::time::sleep(Duration::from_millis(delay_ms)).await;
+            frontend.metrics.retries.count(RefusalReason::KeyHeld.label());
         }
-        let claim = ClaimId(desk.request_ids.draw());
-        let hold = ClaimHold::new(call.key, claim, started);
-        match claim_key(&desk.fleets, call, hold, desk.settings.start_within).await {
-            RoundOutcome::Won(hold) => return run_under_claim(desk, offer, plan, hold).await,
+        let claim = ClaimId(frontend.request_ids.draw());
+        let attempt = ClaimAttempt::new(call.key, claim, started);
+        match claim_key(&frontend.fleets, call, attempt, frontend.settings.start_within).await {
+            RoundOutcome::Won(attempt) => {
+                return run_under_claim(frontend, offer, plan, attempt).await
+            }
             RoundOutcome::Lost { held, refusal } => {
-                desk.metrics.refusals.count(refusal.reason.label());
-                match after_lost_round(desk, call, held, refusal).await {
-                    LostRound::Taken(taken) => return Ok(*taken),
+                frontend.metrics.refusals.count(refusal.reason.label());
+                match after_lost_round(frontend, call, held, refusal).await {
+                    LostRound::Accepted(accepted) => return Ok(*accepted),
                     LostRound::Failed(failure) => return Err(failure),
-                    LostRound::TryAgain(reason) => failure = reason,
+                    LostRound::Retry(reason) => failure = reason,
                 }
             }
         }
@@ -77,15 +81,15 @@
     Err(failure)
 }
 
-/// What follows from a lost round.
+/// The outcome of a lost round for its call.
 enum LostRound {
-    Taken(Box<TakenRequest>),
+    Accepted(Box<AcceptedRequest>),
     Failed(FailureBody),
-    TryAgain(FailureBody),
+    Retry(FailureBody),
 }
 
 async fn after_lost_round(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     call: &KeyedCall,
     held: Option<HeldClaim>,
     refusal: RefusalNotice,
@@ -95,17 +99,17 @@
     }
     let Some(held) = held else { return LostRound::Failed(no_majority(refusal)) };
     let Some(place) = held.place else {
-        return LostRound::TryAgain(key_in_use("another call with this key is under way"));
+        return LostRound::Retry(key_in_use("another call with this key is under way"));
     };
-    match recall_answer(desk, call, &place).await {
-        RecallOutcome::Taken(taken) => LostRound::Taken(taken),
-        RecallOutcome::NotThere => LostRound::TryAgain(answer_not_kept()),
+    match recall_answer(frontend, call, &place).await {
+        RecallOutcome::Accepted(accepted) => LostRound::Accepted(accepted),
+        RecallOutcome::NotThere => LostRound::Retry(answer_not_kept()),
         RecallOutcome::Failed(failure) => LostRound::Failed(failure),
     }
 }
 
-/// Nobody is known to hold the key, but too few witnesses granted it: this call was not run.
-/// Whether an earlier one with its key was can't be told.
+/// Returns the failure for a key that no attempt is known to hold, but that too few witnesses
+/// granted. This call was not run; whether an earlier one with its key was is unknown.
 fn no_majority(refusal: RefusalNotice) -> FailureBody {
     let message = format!("too few witnesses of the idempotency key agreed: {}", refusal.reason);
     FailureBody::not_run(FailureCode::ClaimsUnavailable, message)
@@ -115,23 +119,23 @@
 }
 
 async fn run_under_claim(
-    desk: &CallerDesk,
+    frontend: &CallerFrontend,
     offer: RequestOffer,
     plan: RoutePlan,
-    hold: Rc<ClaimHold>,
-) -> Result<TakenRequest, FailureBody> {
-    let offer = RequestOffer { claim: Some(hold.clone()), ..offer };
-    let outcome = offer_request(desk, &offer, plan).await;
+    attempt: Rc<ClaimAttempt>,
+) -> Result<AcceptedRequest, FailureBody> {
+    let offer = RequestOffer { claim: Some(attempt.clone()), ..offer };
+    let outcome = offer_request(frontend, &offer, plan).await;
     match outcome {
         Err(failure) if failure.outcome != FailureOutcome::NotRun => Err(failure),
         Err(failure) if ran_before(&failure) => {
             Err(key_in_use("a call with this key has run").because(RefusalReason::KeyRunBefore))
         }
         Err(failure) => {
-            hold.release();
+            attempt.release();
             Err(failure)
         }
-        Ok(taken) => Ok(taken),
+        Ok(accepted) => Ok(accepted),
     }
 }
 
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -1,4 +1,4 @@
-//! Getting the first run's answer for a repeat.
+//! Fetches the answer of the first run for a retry.
 
 use bytes::Bytes;
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
@@ -9,25 +9,29 @@
 
 use super::KeyedCall;
 use crate::agents::StreamEvent;
-use crate::callers::{CallerDesk, TakenRequest};
+use crate::callers::{AcceptedRequest, CallerFrontend};
 
-/// Seconds after which a repeat may be worth another try.
+/// Seconds after which the caller may retry.
 const RETRY_AFTER_SECONDS: u32 = 1;
 
-/// What came of asking for the first run's answer.
+/// The outcome of fetching the first run's answer.
 pub enum RecallOutcome {
-    /// Here it is.
-    Taken(Box<TakenRequest>),
-    /// The agent knows of no such run, yet or any more.
+    /// The agent sends the answer.
+    Accepted(Box<AcceptedRequest>),
+    /// The agent has no record of the run: not yet, or no longer.
     NotThere,
-    /// It can't be had.
+    /// The answer can't be fetched.
     Failed(FailureBody),
 }
 
-/// Asks the agent at `place`.
-pub async fn recall_answer(desk: &CallerDesk, call: &KeyedCall, place: &RunPlace) -> RecallOutcome {
-    let known = desk.fleets.peer(&place.server);
-    let peer = known.unwrap_or_else(|| desk.directory.peer_at(&place.server, place.agent));
+/// Fetches the answer from the agent at `place`.
+pub async fn recall_answer(
+    frontend: &CallerFrontend,
+    call: &KeyedCall,
+    place: &RunPlace,
+) -> RecallOutcome {
+    let known = frontend.fleets.peer(&place.server);
+    let peer = known.unwrap_or_else(|| frontend.directory.peer_at(&place.server, place.agent));
     let unreachable = || RecallOutcome::Failed(key_in_use("the first run's agent is out of reach"));
     let Ok(link) = peer.link().await else { return unreachable() };
     let request = RecallRequest {
@@ -35,7 +39,7 @@
         key: call.idempotency_key.clone(),
         fingerprint: call.fingerprint,
     };
-    let id = desk.request_ids.draw();
+    let id = frontend.request_ids.draw();
     let Some(mut stream) = link.recall_stream(id, request) else { return unreachable() };
     match stream.next_event().await {
         StreamEvent::Head(mut head) => {
@@ -44,7 +48,13 @@
                 value: Bytes::from_static(b"true"),
             });
             let server = place.server.clone();
-            RecallOutcome::Taken(Box::new(TakenRequest { id, server, head, stream, place: None }))
+            RecallOutcome::Accepted(Box::new(AcceptedRequest {
+                id,
+                server,
+                head,
+                stream,
+                slot: None,
+            }))
         }
         StreamEvent::Refused(notice) => match notice.reason {
             RefusalReason::AnswerNotKept => RecallOutcome::NotThere,
@@ -65,18 +75,18 @@
     }
 }
 
-/// The key was used for another call; this one was not run.
+/// Returns the failure for a key that was used for another call. This call was not run.
 pub fn key_reused() -> FailureBody {
     let message = "the idempotency key was used for a call with another method, path or body";
     FailureBody::not_run(FailureCode::KeyReused, message).because(RefusalReason::KeyReused)
 }
 
-/// Another attempt holds the key, and what became of it can't be told.
+/// Returns the failure for a key that another attempt holds, whose outcome is unknown.
 pub fn key_in_use(message: &str) -> FailureBody {
     unknown(FailureCode::KeyInUse, message).retry_after(RETRY_AFTER_SECONDS)
 }
 
-/// The first run's answer is held no longer, if it ever was.
+/// Returns the failure for a first run whose answer isn't kept, or never was.
 pub fn answer_not_kept() -> FailureBody {
     let message = "an earlier call with this key was brought to a server that holds no answer";
     unknown(FailureCode::AnswerNotKept, message)
--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -1,4 +1,4 @@
-//! Asking all witnesses of a key for one attempt.
+//! Requests a claim from all witnesses of a key.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,36 +11,38 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::refusal::RefusalReason;
 
-use super::fleet_keeper::WitnessSets;
-use super::{ClaimHold, FleetKeeper, KeyedCall};
+use super::fleet_tracker::WitnessSets;
+use super::{ClaimAttempt, FleetTracker, KeyedCall};
 
-/// How long a lost round still waits for answers that may say who holds the key.
-const LAST_ANSWERS_WITHIN: Duration = Duration::from_millis(50);
-/// Time after which to try again where no fleet is known.
+/// Maximum time that a lost round waits for outstanding replies, which may name the attempt that
+/// holds the key.
+const LATE_REPLY_TIMEOUT: Duration = Duration::from_millis(50);
+/// Delay until a retry if no fleet is known.
 const NO_FLEET_RETRY_MS: u32 = 5_000;
 
-/// What came of a round.
+/// The outcome of a round.
 pub enum RoundOutcome {
     /// The attempt holds the key.
-    Won(Rc<ClaimHold>),
-    /// It does not, and has released what it held.
+    Won(Rc<ClaimAttempt>),
+    /// The attempt doesn't hold the key, and has released the claims it was granted.
     Lost {
-        /// The attempt that some witness has granted the key to.
+        /// The attempt that a witness has granted the key to, if known.
         held: Option<HeldClaim>,
-        /// What speaks against this attempt.
+        /// The reason why this attempt lost.
         refusal: RefusalNotice,
     },
 }
 
-/// Asks all witnesses at once. A won round goes on without those that have not answered; they are
-/// still told, so that the key outlives the loss of those that have.
+/// Requests a claim from all witnesses concurrently. A won round doesn't wait for outstanding
+/// replies, but these requests still complete in the background, so that the claim survives the
+/// loss of the witnesses that have replied.
 pub async fn claim_key(
-    keeper: &Rc<FleetKeeper>,
+    tracker: &Rc<FleetTracker>,
     call: &KeyedCall,
-    hold: Rc<ClaimHold>,
+    attempt: Rc<ClaimAttempt>,
     start_within: Duration,
 ) -> RoundOutcome {
-    let Some(WitnessSets { digests, fleets }) = keeper.witnesses(call.key) else {
+    let Some(WitnessSets { digests, fleets }) = tracker.witnesses(call.key) else {
         let reason = RefusalReason::OtherFleet;
         let refusal = RefusalNotice::new(reason, NO_FLEET_RETRY_MS);
         return RoundOutcome::Lost { held: None, refusal };
@@ -48,18 +50,18 @@
     let ask = ClaimAsk {
         key: call.key,
         fingerprint: call.fingerprint,
-        claim: hold.claim(),
+        claim: attempt.claim(),
         views: digests,
     };
     let mut round = ClaimRound::new(fleets);
-    let claim_within = keeper.settings().claim_within;
+    let claim_within = tracker.settings().claim_within;
     let mut replies: FuturesUnordered<_> = round
         .asked()
         .into_iter()
         .map(|witness| {
-            let (keeper, hold, ask) = (keeper.clone(), hold.clone(), ask.clone());
+            let (tracker, attempt, ask) = (tracker.clone(), attempt.clone(), ask.clone());
             async move {
-                let asked = ask_witness(&keeper, &witness, ask, &hold, start_within);
+                let asked = request_claim(&tracker, &witness, ask, &attempt, start_within);
                 let reply = monoio::time::timeout(claim_within, asked).await;
                 (witness, reply.ok().flatten())
             }
@@ -71,31 +73,31 @@
     }
     if round.verdict() == ClaimVerdict::Won {
         monoio::spawn(async move { while replies.next().await.is_some() {} });
-        return RoundOutcome::Won(hold);
+        return RoundOutcome::Won(attempt);
     }
     let rest = async {
         while let Some((witness, reply)) = replies.next().await {
             round.take(&witness, reply);
         }
     };
-    let _ = monoio::time::timeout(LAST_ANSWERS_WITHIN, rest).await;
-    hold.release();
+    let _ = monoio::time::timeout(LATE_REPLY_TIMEOUT, rest).await;
+    attempt.release();
     RoundOutcome::Lost { held: round.held().cloned(), refusal: round.refusal() }
 }
 
-async fn ask_witness(
-    keeper: &FleetKeeper,
+async fn request_claim(
+    tracker: &FleetTracker,
     witness: &ServerId,
     ask: ClaimAsk,
-    hold: &ClaimHold,
+    attempt: &ClaimAttempt,
     start_within: Duration,
 ) -> Option<ClaimReply> {
-    let link = keeper.peer(witness)?.link().await.ok()?;
-    let grant_before = hold.deadline(&link, start_within)?;
+    let link = tracker.peer(witness)?.link().await.ok()?;
+    let grant_before = attempt.deadline(&link, start_within)?;
     let agent = link.welcome().incarnation;
     let request = ClaimRequest { agent, grant_before, ask };
-    hold.note_asked(link.clone());
+    attempt.record_link(link.clone());
     let reply = link.claim(request).await;
-    hold.catch_up(&link);
+    attempt.send_last_change(&link);
     reply
 }
--- a/crates/papayamux-router/src/directory.rs
+++ b/crates/papayamux-router/src/directory.rs
@@ -1,4 +1,4 @@
-//! The backend servers that the router knows, each with its agent.
+//! The backend servers known to the router, each with its agent.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -8,8 +8,8 @@
 use papayamux_state::claims::DeclaredServer;
 use papayamux_state::ids::{ModelId, ServerId};
 
-use crate::agents::{AgentNews, AgentPeer, RouterIdentity};
-use crate::claims::{FleetKeeper, WitnessEntry};
+use crate::agents::{AgentPeer, AgentUpdates, RouterIdentity};
+use crate::claims::{FleetTracker, WitnessEntry};
 use crate::metrics::RouterMetrics;
 use crate::settings::ServerEntry;
 
@@ -25,48 +25,48 @@
 pub struct PathRoute {
     /// The declared path prefix.
     pub prefix: String,
-    /// Whether calls may be run again.
+    /// Whether calls may be retried.
     pub idempotent: bool,
     /// The servers.
     pub servers: Vec<Rc<ServerRecord>>,
 }
 
-/// All servers in force. Replacing them keeps the connections of those that stay.
+/// All servers in force. Replacing them keeps the connections to those that remain.
 pub struct ServerDirectory {
     identity: RouterIdentity,
     metrics: RouterMetrics,
-    news: Rc<AgentNews>,
+    updates: Rc<AgentUpdates>,
     records: RefCell<HashMap<ServerId, Rc<ServerRecord>>>,
-    leaving: RefCell<Rc<BTreeSet<ServerId>>>,
-    fleets: RefCell<Option<Rc<FleetKeeper>>>,
+    draining: RefCell<Rc<BTreeSet<ServerId>>>,
+    fleets: RefCell<Option<Rc<FleetTracker>>>,
 }
 
 impl ServerDirectory {
-    /// A directory with the given servers.
+    /// Creates a directory of the given servers.
     pub fn new(
         identity: RouterIdentity,
         metrics: RouterMetrics,
-        news: Rc<AgentNews>,
+        updates: Rc<AgentUpdates>,
         entries: Vec<ServerEntry>,
     ) -> Rc<Self> {
         let directory = Self {
             identity,
             metrics,
-            news,
+            updates,
             records: RefCell::default(),
-            leaving: RefCell::default(),
+            draining: RefCell::default(),
             fleets: RefCell::default(),
         };
         directory.replace(entries);
         Rc::new(directory)
     }
 
-    /// What agents tell unasked.
-    pub fn news(&self) -> &AgentNews {
-        &self.news
+    /// Returns the state that agents update without a query.
+    pub fn updates(&self) -> &AgentUpdates {
+        &self.updates
     }
 
-    /// Puts `entries` in force in place of all servers known before.
+    /// Replaces all servers by `entries`.
     pub fn replace(&self, entries: Vec<ServerEntry>) {
         let mut records = self.records.borrow_mut();
         let mut previous = std::mem::take(&mut *records);
@@ -78,39 +78,41 @@
             };
             records.insert(entry.server.clone(), Rc::new(ServerRecord { entry, peer }));
         }
-        self.news.loads.retain(|server| records.contains_key(server));
+        self.updates.loads.retain(|server| records.contains_key(server));
         drop(records);
-        self.tell_fleet();
+        self.update_fleet_tracker();
     }
 
-    /// Gives no new work to the servers in `leaving`, in place of those named before. They stay
-    /// declared, and their agents witnesses: lists that differ must not make fleets differ.
-    pub fn set_leaving(&self, leaving: Rc<BTreeSet<ServerId>>) {
-        *self.leaving.borrow_mut() = leaving;
+    /// Replaces the set of draining servers, which get no new requests. They stay declared, and
+    /// their agents stay witnesses: routers with different lists of draining servers must still
+    /// agree on the fleet.
+    pub fn set_draining(&self, draining: Rc<BTreeSet<ServerId>>) {
+        *self.draining.borrow_mut() = draining;
     }
 
-    /// Has `keeper` told of the servers in force, now and whenever they are replaced.
-    pub fn keep_fleets(&self, keeper: Rc<FleetKeeper>) {
-        *self.fleets.borrow_mut() = Some(keeper);
-        self.tell_fleet();
+    /// Sets the tracker that is updated with the servers in force, now and whenever they are
+    /// replaced.
+    pub fn set_fleet_tracker(&self, tracker: Rc<FleetTracker>) {
+        *self.fleets.borrow_mut() = Some(tracker);
+        self.update_fleet_tracker();
     }
 
-    fn tell_fleet(&self) {
-        let Some(keeper) = self.fleets.borrow().clone() else { return };
+    fn update_fleet_tracker(&self) {
+        let Some(tracker) = self.fleets.borrow().clone() else { return };
         let declare = |record: &Rc<ServerRecord>| {
             let (server, domain) = (record.entry.server.clone(), record.entry.domain.clone());
             (DeclaredServer { server, domain }, record.peer.clone())
         };
-        keeper.put_in_force(self.records.borrow().values().map(declare).collect());
+        tracker.put_in_force(self.records.borrow().values().map(declare).collect());
     }
 
-    /// The declared servers of `entries`, each with its agent.
+    /// Returns the declared servers of `entries`, each with its agent.
     pub fn witness_peers(&self, entries: &[WitnessEntry]) -> Vec<(DeclaredServer, Rc<AgentPeer>)> {
         let peer_of = |entry: &WitnessEntry| self.peer_at(&entry.declared.server, entry.agent);
         entries.iter().map(|entry| (entry.declared.clone(), peer_of(entry))).collect()
     }
 
-    /// The agent of `server` at `address`, also where this router does not know it.
+    /// Returns the agent of `server` at `address`, even if this router doesn't know the server.
     pub fn peer_at(&self, server: &ServerId, address: SocketAddr) -> Rc<AgentPeer> {
         let records = self.records.borrow();
         let known = records.get(server).filter(|record| record.entry.agent == address);
@@ -126,21 +128,21 @@
 
     fn connect_to(&self, server: &ServerId, address: SocketAddr) -> Rc<AgentPeer> {
         let (identity, metrics) = (self.identity.clone(), self.metrics.clone());
-        let news = self.news.clone();
-        Rc::new(AgentPeer::new(server.clone(), address, identity, metrics, news))
+        let updates = self.updates.clone();
+        Rc::new(AgentPeer::new(server.clone(), address, identity, metrics, updates))
     }
 
-    /// The server of that name.
+    /// Returns the record of `server`, if it is known.
     pub fn record(&self, server: &ServerId) -> Option<Rc<ServerRecord>> {
         self.records.borrow().get(server).cloned()
     }
 
-    /// The servers of a model, in no particular order.
+    /// Returns the servers of a model that accept new requests, in no particular order.
     pub fn serving(&self, model: &ModelId) -> Vec<Rc<ServerRecord>> {
         self.select(|entry| entry.models.contains(model))
     }
 
-    /// The servers for a path, by its longest declared prefix.
+    /// Returns the servers for a path that accept new requests, by its longest declared prefix.
     pub fn for_path(&self, path: &str) -> Option<PathRoute> {
         let longest = {
             let records = self.records.borrow();
@@ -154,8 +156,8 @@
     }
 
     fn select(&self, wanted: impl Fn(&ServerEntry) -> bool) -> Vec<Rc<ServerRecord>> {
-        let (records, leaving) = (self.records.borrow(), self.leaving.borrow());
-        let takes_work = |entry: &ServerEntry| !leaving.contains(&entry.server);
+        let (records, draining) = (self.records.borrow(), self.draining.borrow());
+        let takes_work = |entry: &ServerEntry| !draining.contains(&entry.server);
         let fits = |record: &&Rc<ServerRecord>| wanted(&record.entry) && takes_work(&record.entry);
         records.values().filter(fits).cloned().collect()
     }
--- a/crates/papayamux-router/src/routing/baselines.rs
+++ b/crates/papayamux-router/src/routing/baselines.rs
@@ -1,4 +1,4 @@
-//! The policies that the product's own is measured against.
+//! Baseline routing policies, which the default policy is compared with.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,16 +9,17 @@
 use papayamux_state::ids::{ChatKey, ServerId};
 use papayamux_state::load::GroupId;
 
-use super::load_book::LoadBook;
+use super::load_tracker::LoadTracker;
 use super::probe::probe_all;
 use crate::directory::ServerRecord;
 
-/// How far a server's requests may lie above the mean before bounded hashing passes it by.
-const BOUNDED_FACTOR: f64 = 1.25;
-/// Rings that are kept.
-const MOST_RINGS: usize = 256;
+/// Maximum ratio of a server's requests in flight to the mean in consistent hashing with bounded
+/// loads.
+const BOUNDED_LOAD_FACTOR: f64 = 1.25;
+/// Maximum number of cached rings.
+const MAX_RINGS: usize = 256;
 
-/// Rings by group, each rebuilt when the group's servers change.
+/// A cache of hash rings by group. A ring is rebuilt when the servers of its group change.
 #[derive(Debug, Default)]
 pub struct RingCache {
     rings: RefCell<HashMap<GroupId, Rc<HashRing>>>,
@@ -33,7 +34,7 @@
         if let Some(ring) = rings.get(&group).filter(|ring| ring.is_of(&names)) {
             return ring.clone();
         }
-        if rings.len() >= MOST_RINGS {
+        if rings.len() >= MAX_RINGS {
             rings.clear();
         }
         let ring = Rc::new(HashRing::new(names));
@@ -41,7 +42,7 @@
         ring
     }
 
-    /// The servers in the order of a walk around the ring from the chat's point.
+    /// Returns the servers in ring order, starting at the chat's position.
     pub fn walk(
         &self,
         group: GroupId,
@@ -55,20 +56,20 @@
     }
 }
 
-/// The servers in random order.
+/// Returns the servers in random order.
 pub fn shuffled(servers: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
     let mut order: Vec<_> =
         servers.iter().map(|record| (rand::random::<u64>(), record.clone())).collect();
-    order.sort_unstable_by_key(|(draw, _)| *draw);
+    order.sort_unstable_by_key(|(sample, _)| *sample);
     order.into_iter().map(|(_, record)| record).collect()
 }
 
-/// The servers in random order, but the less loaded of the first two goes first.
+/// Returns the servers in random order, with the less loaded of the first two in front.
 pub async fn two_choices(servers: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
     let mut order = shuffled(servers);
     let probe = LoadProbe { checkpoints: Vec::new(), chat: 0, group_load: None };
-    let asked = &order[..order.len().min(2)];
-    let loads: Vec<_> = probe_all(asked, &probe)
+    let probed = &order[..order.len().min(2)];
+    let loads: Vec<_> = probe_all(probed, &probe)
         .await
         .into_iter()
         .map(|reply| {
@@ -81,11 +82,12 @@
     order
 }
 
-/// The servers of `walk`, those last at which this router has its share times the factor.
-pub fn pass_full(walk: Vec<Rc<ServerRecord>>, book: &LoadBook) -> Vec<Rc<ServerRecord>> {
-    let in_flight = |record: &Rc<ServerRecord>| book.in_flight(&record.entry.server);
+/// Moves the servers at which this router's requests in flight reach [`BOUNDED_LOAD_FACTOR`] times
+/// the mean, with the new request included, to the end of `walk`.
+pub fn defer_full(walk: Vec<Rc<ServerRecord>>, tracker: &LoadTracker) -> Vec<Rc<ServerRecord>> {
+    let in_flight = |record: &Rc<ServerRecord>| tracker.in_flight(&record.entry.server);
     let total: u64 = walk.iter().map(in_flight).sum();
-    let bound = (BOUNDED_FACTOR * (total + 1) as f64 / walk.len().max(1) as f64).ceil() as u64;
+    let bound = (BOUNDED_LOAD_FACTOR * (total + 1) as f64 / walk.len().max(1) as f64).ceil() as u64;
     let (open, full): (Vec<_>, Vec<_>) =
         walk.into_iter().partition(|record| in_flight(record) < bound);
     open.into_iter().chain(full).collect()
--- a/crates/papayamux-router/src/routing/load_book.rs
+++ b/crates/papayamux-router/src/routing/load_tracker.rs
@@ -1,4 +1,4 @@
-//! What this router knows of all servers' loads, shared by its connections.
+//! The loads of all servers as known to this router, shared by its connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,62 +11,63 @@
 
 use crate::directory::ServerRecord;
 
-/// Loads that servers reported, and how many requests of this router each has.
+/// Tracks the loads that servers report, and the number of this router's requests at each server.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     table: RefCell<LoadTable>,
     in_flight: RefCell<HashMap<ServerId, u64>>,
 }
 
-impl LoadBook {
-    /// Notes a report.
-    pub fn note(&self, server: &ServerId, report: LoadReport, now: Instant) {
+impl LoadTracker {
+    /// Records a load report.
+    pub fn record_report(&self, server: &ServerId, report: LoadReport, now: Instant) {
         self.table.borrow_mut().note(server, report, now);
     }
 
-    /// Counts a request that was taken into the last report, until the next one comes.
-    pub fn note_taken(&self, server: &ServerId) {
+    /// Adds an accepted request to the last load report of `server`, until the next report replaces
+    /// it.
+    pub fn record_accepted(&self, server: &ServerId) {
         self.table.borrow_mut().add_request(server);
     }
 
-    /// Forgets the reports of all servers but those in `keep`.
+    /// Drops the reports of all servers for which `keep` returns `false`.
     pub fn retain(&self, keep: impl Fn(&ServerId) -> bool) {
         self.table.borrow_mut().retain(keep);
     }
 
-    /// The last report of a server.
+    /// Returns the last report of a server.
     pub fn get(&self, server: &ServerId, now: Instant) -> Option<DatedLoad> {
         self.table.borrow().get(server, now)
     }
 
-    /// The mean over the servers of a group.
+    /// Returns the mean load over the servers of a group.
     pub fn group_load(&self, group: GroupId, servers: &[Rc<ServerRecord>]) -> Option<GroupLoad> {
         let names = servers.iter().map(|record| &record.entry.server);
         self.table.borrow().group_load(group, names, Instant::now())
     }
 
-    /// Requests of this router that `server` has.
+    /// Returns the number of this router's requests at `server`.
     pub fn in_flight(&self, server: &ServerId) -> u64 {
         self.in_flight.borrow().get(server).copied().unwrap_or(0)
     }
 
     /// Counts a request of this router at `server` until the guard is dropped.
-    pub fn occupy(self: &Rc<Self>, server: &ServerId) -> OccupiedPlace {
+    pub fn occupy_slot(self: &Rc<Self>, server: &ServerId) -> OccupiedSlot {
         *self.in_flight.borrow_mut().entry(server.clone()).or_default() += 1;
-        OccupiedPlace { book: self.clone(), server: server.clone() }
+        OccupiedSlot { tracker: self.clone(), server: server.clone() }
     }
 }
 
-/// A request of this router at a server.
+/// Counts one request of this router at a server until it is dropped.
 #[derive(Debug)]
-pub struct OccupiedPlace {
-    book: Rc<LoadBook>,
+pub struct OccupiedSlot {
+    tracker: Rc<LoadTracker>,
     server: ServerId,
 }
 
-impl Drop for OccupiedPlace {
+impl Drop for OccupiedSlot {
     fn drop(&mut self) {
-        let mut in_flight = self.book.in_flight.borrow_mut();
+        let mut in_flight = self.tracker.in_flight.borrow_mut();
         let left = in_flight.get_mut(&self.server).map(|count| {
             *count = count.saturating_sub(1);
             *count
--- a/crates/papayamux-router/src/routing/service_call.rs
+++ b/crates/papayamux-router/src/routing/service_call.rs
@@ -1,8 +1,8 @@
-//! Choosing a server for a call to a plain service.
+//! Routes calls to plain services.
 //!
-//! Plain services hold no context, so that any of them is as good as the least loaded one. What is
-//! known of their loads decides, without a question: a question costs a round trip, and the agents'
-//! bound corrects a wrong guess at the price of one hop.
+//! Plain services hold no context, so the least loaded server is the best choice. The router
+//! decides by the last known loads rather than by probes: a probe costs a round trip, while a wrong
+//! choice is corrected by the load limit at the agent at the price of one extra hop.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,46 +16,49 @@
 use super::route_planner::RoutePlanner;
 use crate::directory::ServerRecord;
 
-/// Servers whose loads are compared; the rest follow in random order.
+/// Number of servers whose loads are compared; the rest follow in random order.
 const COMPARED_SERVERS: usize = 4;
-/// Age up to which a server's own report is believed; an older one counts as the mean.
-const FRESH: Duration = Duration::from_millis(200);
-/// Age of a report up to which its server needs no question whether it still answers.
-const HEARD_WITHIN: Duration = Duration::from_secs(2);
-/// Servers that are asked where the best one was not heard of lately.
+/// Maximum age of a load report that is used. A server with an older one is assumed to have the
+/// mean load.
+const MAX_LOAD_AGE: Duration = Duration::from_millis(200);
+/// Maximum age of the last report of a server that is assumed reachable without a probe.
+const MAX_UNPROBED_AGE: Duration = Duration::from_secs(2);
+/// Number of servers probed if the best one sent no recent report.
 const PROBED_SERVERS: usize = 2;
 const MILLI: f64 = 1_000.0;
 
 /// Plans a call among the servers of its path.
 ///
-/// A call never waits at a server while there are others: it is refused and goes on.
+/// The wait budget is zero at all servers but the last: a server without a free slot refuses the
+/// call, which is then offered to the next one.
 pub(super) async fn plan_service_call(
     planner: &RoutePlanner,
     group: GroupId,
     servers: Vec<Rc<ServerRecord>>,
 ) -> RoutePlan {
     let mut order = by_expected_load(planner, group, servers);
-    let heard = order.first().is_some_and(|record| was_heard(planner, record));
-    planner.metrics().decisions.count(if heard { "service_known" } else { "service_probed" });
-    match heard {
+    let recent = order.first().is_some_and(|record| has_recent_report(planner, record));
+    planner.metrics().decisions.count(if recent { "service_known" } else { "service_probed" });
+    match recent {
         true => planner.begin_trials(&order[..1]),
-        false => ask_first(planner, group, &mut order).await,
+        false => probe_first(planner, group, &mut order).await,
     }
     let group_load = planner.loads().group_load(group, &order);
-    let patience = Duration::ZERO;
-    let planned = order.into_iter().map(|record| PlannedServer { record, patience }).collect();
+    let wait_budget = Duration::ZERO;
+    let planned = order.into_iter().map(|record| PlannedServer { record, wait_budget }).collect();
     RoutePlan::new(planned, PlanBound::MeanLoad(group_load))
 }
 
-fn was_heard(planner: &RoutePlanner, record: &ServerRecord) -> bool {
+fn has_recent_report(planner: &RoutePlanner, record: &ServerRecord) -> bool {
     let now = Instant::now();
     let known = planner.loads().get(&record.entry.server, now);
-    known.is_some_and(|load| now.saturating_duration_since(load.arrived) < HEARD_WITHIN)
+    known.is_some_and(|load| now.saturating_duration_since(load.arrived) < MAX_UNPROBED_AGE)
 }
 
-/// Asks the first servers for their loads. Those with a place go first, and those without an answer
-/// or a place last; where none has one, the order stays.
-async fn ask_first(planner: &RoutePlanner, group: GroupId, order: &mut Vec<Rc<ServerRecord>>) {
+/// Probes the first servers for their loads. Those with a free slot move to the front, least loaded
+/// first; those without a reply or a free slot move to the end. If none of them has a free slot,
+/// the order stays.
+async fn probe_first(planner: &RoutePlanner, group: GroupId, order: &mut Vec<Rc<ServerRecord>>) {
     let group_load = planner.loads().group_load(group, order);
     let rest = order.split_off(order.len().min(PROBED_SERVERS));
     planner.begin_trials(order);
@@ -63,7 +66,7 @@
     let replies = probe_all(order, &probe).await;
     let (mut open, mut closed) = (Vec::new(), Vec::new());
     for (record, reply) in order.drain(..).zip(replies) {
-        planner.note_probe(&record.entry.server, reply.is_some());
+        planner.record_probe(&record.entry.server, reply.is_some());
         match reply.map(|reply| reply.load).filter(|load| load.has_place()) {
             Some(load) => open.push((load.running, record)),
             None => closed.push(record),
@@ -75,8 +78,8 @@
     order.extend(last.into_iter().flatten());
 }
 
-/// The servers in random order, but the reliable ones first, and the least loaded first among
-/// those that are compared.
+/// Returns the servers ordered by standing and otherwise at random. Among the first
+/// [`COMPARED_SERVERS`], those of the same standing are ordered by expected load.
 fn by_expected_load(
     planner: &RoutePlanner,
     group: GroupId,
@@ -88,7 +91,7 @@
     let expected_load = |record: &Rc<ServerRecord>| {
         let server = &record.entry.server;
         let known = loads.get(server, now);
-        let fresh = known.filter(|load| now.saturating_duration_since(load.arrived) < FRESH);
+        let fresh = known.filter(|load| now.saturating_duration_since(load.arrived) < MAX_LOAD_AGE);
         let own = loads.in_flight(server) as f64;
         let reported =
             fresh.map_or(mean, |load| (load.report.running + load.report.waiting).get() as f64);
