--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -14,7 +14,7 @@
 
 use super::attempt_watch::WatchedAttempt;
 use super::call_plan::CallPlan;
-use super::fleet::{ChosenServer, EndedRequest, OwnReading};
+use super::fleet::{ChosenServer, EndedRequest, OwnPrefill};
 use super::Fleet;
 
 /// Counts a request into its server's load for as long as it lives.
@@ -28,9 +28,9 @@
     /// Whether it was sent, so that its server owes it a sign of life.
     is_awaited: bool,
     rhythm: Option<EventRhythm>,
-    reading: Option<OwnReading>,
+    prefill: Option<OwnPrefill>,
     /// Tokens that its server had to read first, its own among them.
-    ahead: TokenCount,
+    tokens_ahead: TokenCount,
     /// Whether requests waited at the server when it began to answer.
     queued: Cell<bool>,
     events: u64,
@@ -47,7 +47,7 @@
         fleet.begin_request(chosen, &plan.call.prompt, work);
         let server = chosen.server.clone();
         let sent = Instant::now();
-        let watched = WatchedAttempt::new(server.clone(), plan.give_up);
+        let watched = WatchedAttempt::new(server.clone(), plan.give_up_at);
         fleet.watch().add(&watched);
         let load = chosen.load;
         let chosen = chosen.clone();
@@ -60,8 +60,8 @@
             sent,
             is_awaited: false,
             rhythm: None,
-            reading: None,
-            ahead: TokenCount::default(),
+            prefill: None,
+            tokens_ahead: TokenCount::default(),
             queued: Cell::new(false),
             events: 0,
             first_event: None,
@@ -74,10 +74,10 @@
     pub(super) async fn wait_for_parts(&mut self, plan: &CallPlan) {
         let prefixes = plan.call.prompt.shared_prefixes();
         if !prefixes.is_empty() {
-            let patience = flight_patience(plan.left());
-            let waited = self.fleet.wait_for_parts(&self.server.id, &prefixes, patience).await;
+            let wait_budget = flight_patience(plan.left());
+            let waited = self.fleet.wait_for_parts(&self.server.id, &prefixes, wait_budget).await;
             if let Some(waited) = waited {
-                self.fleet.metrics().note_part_wait(plan.kind(), waited);
+                self.fleet.metrics().record_part_wait(plan.kind(), waited);
             }
         }
     }
@@ -92,23 +92,23 @@
     pub(super) fn begin_sending(&mut self, plan: &CallPlan) {
         let prefixes = plan.call.prompt.shared_prefixes();
         if !prefixes.is_empty() {
-            self.reading = Some(self.fleet.begin_reading(&self.chosen, &prefixes));
+            self.prefill = Some(self.fleet.begin_prefill(&self.chosen, &prefixes));
         }
         self.sent = Instant::now();
         let backlog = self.fleet.load_at(&self.server, self.sent).backlog;
-        self.ahead = TokenCount::new(backlog);
+        self.tokens_ahead = TokenCount::new(backlog);
         self.is_awaited = true;
         self.fleet.await_server(&self.server);
     }
 
     /// Tokens that its server had to read first, its own among them.
-    pub(super) fn ahead(&self) -> TokenCount {
-        self.ahead
+    pub(super) fn tokens_ahead(&self) -> TokenCount {
+        self.tokens_ahead
     }
 
-    fn end_reading(&mut self) {
-        if let Some(reading) = self.reading.take() {
-            self.fleet.end_reading(reading);
+    fn end_prefill(&mut self) {
+        if let Some(prefill) = self.prefill.take() {
+            self.fleet.end_prefill(prefill);
         }
     }
 
@@ -133,47 +133,47 @@
     }
 
     /// Notes that something of the answer has arrived. The prompt has been read then.
-    pub(super) fn hear(&mut self) {
-        self.fleet.hear_server(&self.server);
+    pub(super) fn record_contact(&mut self) {
+        self.fleet.record_server_contact(&self.server);
     }
 
     /// Notes events of a stream that arrived together. The first ones show that the prompt was read;
     /// the others show how the link delivers.
-    pub(super) fn note_events(&mut self, events: u64) {
+    pub(super) fn record_events(&mut self, events: u64) {
         let now = Instant::now();
         self.events += events;
         self.last_event = Some(now);
         let Some(rhythm) = &mut self.rhythm else {
             self.rhythm = Some(EventRhythm::new(now));
             self.first_event = Some(now);
-            self.note_first_event(now);
-            self.prompt_was_read();
+            self.record_first_event(now);
+            self.finish_own_prefill();
             return;
         };
         match rhythm.note(events, now) {
-            EventTiming::InTime => self.fleet.note_event(&self.server, false),
-            EventTiming::HeldUp => self.fleet.note_event(&self.server, true),
+            EventTiming::InTime => self.fleet.record_event(&self.server, false),
+            EventTiming::HeldUp => self.fleet.record_event(&self.server, true),
             EventTiming::Undecided => {}
         }
     }
 
     /// Learns from its first event how fast its server reads, where that can be told.
-    fn note_first_event(&self, now: Instant) {
+    fn record_first_event(&self, now: Instant) {
         let placement = &self.chosen.placement;
-        self.fleet.metrics().note_expectation(self.chosen.expected, now - self.sent);
+        self.fleet.metrics().record_first_event_ratio(self.chosen.expected, now - self.sent);
         let transfer = self.chosen.transfer;
         let is_clear = transfer.is_some() == self.chosen.fetch_from.is_some();
         if is_clear && !self.queued.get() {
             let took = now.saturating_duration_since(self.sent);
-            let tokens = self.ahead.saturating_sub(self.chosen.missing);
+            let tokens = self.tokens_ahead.saturating_sub(self.chosen.missing);
             let first = FirstEvent { tokens, took, transfer, guessed: placement.guessed };
-            self.fleet.note_first_event(&self.server, first);
+            self.fleet.record_first_event(&self.server, first);
         }
     }
 
     /// Learns from a stream that has ended as it should, where its answer was `expected` to have so many
     /// tokens, or that breaks off.
-    pub(super) fn note_stream_end(&mut self, expected: Option<TokenCount>) {
+    pub(super) fn record_stream_end(&mut self, expected: Option<TokenCount>) {
         if let (Some(first), Some(last)) = (self.first_event.take(), self.last_event) {
             let lasted = last.saturating_duration_since(first);
             let end = StreamEnd { events: self.events, lasted, expected };
@@ -182,12 +182,12 @@
     }
 
     /// Learns from a plain call that was answered.
-    pub(super) fn note_call_end(&self) {
+    pub(super) fn record_call_end(&self) {
         self.fleet.note_call(&self.server, self.sent.elapsed());
     }
 
-    fn prompt_was_read(&mut self) {
-        self.end_reading();
+    fn finish_own_prefill(&mut self) {
+        self.end_prefill();
         if self.load.backlog > 0 {
             let read = ServerLoad { requests: 0, backlog: self.load.backlog };
             self.fleet.ledger().borrow_mut().end(&self.server.id, read);
@@ -201,29 +201,29 @@
     }
 
     /// Notes how long opening a connection to the server took.
-    pub(super) fn note_connection(&self, took: Duration) {
-        self.fleet.note_connection(&self.server, took);
+    pub(super) fn record_connection(&self, took: Duration) {
+        self.fleet.record_connection(&self.server, took);
     }
 
     /// Notes what the server said of its queue.
-    pub(super) fn note_queue(&self, queue: ReportedQueue) {
+    pub(super) fn record_queue(&self, queue: ReportedQueue) {
         self.queued.set(queue.waiting > 0);
-        self.fleet.note_queue(&self.server, queue);
+        self.fleet.record_queue(&self.server, queue);
     }
 
     /// Takes in what the server said of itself.
-    pub(super) fn take_notice(&self, notice: ServerNotice) {
-        self.fleet.take_notice(&self.server, notice);
+    pub(super) fn record_notice(&self, notice: ServerNotice) {
+        self.fleet.record_notice(&self.server, notice);
     }
 
     /// Notes how the server answered.
-    pub(super) fn judge(&self, failed: bool) {
+    pub(super) fn record_answer_outcome(&self, failed: bool) {
         self.fleet.note_answer(&self.server, failed);
     }
 
     /// Whether the server has ended that should be serving, after its connection broke.
-    pub(super) async fn server_has_ended(&self) -> bool {
-        self.fleet.has_ended_unexpectedly(&self.server).await
+    pub(super) async fn server_has_crashed(&self) -> bool {
+        self.fleet.has_crashed(&self.server).await
     }
 
     /// Whether the server is over for certain, since it has started again.
@@ -232,15 +232,15 @@
     }
 
     /// Notes evidence against the server.
-    pub(super) fn accuse(&self, kind: EvidenceKind) {
-        self.fleet.note_evidence(&self.server, kind);
+    pub(super) fn record_failure_evidence(&self, kind: EvidenceKind) {
+        self.fleet.record_evidence(&self.server, kind);
     }
 }
 
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.end_reading();
-        self.note_stream_end(None);
+        self.end_prefill();
+        self.record_stream_end(None);
         let (load, work, took) = (self.load, self.work, self.sent.elapsed());
         let ended = EndedRequest { load, work, took, was_awaited: self.is_awaited };
         self.fleet.end_request(&self.server, ended);
--- a/crates/papayamux-router/src/direct/admission.rs
+++ b/crates/papayamux-router/src/direct/admission.rs
@@ -9,7 +9,7 @@
 
 /// How long a request waits for the configuration to be confirmed, as after a pause of the process:
 /// several answers of the source, and less than an eighth of the shortest objectives of model requests.
-const CONFIRM_WITHIN: Duration = Duration::from_millis(60);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(60);
 /// When a caller may come back whose key could not be confirmed: at another router, at once.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// When a caller may come back while a router has no configuration yet.
@@ -19,7 +19,7 @@
 pub(super) struct AdmittedCall {
     pub(super) route: Rc<Route>,
     pub(super) holder: Option<Rc<KeyHolder>>,
-    pub(super) longest_body: u64,
+    pub(super) max_body_bytes: u64,
 }
 
 impl Fleet {
@@ -29,9 +29,9 @@
             Ok((admitted, needs_key)) if !needs_key || self.keys_are_fresh() => {
                 return Ok(admitted);
             }
-            Err(failure) if self.may_be_believed(&failure) => return Err(failure),
+            Err(failure) if self.is_conclusive(&failure) => return Err(failure),
             // A source that is known to be away is not pressed, and nobody waits for it.
-            _ if self.may_be_confirmed() => self.refresh_configuration(CONFIRM_WITHIN).await,
+            _ if self.source_is_reachable() => self.refresh_configuration(CONFIRM_TIMEOUT).await,
             _ => {}
         }
         let stale = CallFailure::NotRun {
@@ -40,13 +40,13 @@
         };
         match self.look_up(call) {
             Ok((admitted, needs_key)) if !needs_key || self.keys_are_fresh() => Ok(admitted),
-            Err(failure) if self.may_be_believed(&failure) => Err(failure),
+            Err(failure) if self.is_conclusive(&failure) => Err(failure),
             _ => Err(stale),
         }
     }
 
     /// Whether a refusal rests on a configuration that is recent enough.
-    fn may_be_believed(&self, failure: &CallFailure) -> bool {
+    fn is_conclusive(&self, failure: &CallFailure) -> bool {
         match failure {
             CallFailure::UnknownRoute | CallFailure::UnknownKey => {
                 let longest = self.settings().negative_age();
@@ -74,8 +74,8 @@
         if needs_key && holder.is_none() {
             return Err(CallFailure::UnknownKey);
         }
-        let longest_body = configuration.limits.body_bytes.get();
-        Ok((AdmittedCall { route, holder, longest_body }, needs_key))
+        let max_body_bytes = configuration.limits.body_bytes.get();
+        Ok((AdmittedCall { route, holder, max_body_bytes }, needs_key))
     }
 }
 
--- a/crates/papayamux-router/src/direct/attempt_watch.rs
+++ b/crates/papayamux-router/src/direct/attempt_watch.rs
@@ -14,7 +14,7 @@
 use super::Fleet;
 
 /// How often attempts are looked at: the precision of timeouts.
-const WATCH_EVERY: Duration = Duration::from_millis(50);
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why an attempt is woken up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,33 +23,33 @@
     /// nothing of it.
     Silent(&'static str),
     /// The caller or the route gives up.
-    TimeUp,
+    DeadlinePassed,
 }
 
 /// One attempt as the watch sees it.
 pub(super) struct WatchedAttempt {
     server: Rc<BackendServer>,
-    give_up: Instant,
-    patience: Cell<Option<Duration>>,
+    give_up_at: Instant,
+    silence_limit: Cell<Option<Duration>>,
     alarm: Cell<Option<AttemptAlarm>>,
     signal: RefCell<ShutdownSignal>,
 }
 
 impl WatchedAttempt {
     /// An attempt at `server` that ends at `give_up` at the latest.
-    pub(super) fn new(server: Rc<BackendServer>, give_up: Instant) -> Rc<Self> {
+    pub(super) fn new(server: Rc<BackendServer>, give_up_at: Instant) -> Rc<Self> {
         Rc::new(Self {
             server,
-            give_up,
-            patience: Cell::new(None),
+            give_up_at,
+            silence_limit: Cell::new(None),
             alarm: Cell::new(None),
             signal: RefCell::default(),
         })
     }
 
     /// Sets how long a silence of the server is borne from now on; `None` bears any.
-    pub(super) fn set_patience(&self, patience: Option<Duration>) {
-        self.patience.set(patience);
+    pub(super) fn set_silence_limit(&self, silence_limit: Option<Duration>) {
+        self.silence_limit.set(silence_limit);
     }
 
     /// Waits for the next alarm.
@@ -63,23 +63,23 @@
         }
     }
 
-    fn ring(&self, alarm: AttemptAlarm) {
+    fn raise(&self, alarm: AttemptAlarm) {
         self.alarm.set(Some(alarm));
         self.signal.take().give();
     }
 
-    fn look(&self, fleet: &Fleet, now: Instant) {
-        if now >= self.give_up {
-            self.ring(AttemptAlarm::TimeUp);
+    fn check(&self, fleet: &Fleet, now: Instant) {
+        if now >= self.give_up_at {
+            self.raise(AttemptAlarm::DeadlinePassed);
             return;
         }
-        let Some(patience) = self.patience.get() else { return };
+        let Some(silence_limit) = self.silence_limit.get() else { return };
         if fleet.has_restarted(&self.server) {
-            self.ring(AttemptAlarm::Silent("the server has started again"));
+            self.raise(AttemptAlarm::Silent("the server has started again"));
             return;
         }
-        if fleet.is_silent(&self.server, patience, now) {
-            self.ring(AttemptAlarm::Silent("the server is silent"));
+        if fleet.is_silent(&self.server, silence_limit, now) {
+            self.raise(AttemptAlarm::Silent("the server is silent"));
         }
     }
 }
@@ -96,12 +96,12 @@
         self.attempts.borrow_mut().push(Rc::downgrade(attempt));
     }
 
-    fn look(&self, fleet: &Fleet) {
+    fn check(&self, fleet: &Fleet) {
         let now = Instant::now();
         let mut attempts = self.attempts.borrow_mut();
         attempts.retain(|attempt| match attempt.upgrade() {
             Some(attempt) => {
-                attempt.look(fleet, now);
+                attempt.check(fleet, now);
                 true
             }
             None => false,
@@ -111,10 +111,10 @@
 
 /// Looks at all attempts for ever.
 pub(super) async fn watch_attempts(fleet: Rc<Fleet>, timer: TimerService) {
-    let mut ticks = timer.every(WATCH_EVERY);
+    let mut ticks = timer.every(WATCH_INTERVAL);
     while ticks.tick().await.is_some() {
         fleet.expire_servers();
-        fleet.watch_lines();
-        fleet.watch().look(&fleet);
+        fleet.update_queues();
+        fleet.watch().check(&fleet);
     }
 }
--- a/crates/papayamux-router/src/direct/cache_survey.rs
+++ b/crates/papayamux-router/src/direct/cache_survey.rs
@@ -17,20 +17,20 @@
 use super::Fleet;
 
 /// How often a starting router looks whether it knows of servers.
-const START_CHECK: Duration = Duration::from_millis(20);
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a list may take: an engine under load answers after a step or two, of up to 100 ms each.
-const LIST_WITHIN: Duration = Duration::from_millis(500);
+const LIST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes of the longest list: some ten thousand parts.
-const LONGEST_LIST: usize = 1024 * 1024;
+const MAX_LIST_BYTES: usize = 1024 * 1024;
 
 /// Why there is no list.
 #[derive(Debug, Error)]
 enum SurveyError {
-    #[error("no answer within {LIST_WITHIN:?}")]
+    #[error("no answer within {LIST_TIMEOUT:?}")]
     Late,
     #[error("status {0}")]
     Status(StatusCode),
-    #[error("the list is longer than {LONGEST_LIST} bytes")]
+    #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
     #[error(transparent)]
     Connection(#[from] UpstreamError),
@@ -53,7 +53,7 @@
         return;
     }
     while fleet.server_count() == 0 {
-        monoio::time::sleep(START_CHECK).await;
+        monoio::time::sleep(START_CHECK_INTERVAL).await;
     }
     monoio::time::sleep(SURVEY_AFTER).await;
     let Some(others) = peers.fresh_routers() else {
@@ -78,13 +78,13 @@
     engine: Rc<BackendServer>,
 ) {
     let listed = read_list(&fleet, &*interface, &engine);
-    let listed = monoio::time::timeout(LIST_WITHIN, listed).await;
+    let listed = monoio::time::timeout(LIST_TIMEOUT, listed).await;
     match listed.unwrap_or(Err(SurveyError::Late)) {
         Ok(listed) => {
             let listing = CacheListing::new(engine.id.clone(), listed);
             log::info!(server:% = engine.id, parts = listing.parts.len(); "cache listed");
-            fleet.note_listing(&listing);
-            peers.tell_listing(listing);
+            fleet.record_listing(&listing);
+            peers.announce_listing(listing);
         }
         Err(error) => {
             log::warn!(server:% = engine.id, error:% = error; "no list of the cache");
@@ -100,7 +100,7 @@
     let request = interface.cache_request(&engine.name);
     let mut answer = fleet.pool().send(engine.address, request).await?;
     if answer.head.status != StatusCode::MISDIRECTED_REQUEST {
-        fleet.take_notice(engine, interface.server_notice(&answer.head));
+        fleet.record_notice(engine, interface.server_notice(&answer.head));
     }
     if answer.head.status != StatusCode::OK {
         return Err(SurveyError::Status(answer.head.status));
@@ -108,7 +108,7 @@
     let mut body = BytesMut::new();
     while let Some(piece) = answer.next_piece().await {
         body.extend_from_slice(&piece?);
-        if body.len() > LONGEST_LIST {
+        if body.len() > MAX_LIST_BYTES {
             return Err(SurveyError::TooLong);
         }
     }
--- a/crates/papayamux-router/src/direct/call_handler.rs
+++ b/crates/papayamux-router/src/direct/call_handler.rs
@@ -12,7 +12,7 @@
 
 use super::active_request::ActiveRequest;
 use super::attempt::{
-    collect_body, send_attempt, AttemptAnswer, CollectedBody, LostAttempt, TIME_UP,
+    collect_body, send_attempt, AttemptAnswer, CollectedBody, LostAttempt, DEADLINE_PASSED,
 };
 use super::call_plan::CallPlan;
 use super::interface::CallInterface;
@@ -78,20 +78,20 @@
         arrived: Instant,
     ) -> Result<Response<AnswerBody>, CallFailure> {
         let admitted = self.fleet.admit(&call).await?;
-        let draw = rand::random::<f64>();
-        let Some(service) = admitted.route.pick_service(draw).cloned() else {
+        let sample = rand::random::<f64>();
+        let Some(service) = admitted.route.pick_service(sample).cloned() else {
             return Err(CallFailure::not_run(NotRunReason::NoServer));
         };
         let fleet = self.fleet.clone();
         let mut plan =
             CallPlan::new(fleet, call, admitted.route, service, admitted.holder, arrived);
-        plan.body = read_body(body, admitted.longest_body, plan.left()).await?;
+        plan.body = read_body(body, admitted.max_body_bytes, plan.left()).await?;
         plan.check_quarantine()?;
         plan.check_open()?;
         let in_flight = InFlight::begin(&self.fleet);
         self.fleet.budget().borrow_mut().note_request(&plan.service, Instant::now());
-        plan.wait_for_rest().await?;
-        plan.wait_for_turn().await?;
+        plan.wait_for_backoff().await?;
+        plan.wait_for_slot().await?;
         self.run(plan, in_flight).await
     }
 
@@ -105,10 +105,12 @@
         loop {
             let mut attempt = match self.attempt(&mut plan).await {
                 Ok(attempt) => attempt,
-                Err(Failed::Given(failure)) => return fallback.ok_or(failure),
-                Err(Failed::Lost(lost)) => match plan.after_loss(&lost) {
+                Err(AttemptFailure::NotMade(failure)) => return fallback.ok_or(failure),
+                Err(AttemptFailure::Lost(lost)) => match plan.after_loss(&lost) {
                     Ok(()) => continue,
-                    Err(failure) if lost.cause == TIME_UP => return Err(timed_out(failure)),
+                    Err(failure) if lost.cause == DEADLINE_PASSED => {
+                        return Err(timed_out(failure))
+                    }
                     Err(failure) => return fallback.ok_or(failure),
                 },
             };
@@ -116,16 +118,16 @@
                 return Ok(self.pass_stream(plan, attempt, in_flight));
             }
             let body = match collect_body(&plan, &mut attempt).await {
-                Ok(CollectedBody::Whole(body)) => body,
-                Ok(CollectedBody::Begun(begun)) => {
-                    return Ok(self.pass_rest(plan, attempt, begun, in_flight));
+                Ok(CollectedBody::Complete(body)) => body,
+                Ok(CollectedBody::Partial(collected)) => {
+                    return Ok(self.pass_remainder(plan, attempt, collected, in_flight));
                 }
                 Err(lost) => match plan.after_loss(&lost) {
                     Ok(()) => continue,
                     Err(failure) => return fallback.ok_or(failure),
                 },
             };
-            let response = self.whole_answer(&plan, attempt, body);
+            let response = self.complete_answer(&plan, attempt, body);
             let failed = response.status().is_server_error();
             if !failed || !plan.kind().may_repeat() {
                 return Ok(response);
@@ -137,10 +139,10 @@
         }
     }
 
-    async fn attempt(&self, plan: &mut CallPlan) -> Result<AttemptAnswer, Failed> {
+    async fn attempt(&self, plan: &mut CallPlan) -> Result<AttemptAnswer, AttemptFailure> {
         plan.find_holders().await;
         let (chosen, active) = loop {
-            let chosen = plan.choose().map_err(Failed::Given)?;
+            let chosen = plan.choose().map_err(AttemptFailure::NotMade)?;
             let mut active = ActiveRequest::begin(plan, &chosen);
             active.wait_for_parts(plan).await;
             // The server may have left while the request waited.
@@ -152,10 +154,10 @@
         };
         let dispatch = plan.dispatch(&chosen, plan.call.last_event);
         let request = self.interface.server_request(&plan.call, &dispatch, plan.body.clone());
-        send_attempt(&*self.interface, plan, active, request).await.map_err(Failed::Lost)
+        send_attempt(&*self.interface, plan, active, request).await.map_err(AttemptFailure::Lost)
     }
 
-    fn whole_answer(
+    fn complete_answer(
         &self,
         plan: &CallPlan,
         attempt: AttemptAnswer,
@@ -166,7 +168,7 @@
         log_answer(plan, &attempt);
         plan.note_run();
         if !plan.kind().is_stream() {
-            attempt.active.note_call_end();
+            attempt.active.record_call_end();
         }
         attempt.answer.finish();
         Response::from_parts(head, AnswerBody::Whole(body))
@@ -184,24 +186,25 @@
         Response::from_parts(head, relay.into_body())
     }
 
-    fn pass_rest(
+    fn pass_remainder(
         &self,
         plan: CallPlan,
         attempt: AttemptAnswer,
-        begun: Bytes,
+        collected: Bytes,
         in_flight: InFlight,
     ) -> Response<AnswerBody> {
         let head = answer_head(&attempt.answer.head);
         log_answer(&plan, &attempt);
-        let relay = StreamRelay::rest(self.interface.clone(), plan, attempt, begun, in_flight);
+        let relay =
+            StreamRelay::remainder(self.interface.clone(), plan, attempt, collected, in_flight);
         Response::from_parts(head, relay.into_body())
     }
 }
 
 /// Why there is no answer from one attempt.
-enum Failed {
+enum AttemptFailure {
     /// No attempt was made.
-    Given(CallFailure),
+    NotMade(CallFailure),
     /// The attempt was lost.
     Lost(LostAttempt),
 }
@@ -234,7 +237,7 @@
 fn log_answer(plan: &CallPlan, attempt: &AttemptAnswer) {
     let metrics = plan.fleet.metrics();
     metrics.outcomes.count("answered");
-    metrics.note_head(plan.kind(), plan.arrived.elapsed());
+    metrics.record_head(plan.kind(), plan.arrived.elapsed());
     let (status, ms) = (attempt.answer.head.status.as_u16(), millis(plan.arrived.elapsed()));
     let (active, configuration) = (&attempt.active, plan.fleet.configuration_version());
     let servers_age_ms = plan.fleet.servers_age().map_or(u64::MAX, millis);
--- a/crates/papayamux-router/src/direct/call_plan.rs
+++ b/crates/papayamux-router/src/direct/call_plan.rs
@@ -23,7 +23,7 @@
 use super::{CallFailure, CallHead, Fleet, NotRunReason};
 
 /// Time below which a further attempt is not worth making: a round trip to the server.
-const LEAST_TIME: Duration = Duration::from_millis(4);
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(4);
 
 /// A request that may be run, with all that its attempts need.
 pub(super) struct CallPlan {
@@ -35,7 +35,7 @@
     pub(super) holder: Option<Rc<KeyHolder>>,
     pub(super) arrived: Instant,
     /// When the caller or the route gives up.
-    pub(super) give_up: Instant,
+    pub(super) give_up_at: Instant,
     fingerprint: OnceCell<RequestFingerprint>,
     /// The crashes that the present attempt was sent after.
     sent_after: CrashRecord,
@@ -64,7 +64,7 @@
             service,
             holder,
             arrived,
-            give_up: arrived + longest,
+            give_up_at: arrived + longest,
             fingerprint: OnceCell::new(),
             sent_after: CrashRecord::default(),
             history: AttemptHistory::default(),
@@ -115,7 +115,7 @@
 
     /// Time until the caller or the route gives up.
     pub(super) fn left(&self) -> Duration {
-        self.give_up.saturating_duration_since(Instant::now())
+        self.give_up_at.saturating_duration_since(Instant::now())
     }
 
     /// Whether the request may leave a server that is silent for another one.
@@ -130,11 +130,11 @@
     }
 
     /// Waits until there is a place for the request.
-    pub(super) async fn wait_for_turn(&self) -> Result<(), CallFailure> {
-        let request = self.line_request();
+    pub(super) async fn wait_for_slot(&self) -> Result<(), CallFailure> {
+        let request = self.queue_request();
         let patience = request.time.patience();
-        match self.fleet.wait_for_turn(&self.service, request).await {
-            Ok(Some(waited)) => self.fleet.metrics().note_wait(self.kind(), waited),
+        match self.fleet.wait_for_slot(&self.service, request).await {
+            Ok(Some(waited)) => self.fleet.metrics().record_wait(self.kind(), waited),
             Ok(None) => {}
             Err(refusal) => {
                 log::info!(
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    fn line_request(&self) -> LineRequest {
+    fn queue_request(&self) -> LineRequest {
         let deadline = self.call.deadline;
         let asked_before = deadline.map(|time| self.fleet.asked_before(&self.route.id, time));
         let time = CallerTime {
@@ -173,19 +173,19 @@
 
     /// Finds out who holds the prompt's shared part, where this router doesn't know.
     pub(super) async fn find_holders(&mut self) {
-        self.nobody_holds = self.fleet.ask_for_holders(&self.service, &self.call.prompt).await;
+        self.nobody_holds = self.fleet.query_holders(&self.service, &self.call.prompt).await;
     }
 
     /// The server for the next attempt.
     pub(super) fn choose(&mut self) -> Result<ChosenServer, CallFailure> {
-        if self.left() < LEAST_TIME {
+        if self.left() < MIN_ATTEMPT_TIME {
             return Err(self.failure(NotRunReason::Late));
         }
         self.check_quarantine()?;
         let call = &self.call;
         let homes = self.homes();
         match self.fleet.choose(&self.service, call, &self.tried, self.nobody_holds, homes) {
-            Some(chosen) if self.comes_too_late(&chosen) => {
+            Some(chosen) if self.is_too_late(&chosen) => {
                 log::info!(
                     request:% = self.call.id, service:% = self.service,
                     server:% = chosen.server.id, expected_ms = chosen.expected.as_millis() as u64,
@@ -198,7 +198,7 @@
                 self.sent_after = self.begin_attempt();
                 Ok(chosen)
             }
-            None => Err(self.failure(self.absence())),
+            None => Err(self.failure(self.unavailable_reason())),
         }
     }
 
@@ -223,8 +223,8 @@
 
     /// Waits for the first server where all have asked for a short rest, and refuses the request at once where the
     /// rest is long.
-    pub(super) async fn wait_for_rest(&self) -> Result<(), CallFailure> {
-        while let Some(rest) = self.rest_of_all() {
+    pub(super) async fn wait_for_backoff(&self) -> Result<(), CallFailure> {
+        while let Some(rest) = self.backoff_of_all() {
             if rest > rest_patience(self.left()) {
                 return Err(self.failure(NotRunReason::Resting));
             }
@@ -233,13 +233,13 @@
         Ok(())
     }
 
-    fn rest_of_all(&self) -> Option<Duration> {
-        self.fleet.rest_of_all(&self.service, self.homes(), Instant::now())
+    fn backoff_of_all(&self) -> Option<Duration> {
+        self.fleet.backoff_of_all(&self.service, self.homes(), Instant::now())
     }
 
     /// Why there is no server for a request, or no further one.
-    fn absence(&self) -> NotRunReason {
-        if self.rest_of_all().is_some() {
+    fn unavailable_reason(&self) -> NotRunReason {
+        if self.backoff_of_all().is_some() {
             return NotRunReason::Resting;
         }
         if !self.tried.is_empty() {
@@ -255,7 +255,7 @@
     /// Whether the first event of a request that has gone nowhere yet would come after its caller has
     /// left. Where nothing else is read at the server, the estimate may be wrong and is tried out. The
     /// time to the last event is too uncertain to refuse by it.
-    fn comes_too_late(&self, chosen: &ChosenServer) -> bool {
+    fn is_too_late(&self, chosen: &ChosenServer) -> bool {
         let is_first = self.tried.is_empty()
             && self.kind().is_stream()
             && self.fleet.uses(Mechanism::EarlyRefusal);
@@ -285,11 +285,11 @@
         let step = self.history.after_loss(self.kind(), self.route.attempts, loss);
         log::info!(
             request:% = self.call.id, fingerprint:% = self.fingerprint(), loss:? = loss,
-            cause = lost.cause.as_str(), next:? = step, server_ended = lost.server_ended,
+            cause = lost.cause.as_str(), next:? = step, server_ended = lost.server_crashed,
             server:% = self.tried.last().map_or("", ServerId::as_str);
             "attempt brought no answer"
         );
-        self.note_server_end(lost);
+        self.record_server_crash(lost);
         self.check_quarantine()?;
         match step {
             NextStep::Again { counts: false } => Ok(()),
@@ -299,8 +299,8 @@
     }
 
     /// Notes where an attempt was lost that its server ended under the request.
-    pub(super) fn note_server_end(&self, lost: &LostAttempt) {
-        if let Some(server) = self.tried.last().filter(|_| lost.server_ended) {
+    pub(super) fn record_server_crash(&self, lost: &LostAttempt) {
+        if let Some(server) = self.tried.last().filter(|_| lost.server_crashed) {
             self.fleet.note_crash(self.fingerprint(), self.sent_after, server);
         }
     }
@@ -364,7 +364,7 @@
         }
         let retry_after = match reason {
             NotRunReason::Resting => {
-                let rest = self.rest_of_all().unwrap_or_default();
+                let rest = self.backoff_of_all().unwrap_or_default();
                 Some(return_after_rest(rest, rand::random()))
             }
             NotRunReason::NoServer
--- a/crates/papayamux-router/src/direct/daemon.rs
+++ b/crates/papayamux-router/src/direct/daemon.rs
@@ -31,16 +31,16 @@
 
 /// Part of the grace for which new connections are still taken: the balancer needs two misses of
 /// its question, which it asks each second, to see that the router leaves.
-const ACCEPT_PART: f64 = 0.36;
+const ACCEPT_SHARE: f64 = 0.36;
 /// Time before the end of the grace at which the process ends by itself.
 const END_MARGIN: Duration = Duration::from_millis(700);
 /// How often a draining router looks whether its last request has ended.
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a connection may be idle, or take for a request's head: longer than callers keep idle
 /// connections, so that no request crosses a close.
-const IDLE_WITHIN: Duration = Duration::from_secs(75);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
 /// How often idle connections and faded records are looked through.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
 struct DirectView {
     fleet: Rc<Fleet>,
@@ -83,8 +83,8 @@
     let mut signals = catch_signals()?;
     runtime::run(async move {
         let router = start(&settings, interface, source)?;
-        let begun = router.wait_for_end(&mut signals, reload).await;
-        router.drain(settings.grace, begun).await;
+        let drain_started = router.wait_for_shutdown(&mut signals, reload).await;
+        router.drain(settings.grace, drain_started).await;
         Ok(())
     })?
 }
@@ -142,8 +142,8 @@
         async move { close_when_draining(&view, calls.handle(request).await) }
     });
     let limits = HttpLimits {
-        connections: settings.most_callers(),
-        head_within: IDLE_WITHIN,
+        connections: settings.max_callers(),
+        head_within: IDLE_TIMEOUT,
         ..HttpLimits::default()
     };
     let shutdown = ShutdownSignal::new();
@@ -161,7 +161,7 @@
 }
 
 async fn forget_old(fleet: Rc<Fleet>, timer: TimerService) {
-    let mut ticks = timer.every(FORGET_EVERY);
+    let mut ticks = timer.every(PRUNE_INTERVAL);
     while ticks.tick().await.is_some() {
         fleet.forget_old();
     }
@@ -179,7 +179,7 @@
 
 impl ServingRouter {
     /// Serves until a signal asks for the end; reads the settings again when one asks for that.
-    async fn wait_for_end(
+    async fn wait_for_shutdown(
         &self,
         signals: &mut SignalReceiver,
         reload: impl Fn() -> Result<DirectSettings, Findings>,
@@ -199,16 +199,16 @@
     }
 
     /// Turns readiness off, serves on until the balancer has seen it, lets requests finish.
-    async fn drain(self, grace: Duration, begun: Instant) {
+    async fn drain(self, grace: Duration, drain_started: Instant) {
         self.view.draining.set(true);
-        self.peers.leave();
+        self.peers.announce_shutdown();
         log::info!(in_flight = self.view.fleet.in_flight(); "router drains");
-        monoio::time::sleep(grace.mul_f64(ACCEPT_PART)).await;
+        monoio::time::sleep(grace.mul_f64(ACCEPT_SHARE)).await;
         self.shutdown.give();
-        let end = begun + grace.saturating_sub(END_MARGIN);
+        let end = drain_started + grace.saturating_sub(END_MARGIN);
         let mut served = self.served;
         while Instant::now() < end {
-            let check = std::pin::pin!(monoio::time::sleep(DRAIN_CHECK));
+            let check = std::pin::pin!(monoio::time::sleep(DRAIN_CHECK_INTERVAL));
             match select(&mut served, check).await {
                 Either::Left(_) => break,
                 Either::Right(_) => {}
--- a/crates/papayamux-router/src/direct/event_splitter.rs
+++ b/crates/papayamux-router/src/direct/event_splitter.rs
@@ -3,11 +3,11 @@
 use bytes::{Bytes, BytesMut};
 
 /// Bytes of the longest event; a longer one is passed on in pieces and can't be resumed behind.
-const LONGEST_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// A run of whole events.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// The events as they arrived.
     pub bytes: Bytes,
     /// The identifiers of the first and of the last of them.
@@ -22,20 +22,20 @@
 
 impl EventSplitter {
     /// Adds a piece; returns the whole events that are there now.
-    pub fn push(&mut self, piece: &[u8]) -> Option<WholeEvents> {
+    pub fn push(&mut self, piece: &[u8]) -> Option<CompleteEvents> {
         self.buffer.extend_from_slice(piece);
         let end = match last_event_end(&self.buffer) {
             Some(end) => end,
-            None if self.buffer.len() > LONGEST_EVENT => self.buffer.len(),
+            None if self.buffer.len() > MAX_EVENT_BYTES => self.buffer.len(),
             None => return None,
         };
         let bytes = self.buffer.split_to(end).freeze();
         let ids = event_ids(&bytes);
-        Some(WholeEvents { bytes, ids })
+        Some(CompleteEvents { bytes, ids })
     }
 
     /// What is left of an event that is not whole.
-    pub fn rest(&mut self) -> Bytes {
+    pub fn remainder(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -22,7 +22,7 @@
 
 /// Tokens of an engine's cache where the configuration doesn't say: what is remembered of it has a
 /// bound of its own.
-const UNKNOWN_CACHE: TokenCount = TokenCount::new(u64::MAX);
+const UNKNOWN_CACHE_CAPACITY: TokenCount = TokenCount::new(u64::MAX);
 
 /// The regions that bind a request: its route's, and those of its organisation.
 #[derive(Debug, Clone, Copy)]
@@ -158,7 +158,7 @@
             self.note_passed_over(server);
         }
         PlacementCandidate {
-            accepts: takes && !room.is_empty() && !self.rests(server, now),
+            accepts: takes && !room.is_empty() && !self.is_backing_off(server, now),
             serves: server.phase == ServerPhase::Serving,
             load: self.ledger.borrow().total(&server.id, now, speed.read_tokens_per_ms),
             waiting: self.queue_reports.borrow().waiting(&server.id, now),
@@ -269,7 +269,7 @@
 
     pub(super) fn cache_capacity(&self, service: &ServiceId) -> TokenCount {
         let profile = self.engine_profile(service);
-        profile.map_or(UNKNOWN_CACHE, |profile| profile.cache_tokens)
+        profile.map_or(UNKNOWN_CACHE_CAPACITY, |profile| profile.cache_tokens)
     }
 
     /// What this router knows of who holds which shared part, for the other routers.
@@ -283,7 +283,7 @@
     }
 
     /// Takes in what another router knows of a server's cache.
-    pub fn note_holder(&self, note: &HolderNote) {
+    pub fn record_holder(&self, note: &HolderNote) {
         let Some(server) = self.presence.borrow().catalog().get(&note.server).cloned() else {
             return;
         };
@@ -294,7 +294,7 @@
     }
 
     /// Takes in what an engine lists of its cache.
-    pub fn note_listing(&self, listing: &CacheListing) {
+    pub fn record_listing(&self, listing: &CacheListing) {
         let Some(server) = self.presence.borrow().catalog().get(&listing.server).cloned() else {
             return;
         };
@@ -308,7 +308,7 @@
     pub fn engines(&self) -> Vec<Rc<BackendServer>> {
         let (presence, now) = (self.presence.borrow(), Instant::now());
         let servers = presence.catalog().iter().filter(|server| self.takes_requests(server));
-        let servers = servers.filter(|server| !self.rests(server, now));
+        let servers = servers.filter(|server| !self.is_backing_off(server, now));
         servers.filter(|server| self.engine_profile(&server.service).is_some()).cloned().collect()
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/beliefs.rs
+++ b/crates/papayamux-router/src/direct/fleet/configuration_freshness.rs
@@ -42,13 +42,13 @@
     /// Notes that a read sent at `sent` returned what was newest.
     pub fn confirm_configuration(&self, sent: BootInstant) {
         self.source_lost.set(false);
-        self.note_confirmation(sent);
+        self.record_confirmation(sent);
     }
 
     /// Notes that configuration and servers were known to be the newest at `known`.
-    pub(super) fn note_confirmation(&self, known: BootInstant) {
+    pub(super) fn record_confirmation(&self, known: BootInstant) {
         self.freshness.borrow_mut().confirm(known);
-        self.vouched_for.set(false);
+        self.confirmed_by_peers.set(false);
         self.confirmed.take().give();
     }
 
@@ -59,44 +59,44 @@
     }
 
     /// Notes that a read brought no answer.
-    pub(in crate::direct) fn note_source_lost(&self) {
+    pub(in crate::direct) fn record_source_lost(&self) {
         self.source_lost.set(true);
     }
 
     /// Whether a confirmation may come at once: the last read was answered.
-    pub(in crate::direct) fn may_be_confirmed(&self) -> bool {
+    pub(in crate::direct) fn source_is_reachable(&self) -> bool {
         !self.source_lost.get()
     }
 
     /// Whether other routers should be asked if the configuration is still the newest.
-    pub(in crate::direct) fn needs_vouching(&self) -> bool {
+    pub(in crate::direct) fn needs_freshness_confirmation(&self) -> bool {
         let freshness = self.freshness.borrow();
         self.uses(Mechanism::PeerVouching)
             && should_ask(freshness.age(boot_now()), freshness.longest_age())
     }
 
     /// What this router can tell others of the configuration.
-    pub(in crate::direct) fn statement(&self) -> Option<VouchStatement> {
+    pub(in crate::direct) fn freshness_report(&self) -> Option<VouchStatement> {
         let version = self.configuration()?.version;
         Some(VouchStatement { version, age: self.configuration_age()? })
     }
 
     /// Takes in what `peer` answers to a question of this router's present `life`.
-    pub(in crate::direct) fn take_vouching(
+    pub(in crate::direct) fn receive_freshness_report(
         &self,
         peer: IpAddr,
         life: u64,
         question: VouchQuestion,
-        statement: VouchStatement,
+        freshness_report: VouchStatement,
     ) {
         let now = boot_now();
         let own = (life, self.configuration_version());
-        let Some(known) = vouched_until(question, own, statement, now) else { return };
+        let Some(known) = vouched_until(question, own, freshness_report, now) else { return };
         let mut freshness = self.freshness.borrow_mut();
         freshness.vouch(known);
-        if !freshness.is_confirmed(now) && !self.vouched_for.replace(true) {
+        if !freshness.is_confirmed(now) && !self.confirmed_by_peers.replace(true) {
             log::info!(
-                peer:% = peer, configuration:% = statement.version,
+                peer:% = peer, configuration:% = freshness_report.version,
                 age_ms = now.since(known).as_millis() as u64; "configuration is vouched for"
             );
         }
@@ -127,19 +127,19 @@
     /// Asks for a confirmation at once and waits for one, up to `limit`.
     pub async fn refresh_configuration(&self, limit: Duration) {
         let confirmed = self.confirmed.borrow().clone();
-        self.poke();
+        self.request_read();
         // A refusal follows where no confirmation came, so that the timeout needs no handling.
         let _ = monoio::time::timeout(limit, confirmed.given()).await;
     }
 
     /// Asks for a read of the source at once.
-    pub(super) fn poke(&self) {
-        self.poke.take().give();
+    pub(super) fn request_read(&self) {
+        self.read_request.take().give();
     }
 
     /// Waits until somebody asks for a confirmation.
-    pub async fn poked(&self) {
-        let poke = self.poke.borrow().clone();
-        poke.given().await;
+    pub async fn read_requested(&self) {
+        let read_request = self.read_request.borrow().clone();
+        read_request.given().await;
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/crash_records.rs
+++ b/crates/papayamux-router/src/direct/fleet/crash_records.rs
@@ -12,14 +12,14 @@
 use super::Fleet;
 
 /// Records that one datagram tells others of.
-const NOTICES_AT_ONCE: usize = 32;
+const MAX_NOTICES_PER_REPORT: usize = 32;
 
 /// Records that other routers are to be told of.
-pub(in crate::direct) struct CrashNews {
+pub(in crate::direct) struct CrashUpdate {
     /// What this router has seen itself.
-    pub seen: Vec<CrashNotice>,
+    pub observed: Vec<CrashNotice>,
     /// What it has heard from others, and passes on.
-    pub heard: Vec<CrashNotice>,
+    pub received: Vec<CrashNotice>,
 }
 
 impl Fleet {
@@ -64,7 +64,7 @@
             fingerprint:% = fingerprint, server:% = server, crashes = record.crashes,
             held_ms = held.as_millis() as u64; "server ended under a request"
         );
-        self.crash_noted.take().give();
+        self.crash_recorded.take().give();
     }
 
     /// Notes that a server has run a request to its end.
@@ -72,12 +72,12 @@
         if self.quarantine.borrow_mut().note_run(fingerprint, sent, Instant::now()) {
             self.metrics.crash_records.count("cleared");
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
-            self.crash_noted.take().give();
+            self.crash_recorded.take().give();
         }
     }
 
     /// Takes in what another router tells of such requests.
-    pub(in crate::direct) fn take_crash_notices(&self, peer: IpAddr, notices: &[CrashNotice]) {
+    pub(in crate::direct) fn receive_crash_notices(&self, peer: IpAddr, notices: &[CrashNotice]) {
         if !self.uses(Mechanism::CrashQuarantine) {
             return;
         }
@@ -99,26 +99,34 @@
             }
         }
         if learnt {
-            self.crash_noted.take().give();
+            self.crash_recorded.take().give();
         }
     }
 
     /// Waits until there is something to tell other routers; returns all that fits into a datagram.
-    pub(in crate::direct) async fn next_crash_news(&self) -> CrashNews {
+    pub(in crate::direct) async fn next_crash_update(&self) -> CrashUpdate {
         loop {
-            let noted = self.crash_noted.borrow().clone();
+            let crash_signal = self.crash_recorded.borrow().clone();
             let now = Instant::now();
-            let news = {
+            let update = {
                 let mut quarantine = self.quarantine.borrow_mut();
-                CrashNews {
-                    seen: quarantine.next_untold(NoticeOrigin::Seen, NOTICES_AT_ONCE, now),
-                    heard: quarantine.next_untold(NoticeOrigin::Heard, NOTICES_AT_ONCE, now),
+                CrashUpdate {
+                    observed: quarantine.next_untold(
+                        NoticeOrigin::Seen,
+                        MAX_NOTICES_PER_REPORT,
+                        now,
+                    ),
+                    received: quarantine.next_untold(
+                        NoticeOrigin::Heard,
+                        MAX_NOTICES_PER_REPORT,
+                        now,
+                    ),
                 }
             };
-            if !news.seen.is_empty() || !news.heard.is_empty() {
-                return news;
+            if !update.observed.is_empty() || !update.received.is_empty() {
+                return update;
             }
-            noted.given().await;
+            crash_signal.given().await;
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/evacuations.rs
+++ b/crates/papayamux-router/src/direct/fleet/evacuations.rs
@@ -13,19 +13,19 @@
     /// Takes in that a failure domain is evacuated.
     pub(in crate::direct) fn begin_evacuation(&self, order: EvacuationOrder) {
         let change = self.evacuations.borrow_mut().begin(order);
-        change.iter().for_each(|change| self.note_evacuation(change));
+        change.iter().for_each(|change| self.record_evacuation(change));
     }
 
     /// Takes in that the evacuation of a failure domain has ended.
     pub(in crate::direct) fn end_evacuation(&self, domain: &FailureDomain) {
         let change = self.evacuations.borrow_mut().end(domain);
-        change.iter().for_each(|change| self.note_evacuation(change));
+        change.iter().for_each(|change| self.record_evacuation(change));
     }
 
     /// Takes over all evacuations in force.
     pub(in crate::direct) fn replace_evacuations(&self, orders: Vec<EvacuationOrder>) {
         let changes = self.evacuations.borrow_mut().replace(orders);
-        changes.iter().for_each(|change| self.note_evacuation(change));
+        changes.iter().for_each(|change| self.record_evacuation(change));
     }
 
     /// The evacuations in force.
@@ -39,7 +39,7 @@
         orders.map(|order| (order.domain.to_string(), order.position.0)).collect()
     }
 
-    fn note_evacuation(&self, change: &EvacuationChange) {
+    fn record_evacuation(&self, change: &EvacuationChange) {
         let evacuated = self.evacuations.borrow().len();
         self.metrics.evacuated_domains.set(i64::try_from(evacuated).unwrap_or(i64::MAX));
         match change {
@@ -47,7 +47,7 @@
                 log::info!(domain:% = domain, position:% = position; "failure domain evacuated");
             }
             EvacuationChange::Ended(domain) => {
-                self.presume_cold(domain, Instant::now());
+                self.assume_cold(domain, Instant::now());
                 log::info!(domain:% = domain; "evacuation ended");
             }
         }
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -13,7 +13,7 @@
 
 impl Fleet {
     /// Notes that the list of servers answered.
-    pub fn note_list_contact(&self, failed: bool, now: Instant) {
+    pub fn record_list_contact(&self, failed: bool, now: Instant) {
         self.presence.borrow_mut().note_contact(failed, now);
     }
 
@@ -30,16 +30,16 @@
             return;
         }
         let lapsed = self.presence.borrow_mut().expire_lapsed(Instant::now());
-        self.give_up(&lapsed);
+        self.remove_expired(&lapsed);
     }
 
     /// Takes over how long entries that lapsed may still come back.
     pub(super) fn adopt_grace(&self, left: Duration, now: Instant) {
         let lapsed = self.presence.borrow_mut().adopt_grace(left, now);
-        self.give_up(&lapsed);
+        self.remove_expired(&lapsed);
     }
 
-    fn give_up(&self, lapsed: &[ServerId]) {
+    fn remove_expired(&self, lapsed: &[ServerId]) {
         for id in lapsed {
             self.forget_server(id);
             log::info!(server:% = id; "lapsed server did not come back");
@@ -47,18 +47,18 @@
     }
 
     /// Takes in one entry of the list.
-    pub fn note_server(&self, server: BackendServer, now: Instant) {
+    pub fn record_server(&self, server: BackendServer, now: Instant) {
         let (id, cold_left) = (server.id.clone(), server.cold_left);
         let changes = self.presence.borrow_mut().note_entry(server, now);
         self.note_renewal(&id, now);
-        self.note_coldness(&id, cold_left, now);
-        self.note_changes(&changes);
+        self.record_coldness(&id, cold_left, now);
+        self.record_changes(&changes);
     }
 
     /// Notes what one entry has changed. Of the entries of a whole list nobody knows which is the later one.
-    fn note_changes(&self, changes: &[(ServerId, PresenceChange)]) {
+    fn record_changes(&self, changes: &[(ServerId, PresenceChange)]) {
         for (id, change) in changes {
-            self.note_presence(id, *change);
+            self.record_presence(id, *change);
             if *change == PresenceChange::Arrived {
                 self.displace_others(id);
             }
@@ -66,7 +66,7 @@
     }
 
     /// Takes in that an entry is gone.
-    pub fn note_server_gone(&self, name: &ServerName, now: Instant) {
+    pub fn record_departed_server(&self, name: &ServerName, now: Instant) {
         let Some(known) = self.listed_server(name) else { return };
         let change = self.presence.borrow_mut().note_removal(&known.id, now);
         self.note_departure(&known, change, now);
@@ -74,9 +74,9 @@
 
     /// Takes in that an entry names no server. One that it named before may live on, but is not to be
     /// used until its own entry is back.
-    pub fn note_entry_fault(&self, fault: &EntryFault, now: Instant) {
+    pub fn record_entry_fault(&self, fault: &EntryFault, now: Instant) {
         self.metrics.entry_faults.count(fault.kind.label());
-        if let Some(suppressed) = self.fault_lines.borrow_mut().next(now) {
+        if let Some(suppressed) = self.fault_log_limit.borrow_mut().next(now) {
             log::warn!(
                 entry = fault.key.as_str(), fault = fault.kind.label(), cause = fault.cause.as_str(),
                 suppressed = suppressed; "entry names no server"
@@ -94,8 +94,8 @@
         let (id, cold_left) = (server.id.clone(), server.cold_left);
         let changes = self.presence.borrow_mut().adopt(server);
         self.note_renewal(&id, now);
-        self.note_coldness(&id, cold_left, now);
-        self.note_changes(&changes);
+        self.record_coldness(&id, cold_left, now);
+        self.record_changes(&changes);
     }
 
     /// Takes over that a server is gone, and whether it lives on for a while.
@@ -107,13 +107,13 @@
                 self.departures.borrow_mut().note_lingering(&known, now);
                 log::info!(server:% = known.id; "server has left and finishes its work");
             }
-            false => self.note_presence(&known.id, change),
+            false => self.record_presence(&known.id, change),
         }
     }
 
     /// The server of this name, whose entry goes. Followers may know it where it isn't known here.
     fn listed_server(&self, name: &ServerName) -> Option<Rc<BackendServer>> {
-        self.note_heard_departure(name);
+        self.journal_departure(name);
         self.presence.borrow().catalog().named(name).cloned()
     }
 
@@ -122,21 +122,21 @@
             && self.departures.borrow_mut().note_departure(known, now);
         match lingers {
             true => log::info!(server:% = known.id; "server has left and finishes its work"),
-            false => self.note_presence(&known.id, change),
+            false => self.record_presence(&known.id, change),
         }
     }
 
     /// Takes in the whole list.
-    pub fn note_server_list(&self, servers: Vec<BackendServer>, now: Instant) {
+    pub fn record_server_list(&self, servers: Vec<BackendServer>, now: Instant) {
         let listed = servers.iter().map(|server| (server.id.clone(), server.cold_left));
         let listed: Vec<_> = listed.collect();
         let changes = self.presence.borrow_mut().note_list(servers, now);
         for (id, cold_left) in listed {
             self.note_renewal(&id, now);
-            self.note_coldness(&id, cold_left, now);
+            self.record_coldness(&id, cold_left, now);
         }
         for (id, change) in changes {
-            self.note_presence(&id, change);
+            self.record_presence(&id, change);
         }
     }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    fn note_presence(&self, id: &ServerId, change: PresenceChange) {
+    fn record_presence(&self, id: &ServerId, change: PresenceChange) {
         match change {
             PresenceChange::Unchanged => {}
             PresenceChange::Outdated => {
@@ -187,7 +187,7 @@
             others.filter(|other| other.address == newcomer.address).cloned().collect()
         };
         for other in displaced {
-            self.note_evidence(&other, EvidenceKind::Displaced);
+            self.record_evidence(&other, EvidenceKind::Displaced);
             log::info!(server:% = other.id, by:% = id; "another server has the address");
         }
     }
--- a/crates/papayamux-router/src/direct/fleet/mod.rs
+++ b/crates/papayamux-router/src/direct/fleet/mod.rs
@@ -1,24 +1,24 @@
 //! What a router believes of the configuration, the servers and the other routers, and the
 //! decisions that it takes from that.
 
-mod beliefs;
 mod choice;
 mod cold_starts;
+mod configuration_freshness;
 mod crash_records;
 mod evacuations;
 mod fleet_state;
 mod known_servers;
 mod part_inquiries;
-mod part_waits;
+mod part_prefills;
+mod queued_requests;
 mod requests;
 mod server_checks;
 mod server_notices;
 mod source_knowledge;
-mod turns;
 
 pub use choice::{ChosenServer, RequestHomes};
-pub(in crate::direct) use crash_records::CrashNews;
+pub(in crate::direct) use crash_records::CrashUpdate;
 pub use fleet_state::Fleet;
 pub(in crate::direct) use part_inquiries::PartInquiry;
-pub(in crate::direct) use part_waits::{OwnReading, StartedReading};
+pub(in crate::direct) use part_prefills::{OwnPrefill, StartedPrefill};
 pub(in crate::direct) use requests::EndedRequest;
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -15,11 +15,11 @@
 use papayamux_state::quantities::TokenCount;
 use papayamux_transport::shutdown::ShutdownSignal;
 
-use super::part_waits::StartedReading;
+use super::part_prefills::StartedPrefill;
 use super::Fleet;
 
 /// Holders named in one answer: one to use, and others where that one is busy.
-const MOST_HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 
 /// A question that is to be put to the owner of its part.
 pub(in crate::direct) struct PartInquiry {
@@ -31,9 +31,9 @@
 
 /// What waits to be sent to owners of parts.
 #[derive(Default)]
-pub(super) struct OwnerMail {
+pub(super) struct OwnerOutbox {
     inquiries: RefCell<Vec<PartInquiry>>,
-    notes: RefCell<Vec<StartedReading>>,
+    notes: RefCell<Vec<StartedPrefill>>,
     waiting: RefCell<ShutdownSignal>,
     answers: RefCell<AnswerTimes>,
 }
@@ -41,7 +41,7 @@
 impl Fleet {
     /// Asks the owner of a prompt's shared part who holds it, where this router knows nobody. Returns
     /// whether nobody does.
-    pub(in crate::direct) async fn ask_for_holders(
+    pub(in crate::direct) async fn query_holders(
         &self,
         service: &ServiceId,
         prompt: &PromptChain,
@@ -53,19 +53,19 @@
             && is_worth_telling(shared.get())
             && !self.knows_holder(service, part);
         let reading = self.profiles.borrow().service_speed(service).reading_time(shared);
-        let patience = self.mail.answers.borrow().patience(reading).filter(|_| asks);
+        let patience = self.outbox.answers.borrow().patience(reading).filter(|_| asks);
         let Some(patience) = patience else { return false };
         let asked = Instant::now();
         let (reply, answer) = oneshot::channel();
-        self.mail.inquiries.borrow_mut().push(PartInquiry { part, reply });
-        self.mail.waiting.take().give();
+        self.outbox.inquiries.borrow_mut().push(PartInquiry { part, reply });
+        self.outbox.waiting.take().give();
         // Without an answer the home is believed to hold the part, as if nobody had been asked.
         let Ok(Ok(answer)) = monoio::time::timeout(patience, answer).await else {
             self.metrics.part_inquiries.count("unanswered");
             return false;
         };
-        self.note_owner_answer(asked.elapsed());
-        let found = self.take_holders(&prefixes, &answer);
+        self.record_owner_answer(asked.elapsed());
+        let found = self.record_reported_holders(&prefixes, &answer);
         let result = match (found, answer.is_sure) {
             (true, _) => "found",
             (false, true) => "nobody",
@@ -76,27 +76,29 @@
     }
 
     /// Notes how long an owner's answer took.
-    pub(in crate::direct) fn note_owner_answer(&self, took: Duration) {
-        self.mail.answers.borrow_mut().note(took);
+    pub(in crate::direct) fn record_owner_answer(&self, took: Duration) {
+        self.outbox.answers.borrow_mut().note(took);
     }
 
     /// Tells the owner of a part that a server holds it from now on, or will when it has read it.
-    pub(super) fn tell_owner(&self, started: StartedReading) {
+    pub(super) fn notify_owner(&self, started: StartedPrefill) {
         if self.uses(Mechanism::PartOwners) {
-            self.mail.notes.borrow_mut().push(started);
-            self.mail.waiting.take().give();
+            self.outbox.notes.borrow_mut().push(started);
+            self.outbox.waiting.take().give();
         }
     }
 
     /// Waits until there is something for owners of parts; returns all of it.
-    pub(in crate::direct) async fn next_mail(&self) -> (Vec<PartInquiry>, Vec<StartedReading>) {
+    pub(in crate::direct) async fn next_owner_messages(
+        &self,
+    ) -> (Vec<PartInquiry>, Vec<StartedPrefill>) {
         let is_empty =
-            self.mail.inquiries.borrow().is_empty() && self.mail.notes.borrow().is_empty();
+            self.outbox.inquiries.borrow().is_empty() && self.outbox.notes.borrow().is_empty();
         if is_empty {
-            let waiting = self.mail.waiting.borrow().clone();
+            let waiting = self.outbox.waiting.borrow().clone();
             waiting.given().await;
         }
-        (self.mail.inquiries.take(), self.mail.notes.take())
+        (self.outbox.inquiries.take(), self.outbox.notes.take())
     }
 
     /// The servers that are known to hold a part or to read it, those that hold it first.
@@ -110,7 +112,7 @@
         });
         let mut holders: Vec<_> = holding.collect();
         holders.sort_unstable_by_key(|holder| (holder.reading_ms, holder.server.0));
-        holders.truncate(MOST_HOLDERS);
+        holders.truncate(MAX_HOLDERS);
         holders
     }
 
@@ -126,19 +128,28 @@
     }
 
     /// Takes in who holds a part; whether anybody does that is there.
-    fn take_holders(&self, prefixes: &[(PartId, TokenCount)], answer: &PartAnswer) -> bool {
+    fn record_reported_holders(
+        &self,
+        prefixes: &[(PartId, TokenCount)],
+        answer: &PartAnswer,
+    ) -> bool {
         let mut found = false;
         for holder in &answer.holders {
             let Some(server) = self.server_by_key(holder.server) else { continue };
             found = true;
-            self.take_holder(server, prefixes, *holder);
+            self.record_reported_holder(server, prefixes, *holder);
         }
         found
     }
 
-    fn take_holder(&self, server: ServerId, prefixes: &[(PartId, TokenCount)], holder: PartHolder) {
+    fn record_reported_holder(
+        &self,
+        server: ServerId,
+        prefixes: &[(PartId, TokenCount)],
+        holder: PartHolder,
+    ) {
         if holder.reading_ms == 0 {
-            self.note_holder(&HolderNote { server, prefixes: prefixes.to_vec() });
+            self.record_holder(&HolderNote { server, prefixes: prefixes.to_vec() });
             return;
         }
         let reading = PromptReading {
@@ -149,6 +160,6 @@
             waiting: 0,
         };
         let reading = Some(reading);
-        self.note_reading(&StartedReading { server, prefixes: prefixes.to_vec(), reading });
+        self.record_prefill(&StartedPrefill { server, prefixes: prefixes.to_vec(), reading });
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/part_waits.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_prefills.rs
@@ -14,7 +14,7 @@
 
 /// What an engine has begun to read, for the other routers.
 #[derive(Debug, Clone)]
-pub(in crate::direct) struct StartedReading {
+pub(in crate::direct) struct StartedPrefill {
     /// The engine.
     pub server: ServerId,
     /// The shared prefixes of the prompt, with their tokens.
@@ -24,14 +24,14 @@
 }
 
 /// A reading of this router.
-pub(in crate::direct) struct OwnReading {
+pub(in crate::direct) struct OwnPrefill {
     ticket: FlightTicket,
     /// What the others were told.
-    told: Option<StartedReading>,
+    announced: Option<StartedPrefill>,
 }
 
 /// Whether the owner of a chain's last part should know who holds it.
-fn is_worth_noting(prefixes: &[(PartId, TokenCount)]) -> bool {
+fn is_worth_reporting(prefixes: &[(PartId, TokenCount)]) -> bool {
     is_worth_telling(prefixes.iter().map(|(_, tokens)| tokens.get()).sum())
 }
 
@@ -42,7 +42,7 @@
         &self,
         server: &ServerId,
         prefixes: &[(PartId, TokenCount)],
-        patience: Duration,
+        wait_budget: Duration,
     ) -> Option<Duration> {
         if !self.uses(Mechanism::PartWaits) {
             return None;
@@ -52,10 +52,10 @@
         loop {
             let now = Instant::now();
             let until = self.flights.borrow().wait_until(server, prefixes, now);
-            let Some(until) = until.map(|until| until.min(begun + patience)) else { break };
+            let Some(until) = until.map(|until| until.min(begun + wait_budget)) else { break };
             waited = true;
             let left = until.saturating_duration_since(now);
-            let read = self.part_read.borrow().clone();
+            let read = self.prefill_ended.borrow().clone();
             if left.is_zero() || monoio::time::timeout(left, read.given()).await.is_err() {
                 break;
             }
@@ -65,11 +65,11 @@
 
     /// Notes that a request begins to read, at the server that was chosen, what that isn't known to
     /// hold of these parts.
-    pub(in crate::direct) fn begin_reading(
+    pub(in crate::direct) fn begin_prefill(
         &self,
         chosen: &ChosenServer,
         prefixes: &[(PartId, TokenCount)],
-    ) -> OwnReading {
+    ) -> OwnPrefill {
         let held = chosen.placement.held;
         let mut end = TokenCount::default();
         let lacking = prefixes.iter().filter(|(_, tokens)| {
@@ -90,62 +90,62 @@
         let ahead = TokenCount::new(self.load_at(&chosen.server, now).backlog);
         let waiting = self.queue_reports.borrow().waiting(server, now);
         let reading = PromptReading { cold, begun: now, expected, ahead, waiting };
-        if !lacking.is_empty() && is_worth_noting(prefixes) {
+        if !lacking.is_empty() && is_worth_reporting(prefixes) {
             let reading = Some(reading);
-            self.tell_owner(StartedReading {
+            self.notify_owner(StartedPrefill {
                 server: server.clone(),
                 prefixes: prefixes.to_vec(),
                 reading,
             });
         }
-        let is_told = self.uses(Mechanism::ReadingsTold) && reading.is_worth_telling(&lacking);
-        let told = is_told.then(|| {
+        let is_announced = self.uses(Mechanism::ReadingsTold) && reading.is_worth_telling(&lacking);
+        let announced = is_announced.then(|| {
             // The whole chain is told, so that its parts are known as what follows what.
             let prefixes = prefixes.to_vec();
-            StartedReading { server: server.clone(), prefixes, reading: Some(reading) }
+            StartedPrefill { server: server.clone(), prefixes, reading: Some(reading) }
         });
-        if let Some(started) = &told {
-            self.tell_reading(started.clone());
+        if let Some(started) = &announced {
+            self.announce_prefill(started.clone());
         }
-        OwnReading { ticket: self.flights.borrow_mut().begin(server, &lacking, reading), told }
+        OwnPrefill { ticket: self.flights.borrow_mut().begin(server, &lacking, reading), announced }
     }
 
-    fn tell_reading(&self, started: StartedReading) {
-        self.readings.borrow_mut().push(started);
-        self.reading_begun.take().give();
+    fn announce_prefill(&self, started: StartedPrefill) {
+        self.prefills.borrow_mut().push(started);
+        self.prefill_begun.take().give();
     }
 
     /// Waits until a reading has begun that the other routers should hear of; returns all such.
-    pub(in crate::direct) async fn next_readings(&self) -> Vec<StartedReading> {
-        if self.readings.borrow().is_empty() {
-            let begun = self.reading_begun.borrow().clone();
+    pub(in crate::direct) async fn next_prefills(&self) -> Vec<StartedPrefill> {
+        if self.prefills.borrow().is_empty() {
+            let begun = self.prefill_begun.borrow().clone();
             begun.given().await;
         }
-        self.readings.take()
+        self.prefills.take()
     }
 
     /// Notes what an engine has begun to read for another router.
-    pub(in crate::direct) fn note_reading(&self, started: &StartedReading) {
-        let StartedReading { server, prefixes, reading } = started;
+    pub(in crate::direct) fn record_prefill(&self, started: &StartedPrefill) {
+        let StartedPrefill { server, prefixes, reading } = started;
         match reading {
             Some(reading) => {
                 let note = HolderNote { server: server.clone(), prefixes: prefixes.clone() };
-                self.note_holder(&note);
+                self.record_holder(&note);
                 self.flights.borrow_mut().note_elsewhere(server, prefixes, *reading);
             }
             None => {
                 self.flights.borrow_mut().end_elsewhere(server, prefixes);
-                self.part_read.take().give();
+                self.prefill_ended.take().give();
             }
         }
     }
 
     /// Notes that a request's prompt was read, or that it won't be.
-    pub(in crate::direct) fn end_reading(&self, own: OwnReading) {
+    pub(in crate::direct) fn end_prefill(&self, own: OwnPrefill) {
         self.flights.borrow_mut().end(&own.ticket);
-        if let Some(told) = own.told {
-            self.tell_reading(StartedReading { reading: None, ..told });
+        if let Some(announced) = own.announced {
+            self.announce_prefill(StartedPrefill { reading: None, ..announced });
         }
-        self.part_read.take().give();
+        self.prefill_ended.take().give();
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/turns.rs
+++ b/crates/papayamux-router/src/direct/fleet/queued_requests.rs
@@ -16,47 +16,47 @@
 
 /// One request's wait.
 #[derive(Debug, Default)]
-pub(in crate::direct) struct Turn {
-    outcome: Cell<Option<TurnOutcome>>,
+pub(in crate::direct) struct QueuedRequest {
+    outcome: Cell<Option<QueueOutcome>>,
     decided: ShutdownSignal,
 }
 
 /// Two waits are the same only where they are one.
-impl PartialEq for Turn {
+impl PartialEq for QueuedRequest {
     fn eq(&self, other: &Self) -> bool {
         std::ptr::eq(self, other)
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-enum TurnOutcome {
-    Called,
+enum QueueOutcome {
+    Dispatched,
     TurnedAway(LineRefusal),
 }
 
-impl Turn {
-    fn decide(&self, outcome: TurnOutcome) {
+impl QueuedRequest {
+    fn decide(&self, outcome: QueueOutcome) {
         self.outcome.set(Some(outcome));
         self.decided.give();
     }
 }
 
 /// Takes a request out of the line when its caller leaves.
-struct LineGuard<'a> {
+struct QueueGuard<'a> {
     fleet: &'a Fleet,
     service: &'a ServiceId,
-    turn: &'a Rc<Turn>,
+    queued: &'a Rc<QueuedRequest>,
 }
 
-impl Drop for LineGuard<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        let mut lines = self.fleet.lines.borrow_mut();
-        let Some(line) = lines.get_mut(self.service) else { return };
-        match self.turn.outcome.get() {
-            Some(TurnOutcome::Called) => line.note_taken(),
-            Some(TurnOutcome::TurnedAway(_)) => {}
+        let mut queues = self.fleet.queues.borrow_mut();
+        let Some(service_queue) = queues.get_mut(self.service) else { return };
+        match self.queued.outcome.get() {
+            Some(QueueOutcome::Dispatched) => service_queue.note_taken(),
+            Some(QueueOutcome::TurnedAway(_)) => {}
             None => {
-                line.leave(self.turn);
+                service_queue.leave(self.queued);
             }
         }
     }
@@ -65,7 +65,7 @@
 impl Fleet {
     /// Waits until there is a place for a request, or tells that there will be none in time. Returns
     /// how long it waited, nothing where it went at once.
-    pub(in crate::direct) async fn wait_for_turn(
+    pub(in crate::direct) async fn wait_for_slot(
         &self,
         service: &ServiceId,
         request: LineRequest,
@@ -74,25 +74,25 @@
             return Ok(None);
         }
         let now = Instant::now();
-        let turn = Rc::new(Turn::default());
+        let queued = Rc::new(QueuedRequest::default());
         let arrival = {
-            let places = self.free_places(service, now);
-            let mut lines = self.lines.borrow_mut();
-            let line = lines.entry(service.clone()).or_default();
-            line.arrive(request, turn.clone(), places)
+            let open_slots = self.free_places(service, now);
+            let mut queues = self.queues.borrow_mut();
+            let service_queue = queues.entry(service.clone()).or_default();
+            service_queue.arrive(request, queued.clone(), open_slots)
         };
         let expected = match arrival {
             LineArrival::Goes => return Ok(None),
             LineArrival::TurnedAway(refusal) => return Err(refusal),
             LineArrival::Waits(wait) => wait,
         };
-        let guard = LineGuard { fleet: self, service, turn: &turn };
-        turn.decided.given().await;
+        let guard = QueueGuard { fleet: self, service, queued: &queued };
+        queued.decided.given().await;
         drop(guard);
-        match turn.outcome.get() {
-            Some(TurnOutcome::TurnedAway(refusal)) => Err(refusal),
-            Some(TurnOutcome::Called) | None => {
-                self.metrics.note_promise(expected, now.elapsed());
+        match queued.outcome.get() {
+            Some(QueueOutcome::TurnedAway(refusal)) => Err(refusal),
+            Some(QueueOutcome::Dispatched) | None => {
+                self.metrics.record_wait_ratio(expected, now.elapsed());
                 Ok(Some(now.elapsed()))
             }
         }
@@ -107,30 +107,34 @@
     }
 
     /// Calls requests that wait for a service with free places.
-    pub(super) fn call_waiting(&self, service: &ServiceId) {
-        let mut lines = self.lines.borrow_mut();
-        let Some(line) = lines.get_mut(service).filter(|line| !line.is_empty()) else { return };
-        let places = self.free_places(service, Instant::now());
+    pub(super) fn dispatch_queued(&self, service: &ServiceId) {
+        let mut queues = self.queues.borrow_mut();
+        let Some(service_queue) =
+            queues.get_mut(service).filter(|service_queue| !service_queue.is_empty())
+        else {
+            return;
+        };
+        let open_slots = self.free_places(service, Instant::now());
         // Other routers see the same places: each takes its part, and looks again soon.
         let routers = u32::try_from(self.ledger.borrow().reporting() + 1).unwrap_or(u32::MAX);
-        for turn in line.call(places, places.div_ceil(routers)) {
-            turn.decide(TurnOutcome::Called);
+        for queued in service_queue.call(open_slots, open_slots.div_ceil(routers)) {
+            queued.decide(QueueOutcome::Dispatched);
         }
     }
 
     /// Turns away who can't be served in time, and calls those for whom there is a place.
-    pub(in crate::direct) fn watch_lines(&self) {
+    pub(in crate::direct) fn update_queues(&self) {
         let now = Instant::now();
         let mut waiting = Vec::new();
-        for (service, line) in self.lines.borrow_mut().iter_mut() {
-            for (turn, refusal) in line.take_overdue(now) {
-                turn.decide(TurnOutcome::TurnedAway(refusal));
+        for (service, service_queue) in self.queues.borrow_mut().iter_mut() {
+            for (queued, refusal) in service_queue.take_overdue(now) {
+                queued.decide(QueueOutcome::TurnedAway(refusal));
             }
-            if !line.is_empty() {
+            if !service_queue.is_empty() {
                 waiting.push(service.clone());
             }
         }
-        waiting.iter().for_each(|service| self.call_waiting(service));
+        waiting.iter().for_each(|service| self.dispatch_queued(service));
     }
 
     /// Requests that the servers of a service can take now without a long wait of their own, as
@@ -139,31 +143,31 @@
         let presence = self.presence.borrow();
         let serving = presence.catalog().of_service(service);
         let serving = serving.filter(|server| self.takes_requests(server));
-        let (mut sound, mut held, mut resting) = (None, None, None);
+        let (mut healthy, mut ejected, mut backing_off) = (None, None, None);
         for server in serving {
-            if self.rests(server, now) {
-                resting = Some(0);
+            if self.is_backing_off(server, now) {
+                backing_off = Some(0);
                 continue;
             }
-            let places = self.places_at(server, now);
+            let open_slots = self.free_slots_at(server, now);
             let sum = match self.evidence.borrow().standing(&server.id, now) {
-                ServerStanding::Held => &mut held,
-                ServerStanding::Good | ServerStanding::OnTrial => &mut sound,
+                ServerStanding::Held => &mut ejected,
+                ServerStanding::Good | ServerStanding::OnTrial => &mut healthy,
             };
-            *sum = Some(sum.unwrap_or(0u32).saturating_add(places));
+            *sum = Some(sum.unwrap_or(0u32).saturating_add(open_slots));
         }
-        sound.or(held).or(resting).unwrap_or(u32::MAX)
+        healthy.or(ejected).or(backing_off).unwrap_or(u32::MAX)
     }
 
     /// The places that are free at one server.
-    pub(super) fn places_at(&self, server: &BackendServer, now: Instant) -> u32 {
+    pub(super) fn free_slots_at(&self, server: &BackendServer, now: Instant) -> u32 {
         let work = match self.engine_profile(&server.service) {
             Some(_) => ServerWork::Engine,
             None => ServerWork::Plain,
         };
         let load = self.load_at(server, now);
         let waiting = self.queue_reports.borrow().waiting(&server.id, now);
-        let places = free_places(work, server.slots, load, waiting, &self.speed(server));
-        self.send_room(server, now).at_most(places)
+        let open_slots = free_places(work, server.slots, load, waiting, &self.speed(server));
+        self.send_room(server, now).at_most(open_slots)
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -16,7 +16,7 @@
 
 /// Routes whose usual deadlines are kept: many configurations' worth. What is dropped is learnt again
 /// from a few requests.
-const MOST_ROUTES: usize = 4_096;
+const MAX_ROUTES: usize = 4_096;
 
 /// A request that has ended.
 pub(in crate::direct) struct EndedRequest {
@@ -50,7 +50,7 @@
     ) {
         let server = &chosen.server;
         self.reserve_send(server);
-        self.lines
+        self.queues
             .borrow_mut()
             .entry(server.service.clone())
             .or_default()
@@ -68,7 +68,7 @@
     /// Notes that a request was sent to a server, which owes a sign of life from now on.
     pub(in crate::direct) fn await_server(&self, server: &BackendServer) {
         let now = Instant::now();
-        self.note_send(server, now);
+        self.record_send(server, now);
         let mut liveness = self.liveness.borrow_mut();
         liveness.entry(server.service.clone()).or_default().begin(&server.id, now);
     }
@@ -85,14 +85,14 @@
                 liveness.end(&server.id);
             }
         }
-        if let Some(line) = self.lines.borrow_mut().get_mut(&server.service) {
-            line.note_end(work, took, Instant::now());
+        if let Some(service_queue) = self.queues.borrow_mut().get_mut(&server.service) {
+            service_queue.note_end(work, took, Instant::now());
         }
-        self.call_waiting(&server.service);
+        self.dispatch_queued(&server.service);
     }
 
     /// Notes a sign of life of a server.
-    pub(in crate::direct) fn hear_server(&self, server: &BackendServer) {
+    pub(in crate::direct) fn record_server_contact(&self, server: &BackendServer) {
         let now = Instant::now();
         if let Some(liveness) = self.liveness.borrow_mut().get_mut(&server.service) {
             liveness.hear(&server.id, now);
@@ -101,7 +101,7 @@
     }
 
     /// Notes evidence against a server.
-    pub(in crate::direct) fn note_evidence(&self, server: &BackendServer, kind: EvidenceKind) {
+    pub(in crate::direct) fn record_evidence(&self, server: &BackendServer, kind: EvidenceKind) {
         if self.uses(Mechanism::Evidence) {
             self.evidence.borrow_mut().note(&server.id, kind, Instant::now());
         }
@@ -111,19 +111,19 @@
     }
 
     /// Notes whether an event of a server was held up on its way.
-    pub(in crate::direct) fn note_event(&self, server: &BackendServer, held_up: bool) {
+    pub(in crate::direct) fn record_event(&self, server: &BackendServer, held_up: bool) {
         self.links.borrow_mut().note(&server.domain, held_up, Instant::now());
     }
 
     /// Notes how long it took to open a connection to a server.
-    pub(in crate::direct) fn note_connection(&self, server: &BackendServer, took: Duration) {
+    pub(in crate::direct) fn record_connection(&self, server: &BackendServer, took: Duration) {
         if self.uses(Mechanism::LearntProfile) {
             self.round_trips.borrow_mut().note(&server.domain, took);
         }
     }
 
     /// Notes the first event of an answer.
-    pub(in crate::direct) fn note_first_event(&self, server: &BackendServer, first: FirstEvent) {
+    pub(in crate::direct) fn record_first_event(&self, server: &BackendServer, first: FirstEvent) {
         if self.uses(Mechanism::LearntProfile) {
             self.profiles.borrow_mut().note_first(&server.service, &server.id, first);
         }
@@ -164,7 +164,7 @@
     }
 
     /// Notes what a server said of its queue.
-    pub(in crate::direct) fn note_queue(&self, server: &BackendServer, queue: ReportedQueue) {
+    pub(in crate::direct) fn record_queue(&self, server: &BackendServer, queue: ReportedQueue) {
         self.queue_reports.borrow_mut().note(&server.id, queue, Instant::now());
     }
 
@@ -190,14 +190,14 @@
     /// Forgets what is too old to matter.
     pub(in crate::direct) fn forget_old(&self) {
         let now = Instant::now();
-        if self.deadlines.borrow().len() > MOST_ROUTES {
+        if self.deadlines.borrow().len() > MAX_ROUTES {
             self.deadlines.borrow_mut().clear();
         }
         self.records.borrow_mut().values_mut().for_each(|record| record.forget_faded(now));
         self.queue_reports.borrow_mut().forget_old(now);
         self.flights.borrow_mut().forget_old(now);
         self.quarantine.borrow_mut().forget_old(now);
-        self.update_census(now);
+        self.update_router_count(now);
         self.update_cold_servers(now);
         for LinkChange { domain, excess } in self.links.borrow_mut().changes(now) {
             log::info!(domain:% = domain, held_up = excess; "link holds messages up");
--- a/crates/papayamux-router/src/direct/fleet/server_checks.rs
+++ b/crates/papayamux-router/src/direct/fleet/server_checks.rs
@@ -14,7 +14,7 @@
 use super::Fleet;
 
 /// How long a probe may take. Requests that lost their server wait for it before they go elsewhere.
-const PROBE_WITHIN: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 type PendingProbe = Shared<LocalBoxFuture<'static, ProbeResult>>;
 
@@ -26,10 +26,7 @@
     /// Whether a server has ended that should be serving, after a connection to it broke.
     ///
     /// One that is draining or no longer listed ends as planned, and no request is to blame.
-    pub(in crate::direct) async fn has_ended_unexpectedly(
-        self: &Rc<Self>,
-        server: &BackendServer,
-    ) -> bool {
+    pub(in crate::direct) async fn has_crashed(self: &Rc<Self>, server: &BackendServer) -> bool {
         if self.has_restarted(server) {
             return true;
         }
@@ -52,7 +49,7 @@
     }
 
     async fn probe(self: Rc<Self>, id: ServerId, address: SocketAddr) -> ProbeResult {
-        let result = probe_listener(address, PROBE_WITHIN).await;
+        let result = probe_listener(address, PROBE_TIMEOUT).await;
         self.checks.0.borrow_mut().remove(&id);
         self.metrics.server_checks.count(result.label());
         log::info!(server:% = id, result = result.label(); "server probed");
--- a/crates/papayamux-router/src/direct/fleet/server_notices.rs
+++ b/crates/papayamux-router/src/direct/fleet/server_notices.rs
@@ -9,7 +9,7 @@
 
 impl Fleet {
     /// Takes in what a server said with an answer.
-    pub(in crate::direct) fn take_notice(&self, server: &BackendServer, notice: ServerNotice) {
+    pub(in crate::direct) fn record_notice(&self, server: &BackendServer, notice: ServerNotice) {
         if notice.leaves && !self.leaves(server) {
             self.metrics.server_notices.count("leaves");
             log::info!(server:% = server.id; "server says that it leaves");
@@ -28,13 +28,13 @@
     }
 
     /// Whether a server has asked for a rest that isn't over.
-    pub(in crate::direct) fn rests(&self, server: &BackendServer, now: Instant) -> bool {
+    pub(in crate::direct) fn is_backing_off(&self, server: &BackendServer, now: Instant) -> bool {
         self.notices.borrow().rest_left(&server.id, now).is_some()
     }
 
     /// How long until the first server of a service takes a request with these homes, where all that would take it
     /// rest.
-    pub(in crate::direct) fn rest_of_all(
+    pub(in crate::direct) fn backoff_of_all(
         &self,
         service: &ServiceId,
         homes: RequestHomes<'_>,
@@ -44,7 +44,7 @@
         let servers = presence.catalog().of_service(service);
         let open = servers.filter(|server| self.takes_requests(server));
         let open = open.filter(|server| self.is_home(server, homes));
-        let rests = open.map(|server| notices.rest_left(&server.id, now));
-        rests.min_by_key(|rest| rest.unwrap_or_default()).flatten()
+        let backoffs = open.map(|server| notices.rest_left(&server.id, now));
+        backoffs.min_by_key(|rest| rest.unwrap_or_default()).flatten()
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -22,12 +22,12 @@
 use super::Fleet;
 
 /// Changes told in one datagram: of up to 100 bytes each, under 13 KB. Whoever lacks more reads them.
-const MOST_CHANGES: usize = 128;
+const MAX_CHANGES: usize = 128;
 /// What is known of the source, and who tells it.
 pub(super) struct SourceKnowledge {
     view: Cell<SourceView>,
     journal: RefCell<BeliefJournal>,
-    duty: RefCell<SourceDuty>,
+    role_selection: RefCell<SourceDuty>,
     followers: RefCell<FollowerTable>,
     advanced: RefCell<ShutdownSignal>,
     differs_since: Cell<Option<Instant>>,
@@ -40,7 +40,7 @@
         Self {
             view: Cell::default(),
             journal: RefCell::default(),
-            duty: RefCell::new(SourceDuty::new(own, alone)),
+            role_selection: RefCell::new(SourceDuty::new(own, alone)),
             followers: RefCell::default(),
             advanced: RefCell::default(),
             differs_since: Cell::new(None),
@@ -56,14 +56,14 @@
     }
 
     /// Notes that everything was read, up to this position.
-    pub(in crate::direct) fn note_whole_read(&self, at: SourcePosition) {
+    pub(in crate::direct) fn record_full_read(&self, at: SourcePosition) {
         self.knowledge.journal.borrow_mut().note_gap(at);
         self.change_view(|view| view.note_whole(at));
-        self.note_beliefs();
+        self.journal_known_servers();
     }
 
     /// Whether changes that a read brought up to `at` are to be taken over for servers.
-    pub(in crate::direct) fn takes_changes(&self, at: SourcePosition) -> bool {
+    pub(in crate::direct) fn accept_changes(&self, at: SourcePosition) -> bool {
         self.change_view(|view| view.note_changes(at))
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Notes that a server's entry went, for those who follow this router.
-    pub(super) fn note_heard_departure(&self, name: &ServerName) {
+    pub(super) fn journal_departure(&self, name: &ServerName) {
         self.knowledge.journal.borrow_mut().note_departure(name.clone());
     }
 
@@ -90,19 +90,20 @@
     }
 
     /// Notes that this router has read the source itself.
-    pub(in crate::direct) fn note_own_read(&self) {
+    pub(in crate::direct) fn record_own_read(&self) {
         self.knowledge.hops.set(0);
-        self.tell_followers();
+        self.notify_followers();
     }
 
     /// What the router does to know the source.
     pub(in crate::direct) fn source_role(&self) -> SourceRole {
-        self.knowledge.duty.borrow().role()
+        self.knowledge.role_selection.borrow().role()
     }
 
     /// Whether this router looks often for a source that is away.
     pub(in crate::direct) fn seeks_source(&self) -> bool {
-        self.settings.readers == SourceReaders::All || self.knowledge.duty.borrow().seeks_source()
+        self.settings.readers == SourceReaders::All
+            || self.knowledge.role_selection.borrow().seeks_source()
     }
 
     /// Chooses the role again among the routers that are known.
@@ -112,10 +113,10 @@
         }
         let view = DutyView {
             known,
-            doubts_reads: !self.may_be_confirmed() || self.awaits_renewals(),
+            doubts_reads: !self.source_is_reachable() || self.awaits_renewals(),
             has_followers: !self.knowledge.followers.borrow_mut().current(now).is_empty(),
         };
-        if !self.knowledge.duty.borrow_mut().choose(view, now) {
+        if !self.knowledge.role_selection.borrow_mut().choose(view, now) {
             return;
         }
         let routers = known.len() + 1;
@@ -123,7 +124,7 @@
             SourceRole::Reader(pause) => {
                 let pause_ms = pause.as_millis() as u64;
                 log::info!(routers = routers, pause_ms = pause_ms; "reads the source for others");
-                self.poke();
+                self.request_read();
             }
             SourceRole::Follower(followed) => {
                 log::info!(routers = routers, followed:% = followed; "follows a router");
@@ -140,7 +141,7 @@
     }
 
     /// Notes that `router` follows this one; what to tell it at once.
-    pub(in crate::direct) fn note_follower(
+    pub(in crate::direct) fn record_follower(
         &self,
         router: IpAddr,
         request: FollowRequest,
@@ -155,63 +156,65 @@
             return None;
         }
         let entry = followers.current(now).into_iter().find(|(follower, _)| *follower == router);
-        self.news_for(&entry?.1)
+        self.update_for(&entry?.1)
     }
 
     /// Waits until there is something newer to tell; then what, and to whom.
-    pub(in crate::direct) async fn next_news(&self) -> Vec<(IpAddr, FleetNews)> {
+    pub(in crate::direct) async fn next_updates(&self) -> Vec<(IpAddr, FleetNews)> {
         let advanced = self.knowledge.advanced.borrow().clone();
         advanced.given().await;
         let followers = self.knowledge.followers.borrow_mut().current(Instant::now());
-        let news = followers.iter();
-        news.filter_map(|(router, entry)| Some((*router, self.news_for(entry)?))).collect()
+        let update = followers.iter();
+        update.filter_map(|(router, entry)| Some((*router, self.update_for(entry)?))).collect()
     }
 
     /// Takes in what `sender` tells of the source.
-    pub(in crate::direct) fn take_news(&self, sender: IpAddr, life: u64, news: FleetNews) {
+    pub(in crate::direct) fn receive_update(&self, sender: IpAddr, life: u64, update: FleetNews) {
         let now = boot_now();
         let question = VouchQuestion {
-            life: news.life,
-            asked: BootInstant(Duration::from_millis(news.asked_ms)),
+            life: update.life,
+            asked: BootInstant(Duration::from_millis(update.asked_ms)),
         };
         if question.life != life || question.asked > now {
             return;
         }
-        let Some(known) = StatedShift(news.shift_ms).on_askers_clock(question, now) else { return };
+        let Some(known) = StatedShift(update.shift_ms).on_askers_clock(question, now) else {
+            return;
+        };
         let steady = Instant::now();
         let stated = StatedView {
-            position: SourcePosition(news.position),
-            behind: news.span.as_ref().map(|span| SourcePosition(span.behind)),
-            version: ConfigVersion(news.version),
+            position: SourcePosition(update.position),
+            behind: update.span.as_ref().map(|span| SourcePosition(span.behind)),
+            version: ConfigVersion(update.version),
             known,
         };
         let version = self.configuration_version();
         let in_force = ViewInForce { version, confirmed: self.confirmed_since() };
         let verdict = self.change_view(|view| view.judge(stated, in_force));
         if verdict.progresses {
-            self.knowledge.duty.borrow_mut().note_newer(sender, steady);
+            self.knowledge.role_selection.borrow_mut().note_newer(sender, steady);
         }
-        if let Some(span) = news.span.filter(|_| verdict.takes_servers) {
-            let grace = Duration::from_millis(u64::from(news.grace_ms));
-            self.adopt_span(span, grace, steady);
+        if let Some(span) = update.span.filter(|_| verdict.takes_servers) {
+            let grace = Duration::from_millis(u64::from(update.grace_ms));
+            self.apply_span(span, grace, steady);
         }
         if verdict.needs_read {
-            self.poke();
+            self.request_read();
         }
         if verdict.confirms {
-            self.knowledge.hops.set(news.hops);
-            self.metrics.news_age.observe(now.since(known).as_secs_f64());
-            self.metrics.news_hops.observe(f64::from(news.hops));
-            self.note_list_contact(false, steady);
-            self.note_confirmation(known);
+            self.knowledge.hops.set(update.hops);
+            self.metrics.update_age.observe(now.since(known).as_secs_f64());
+            self.metrics.update_hops.observe(f64::from(update.hops));
+            self.record_list_contact(false, steady);
+            self.record_confirmation(known);
         }
         if verdict.progresses {
-            self.tell_followers();
+            self.notify_followers();
         }
     }
 
     /// Takes over changes of servers, how long lapsed ones may still come back, and evacuations.
-    fn adopt_span(&self, span: NewsSpan, grace: Duration, now: Instant) {
+    fn apply_span(&self, span: NewsSpan, grace: Duration, now: Instant) {
         for change in span.changes {
             match change {
                 ServerNews::Present(server) => self.adopt_server(server, now),
@@ -220,10 +223,10 @@
         }
         self.adopt_grace(grace, now);
         self.replace_evacuations(span.evacuations);
-        self.note_beliefs();
+        self.journal_known_servers();
         // Entries that lapsed in an outage are given up at slightly different times.
         match grace.is_zero() {
-            true => self.compare_beliefs(BeliefDigest(span.digest), now),
+            true => self.compare_known_servers(BeliefDigest(span.digest), now),
             false => self.knowledge.differs_since.set(None),
         }
     }
@@ -231,7 +234,7 @@
     /// Reads everything again where this router believes something else than the one it follows for as long
     /// as it would take to read by itself: a departure that was kept from it then has an effect as soon as without
     /// others. No way to that is known; it bounds what a mistake in either could do.
-    fn compare_beliefs(&self, told: BeliefDigest, now: Instant) {
+    fn compare_known_servers(&self, told: BeliefDigest, now: Instant) {
         if self.knowledge.journal.borrow().digest() == told {
             self.knowledge.differs_since.set(None);
             return;
@@ -242,23 +245,23 @@
             log::warn!("servers differ from those of the router that is followed, reading all");
             self.knowledge.differs_since.set(None);
             self.forget_position();
-            self.poke();
+            self.request_read();
         }
     }
 
     /// Notes what is believed now, for those who follow this router.
-    pub(in crate::direct) fn note_beliefs(&self) {
+    pub(in crate::direct) fn journal_known_servers(&self) {
         let Some(position) = self.source_position() else { return };
         let (presence, departures) = (self.presence.borrow(), self.departures.borrow());
         let mut journal = self.knowledge.journal.borrow_mut();
         journal.note(presence.catalog(), position, |server| departures.lingers(server));
     }
 
-    fn tell_followers(&self) {
+    fn notify_followers(&self) {
         self.knowledge.advanced.take().give();
     }
 
-    fn news_for(&self, entry: &FollowerEntry) -> Option<FleetNews> {
+    fn update_for(&self, entry: &FollowerEntry) -> Option<FleetNews> {
         let known = self.confirmed_since()?;
         let journal = self.knowledge.journal.borrow();
         let position = journal.position()?;
@@ -274,13 +277,13 @@
             hops: self.knowledge.hops.get() + 1,
             grace_ms: u32::try_from(grace.as_millis()).unwrap_or(u32::MAX),
             span: span
-                .filter(|span| span.changes.len() <= MOST_CHANGES)
-                .map(|span| told_span(span, self.evacuation_orders())),
+                .filter(|span| span.changes.len() <= MAX_CHANGES)
+                .map(|span| update_span(span, self.evacuation_orders())),
         })
     }
 }
 
-fn told_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
+fn update_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
     let changes = span.changes.into_iter().map(|change| match change {
         BeliefChange::Present(server) => ServerNews::Present((*server).clone()),
         BeliefChange::Gone { name, lingers } => ServerNews::Gone { name, lingers },
--- a/crates/papayamux-router/src/direct/metrics.rs
+++ b/crates/papayamux-router/src/direct/metrics.rs
@@ -38,8 +38,8 @@
     Histogram::new(RATIO_BUCKETS)
 }
 
-fn ratio(real: Duration, expected: Duration) -> f64 {
-    real.as_secs_f64() / expected.as_secs_f64().max(FIRST_BUCKET)
+fn ratio(actual: Duration, expected: Duration) -> f64 {
+    actual.as_secs_f64() / expected.as_secs_f64().max(FIRST_BUCKET)
 }
 
 fn label(kind: RequestKind) -> KindLabel {
@@ -89,14 +89,14 @@
     /// `held` where that holds a request, `told` where another router's word does.
     pub crash_records: ReasonCounters,
     /// Seconds since what other routers told of the source was known to be newest, when they told it.
-    pub news_age: Histogram,
+    pub update_age: Histogram,
     /// How many routers had passed that on.
-    pub news_hops: Histogram,
+    pub update_hops: Histogram,
     heads: LatencyFamily,
     waits: LatencyFamily,
     part_waits: LatencyFamily,
-    expectations: Histogram,
-    promises: Histogram,
+    first_event_ratios: Histogram,
+    wait_ratios: Histogram,
 }
 
 impl Default for DirectMetrics {
@@ -117,41 +117,41 @@
             server_checks: ReasonCounters::default(),
             server_notices: ReasonCounters::default(),
             crash_records: ReasonCounters::default(),
-            news_age: Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS)),
-            news_hops: Histogram::new(HOP_BUCKETS),
+            update_age: Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS)),
+            update_hops: Histogram::new(HOP_BUCKETS),
             heads: latency_family(),
             waits: latency_family(),
             part_waits: latency_family(),
-            expectations: ratio_histogram(),
-            promises: ratio_histogram(),
+            first_event_ratios: ratio_histogram(),
+            wait_ratios: ratio_histogram(),
         }
     }
 }
 
 impl DirectMetrics {
     /// Notes the time from a request's arrival to the head of its answer.
-    pub fn note_head(&self, kind: RequestKind, took: Duration) {
-        self.heads.get_or_create(&label(kind)).observe(took.as_secs_f64());
+    pub fn record_head(&self, kind: RequestKind, elapsed: Duration) {
+        self.heads.get_or_create(&label(kind)).observe(elapsed.as_secs_f64());
     }
 
     /// Notes how long a request waited in the line of its service.
-    pub fn note_wait(&self, kind: RequestKind, took: Duration) {
-        self.waits.get_or_create(&label(kind)).observe(took.as_secs_f64());
+    pub fn record_wait(&self, kind: RequestKind, elapsed: Duration) {
+        self.waits.get_or_create(&label(kind)).observe(elapsed.as_secs_f64());
     }
 
     /// Notes how long a request waited for a part that its engine read for another one.
-    pub fn note_part_wait(&self, kind: RequestKind, took: Duration) {
-        self.part_waits.get_or_create(&label(kind)).observe(took.as_secs_f64());
+    pub fn record_part_wait(&self, kind: RequestKind, elapsed: Duration) {
+        self.part_waits.get_or_create(&label(kind)).observe(elapsed.as_secs_f64());
     }
 
     /// Notes the time to a first event beside what was expected.
-    pub fn note_expectation(&self, expected: Duration, real: Duration) {
-        self.expectations.observe(ratio(real, expected));
+    pub fn record_first_event_ratio(&self, expected: Duration, actual: Duration) {
+        self.first_event_ratios.observe(ratio(actual, expected));
     }
 
     /// Notes a wait for a place beside what was expected when it began.
-    pub fn note_promise(&self, expected: Duration, real: Duration) {
-        self.promises.observe(ratio(real, expected));
+    pub fn record_wait_ratio(&self, expected: Duration, actual: Duration) {
+        self.wait_ratios.observe(ratio(actual, expected));
     }
 
     /// Registers the metrics.
@@ -189,17 +189,17 @@
         registry.register("server_notices", "Servers that say that they leave or rest", notices);
         let records = self.crash_records.0.clone();
         registry.register("crash_records", "Requests under which servers ended", records);
-        let ages = self.news_age.clone();
+        let ages = self.update_age.clone();
         registry.register("source_news_age_seconds", "Age of what others tell of the source", ages);
-        let hops = self.news_hops.clone();
+        let hops = self.update_hops.clone();
         registry.register("source_news_hops", "Routers between the source and this one", hops);
         let waits = self.waits.clone();
         registry.register("line_wait_seconds", "Wait of requests that found no place", waits);
         let waits = self.part_waits.clone();
         registry.register("part_wait_seconds", "Wait for parts that others read", waits);
-        let ratios = self.expectations.clone();
+        let ratios = self.first_event_ratios.clone();
         registry.register("first_event_ratio", "Real to expected time to first events", ratios);
-        let ratios = self.promises.clone();
+        let ratios = self.wait_ratios.clone();
         registry.register("line_wait_ratio", "Real to expected waits for a place", ratios);
         let heads = self.heads.clone();
         registry.register("head_seconds", "From arrival to the answer's head", heads);
--- a/crates/papayamux-router/src/direct/peers/crash_news.rs
+++ b/crates/papayamux-router/src/direct/peers/crash_updates.rs
@@ -9,38 +9,38 @@
 use papayamux_state::crash_record::CrashNotice;
 
 use super::PeerExchange;
-use crate::direct::fleet::CrashNews;
+use crate::direct::fleet::CrashUpdate;
 
 /// Bytes of such news that a router sends in a second at most, beside reports and readings.
-const MOST_BYTES_PER_SECOND: f64 = 4_000.0;
+const MAX_CRASH_BYTES_PER_SECOND: f64 = 4_000.0;
 
 impl PeerExchange {
     /// Tells others of crashes, and of requests that are cleared, for ever.
-    pub(super) async fn tell_crashes(self: Rc<Self>) {
+    pub(super) async fn announce_crashes(self: Rc<Self>) {
         loop {
-            let CrashNews { seen, heard } = self.fleet.next_crash_news().await;
-            let bytes = self.send_crashes(seen, NoticeOrigin::Seen.fanout()).await
-                + self.send_crashes(heard, NoticeOrigin::Heard.fanout()).await;
-            let pause = Duration::from_secs_f64(bytes as f64 / MOST_BYTES_PER_SECOND);
+            let CrashUpdate { observed, received } = self.fleet.next_crash_update().await;
+            let bytes = self.send_crashes(observed, NoticeOrigin::Seen.fanout()).await
+                + self.send_crashes(received, NoticeOrigin::Heard.fanout()).await;
+            let pause = Duration::from_secs_f64(bytes as f64 / MAX_CRASH_BYTES_PER_SECOND);
             monoio::time::sleep(pause).await;
         }
     }
 
-    async fn send_crashes(&self, crashes: Vec<CrashNotice>, most: usize) -> usize {
+    async fn send_crashes(&self, crashes: Vec<CrashNotice>, limit: usize) -> usize {
         if crashes.is_empty() {
             return 0;
         }
-        let targets = self.some_alive(most);
+        let targets = self.sample_alive(limit);
         self.send_partial(RouterReport { crashes, ..RouterReport::default() }, &targets).await
     }
 
     /// Some of the routers that are heard, others each time.
-    pub(super) fn some_alive(&self, most: usize) -> Vec<IpAddr> {
+    pub(super) fn sample_alive(&self, limit: usize) -> Vec<IpAddr> {
         let mut alive = self.peers.borrow().alive(Instant::now());
-        if alive.len() > most {
+        if alive.len() > limit {
             let first = rand::random_range(0..alive.len());
             alive.rotate_left(first);
-            alive.truncate(most);
+            alive.truncate(limit);
         }
         alive
     }
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -24,26 +24,26 @@
 use papayamux_state::service_config::ConfigVersion;
 use papayamux_transport::boot_clock::boot_now;
 
-use super::owner_mail::OpenQuestion;
-use crate::direct::fleet::StartedReading;
+use super::owner_queries::OpenQuery;
+use crate::direct::fleet::StartedPrefill;
 use crate::direct::Fleet;
 
 /// Pause between two rounds of reports. Requests last from tens of milliseconds to seconds, so
 /// that a quarter of a second shows most of what others have at a server.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Bytes that a router sends to others in a second at most; the pause grows where more would be
 /// needed. Half of what control may cost, the rest is for the source.
-const MOST_BYTES_PER_SECOND: f64 = 10_000.0;
+const MAX_REPORT_BYTES_PER_SECOND: f64 = 10_000.0;
 /// Bytes of readings that a router tells at once in a second at most. With reports that is under what
 /// control may cost; one reading takes some 60 bytes for each router that hears of it, and as much when
 /// it has ended.
-const MOST_READING_BYTES_PER_SECOND: f64 = 6_000.0;
+const MAX_PREFILL_BYTES_PER_SECOND: f64 = 6_000.0;
 /// Routers told at once of a reading: all of a fleet of today's size, some of a larger one.
-const MOST_TOLD_AT_ONCE: usize = 32;
+const PREFILL_FANOUT: usize = 32;
 /// Readings told together; what has begun beyond that shows in the next report.
-const READINGS_AT_ONCE: usize = 8;
+const MAX_PREFILLS_PER_REPORT: usize = 8;
 /// Bytes of the longest report: several hundred servers.
-const LONGEST_REPORT: usize = 16 * 1024;
+const MAX_REPORT_BYTES: usize = 16 * 1024;
 /// Pause after a failure to receive.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(100);
 
@@ -53,14 +53,14 @@
     socket: UdpSocket,
     address: SocketAddr,
     pub(super) peers: RefCell<RouterPeers>,
-    questions: RefCell<VouchQuestions<IpAddr>>,
+    freshness_queries: RefCell<VouchQuestions<IpAddr>>,
     listings: RefCell<ListingNews>,
     pub(super) life: u64,
     pub(super) started: Instant,
     sequence: Cell<u64>,
     leaving: Cell<bool>,
-    pub(super) asked: Cell<u64>,
-    pub(super) open_questions: RefCell<HashMap<u64, OpenQuestion>>,
+    pub(super) last_query_number: Cell<u64>,
+    pub(super) open_queries: RefCell<HashMap<u64, OpenQuery>>,
     pub(super) silent_owners: RefCell<SilentOwners>,
 }
 
@@ -74,23 +74,23 @@
             socket,
             address: listen,
             peers,
-            questions: RefCell::default(),
+            freshness_queries: RefCell::default(),
             listings: RefCell::default(),
             life: rand::random(),
             started: Instant::now(),
             sequence: Cell::new(0),
             leaving: Cell::new(false),
-            asked: Cell::new(0),
-            open_questions: RefCell::default(),
+            last_query_number: Cell::new(0),
+            open_queries: RefCell::default(),
             silent_owners: RefCell::default(),
         });
         monoio::spawn(exchange.clone().receive());
         monoio::spawn(exchange.clone().report());
-        monoio::spawn(exchange.clone().tell_readings());
+        monoio::spawn(exchange.clone().announce_prefills());
         monoio::spawn(exchange.clone().follow());
-        monoio::spawn(exchange.clone().tell_news());
-        monoio::spawn(exchange.clone().write_to_owners());
-        monoio::spawn(exchange.clone().tell_crashes());
+        monoio::spawn(exchange.clone().send_updates());
+        monoio::spawn(exchange.clone().send_to_owners());
+        monoio::spawn(exchange.clone().announce_crashes());
         Ok(exchange)
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Tells the others that this router is about to end.
-    pub fn leave(&self) {
+    pub fn announce_shutdown(&self) {
         self.leaving.set(true);
     }
 
@@ -116,18 +116,18 @@
     }
 
     /// Tells the others what an engine listed of its cache.
-    pub fn tell_listing(&self, listing: CacheListing) {
+    pub fn announce_listing(&self, listing: CacheListing) {
         self.listings.borrow_mut().add(listing, Instant::now());
     }
 
     async fn receive(self: Rc<Self>) {
-        let mut buffer = vec![0u8; LONGEST_REPORT];
+        let mut buffer = vec![0u8; MAX_REPORT_BYTES];
         loop {
             let (result, returned) = self.socket.recv_from(buffer).await;
             buffer = returned;
             match result {
                 Ok((length, sender)) => {
-                    self.take_report(sender.ip(), Bytes::copy_from_slice(&buffer[..length]));
+                    self.receive_report(sender.ip(), Bytes::copy_from_slice(&buffer[..length]));
                 }
                 Err(error) => {
                     log::warn!(error:% = error; "receiving a report failed");
@@ -137,7 +137,7 @@
         }
     }
 
-    fn take_report(self: &Rc<Self>, sender: IpAddr, bytes: Bytes) {
+    fn receive_report(self: &Rc<Self>, sender: IpAddr, bytes: Bytes) {
         let report = match RouterReport::decode(bytes) {
             Ok(report) => report,
             Err(error) => {
@@ -154,37 +154,37 @@
             return;
         }
         if let Some(question) = report.question {
-            self.questions.borrow_mut().note(sender, read_question(question), now);
+            self.freshness_queries.borrow_mut().note(sender, parse_freshness_query(question), now);
         }
         if let Some(configuration) = report.configuration {
-            self.take_answers(sender, &configuration);
+            self.receive_freshness_answers(sender, &configuration);
         }
         for ReportedHolder { server, prefixes } in report.holders {
             if let Some(server) = self.fleet.server_by_key(server) {
-                self.fleet.note_holder(&HolderNote { server, prefixes });
+                self.fleet.record_holder(&HolderNote { server, prefixes });
             }
         }
         for ReportedListing { server, parts } in report.listings {
             if let Some(server) = self.fleet.server_by_key(server) {
-                self.fleet.note_listing(&CacheListing::new(server, parts));
+                self.fleet.record_listing(&CacheListing::new(server, parts));
             }
         }
         for reading in report.readings {
-            self.take_reading(reading, now);
+            self.receive_prefill(reading, now);
         }
         if let Some(question) = report.part_question {
-            self.answer_part_question(sender, question);
+            self.answer_part_query(sender, question);
         }
         if let Some(answer) = report.part_answer {
-            self.take_part_answer(sender, answer);
+            self.receive_part_answer(sender, answer);
         }
         if let Some(request) = report.follow {
-            self.take_follower(sender, request, now);
+            self.receive_follow_request(sender, request, now);
         }
         if let Some(news) = report.news {
-            self.fleet.take_news(sender, self.life, news);
+            self.fleet.receive_update(sender, self.life, news);
         }
-        self.fleet.take_crash_notices(sender, &report.crashes);
+        self.fleet.receive_crash_notices(sender, &report.crashes);
         if report.is_partial {
             return;
         }
@@ -201,30 +201,30 @@
         }
     }
 
-    fn take_reading(&self, reported: ReportedReading, now: Instant) {
+    fn receive_prefill(&self, reported: ReportedReading, now: Instant) {
         let ReportedReading { server, prefixes, cold, expected_ms } = reported;
         let Some(server) = self.fleet.server_by_key(server) else { return };
         let expected = Duration::from_millis(u64::from(expected_ms));
         let reading = PromptReading { cold, begun: now, expected, ahead: cold, waiting: 0 };
         let reading = (expected_ms > 0).then_some(reading);
-        self.fleet.note_reading(&StartedReading { server, prefixes, reading });
+        self.fleet.record_prefill(&StartedPrefill { server, prefixes, reading });
     }
 
     /// Tells others at once of long parts that engines begin to read: the next report would come when
     /// most are read, and another router would have them read beside that.
-    async fn tell_readings(self: Rc<Self>) {
+    async fn announce_prefills(self: Rc<Self>) {
         loop {
-            let readings = self.fleet.next_readings().await;
+            let readings = self.fleet.next_prefills().await;
             let now = Instant::now();
-            let readings = readings.iter().filter_map(|started| reported_reading(started, now));
-            let readings: Vec<_> = readings.take(READINGS_AT_ONCE).collect();
+            let readings = readings.iter().filter_map(|started| reported_prefill(started, now));
+            let readings: Vec<_> = readings.take(MAX_PREFILLS_PER_REPORT).collect();
             if readings.is_empty() {
                 continue;
             }
             let report = RouterReport { readings, ..RouterReport::default() };
-            let targets = self.some_alive(MOST_TOLD_AT_ONCE);
+            let targets = self.sample_alive(PREFILL_FANOUT);
             let bytes = self.send_partial(report, &targets).await;
-            let pause = Duration::from_secs_f64(bytes as f64 / MOST_READING_BYTES_PER_SECOND);
+            let pause = Duration::from_secs_f64(bytes as f64 / MAX_PREFILL_BYTES_PER_SECOND);
             monoio::time::sleep(pause).await;
         }
     }
@@ -255,14 +255,19 @@
         bytes
     }
 
-    fn take_answers(&self, sender: IpAddr, configuration: &ReportedConfiguration) {
-        let statement = VouchStatement {
+    fn receive_freshness_answers(&self, sender: IpAddr, configuration: &ReportedConfiguration) {
+        let freshness_report = VouchStatement {
             version: ConfigVersion(configuration.version),
             age: Duration::from_millis(configuration.age_ms),
         };
         let own = configuration.answers.iter().filter(|(asker, _)| *asker == self.address.ip());
         for (_, question) in own {
-            self.fleet.take_vouching(sender, self.life, read_question(*question), statement);
+            self.fleet.receive_freshness_report(
+                sender,
+                self.life,
+                parse_freshness_query(*question),
+                freshness_report,
+            );
         }
     }
 
@@ -275,8 +280,8 @@
             let targets = self.peers.borrow_mut().next_targets(now);
             let report = self.next_report(now);
             let bytes = self.send(&report, &targets).await;
-            let needed = Duration::from_secs_f64(bytes as f64 / MOST_BYTES_PER_SECOND);
-            let pause = REPORT_EVERY.max(needed);
+            let needed = Duration::from_secs_f64(bytes as f64 / MAX_REPORT_BYTES_PER_SECOND);
+            let pause = REPORT_INTERVAL.max(needed);
             // The others report at about the same pace.
             let rounds = u32::try_from(self.peers.borrow().rounds()).unwrap_or(u32::MAX);
             self.fleet.ledger().borrow_mut().note_cycle(pause * rounds);
@@ -288,7 +293,7 @@
         self.sequence.set(self.sequence.get() + 1);
         let question = self
             .fleet
-            .needs_vouching()
+            .needs_freshness_confirmation()
             .then(|| ReportedQuestion { life: self.life, asked_ms: whole_millis(boot_now().0) });
         let ledger = self.fleet.ledger().borrow();
         let loads = ledger.own().map(|(server, load)| ReportedLoad {
@@ -330,11 +335,11 @@
     /// Answers to the routers that ask. Their questions are looked at before the age is, which so
     /// counts from a later moment than they asked.
     fn next_answers(&self, now: Instant) -> Option<ReportedConfiguration> {
-        let open = self.questions.borrow_mut().open(now);
+        let open = self.freshness_queries.borrow_mut().open(now);
         if open.is_empty() {
             return None;
         }
-        let VouchStatement { version, age } = self.fleet.statement()?;
+        let VouchStatement { version, age } = self.fleet.freshness_report()?;
         let answers = open.into_iter().map(|(router, question)| {
             let asked_ms = whole_millis(question.asked.0);
             (router, ReportedQuestion { life: question.life, asked_ms })
@@ -348,8 +353,8 @@
 }
 
 /// What to tell others of a reading; nothing where it should have ended by now.
-pub(super) fn reported_reading(started: &StartedReading, now: Instant) -> Option<ReportedReading> {
-    let StartedReading { server, prefixes, reading } = started;
+pub(super) fn reported_prefill(started: &StartedPrefill, now: Instant) -> Option<ReportedReading> {
+    let StartedPrefill { server, prefixes, reading } = started;
     let (cold, expected_ms) = match reading {
         Some(reading) => {
             let age = now.saturating_duration_since(reading.begun);
@@ -361,7 +366,7 @@
     Some(ReportedReading { server: server.into(), prefixes: prefixes.clone(), cold, expected_ms })
 }
 
-fn read_question(question: ReportedQuestion) -> VouchQuestion {
+fn parse_freshness_query(question: ReportedQuestion) -> VouchQuestion {
     let asked = BootInstant(Duration::from_millis(question.asked_ms));
     VouchQuestion { life: question.life, asked }
 }
--- a/crates/papayamux-router/src/direct/peers/mod.rs
+++ b/crates/papayamux-router/src/direct/peers/mod.rs
@@ -1,8 +1,8 @@
 //! What routers tell one another.
 
-mod crash_news;
+mod crash_updates;
 mod exchange;
-mod news;
-mod owner_mail;
+mod owner_queries;
+mod source_updates;
 
 pub use exchange::PeerExchange;
--- a/crates/papayamux-router/src/direct/peers/owner_mail.rs
+++ b/crates/papayamux-router/src/direct/peers/owner_queries.rs
@@ -11,12 +11,12 @@
 use papayamux_protocol::router_report::RouterReport;
 use papayamux_state::prompt::PartId;
 
-use super::exchange::reported_reading;
+use super::exchange::reported_prefill;
 use super::PeerExchange;
 use crate::direct::fleet::PartInquiry;
 
 /// A question that was asked.
-pub(super) struct OpenQuestion {
+pub(super) struct OpenQuery {
     owner: IpAddr,
     asked: Instant,
     reply: oneshot::Sender<PartAnswer>,
@@ -24,17 +24,17 @@
 
 impl PeerExchange {
     /// Puts questions about parts to their owners, and tells owners of new holders.
-    pub(super) async fn write_to_owners(self: Rc<Self>) {
+    pub(super) async fn send_to_owners(self: Rc<Self>) {
         loop {
-            let (inquiries, notes) = self.fleet.next_mail().await;
+            let (inquiries, notes) = self.fleet.next_owner_messages().await;
             for inquiry in inquiries {
-                self.ask_owner(inquiry).await;
+                self.query_owner(inquiry).await;
             }
             let now = Instant::now();
             for started in notes {
                 let Some((part, _)) = started.prefixes.last() else { continue };
                 let owner = self.owner_of(*part);
-                let Some(reading) = reported_reading(&started, now) else { continue };
+                let Some(reading) = reported_prefill(&started, now) else { continue };
                 if owner != self.own_address() {
                     let report =
                         RouterReport { readings: vec![reading], ..RouterReport::default() };
@@ -50,7 +50,7 @@
         part_owner(part, known.into_iter().chain([own])).unwrap_or(own)
     }
 
-    async fn ask_owner(&self, inquiry: PartInquiry) {
+    async fn query_owner(&self, inquiry: PartInquiry) {
         let PartInquiry { part, reply } = inquiry;
         let owner = self.owner_of(part);
         let now = Instant::now();
@@ -62,22 +62,17 @@
         if !self.silent_owners.borrow().allow(owner, now) {
             return;
         }
-        let number = self.note_question(owner, reply, now);
+        let number = self.record_query(owner, reply, now);
         let part_question = Some(PartQuestion { number, part });
         let report = RouterReport { part_question, ..RouterReport::default() };
         self.send_partial(report, &[owner]).await;
     }
 
     /// Notes a question that is about to be asked; returns its number.
-    fn note_question(
-        &self,
-        owner: IpAddr,
-        reply: oneshot::Sender<PartAnswer>,
-        now: Instant,
-    ) -> u64 {
-        let number = self.asked.get() + 1;
-        self.asked.set(number);
-        let mut open = self.open_questions.borrow_mut();
+    fn record_query(&self, owner: IpAddr, reply: oneshot::Sender<PartAnswer>, now: Instant) -> u64 {
+        let number = self.last_query_number.get() + 1;
+        self.last_query_number.set(number);
+        let mut open = self.open_queries.borrow_mut();
         // What is answered late still tells how long answers take; what isn't answered at all, who is gone.
         open.retain(|_, question| {
             let is_lost = now.saturating_duration_since(question.asked) >= SILENT_AFTER;
@@ -86,11 +81,11 @@
             }
             !is_lost
         });
-        open.insert(number, OpenQuestion { owner, asked: now, reply });
+        open.insert(number, OpenQuery { owner, asked: now, reply });
         number
     }
 
-    pub(super) fn answer_part_question(self: &Rc<Self>, sender: IpAddr, question: PartQuestion) {
+    pub(super) fn answer_part_query(self: &Rc<Self>, sender: IpAddr, question: PartQuestion) {
         let part_answer = Some(self.part_answer(question.number, question.part));
         let exchange = self.clone();
         monoio::spawn(async move {
@@ -104,11 +99,11 @@
         PartAnswer { number, holders: self.fleet.holders_of(part), is_sure }
     }
 
-    pub(super) fn take_part_answer(&self, sender: IpAddr, answer: PartAnswer) {
-        let open = self.open_questions.borrow_mut().remove(&answer.number);
+    pub(super) fn receive_part_answer(&self, sender: IpAddr, answer: PartAnswer) {
+        let open = self.open_queries.borrow_mut().remove(&answer.number);
         let Some(question) = open.filter(|question| question.owner == sender) else { return };
         if question.reply.send(answer).is_err() {
-            self.fleet.note_owner_answer(question.asked.elapsed());
+            self.fleet.record_owner_answer(question.asked.elapsed());
         }
     }
 }
--- a/crates/papayamux-router/src/direct/peers/news.rs
+++ b/crates/papayamux-router/src/direct/peers/source_updates.rs
@@ -10,9 +10,9 @@
 use super::PeerExchange;
 
 /// Pause between two questions to the router that is followed: it tells for 2.5 s, so that one may be lost.
-const FOLLOW_EVERY: Duration = Duration::from_secs(1);
+const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause between two choices of whom to follow, part of what a silent reader may cost.
-const CHOOSE_EVERY: Duration = Duration::from_millis(150);
+const ROLE_CHOICE_INTERVAL: Duration = Duration::from_millis(150);
 
 impl PeerExchange {
     /// Chooses again and again whom to follow, and asks there to be told of changes.
@@ -24,7 +24,7 @@
             self.fleet.choose_source_role(&known, now);
             if let Some((followed, request)) = self.fleet.follow_request(self.life) {
                 let due = asked.is_none_or(|(router, at)| {
-                    router != followed || now.saturating_duration_since(at) >= FOLLOW_EVERY
+                    router != followed || now.saturating_duration_since(at) >= FOLLOW_INTERVAL
                 });
                 if due {
                     asked = Some((followed, now));
@@ -35,31 +35,31 @@
                     .await;
                 }
             }
-            monoio::time::sleep(CHOOSE_EVERY).await;
+            monoio::time::sleep(ROLE_CHOICE_INTERVAL).await;
         }
     }
 
-    pub(super) fn take_follower(
+    pub(super) fn receive_follow_request(
         self: &Rc<Self>,
         sender: IpAddr,
         request: FollowRequest,
         now: Instant,
     ) {
-        let Some(news) = self.fleet.note_follower(sender, request, now) else { return };
+        let Some(news) = self.fleet.record_follower(sender, request, now) else { return };
         let exchange = self.clone();
-        monoio::spawn(async move { exchange.send_news(sender, news).await });
+        monoio::spawn(async move { exchange.send_update(sender, news).await });
     }
 
     /// Tells the followers at once of whatever is newer.
-    pub(super) async fn tell_news(self: Rc<Self>) {
+    pub(super) async fn send_updates(self: Rc<Self>) {
         loop {
-            for (follower, news) in self.fleet.next_news().await {
-                self.send_news(follower, news).await;
+            for (follower, news) in self.fleet.next_updates().await {
+                self.send_update(follower, news).await;
             }
         }
     }
 
-    async fn send_news(&self, follower: IpAddr, news: FleetNews) {
+    async fn send_update(&self, follower: IpAddr, news: FleetNews) {
         let report = RouterReport { news: Some(news), ..RouterReport::default() };
         self.send_partial(report, &[follower]).await;
     }
--- a/crates/papayamux-router/src/direct/request_body.rs
+++ b/crates/papayamux-router/src/direct/request_body.rs
@@ -11,26 +11,26 @@
 /// Reads the whole body, so that it can be sent more than once.
 pub(super) async fn read_body(
     mut body: Incoming,
-    longest: u64,
+    max_bytes: u64,
     within: Duration,
 ) -> Result<Bytes, CallFailure> {
-    if body.size_hint().lower() > longest {
+    if body.size_hint().lower() > max_bytes {
         return Err(CallFailure::TooLong);
     }
     let read = async {
-        let mut whole = BytesMut::new();
+        let mut collected = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else {
                 return Err(CallFailure::not_run(NotRunReason::Incomplete));
             };
             if let Ok(piece) = frame.into_data() {
-                whole.extend_from_slice(&piece);
+                collected.extend_from_slice(&piece);
             }
-            if whole.len() as u64 > longest {
+            if collected.len() as u64 > max_bytes {
                 return Err(CallFailure::TooLong);
             }
         }
-        Ok(whole.freeze())
+        Ok(collected.freeze())
     };
     match monoio::time::timeout(within, read).await {
         Ok(result) => result,
--- a/crates/papayamux-router/src/direct/settings.rs
+++ b/crates/papayamux-router/src/direct/settings.rs
@@ -85,14 +85,14 @@
     /// part of the bound within which a new configuration is in force, so that nobody is refused
     /// by one that was replaced longer ago.
     pub fn negative_age(&self) -> Duration {
-        self.apply_within.map_or(DEFAULT_NEGATIVE_AGE, |bound| bound.mul_f64(NEGATIVE_PART))
+        self.apply_within.map_or(DEFAULT_NEGATIVE_AGE, |bound| bound.mul_f64(NEGATIVE_AGE_RATIO))
     }
 }
 
 /// The pause between two renewals where nothing is said: a usual heartbeat.
 const DEFAULT_RENEWAL: Duration = Duration::from_millis(1_200);
 /// Part of the bound on a new configuration's coming into force that a refusal's one may be old.
-const NEGATIVE_PART: f64 = 0.75;
+const NEGATIVE_AGE_RATIO: f64 = 0.75;
 /// The same where there is no bound.
 const DEFAULT_NEGATIVE_AGE: Duration = Duration::from_millis(1_500);
 
@@ -129,16 +129,16 @@
 const OTHER_DESCRIPTORS: usize = 400;
 /// Part of the rest that is for callers. Their requests need fewer connections to servers than they
 /// have themselves: some are idle, and some wait for a place.
-const CALLERS_PART: f64 = 0.6;
+const CALLER_SHARE: f64 = 0.6;
 
 /// The grace of the usual process managers, less than which none gives.
 const DEFAULT_GRACE: Millis = Millis(Duration::from_secs(8));
 
 impl DirectSettings {
     /// Connections of callers open at once.
-    pub fn most_callers(&self) -> usize {
+    pub fn max_callers(&self) -> usize {
         let rest = self.descriptors.saturating_sub(OTHER_DESCRIPTORS) as f64;
-        ((rest * CALLERS_PART) as usize).max(1)
+        ((rest * CALLER_SHARE) as usize).max(1)
     }
 
     /// Reads the settings from the text of an INI file, or reports all that is wrong with it.
--- a/crates/papayamux-router/src/direct/source_follower.rs
+++ b/crates/papayamux-router/src/direct/source_follower.rs
@@ -18,7 +18,7 @@
 
 /// Reads without a pause between them, so that a source that is behind is not asked for ever: with 250
 /// changes each, more than the largest fleet has servers.
-const MOST_READS_AT_ONCE: u32 = 16;
+const MAX_CONSECUTIVE_READS: u32 = 16;
 /// A read that is under way.
 pub type SourceRead<'a, T> = Pin<Box<dyn Future<Output = Result<T, SourceError>> + 'a>>;
 
@@ -50,12 +50,13 @@
 pub async fn follow_source(fleet: Rc<Fleet>, source: Rc<dyn FleetSource>) {
     let pace = SourcePace::new(fleet.settings().read_bounds());
     let now = Instant::now();
-    let mut follower = SourceFollower { fleet, source, pace, last_read: now, last_asked: now };
+    let mut follower =
+        SourceFollower { fleet, source, pace, last_read: now, last_configuration_read: now };
     loop {
-        if follower.read().await == ReadResult::Again {
-            follower.read_rest().await;
+        if follower.read().await == ReadResult::MoreAvailable {
+            follower.read_remaining().await;
         }
-        follower.wait_for_turn().await;
+        follower.wait_for_next_read().await;
     }
 }
 
@@ -65,13 +66,13 @@
     pace: SourcePace,
     last_read: Instant,
     /// When the configuration alone was read last, because another router had told of a newer one.
-    last_asked: Instant,
+    last_configuration_read: Instant,
 }
 
 impl SourceFollower {
     /// Reads on until all is read, as far as that goes within a pause's time.
-    async fn read_rest(&mut self) {
-        for _ in 0..MOST_READS_AT_ONCE {
+    async fn read_remaining(&mut self) {
+        for _ in 0..MAX_CONSECUTIVE_READS {
             if self.read().await == ReadResult::Done {
                 return;
             }
@@ -79,17 +80,17 @@
     }
 
     /// Waits until the next read is due, or somebody asks for one and the last one is not of just now.
-    async fn wait_for_turn(&mut self) {
-        let draw = rand::random();
-        while let Some(wait) = self.pace.wait(self.view(), draw) {
+    async fn wait_for_next_read(&mut self) {
+        let sample = rand::random();
+        while let Some(wait) = self.pace.wait(self.view(), sample) {
             let sleep = std::pin::pin!(monoio::time::sleep(wait));
-            let poked = {
-                let poked = std::pin::pin!(self.fleet.poked());
-                matches!(select(sleep, poked).await, Either::Right(_))
+            let read_requested = {
+                let read_requested = std::pin::pin!(self.fleet.read_requested());
+                matches!(select(sleep, read_requested).await, Either::Right(_))
             };
-            let last = self.last_read.max(self.last_asked);
+            let last = self.last_read.max(self.last_configuration_read);
             let may_read = last.elapsed() >= self.pace.asked_spacing();
-            if poked && may_read && !self.take_wanted().await {
+            if read_requested && may_read && !self.read_wanted_recent().await {
                 return;
             }
         }
@@ -97,12 +98,12 @@
 
     /// Reads the configuration that another router has told of, where that is all that was asked for.
     /// Its version shows that what was read is no older than that. Whether no other read is due.
-    async fn take_wanted(&mut self) -> bool {
+    async fn read_wanted_recent(&mut self) -> bool {
         let Some(wanted) = self.fleet.wanted_version() else { return false };
         let reading = self.source.read_configuration(ReadRecency::Recent);
         let read = monoio::time::timeout(READ_WITHIN, reading).await;
-        self.last_asked = Instant::now();
-        match read.unwrap_or_else(|_| Err(late())) {
+        self.last_configuration_read = Instant::now();
+        match read.unwrap_or_else(|_| Err(timeout_error())) {
             Ok(Some(configuration)) => {
                 let version = configuration.version;
                 let is_new = version >= wanted;
@@ -138,7 +139,7 @@
         if self.pace.note_failure() {
             log::warn!(error:% = error; "source lost");
         }
-        self.fleet.note_source_lost();
+        self.fleet.record_source_lost();
         self.source.disconnect();
     }
 
@@ -154,16 +155,16 @@
 
     /// Reads everything as it was at one point. Of what was read in parts, some is of a later point than the
     /// first part: told on as of that, it would be kept from a follower that knows the first point already.
-    async fn read_whole(&self) -> Result<WholeRead, SourceError> {
+    async fn read_everything(&self) -> Result<FullRead, SourceError> {
         let contents = self.source.read_all().await?;
-        let mut whole = WholeRead { position: contents.position, contents, changes: Vec::new() };
-        for _ in 0..MOST_READS_AT_ONCE {
-            if whole.position >= whole.contents.latest {
-                return Ok(whole);
+        let mut full_read = FullRead { position: contents.position, contents, changes: Vec::new() };
+        for _ in 0..MAX_CONSECUTIVE_READS {
+            if full_read.position >= full_read.contents.latest {
+                return Ok(full_read);
             }
-            let newer = self.source.read_changes(whole.position).await?;
-            whole.position = newer.position;
-            whole.changes.extend(newer.changes);
+            let newer = self.source.read_changes(full_read.position).await?;
+            full_read.position = newer.position;
+            full_read.changes.extend(newer.changes);
         }
         Err(SourceError::Unavailable("changes behind a whole read do not end".to_string()))
     }
@@ -173,16 +174,16 @@
         let sent = boot_now();
         let reading = async {
             match self.fleet.source_position() {
-                None => self.read_whole().await.map(Box::new).map(Read::All),
+                None => self.read_everything().await.map(Box::new).map(ReadContents::All),
                 Some(position) => {
                     self.read_wanted().await?;
-                    self.source.read_changes(position).await.map(Read::Changes)
+                    self.source.read_changes(position).await.map(ReadContents::Changes)
                 }
             }
         };
         let result = monoio::time::timeout(READ_WITHIN, reading).await;
         self.last_read = Instant::now();
-        let result = result.unwrap_or_else(|_| Err(late()));
+        let result = result.unwrap_or_else(|_| Err(timeout_error()));
         match result {
             Ok(read) => {
                 self.fleet.metrics().source_reads.count("answered");
@@ -191,20 +192,20 @@
                     log::info!("source regained");
                 }
                 let may_go_on = read.may_go_on();
-                self.take(read, failed);
+                self.apply(read, failed);
                 if may_go_on {
-                    return ReadResult::Again;
+                    return ReadResult::MoreAvailable;
                 }
                 if self.fleet.wanted_version().is_none() {
                     self.fleet.confirm_configuration(sent);
                 }
-                self.fleet.note_own_read();
+                self.fleet.record_own_read();
             }
             Err(SourceError::HistoryLost) => {
                 self.fleet.metrics().source_reads.count("history_lost");
                 log::info!("source has dropped its history, reading everything");
                 self.fleet.forget_position();
-                return ReadResult::Again;
+                return ReadResult::MoreAvailable;
             }
             Err(error) => {
                 self.note_failure(&error);
@@ -213,49 +214,49 @@
         ReadResult::Done
     }
 
-    fn take(&mut self, read: Read, failed: bool) {
+    fn apply(&mut self, read: ReadContents, failed: bool) {
         let now = Instant::now();
-        self.fleet.note_list_contact(failed, now);
+        self.fleet.record_list_contact(failed, now);
         match read {
-            Read::All(whole) => {
-                let WholeRead { contents, changes, position } = *whole;
+            ReadContents::All(full_read) => {
+                let FullRead { contents, changes, position } = *full_read;
                 if let Some(configuration) = contents.configuration {
                     self.fleet.apply_configuration(configuration);
                 }
-                contents.faults.iter().for_each(|fault| self.fleet.note_entry_fault(fault, now));
-                self.fleet.note_server_list(contents.servers, now);
+                contents.faults.iter().for_each(|fault| self.fleet.record_entry_fault(fault, now));
+                self.fleet.record_server_list(contents.servers, now);
                 self.fleet.replace_evacuations(contents.evacuations);
-                changes.into_iter().for_each(|change| self.take_change(change, now));
-                self.fleet.note_whole_read(position);
+                changes.into_iter().for_each(|change| self.apply_change(change, now));
+                self.fleet.record_full_read(position);
             }
-            Read::Changes(changes) => {
-                let takes_servers = self.fleet.takes_changes(changes.position);
+            ReadContents::Changes(changes) => {
+                let takes_servers = self.fleet.accept_changes(changes.position);
                 let counts = |change: &SourceChange| {
                     takes_servers || matches!(change, SourceChange::Configuration(_))
                 };
                 for change in changes.changes.into_iter().filter(counts) {
-                    self.take_change(change, now);
+                    self.apply_change(change, now);
                 }
-                self.fleet.note_beliefs();
+                self.fleet.journal_known_servers();
             }
         }
     }
 
-    fn take_change(&self, change: SourceChange, now: Instant) {
+    fn apply_change(&self, change: SourceChange, now: Instant) {
         match change {
             SourceChange::Configuration(configuration) => {
                 self.fleet.apply_configuration(configuration);
             }
-            SourceChange::Server(server) => self.fleet.note_server(server, now),
-            SourceChange::ServerGone(name) => self.fleet.note_server_gone(&name, now),
+            SourceChange::Server(server) => self.fleet.record_server(server, now),
+            SourceChange::ServerGone(name) => self.fleet.record_departed_server(&name, now),
             SourceChange::EvacuationBegun(order) => self.fleet.begin_evacuation(order),
             SourceChange::EvacuationEnded(domain) => self.fleet.end_evacuation(&domain),
-            SourceChange::Fault(fault) => self.fleet.note_entry_fault(&fault, now),
+            SourceChange::Fault(fault) => self.fleet.record_entry_fault(&fault, now),
         }
     }
 }
 
-fn late() -> SourceError {
+fn timeout_error() -> SourceError {
     SourceError::Unavailable(format!("no answer within {READ_WITHIN:?}"))
 }
 
@@ -263,24 +264,24 @@
 enum ReadResult {
     Done,
     /// There is more to be read, at once.
-    Again,
+    MoreAvailable,
 }
 
 /// Everything, and what has changed while it was read.
-struct WholeRead {
+struct FullRead {
     contents: SourceContents,
     changes: Vec<SourceChange>,
     /// The point at which this is what the source held.
     position: SourcePosition,
 }
 
-enum Read {
-    All(Box<WholeRead>),
+enum ReadContents {
+    All(Box<FullRead>),
     Changes(SourceChanges),
 }
 
-impl Read {
+impl ReadContents {
     fn may_go_on(&self) -> bool {
-        matches!(self, Read::Changes(changes) if changes.may_go_on)
+        matches!(self, ReadContents::Changes(changes) if changes.may_go_on)
     }
 }
--- a/crates/papayamux-router/src/direct/stream_relay.rs
+++ b/crates/papayamux-router/src/direct/stream_relay.rs
@@ -8,9 +8,9 @@
 use papayamux_transport::http::{AnswerBody, BodyError};
 
 use super::active_request::ActiveRequest;
-use super::attempt::{send_attempt, wait_for, AttemptAnswer, LostAttempt, Waited};
+use super::attempt::{send_attempt, wait_for, AttemptAnswer, LostAttempt, WaitResult};
 use super::call_plan::CallPlan;
-use super::event_splitter::{EventSplitter, WholeEvents};
+use super::event_splitter::{CompleteEvents, EventSplitter};
 use super::interface::CallInterface;
 
 /// An answer under way to its caller.
@@ -18,7 +18,7 @@
     interface: Rc<dyn CallInterface>,
     plan: CallPlan,
     attempt: Option<AttemptAnswer>,
-    begun: Option<Bytes>,
+    collected: Option<Bytes>,
     splitter: Option<EventSplitter>,
     last_event: Option<u64>,
     in_flight: InFlight,
@@ -68,7 +68,7 @@
             interface,
             plan,
             attempt: Some(attempt),
-            begun: None,
+            collected: None,
             splitter: Some(EventSplitter::default()),
             last_event,
             in_flight,
@@ -76,15 +76,15 @@
     }
 
     /// Passes on the rest of a long answer of which `begun` was collected.
-    pub(super) fn rest(
+    pub(super) fn remainder(
         interface: Rc<dyn CallInterface>,
         plan: CallPlan,
         attempt: AttemptAnswer,
-        begun: Bytes,
+        collected: Bytes,
         in_flight: InFlight,
     ) -> Self {
         let mut relay = Self::events(interface, plan, attempt, in_flight);
-        relay.begun = Some(begun);
+        relay.collected = Some(collected);
         relay.splitter = None;
         relay
     }
@@ -98,36 +98,36 @@
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
-        if let Some(begun) = self.begun.take() {
-            return Some(Ok(begun));
+        if let Some(collected) = self.collected.take() {
+            return Some(Ok(collected));
         }
         loop {
             let attempt = self.attempt.as_mut()?;
             let piece = attempt.answer.next_piece();
             let lost = match wait_for(&self.plan, &attempt.active, piece).await {
-                Waited::Done(Some(Ok(piece))) => {
-                    attempt.active.hear();
+                WaitResult::Done(Some(Ok(piece))) => {
+                    attempt.active.record_contact();
                     match self.take_piece(piece) {
                         Ok(Some(bytes)) => return Some(Ok(bytes)),
                         Ok(None) => continue,
                         Err(lost) => lost,
                     }
                 }
-                Waited::Done(None) => return self.end(),
-                Waited::Done(Some(Err(error))) => {
-                    attempt.active.judge(true);
-                    attempt.active.accuse(EvidenceKind::Unreachable);
+                WaitResult::Done(None) => return self.end(),
+                WaitResult::Done(Some(Err(error))) => {
+                    attempt.active.record_answer_outcome(true);
+                    attempt.active.record_failure_evidence(EvidenceKind::Unreachable);
                     LostAttempt::broken(&attempt.active, format!("the stream broke off: {error}"))
                         .await
                 }
-                Waited::Silent(cause) => {
-                    attempt.active.accuse(EvidenceKind::Unreachable);
+                WaitResult::Silent(cause) => {
+                    attempt.active.record_failure_evidence(EvidenceKind::Unreachable);
                     LostAttempt::silent(&attempt.active, format!("{cause}, in its stream"))
                 }
-                Waited::TimeUp => return self.cut("the time is up"),
+                WaitResult::DeadlinePassed => return self.truncate("the time is up"),
             };
             if let Err(cause) = self.resume(lost).await {
-                return self.cut(&cause);
+                return self.truncate(&cause);
             }
         }
     }
@@ -135,7 +135,7 @@
     /// The bytes of a piece that can be passed on now.
     fn take_piece(&mut self, piece: Bytes) -> Result<Option<Bytes>, LostAttempt> {
         let Some(splitter) = &mut self.splitter else { return Ok(Some(piece)) };
-        let Some(WholeEvents { bytes, ids }) = splitter.push(&piece) else { return Ok(None) };
+        let Some(CompleteEvents { bytes, ids }) = splitter.push(&piece) else { return Ok(None) };
         if let Some((first, last)) = ids {
             let expected = self.last_event.map(|event| event + 1);
             if expected.is_some_and(|expected| expected != first) {
@@ -146,17 +146,17 @@
         if let Some(attempt) = &mut self.attempt {
             attempt
                 .active
-                .note_events(ids.map_or(1, |(first, last)| last.saturating_sub(first) + 1));
+                .record_events(ids.map_or(1, |(first, last)| last.saturating_sub(first) + 1));
         }
         Ok(Some(bytes))
     }
 
     /// Finishes a stream that the server ended.
     fn end(&mut self) -> Option<Result<Bytes, BodyError>> {
-        let rest = self.splitter.as_mut().map(EventSplitter::rest).unwrap_or_default();
+        let remainder = self.splitter.as_mut().map(EventSplitter::remainder).unwrap_or_default();
         let mut attempt = self.attempt.take()?;
         if self.splitter.is_some() {
-            attempt.active.note_stream_end(Some(self.plan.call.answer_tokens));
+            attempt.active.record_stream_end(Some(self.plan.call.answer_tokens));
         }
         self.plan.note_run();
         self.plan.fleet.metrics().streams.count("whole");
@@ -166,11 +166,11 @@
             ms = self.plan.arrived.elapsed().as_millis() as u64; "stream ended"
         );
         attempt.answer.finish();
-        (!rest.is_empty()).then_some(Ok(rest))
+        (!remainder.is_empty()).then_some(Ok(remainder))
     }
 
     /// Breaks the answer off, so that the caller sees that it isn't whole.
-    fn cut(&mut self, cause: &str) -> Option<Result<Bytes, BodyError>> {
+    fn truncate(&mut self, cause: &str) -> Option<Result<Bytes, BodyError>> {
         self.attempt = None;
         self.plan.fleet.metrics().streams.count("cut");
         log::warn!(
@@ -186,7 +186,7 @@
     async fn resume(&mut self, lost: LostAttempt) -> Result<(), String> {
         self.attempt = None;
         if self.splitter.is_none() {
-            self.plan.note_server_end(&lost);
+            self.plan.record_server_crash(&lost);
             return Err(lost.cause);
         }
         let mut lost = lost;
--- a/crates/papayamux-router/tests/direct_settings.rs
+++ b/crates/papayamux-router/tests/direct_settings.rs
@@ -39,7 +39,7 @@
     assert_eq!(settings.seeds.len(), 2);
     assert_eq!(settings.grace, Duration::from_secs(8));
     assert_eq!(settings.fleet.read_bounds().interval(), Duration::from_secs(1));
-    assert_eq!(settings.most_callers(), 2_220);
+    assert_eq!(settings.max_callers(), 2_220);
     assert_eq!(settings.fleet.departure_bounds().renewal, Duration::from_millis(1_500));
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn few_descriptors_leave_room_for_one_caller() {
     let text = COMPLETE.replace("descriptors = 4100", "descriptors = 64");
-    assert_eq!(DirectSettings::read("front.ini", &text).unwrap().most_callers(), 1);
+    assert_eq!(DirectSettings::read("front.ini", &text).unwrap().max_callers(), 1);
 }
 
 #[test]
