--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -179,13 +179,13 @@
         if let (Some(first), Some(last)) = (self.first_event.take(), self.last_event) {
             let lasted = last.saturating_duration_since(first);
             let end = StreamEnd { events: self.events, lasted, expected };
-            self.fleet.note_stream(&self.server, end);
+            self.fleet.record_stream_speed(&self.server, end);
         }
     }
 
     /// Updates the call duration of the service from a completed plain call.
     pub(super) fn record_call_end(&self) {
-        self.fleet.note_call(&self.server, self.sent.elapsed());
+        self.fleet.record_call_duration(&self.server, self.sent.elapsed());
     }
 
     fn finish_own_prefill(&mut self) {
@@ -203,8 +203,8 @@
     }
 
     /// Records the time that it took to connect to the server.
-    pub(super) fn record_connection(&self, took: Duration) {
-        self.fleet.record_connection(&self.server, took);
+    pub(super) fn record_connection(&self, elapsed: Duration) {
+        self.fleet.record_connection(&self.server, elapsed);
     }
 
     /// Records the queue that the server reported.
@@ -220,7 +220,7 @@
 
     /// Records whether the server failed to answer.
     pub(super) fn record_answer_outcome(&self, failed: bool) {
-        self.fleet.note_answer(&self.server, failed);
+        self.fleet.record_answer_status(&self.server, failed);
     }
 
     /// Returns whether the server has crashed, after a connection to it broke.
@@ -244,8 +244,8 @@
     fn drop(&mut self) {
         self.end_prefill();
         self.record_stream_end(None);
-        let (load, work, took) = (self.load, self.work, self.sent.elapsed());
-        let ended = EndedRequest { load, work, took, was_awaited: self.is_awaited };
+        let (load, work, elapsed) = (self.load, self.work, self.sent.elapsed());
+        let ended = EndedRequest { load, work, elapsed, was_awaited: self.is_awaited };
         self.fleet.end_request(&self.server, ended);
     }
 }
--- a/crates/papayamux-router/src/direct/attempt.rs
+++ b/crates/papayamux-router/src/direct/attempt.rs
@@ -132,8 +132,8 @@
         WaitResult::DeadlinePassed => return Err(LostAttempt::unknown(DEADLINE_PASSED)),
     };
     active.record_contact();
-    if let Some(took) = answer.connecting_took() {
-        active.record_connection(took);
+    if let Some(elapsed) = answer.connecting_took() {
+        active.record_connection(elapsed);
     }
     if let Some(queue) = interface.reported_queue(&answer.head) {
         active.record_queue(queue);
@@ -176,7 +176,7 @@
 const REJECTION_TIMEOUT: Duration = Duration::from_millis(5);
 
 async fn finish_rejection(mut answer: UpstreamAnswer) {
-    let rest = async {
+    let remainder = async {
         while let Some(piece) = answer.next_piece().await {
             if piece.is_err() {
                 return;
@@ -185,7 +185,7 @@
         answer.finish();
     };
     // A slower refusal costs only its connection.
-    let _ = monoio::time::timeout(REJECTION_TIMEOUT, rest).await;
+    let _ = monoio::time::timeout(REJECTION_TIMEOUT, remainder).await;
 }
 
 /// Reads the body of an answer up to the buffer limit.
--- a/crates/papayamux-router/src/direct/call_handler.rs
+++ b/crates/papayamux-router/src/direct/call_handler.rs
@@ -166,7 +166,7 @@
         let mut head = answer_head(&attempt.answer.head);
         head.headers.remove(http::header::CONTENT_LENGTH);
         log_answer(plan, &attempt);
-        plan.note_run();
+        plan.record_completion();
         if !plan.kind().is_stream() {
             attempt.active.record_call_end();
         }
--- a/crates/papayamux-router/src/direct/call_plan.rs
+++ b/crates/papayamux-router/src/direct/call_plan.rs
@@ -225,11 +225,11 @@
     /// Waits until the first server accepts requests if all have requested a short back-off.
     /// Refuses the request at once if the back-off is long.
     pub(super) async fn wait_for_backoff(&self) -> Result<(), CallFailure> {
-        while let Some(rest) = self.backoff_of_all() {
-            if rest > rest_patience(self.left()) {
+        while let Some(backoff) = self.backoff_of_all() {
+            if backoff > rest_patience(self.left()) {
                 return Err(self.failure(NotRunReason::Resting));
             }
-            monoio::time::sleep(rest).await;
+            monoio::time::sleep(backoff).await;
         }
         Ok(())
     }
@@ -295,7 +295,7 @@
         self.check_quarantine()?;
         match step {
             NextStep::Again { counts: false } => Ok(()),
-            NextStep::Again { counts: true } if self.take_repeat() => Ok(()),
+            NextStep::Again { counts: true } if self.claim_retry() => Ok(()),
             _ => Err(self.failure(NotRunReason::Rejected)),
         }
     }
@@ -303,7 +303,7 @@
     /// Records a crash if the server of a lost attempt crashed while it ran the request.
     pub(super) fn record_server_crash(&self, lost: &LostAttempt) {
         if let Some(server) = self.tried.last().filter(|_| lost.server_crashed) {
-            self.fleet.note_crash(self.fingerprint(), self.sent_after, server);
+            self.fleet.record_request_crash(self.fingerprint(), self.sent_after, server);
         }
     }
 
@@ -313,7 +313,7 @@
         if !self.fleet.has_suspects() {
             return Ok(());
         }
-        let Some(left) = self.fleet.hold_left(self.fingerprint()) else { return Ok(()) };
+        let Some(left) = self.fleet.quarantine_left(self.fingerprint()) else { return Ok(()) };
         log::info!(
             request:% = self.call.id, fingerprint:% = self.fingerprint(),
             held_ms = left.as_millis() as u64; "request is held"
@@ -332,13 +332,13 @@
     }
 
     /// Records that a server has run the request to completion.
-    pub(super) fn note_run(&self) {
+    pub(super) fn record_completion(&self) {
         if self.fleet.has_suspects() {
-            self.fleet.note_run(self.fingerprint(), self.sent_after);
+            self.fleet.record_completion(self.fingerprint(), self.sent_after);
         }
     }
 
-    fn take_repeat(&self) -> bool {
+    fn claim_retry(&self) -> bool {
         let now = Instant::now();
         let mut budget = self.fleet.budget().borrow_mut();
         let taken = budget.take_repeat(&self.service, now);
@@ -367,8 +367,8 @@
         }
         let retry_after = match reason {
             NotRunReason::Resting => {
-                let rest = self.backoff_of_all().unwrap_or_default();
-                Some(return_after_rest(rest, rand::random()))
+                let backoff = self.backoff_of_all().unwrap_or_default();
+                Some(return_after_rest(backoff, rand::random()))
             }
             NotRunReason::NoServer
             | NotRunReason::Rejected
--- a/crates/papayamux-router/src/direct/daemon.rs
+++ b/crates/papayamux-router/src/direct/daemon.rs
@@ -134,7 +134,7 @@
     monoio::spawn(follow_source(fleet.clone(), source));
     monoio::spawn(survey_caches(fleet.clone(), peers.clone(), interface.clone()));
     let timer = TimerService::start();
-    monoio::spawn(forget_old(fleet.clone(), timer.clone()));
+    monoio::spawn(prune_outdated(fleet.clone(), timer.clone()));
     monoio::spawn(watch_attempts(fleet.clone(), timer));
     let calls = CallHandler::new(fleet, interface);
     let handler_view = view.clone();
@@ -161,10 +161,10 @@
     Ok(ServingRouter { view, peers, shutdown, served })
 }
 
-async fn forget_old(fleet: Rc<Fleet>, timer: TimerService) {
+async fn prune_outdated(fleet: Rc<Fleet>, timer: TimerService) {
     let mut ticks = timer.every(PRUNE_INTERVAL);
     while ticks.tick().await.is_some() {
-        fleet.forget_old();
+        fleet.prune_outdated();
     }
 }
 
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -155,7 +155,7 @@
         let room = self.send_room(server, now);
         let takes = self.takes_requests(server);
         if takes && room.is_empty() {
-            self.note_passed_over(server);
+            self.record_passed_over_server(server);
         }
         PlacementCandidate {
             accepts: takes && !room.is_empty() && !self.is_backing_off(server, now),
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -113,14 +113,14 @@
     }
 
     /// Records that a choice passed over a server without room.
-    pub(super) fn note_passed_over(&self, server: &BackendServer) {
+    pub(super) fn record_passed_over_server(&self, server: &BackendServer) {
         self.metrics.cold_requests.count("passed_over");
         self.cold_tracker.borrow_mut().note_passed_over(&server.id);
     }
 
     /// Records the sender of a report, the routers that it knows and the number of routers that it
     /// counts.
-    pub(in crate::direct) fn note_routers(
+    pub(in crate::direct) fn record_reported_routers(
         &self,
         sender: IpAddr,
         known: &[IpAddr],
--- a/crates/papayamux-router/src/direct/fleet/crash_records.rs
+++ b/crates/papayamux-router/src/direct/fleet/crash_records.rs
@@ -30,7 +30,10 @@
     }
 
     /// Returns the remaining quarantine of a request; `None` if it may be sent.
-    pub(in crate::direct) fn hold_left(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
+    pub(in crate::direct) fn quarantine_left(
+        &self,
+        fingerprint: RequestFingerprint,
+    ) -> Option<Duration> {
         self.quarantine.borrow().hold_left(fingerprint, Instant::now())
     }
 
@@ -40,7 +43,7 @@
     }
 
     /// Records that a server crashed under a request that was sent with this record.
-    pub(in crate::direct) fn note_crash(
+    pub(in crate::direct) fn record_request_crash(
         &self,
         fingerprint: RequestFingerprint,
         sent: CrashRecord,
@@ -69,7 +72,11 @@
     }
 
     /// Records that a server has run a request to completion.
-    pub(in crate::direct) fn note_run(&self, fingerprint: RequestFingerprint, sent: CrashRecord) {
+    pub(in crate::direct) fn record_completion(
+        &self,
+        fingerprint: RequestFingerprint,
+        sent: CrashRecord,
+    ) {
         if self.quarantine.borrow_mut().note_run(fingerprint, sent, Instant::now()) {
             self.metrics.crash_records.count("cleared");
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -30,18 +30,18 @@
         if !self.awaits_renewals() {
             return;
         }
-        let lapsed = self.presence.borrow_mut().expire_lapsed(Instant::now());
-        self.remove_expired(&lapsed);
+        let expired = self.presence.borrow_mut().expire_lapsed(Instant::now());
+        self.remove_expired(&expired);
     }
 
     /// Adopts the time for which expired entries may still be renewed.
     pub(super) fn adopt_grace(&self, left: Duration, now: Instant) {
-        let lapsed = self.presence.borrow_mut().adopt_grace(left, now);
-        self.remove_expired(&lapsed);
+        let expired = self.presence.borrow_mut().adopt_grace(left, now);
+        self.remove_expired(&expired);
     }
 
-    fn remove_expired(&self, lapsed: &[ServerId]) {
-        for id in lapsed {
+    fn remove_expired(&self, expired: &[ServerId]) {
+        for id in expired {
             self.forget_server(id);
             log::info!(server:% = id; "lapsed server did not come back");
         }
@@ -51,7 +51,7 @@
     pub fn record_server(&self, server: BackendServer, now: Instant) {
         let (id, cold_left) = (server.id.clone(), server.cold_left);
         let changes = self.presence.borrow_mut().note_entry(server, now);
-        self.note_renewal(&id, now);
+        self.record_entry_renewal(&id, now);
         self.record_coldness(&id, cold_left, now);
         self.record_changes(&changes);
     }
@@ -71,7 +71,7 @@
     pub fn record_departed_server(&self, name: &ServerName, now: Instant) {
         let Some(known) = self.listed_server(name) else { return };
         let change = self.presence.borrow_mut().note_removal(&known.id, now);
-        self.note_departure(&known, change, now);
+        self.record_server_departure(&known, change, now);
     }
 
     /// Records that an entry names no server. The server that it named before may still run, but
@@ -87,7 +87,7 @@
         let known = fault.name.as_ref().and_then(|name| self.listed_server(name));
         if let Some(known) = known {
             let change = self.presence.borrow_mut().note_overwritten(&known.id);
-            self.note_departure(&known, change, now);
+            self.record_server_departure(&known, change, now);
         }
     }
 
@@ -95,17 +95,17 @@
     pub(super) fn adopt_server(&self, server: BackendServer, now: Instant) {
         let (id, cold_left) = (server.id.clone(), server.cold_left);
         let changes = self.presence.borrow_mut().adopt(server);
-        self.note_renewal(&id, now);
+        self.record_entry_renewal(&id, now);
         self.record_coldness(&id, cold_left, now);
         self.record_changes(&changes);
     }
 
-    /// Adopts a departure reported by such a router. `lingers` tells that the server is
+    /// Adopts a departure reported by such a router. `is_terminating` tells that the server is
     /// terminating: it still finishes its work.
-    pub(super) fn adopt_departure(&self, name: &ServerName, lingers: bool, now: Instant) {
+    pub(super) fn adopt_departure(&self, name: &ServerName, is_terminating: bool, now: Instant) {
         let Some(known) = self.listed_server(name) else { return };
         let change = self.presence.borrow_mut().note_overwritten(&known.id);
-        match lingers && known.phase == ServerPhase::Serving {
+        match is_terminating && known.phase == ServerPhase::Serving {
             true => {
                 self.departures.borrow_mut().note_lingering(&known, now);
                 log::info!(server:% = known.id; "server has left and finishes its work");
@@ -121,10 +121,10 @@
         self.presence.borrow().catalog().named(name).cloned()
     }
 
-    fn note_departure(&self, known: &BackendServer, change: PresenceChange, now: Instant) {
-        let lingers = change == PresenceChange::Departed
+    fn record_server_departure(&self, known: &BackendServer, change: PresenceChange, now: Instant) {
+        let is_terminating = change == PresenceChange::Departed
             && self.departures.borrow_mut().note_departure(known, now);
-        match lingers {
+        match is_terminating {
             true => log::info!(server:% = known.id; "server has left and finishes its work"),
             false => self.record_presence(&known.id, change),
         }
@@ -136,7 +136,7 @@
         let listed: Vec<_> = listed.collect();
         let changes = self.presence.borrow_mut().note_list(servers, now);
         for (id, cold_left) in listed {
-            self.note_renewal(&id, now);
+            self.record_entry_renewal(&id, now);
             self.record_coldness(&id, cold_left, now);
         }
         for (id, change) in changes {
@@ -146,7 +146,7 @@
 
     /// Records that a server renewed its entry. The entry of an earlier start of a server is no
     /// renewal.
-    fn note_renewal(&self, id: &ServerId, now: Instant) {
+    fn record_entry_renewal(&self, id: &ServerId, now: Instant) {
         if self.presence.borrow().catalog().get(id).is_some() {
             self.departures.borrow_mut().note_renewal(id, now);
         }
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -78,8 +78,8 @@
     }
 
     /// Records how long an owner took to answer.
-    pub(in crate::direct) fn record_owner_answer(&self, took: Duration) {
-        self.outbox.answers.borrow_mut().note(took);
+    pub(in crate::direct) fn record_owner_answer(&self, elapsed: Duration) {
+        self.outbox.answers.borrow_mut().note(elapsed);
     }
 
     /// Notifies the owner of a part that a server holds it, or will hold it after its prefill.
--- a/crates/papayamux-router/src/direct/fleet/part_prefills.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_prefills.rs
@@ -52,10 +52,12 @@
         let mut waited = false;
         loop {
             let now = Instant::now();
-            let until = self.flights.borrow().wait_until(server, prefixes, now);
-            let Some(until) = until.map(|until| until.min(begun + wait_budget)) else { break };
+            let deadline = self.flights.borrow().wait_until(server, prefixes, now);
+            let Some(deadline) = deadline.map(|deadline| deadline.min(begun + wait_budget)) else {
+                break;
+            };
             waited = true;
-            let left = until.saturating_duration_since(now);
+            let left = deadline.saturating_duration_since(now);
             let read = self.prefill_ended.borrow().clone();
             if left.is_zero() || monoio::time::timeout(left, read.given()).await.is_err() {
                 break;
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -25,7 +25,7 @@
     /// The cost of the request.
     pub work: TokenCount,
     /// The time since it was sent.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// `true` if it was sent.
     pub was_awaited: bool,
 }
@@ -75,7 +75,7 @@
 
     /// Counts the end of a request at a server.
     pub(in crate::direct) fn end_request(&self, server: &BackendServer, ended: EndedRequest) {
-        let EndedRequest { load, work, took, was_awaited } = ended;
+        let EndedRequest { load, work, elapsed, was_awaited } = ended;
         self.ledger.borrow_mut().end(&server.id, load);
         if !was_awaited {
             self.release_send(server);
@@ -86,7 +86,7 @@
             }
         }
         if let Some(service_queue) = self.queues.borrow_mut().get_mut(&server.service) {
-            service_queue.note_end(work, took, Instant::now());
+            service_queue.note_end(work, elapsed, Instant::now());
         }
         self.dispatch_queued(&server.service);
     }
@@ -116,9 +116,9 @@
     }
 
     /// Records the time that it took to connect to a server.
-    pub(in crate::direct) fn record_connection(&self, server: &BackendServer, took: Duration) {
+    pub(in crate::direct) fn record_connection(&self, server: &BackendServer, elapsed: Duration) {
         if self.uses(Mechanism::LearntProfile) {
-            self.round_trips.borrow_mut().note(&server.domain, took);
+            self.round_trips.borrow_mut().note(&server.domain, elapsed);
         }
     }
 
@@ -130,16 +130,20 @@
     }
 
     /// Records the end of a stream.
-    pub(in crate::direct) fn note_stream(&self, server: &BackendServer, end: StreamEnd) {
+    pub(in crate::direct) fn record_stream_speed(&self, server: &BackendServer, end: StreamEnd) {
         if self.uses(Mechanism::LearntProfile) {
             self.profiles.borrow_mut().note_stream(&server.service, &server.id, end);
         }
     }
 
     /// Records the duration of an answered plain call.
-    pub(in crate::direct) fn note_call(&self, server: &BackendServer, took: Duration) {
+    pub(in crate::direct) fn record_call_duration(
+        &self,
+        server: &BackendServer,
+        elapsed: Duration,
+    ) {
         if self.uses(Mechanism::LearntProfile) {
-            self.profiles.borrow_mut().note_call(&server.service, took);
+            self.profiles.borrow_mut().note_call(&server.service, elapsed);
         }
     }
 
@@ -170,7 +174,7 @@
     }
 
     /// Records whether an answer was a failure of the server.
-    pub(in crate::direct) fn note_answer(&self, server: &BackendServer, failed: bool) {
+    pub(in crate::direct) fn record_answer_status(&self, server: &BackendServer, failed: bool) {
         let mut records = self.records.borrow_mut();
         let record = records.entry(server.service.clone()).or_default();
         record.note(&server.id, failed, Instant::now());
@@ -189,7 +193,7 @@
     }
 
     /// Removes outdated records.
-    pub(in crate::direct) fn forget_old(&self) {
+    pub(in crate::direct) fn prune_outdated(&self) {
         let now = Instant::now();
         if self.deadlines.borrow().len() > MAX_ROUTES {
             self.deadlines.borrow_mut().clear();
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -242,8 +242,8 @@
     /// long as this router's own read interval. A departure that was missed then takes effect as
     /// soon as without other routers. No cause of such a difference is known; the check limits the
     /// effect of a fault in either router.
-    fn compare_known_servers(&self, told: BeliefDigest, now: Instant) {
-        if self.knowledge.journal.borrow().digest() == told {
+    fn compare_known_servers(&self, reported: BeliefDigest, now: Instant) {
+        if self.knowledge.journal.borrow().digest() == reported {
             self.knowledge.differs_since.set(None);
             return;
         }
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -151,7 +151,7 @@
         let news =
             PeerNews { sequence: report.sequence, known: &report.known, fresh: report.fresh };
         let newer = self.peers.borrow_mut().hear(sender, news, now);
-        self.fleet.note_routers(sender, &report.known, report.counted, now);
+        self.fleet.record_reported_routers(sender, &report.known, report.counted, now);
         if !newer {
             return;
         }
--- a/crates/papayamux-router/src/direct/peers/source_updates.rs
+++ b/crates/papayamux-router/src/direct/peers/source_updates.rs
@@ -47,22 +47,22 @@
         request: FollowRequest,
         now: Instant,
     ) {
-        let Some(news) = self.fleet.record_follower(sender, request, now) else { return };
+        let Some(update) = self.fleet.record_follower(sender, request, now) else { return };
         let exchange = self.clone();
-        monoio::spawn(async move { exchange.send_update(sender, news).await });
+        monoio::spawn(async move { exchange.send_update(sender, update).await });
     }
 
     /// Sends newer state to the followers at once.
     pub(super) async fn send_updates(self: Rc<Self>) {
         loop {
-            for (follower, news) in self.fleet.next_updates().await {
-                self.send_update(follower, news).await;
+            for (follower, update) in self.fleet.next_updates().await {
+                self.send_update(follower, update).await;
             }
         }
     }
 
-    async fn send_update(&self, follower: IpAddr, news: FleetNews) {
-        let report = RouterReport { news: Some(news), ..RouterReport::default() };
+    async fn send_update(&self, follower: IpAddr, update: FleetNews) {
+        let report = RouterReport { news: Some(update), ..RouterReport::default() };
         self.send_partial(report, &[follower]).await;
     }
 }
--- a/crates/papayamux-router/src/direct/settings.rs
+++ b/crates/papayamux-router/src/direct/settings.rs
@@ -139,8 +139,8 @@
 impl DirectSettings {
     /// Returns the maximum number of open connections of callers.
     pub fn max_callers(&self) -> usize {
-        let rest = self.descriptors.saturating_sub(OTHER_DESCRIPTORS) as f64;
-        ((rest * CALLER_SHARE) as usize).max(1)
+        let remaining = self.descriptors.saturating_sub(OTHER_DESCRIPTORS) as f64;
+        ((remaining * CALLER_SHARE) as usize).max(1)
     }
 
     /// Parses the settings from an INI file, or reports all its errors.
--- a/crates/papayamux-router/src/direct/source_follower.rs
+++ b/crates/papayamux-router/src/direct/source_follower.rs
@@ -119,7 +119,7 @@
             }
             Ok(None) => false,
             Err(error) => {
-                self.note_failure(&error);
+                self.record_read_failure(&error);
                 true
             }
         }
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    fn note_failure(&mut self, error: &SourceError) {
+    fn record_read_failure(&mut self, error: &SourceError) {
         self.fleet.metrics().source_reads.count("failed");
         if self.pace.note_failure() {
             log::warn!(error:% = error; "source lost");
@@ -212,7 +212,7 @@
                 return ReadResult::MoreAvailable;
             }
             Err(error) => {
-                self.note_failure(&error);
+                self.record_read_failure(&error);
             }
         }
         ReadResult::Done
--- a/crates/papayamux-router/src/direct/stream_relay.rs
+++ b/crates/papayamux-router/src/direct/stream_relay.rs
@@ -158,7 +158,7 @@
         if self.splitter.is_some() {
             attempt.active.record_stream_end(Some(self.plan.call.answer_tokens));
         }
-        self.plan.note_run();
+        self.plan.record_completion();
         self.plan.fleet.metrics().streams.count("whole");
         log::info!(
             request:% = self.plan.call.id, server:% = attempt.active.server().id,
