--- a/crates/papayamux-router/src/direct/fleet/fleet_state.rs
+++ b/crates/papayamux-router/src/direct/fleet/fleet_state.rs
@@ -33,7 +33,7 @@
 use papayamux_transport::shutdown::ShutdownSignal;
 
 use super::part_inquiries::OwnerOutbox;
-use super::part_prefills::StartedPrefill;
+use super::part_prefills::PrefillUpdate;
 use super::queued_requests::QueuedRequest;
 use super::server_checks::ServerChecks;
 use super::source_knowledge::SourceKnowledge;
@@ -74,7 +74,7 @@
     pub(super) fault_log_limit: RefCell<LogLimit>,
     pub(super) flights: RefCell<PartFlights>,
     pub(super) prefill_ended: RefCell<ShutdownSignal>,
-    pub(super) prefills: RefCell<Vec<StartedPrefill>>,
+    pub(super) prefills: RefCell<Vec<PrefillUpdate>>,
     pub(super) prefill_begun: RefCell<ShutdownSignal>,
     pub(super) outbox: OwnerOutbox,
     pub(super) checks: ServerChecks,
--- a/crates/papayamux-router/src/direct/fleet/mod.rs
+++ b/crates/papayamux-router/src/direct/fleet/mod.rs
@@ -20,5 +20,5 @@
 pub(in crate::direct) use crash_records::CrashUpdate;
 pub use fleet_state::Fleet;
 pub(in crate::direct) use part_inquiries::PartInquiry;
-pub(in crate::direct) use part_prefills::{OwnPrefill, StartedPrefill};
+pub(in crate::direct) use part_prefills::{OwnPrefill, PrefillUpdate};
 pub(in crate::direct) use requests::EndedRequest;
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -16,7 +16,7 @@
 use papayamux_state::quantities::TokenCount;
 use papayamux_transport::shutdown::ShutdownSignal;
 
-use super::part_prefills::StartedPrefill;
+use super::part_prefills::PrefillUpdate;
 use super::Fleet;
 
 /// Maximum number of holders in an answer: one to use, and others in case it is busy.
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub(super) struct OwnerOutbox {
     inquiries: RefCell<Vec<PartInquiry>>,
-    notes: RefCell<Vec<StartedPrefill>>,
+    notes: RefCell<Vec<PrefillUpdate>>,
     waiting: RefCell<ShutdownSignal>,
     answers: RefCell<AnswerTimes>,
 }
@@ -83,9 +83,9 @@
     }
 
     /// Notifies the owner of a part that a server holds it, or will hold it after its prefill.
-    pub(super) fn notify_owner(&self, started: StartedPrefill) {
+    pub(super) fn notify_owner(&self, update: PrefillUpdate) {
         if self.uses(Mechanism::PartOwners) {
-            self.outbox.notes.borrow_mut().push(started);
+            self.outbox.notes.borrow_mut().push(update);
             self.outbox.waiting.take().give();
         }
     }
@@ -93,7 +93,7 @@
     /// Waits until there are messages for owners of parts; returns all of them.
     pub(in crate::direct) async fn next_owner_messages(
         &self,
-    ) -> (Vec<PartInquiry>, Vec<StartedPrefill>) {
+    ) -> (Vec<PartInquiry>, Vec<PrefillUpdate>) {
         let is_empty =
             self.outbox.inquiries.borrow().is_empty() && self.outbox.notes.borrow().is_empty();
         if is_empty {
@@ -162,6 +162,6 @@
             waiting: 0,
         };
         let reading = Some(reading);
-        self.record_prefill(&StartedPrefill { server, prefixes: prefixes.to_vec(), reading });
+        self.record_prefill(&PrefillUpdate { server, prefixes: prefixes.to_vec(), reading });
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/part_prefills.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_prefills.rs
@@ -15,7 +15,7 @@
 
 /// The start or the end of an engine's prefill, for the other routers.
 #[derive(Debug, Clone)]
-pub(in crate::direct) struct StartedPrefill {
+pub(in crate::direct) struct PrefillUpdate {
     /// The engine.
     pub server: ServerId,
     /// The shared prefixes of the prompt, with their tokens.
@@ -28,7 +28,7 @@
 pub(in crate::direct) struct OwnPrefill {
     ticket: FlightTicket,
     /// The start as announced to the other routers.
-    announced: Option<StartedPrefill>,
+    announced: Option<PrefillUpdate>,
 }
 
 /// Returns whether the owner of the last part should know the holders of the chain.
@@ -95,7 +95,7 @@
         let reading = PromptReading { cold, begun: now, expected, ahead, waiting };
         if !lacking.is_empty() && is_worth_reporting(prefixes) {
             let reading = Some(reading);
-            self.notify_owner(StartedPrefill {
+            self.notify_owner(PrefillUpdate {
                 server: server.clone(),
                 prefixes: prefixes.to_vec(),
                 reading,
@@ -105,22 +105,22 @@
         let announced = is_announced.then(|| {
             // The complete chain is announced, so that the order of its parts is known.
             let prefixes = prefixes.to_vec();
-            StartedPrefill { server: server.clone(), prefixes, reading: Some(reading) }
+            PrefillUpdate { server: server.clone(), prefixes, reading: Some(reading) }
         });
-        if let Some(started) = &announced {
-            self.announce_prefill(started.clone());
+        if let Some(update) = &announced {
+            self.announce_prefill(update.clone());
         }
         OwnPrefill { ticket: self.flights.borrow_mut().begin(server, &lacking, reading), announced }
     }
 
-    fn announce_prefill(&self, started: StartedPrefill) {
-        self.prefills.borrow_mut().push(started);
+    fn announce_prefill(&self, update: PrefillUpdate) {
+        self.prefills.borrow_mut().push(update);
         self.prefill_begun.take().give();
     }
 
     /// Waits until there are starts or ends of prefills to announce to other routers; returns all
     /// of them.
-    pub(in crate::direct) async fn next_prefills(&self) -> Vec<StartedPrefill> {
+    pub(in crate::direct) async fn next_prefills(&self) -> Vec<PrefillUpdate> {
         if self.prefills.borrow().is_empty() {
             let begun = self.prefill_begun.borrow().clone();
             begun.given().await;
@@ -129,8 +129,8 @@
     }
 
     /// Records the start or the end of a prefill for another router.
-    pub(in crate::direct) fn record_prefill(&self, started: &StartedPrefill) {
-        let StartedPrefill { server, prefixes, reading } = started;
+    pub(in crate::direct) fn record_prefill(&self, update: &PrefillUpdate) {
+        let PrefillUpdate { server, prefixes, reading } = update;
         match reading {
             Some(reading) => {
                 let note = HolderNote { server: server.clone(), prefixes: prefixes.clone() };
@@ -148,7 +148,7 @@
     pub(in crate::direct) fn end_prefill(&self, own: OwnPrefill) {
         self.flights.borrow_mut().end(&own.ticket);
         if let Some(announced) = own.announced {
-            self.announce_prefill(StartedPrefill { reading: None, ..announced });
+            self.announce_prefill(PrefillUpdate { reading: None, ..announced });
         }
         self.prefill_ended.take().give();
     }
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -25,7 +25,7 @@
 use papayamux_transport::boot_clock::boot_now;
 
 use super::owner_queries::OpenQuery;
-use crate::direct::fleet::StartedPrefill;
+use crate::direct::fleet::PrefillUpdate;
 use crate::direct::Fleet;
 
 /// Interval between two rounds of reports. Requests last from tens of milliseconds to seconds, so
@@ -209,7 +209,7 @@
         let expected = Duration::from_millis(u64::from(expected_ms));
         let reading = PromptReading { cold, begun: now, expected, ahead: cold, waiting: 0 };
         let reading = (expected_ms > 0).then_some(reading);
-        self.fleet.record_prefill(&StartedPrefill { server, prefixes, reading });
+        self.fleet.record_prefill(&PrefillUpdate { server, prefixes, reading });
     }
 
     /// Announces long prefills to other routers at once: by the next report they would mostly be
@@ -218,7 +218,7 @@
         loop {
             let readings = self.fleet.next_prefills().await;
             let now = Instant::now();
-            let readings = readings.iter().filter_map(|started| reported_prefill(started, now));
+            let readings = readings.iter().filter_map(|update| reported_prefill(update, now));
             let readings: Vec<_> = readings.take(MAX_PREFILLS_PER_REPORT).collect();
             if readings.is_empty() {
                 continue;
@@ -355,8 +355,8 @@
 }
 
 /// Returns the report of a prefill; `None` if it should have ended by now.
-pub(super) fn reported_prefill(started: &StartedPrefill, now: Instant) -> Option<ReportedReading> {
-    let StartedPrefill { server, prefixes, reading } = started;
+pub(super) fn reported_prefill(update: &PrefillUpdate, now: Instant) -> Option<ReportedReading> {
+    let PrefillUpdate { server, prefixes, reading } = update;
     let (cold, expected_ms) = match reading {
         Some(reading) => {
             let age = now.saturating_duration_since(reading.begun);
--- a/crates/papayamux-router/src/direct/peers/owner_queries.rs
+++ b/crates/papayamux-router/src/direct/peers/owner_queries.rs
@@ -31,10 +31,10 @@
                 self.query_owner(inquiry).await;
             }
             let now = Instant::now();
-            for started in notes {
-                let Some((part, _)) = started.prefixes.last() else { continue };
+            for update in notes {
+                let Some((part, _)) = update.prefixes.last() else { continue };
                 let owner = self.owner_of(*part);
-                let Some(reading) = reported_prefill(&started, now) else { continue };
+                let Some(reading) = reported_prefill(&update, now) else { continue };
                 if owner != self.own_address() {
                     let report =
                         RouterReport { readings: vec![reading], ..RouterReport::default() };
