--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -218,7 +218,7 @@
         self.fleet.record_notice(&self.server, notice);
     }
 
-    /// Records whether the server failed to answer.
+    /// Records whether the attempt failed by a fault of the server or of the connection to it.
     pub(super) fn record_answer_outcome(&self, failed: bool) {
         self.fleet.record_answer_status(&self.server, failed);
     }
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -41,7 +41,8 @@
 /// Number of routers that are notified of a prefill at once: all routers of a fleet of the current
 /// size, some of a larger one.
 const PREFILL_FANOUT: usize = 32;
-/// Maximum number of prefills in one report; the next regular report shows the others.
+/// Maximum number of prefills announced in one report. The others show in the loads and holders of
+/// the next regular report.
 const MAX_PREFILLS_PER_REPORT: usize = 8;
 /// Maximum size of a report, which covers several hundred servers.
 const MAX_REPORT_BYTES: usize = 16 * 1024;
