--- a/crates/papayamux-router/src/direct/call_plan.rs
+++ b/crates/papayamux-router/src/direct/call_plan.rs
@@ -351,7 +351,7 @@
         log::info!(
             request:% = self.call.id, service:% = self.service, requests = requests,
             repeats = repeats, sharers = sharers.unwrap_or_default();
-            "{}", if taken { "request is retried" } else { "retry budget is used up" }
+            "{}", if taken { "request is sent again" } else { "retry budget is used up" }
         );
         taken
     }
