--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -1,4 +1,4 @@
-//! A request that is under way at a backend server.
+//! A request in progress at a backend server.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,10 +14,10 @@
 
 use super::attempt_watch::WatchedAttempt;
 use super::call_plan::CallPlan;
-use super::fleet::{ChosenServer, EndedRequest, OwnReading};
+use super::fleet::{ChosenServer, EndedRequest, OwnPrefill};
 use super::Fleet;
 
-/// Counts a request into its server's load for as long as it lives.
+/// Counts a request into the load of its server until it is dropped.
 pub(super) struct ActiveRequest {
     fleet: Rc<Fleet>,
     server: Rc<BackendServer>,
@@ -25,13 +25,14 @@
     load: ServerLoad,
     work: TokenCount,
     sent: Instant,
-    /// Whether it was sent, so that its server owes it a sign of life.
+    /// `true` once the request was sent, so that its server owes a response.
     is_awaited: bool,
     rhythm: Option<EventRhythm>,
-    reading: Option<OwnReading>,
-    /// Tokens that its server had to read first, its own among them.
-    ahead: TokenCount,
-    /// Whether requests waited at the server when it began to answer.
+    prefill: Option<OwnPrefill>,
+    /// Tokens that the server had to prefill before the first event, including those of this
+    /// request.
+    tokens_ahead: TokenCount,
+    /// `true` if requests were queued at the server when it began to answer.
     queued: Cell<bool>,
     events: u64,
     first_event: Option<Instant>,
@@ -47,7 +48,7 @@
         fleet.begin_request(chosen, &plan.call.prompt, work);
         let server = chosen.server.clone();
         let sent = Instant::now();
-        let watched = WatchedAttempt::new(server.clone(), plan.give_up);
+        let watched = WatchedAttempt::new(server.clone(), plan.give_up_at);
         fleet.watch().add(&watched);
         let load = chosen.load;
         let chosen = chosen.clone();
@@ -60,8 +61,8 @@
             sent,
             is_awaited: false,
             rhythm: None,
-            reading: None,
-            ahead: TokenCount::default(),
+            prefill: None,
+            tokens_ahead: TokenCount::default(),
             queued: Cell::new(false),
             events: 0,
             first_event: None,
@@ -70,124 +71,125 @@
         }
     }
 
-    /// Waits while its server reads the shared parts of its prompt for another request.
+    /// Waits while the server prefills the shared parts of the prompt for another request.
     pub(super) async fn wait_for_parts(&mut self, plan: &CallPlan) {
         let prefixes = plan.call.prompt.shared_prefixes();
         if !prefixes.is_empty() {
-            let patience = flight_patience(plan.left());
-            let waited = self.fleet.wait_for_parts(&self.server.id, &prefixes, patience).await;
+            let wait_budget = flight_patience(plan.left());
+            let waited = self.fleet.wait_for_parts(&self.server.id, &prefixes, wait_budget).await;
             if let Some(waited) = waited {
-                self.fleet.metrics().note_part_wait(plan.kind(), waited);
+                self.fleet.metrics().record_part_wait(plan.kind(), waited);
             }
         }
     }
 
-    /// Whether its server still takes it.
+    /// Returns whether the server still accepts the request.
     pub(super) fn may_be_sent(&self) -> bool {
         self.fleet.may_be_sent(&self.server)
     }
 
-    /// Notes that it is sent now, and that its server reads what it lacks of the prompt. Until then the
-    /// server owes it no sign of life.
+    /// Records that the request is sent now and that the server starts to prefill the missing parts
+    /// of the prompt. Before that, the server owes no response.
     pub(super) fn begin_sending(&mut self, plan: &CallPlan) {
         let prefixes = plan.call.prompt.shared_prefixes();
         if !prefixes.is_empty() {
-            self.reading = Some(self.fleet.begin_reading(&self.chosen, &prefixes));
+            self.prefill = Some(self.fleet.begin_prefill(&self.chosen, &prefixes));
         }
         self.sent = Instant::now();
         let backlog = self.fleet.load_at(&self.server, self.sent).backlog;
-        self.ahead = TokenCount::new(backlog);
+        self.tokens_ahead = TokenCount::new(backlog);
         self.is_awaited = true;
         self.fleet.await_server(&self.server);
     }
 
-    /// Tokens that its server had to read first, its own among them.
-    pub(super) fn ahead(&self) -> TokenCount {
-        self.ahead
+    /// Returns the number of tokens that the server had to prefill first, including those of this
+    /// request.
+    pub(super) fn tokens_ahead(&self) -> TokenCount {
+        self.tokens_ahead
     }
 
-    fn end_reading(&mut self) {
-        if let Some(reading) = self.reading.take() {
-            self.fleet.end_reading(reading);
+    fn end_prefill(&mut self) {
+        if let Some(prefill) = self.prefill.take() {
+            self.fleet.end_prefill(prefill);
         }
     }
 
-    /// The attempt as the watch sees it.
+    /// Returns the entry of this attempt in the attempt watch.
     pub(super) fn watched(&self) -> &WatchedAttempt {
         &self.watched
     }
 
-    /// How the server was chosen.
+    /// Returns the result of the server choice.
     pub(super) fn chosen(&self) -> &ChosenServer {
         &self.chosen
     }
 
-    /// How long ago it was sent.
+    /// Returns the time since the request was sent.
     pub(super) fn age(&self) -> Duration {
         self.sent.elapsed()
     }
 
-    /// The server.
     pub(super) fn server(&self) -> &Rc<BackendServer> {
         &self.server
     }
 
-    /// Notes that something of the answer has arrived. The prompt has been read then.
-    pub(super) fn hear(&mut self) {
-        self.fleet.hear_server(&self.server);
+    /// Records that a piece of the answer was received.
+    pub(super) fn record_contact(&mut self) {
+        self.fleet.record_server_contact(&self.server);
     }
 
-    /// Notes events of a stream that arrived together. The first ones show that the prompt was read;
-    /// the others show how the link delivers.
-    pub(super) fn note_events(&mut self, events: u64) {
+    /// Records events of a stream that were received together. The first ones show that the prefill
+    /// has ended, later ones show whether the link delays messages.
+    pub(super) fn record_events(&mut self, events: u64) {
         let now = Instant::now();
         self.events += events;
         self.last_event = Some(now);
         let Some(rhythm) = &mut self.rhythm else {
             self.rhythm = Some(EventRhythm::new(now));
             self.first_event = Some(now);
-            self.note_first_event(now);
-            self.prompt_was_read();
+            self.record_first_event(now);
+            self.finish_own_prefill();
             return;
         };
         match rhythm.note(events, now) {
-            EventTiming::InTime => self.fleet.note_event(&self.server, false),
-            EventTiming::HeldUp => self.fleet.note_event(&self.server, true),
+            EventTiming::InTime => self.fleet.record_event(&self.server, false),
+            EventTiming::HeldUp => self.fleet.record_event(&self.server, true),
             EventTiming::Undecided => {}
         }
     }
 
-    /// Learns from its first event how fast its server reads, where that can be told.
-    fn note_first_event(&self, now: Instant) {
+    /// Updates the prefill speed of the server from the time to the first event. Skipped if requests
+    /// were queued at the server or if the duration of a transfer is unknown.
+    fn record_first_event(&self, now: Instant) {
         let placement = &self.chosen.placement;
-        self.fleet.metrics().note_expectation(self.chosen.expected, now - self.sent);
+        self.fleet.metrics().record_first_event_ratio(self.chosen.expected, now - self.sent);
         let transfer = self.chosen.transfer;
         let is_clear = transfer.is_some() == self.chosen.fetch_from.is_some();
         if is_clear && !self.queued.get() {
             let took = now.saturating_duration_since(self.sent);
-            let tokens = self.ahead.saturating_sub(self.chosen.missing);
+            let tokens = self.tokens_ahead.saturating_sub(self.chosen.missing);
             let first = FirstEvent { tokens, took, transfer, guessed: placement.guessed };
-            self.fleet.note_first_event(&self.server, first);
+            self.fleet.record_first_event(&self.server, first);
         }
     }
 
-    /// Learns from a stream that has ended as it should, where its answer was `expected` to have so many
-    /// tokens, or that breaks off.
-    pub(super) fn note_stream_end(&mut self, expected: Option<TokenCount>) {
+    /// Updates the speed of the server from a stream that has completed, with the `expected` number
+    /// of answer tokens, or that was truncated (`None`).
+    pub(super) fn record_stream_end(&mut self, expected: Option<TokenCount>) {
         if let (Some(first), Some(last)) = (self.first_event.take(), self.last_event) {
             let lasted = last.saturating_duration_since(first);
             let end = StreamEnd { events: self.events, lasted, expected };
-            self.fleet.note_stream(&self.server, end);
+            self.fleet.record_stream_speed(&self.server, end);
         }
     }
 
-    /// Learns from a plain call that was answered.
-    pub(super) fn note_call_end(&self) {
-        self.fleet.note_call(&self.server, self.sent.elapsed());
+    /// Updates the call duration of the service from a completed plain call.
+    pub(super) fn record_call_end(&self) {
+        self.fleet.record_call_duration(&self.server, self.sent.elapsed());
     }
 
-    fn prompt_was_read(&mut self) {
-        self.end_reading();
+    fn finish_own_prefill(&mut self) {
+        self.end_prefill();
         if self.load.backlog > 0 {
             let read = ServerLoad { requests: 0, backlog: self.load.backlog };
             self.fleet.ledger().borrow_mut().end(&self.server.id, read);
@@ -195,54 +197,55 @@
         }
     }
 
-    /// Whether its first event has arrived.
+    /// Returns whether the first event was received.
     pub(super) fn has_begun(&self) -> bool {
         self.rhythm.is_some()
     }
 
-    /// Notes how long opening a connection to the server took.
-    pub(super) fn note_connection(&self, took: Duration) {
-        self.fleet.note_connection(&self.server, took);
+    /// Records the time that it took to connect to the server.
+    pub(super) fn record_connection(&self, elapsed: Duration) {
+        self.fleet.record_connection(&self.server, elapsed);
     }
 
-    /// Notes what the server said of its queue.
-    pub(super) fn note_queue(&self, queue: ReportedQueue) {
+    /// Records the queue that the server reported.
+    pub(super) fn record_queue(&self, queue: ReportedQueue) {
         self.queued.set(queue.waiting > 0);
-        self.fleet.note_queue(&self.server, queue);
+        self.fleet.record_queue(&self.server, queue);
     }
 
-    /// Takes in what the server said of itself.
-    pub(super) fn take_notice(&self, notice: ServerNotice) {
-        self.fleet.take_notice(&self.server, notice);
+    /// Records what the server reported about its own state.
+    pub(super) fn record_notice(&self, notice: ServerNotice) {
+        self.fleet.record_notice(&self.server, notice);
     }
 
-    /// Notes how the server answered.
-    pub(super) fn judge(&self, failed: bool) {
-        self.fleet.note_answer(&self.server, failed);
+    /// Records whether the attempt failed by a fault of the server or of the connection to it.
+    pub(super) fn record_answer_outcome(&self, failed: bool) {
+        self.fleet.record_answer_status(&self.server, failed);
     }
 
-    /// Whether the server has ended that should be serving, after its connection broke.
-    pub(super) async fn server_has_ended(&self) -> bool {
-        self.fleet.has_ended_unexpectedly(&self.server).await
+    /// Returns whether the server has crashed, after a connection to it broke.
+    pub(super) async fn server_has_crashed(&self) -> bool {
+        self.fleet.has_crashed(&self.server).await
     }
 
-    /// Whether the server is over for certain, since it has started again.
+    /// Returns whether this run of the server has ended for certain, because a later one has
+    /// started.
     pub(super) fn server_has_restarted(&self) -> bool {
         self.fleet.has_restarted(&self.server)
     }
 
-    /// Notes evidence against the server.
-    pub(super) fn accuse(&self, kind: EvidenceKind) {
-        self.fleet.note_evidence(&self.server, kind);
+    /// Records failure evidence against the server.
+    pub(super) fn record_failure_evidence(&self, kind: EvidenceKind) {
+        self.fleet.record_evidence(&self.server, kind);
     }
 }
 
 impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.end_reading();
-        self.note_stream_end(None);
-        let (load, work, took) = (self.load, self.work, self.sent.elapsed());
-        let ended = EndedRequest { load, work, took, was_awaited: self.is_awaited };
+        self.end_prefill();
+        self.record_stream_end(None);
+        let (load, work, elapsed) = (self.load, self.work, self.sent.elapsed());
+        let ended = EndedRequest { load, work, elapsed, was_awaited: self.is_awaited };
         self.fleet.end_request(&self.server, ended);
     }
 }
--- a/crates/papayamux-router/src/direct/admission.rs
+++ b/crates/papayamux-router/src/direct/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run: its route, its key, and how recent what is known of them is.
+//! Admission of a request: looks up its route and API key in a configuration that is recent enough.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,31 +7,33 @@
 
 use super::{CallFailure, CallHead, Fleet, NotRunReason};
 
-/// How long a request waits for the configuration to be confirmed, as after a pause of the process:
-/// several answers of the source, and less than an eighth of the shortest objectives of model requests.
-const CONFIRM_WITHIN: Duration = Duration::from_millis(60);
-/// When a caller may come back whose key could not be confirmed: at another router, at once.
+/// How long a request waits for a confirmation of the configuration, e.g. after a pause of the
+/// process. The source answers several times within it, and it is less than an eighth of the
+/// shortest objectives of model requests.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(60);
+/// Retry delay for a caller whose key could not be confirmed: another router can serve it at once.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// When a caller may come back while a router has no configuration yet.
+/// Retry delay for a caller while the router has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A request that may be run, with what it may use.
+/// A request that may run, with its route, key holder and body limit.
 pub(super) struct AdmittedCall {
     pub(super) route: Rc<Route>,
     pub(super) holder: Option<Rc<KeyHolder>>,
-    pub(super) longest_body: u64,
+    pub(super) max_body_bytes: u64,
 }
 
 impl Fleet {
-    /// Finds the route, and whose key it is.
+    /// Finds the route of a request and the holder of its key.
     pub(super) async fn admit(&self, call: &CallHead) -> Result<AdmittedCall, CallFailure> {
         match self.look_up(call) {
             Ok((admitted, needs_key)) if !needs_key || self.keys_are_fresh() => {
                 return Ok(admitted);
             }
-            Err(failure) if self.may_be_believed(&failure) => return Err(failure),
-            // A source that is known to be away is not pressed, and nobody waits for it.
-            _ if self.may_be_confirmed() => self.refresh_configuration(CONFIRM_WITHIN).await,
+            Err(failure) if self.is_conclusive(&failure) => return Err(failure),
+            // Requests neither wait for a source that is known to be unreachable nor add reads to
+            // it.
+            _ if self.source_is_reachable() => self.refresh_configuration(CONFIRM_TIMEOUT).await,
             _ => {}
         }
         let stale = CallFailure::NotRun {
@@ -40,13 +42,13 @@
         };
         match self.look_up(call) {
             Ok((admitted, needs_key)) if !needs_key || self.keys_are_fresh() => Ok(admitted),
-            Err(failure) if self.may_be_believed(&failure) => Err(failure),
+            Err(failure) if self.is_conclusive(&failure) => Err(failure),
             _ => Err(stale),
         }
     }
 
-    /// Whether a refusal rests on a configuration that is recent enough.
-    fn may_be_believed(&self, failure: &CallFailure) -> bool {
+    /// Returns whether the configuration is recent enough to refuse a request by it.
+    fn is_conclusive(&self, failure: &CallFailure) -> bool {
         match failure {
             CallFailure::UnknownRoute | CallFailure::UnknownKey => {
                 let longest = self.settings().negative_age();
@@ -56,8 +58,8 @@
         }
     }
 
-    /// The route and the key's holder by the configuration in force, and whether the key had to
-    /// be known.
+    /// Looks up the route and the key holder in the configuration in force. Returns also whether
+    /// the request needs a known key.
     fn look_up(&self, call: &CallHead) -> Result<(AdmittedCall, bool), CallFailure> {
         let Some(configuration) = self.configuration() else {
             return Err(CallFailure::NotRun {
@@ -68,14 +70,15 @@
         let route = configuration.routes.find(&call.host, call.target.path());
         let route = route.ok_or(CallFailure::UnknownRoute)?.clone();
         let needs_key = configuration.organisations.is_some() && !route.anonymous;
-        // Where no key is needed, one that may have been taken away since names nobody.
+        // Where no key is needed, a key that may have been revoked in the meantime identifies no
+        // holder.
         let may_be_named = needs_key || self.keys_are_fresh();
         let holder = key_holder(&configuration, call).filter(|_| may_be_named);
         if needs_key && holder.is_none() {
             return Err(CallFailure::UnknownKey);
         }
-        let longest_body = configuration.limits.body_bytes.get();
-        Ok((AdmittedCall { route, holder, longest_body }, needs_key))
+        let max_body_bytes = configuration.limits.body_bytes.get();
+        Ok((AdmittedCall { route, holder, max_body_bytes }, needs_key))
     }
 }
 
--- a/crates/papayamux-router/src/direct/attempt_watch.rs
+++ b/crates/papayamux-router/src/direct/attempt_watch.rs
@@ -1,7 +1,7 @@
-//! Notices attempts whose time is up, and those whose server has gone silent.
+//! Detects attempts whose deadline has passed or whose server has gone silent.
 //!
-//! One task looks at all attempts at each tick. A timer for each piece of each stream would cost
-//! more than passing the piece on.
+//! One task checks all attempts at each tick: a timer for each piece of each stream would cost more
+//! than forwarding the piece.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -13,43 +13,43 @@
 
 use super::Fleet;
 
-/// How often attempts are looked at: the precision of timeouts.
-const WATCH_EVERY: Duration = Duration::from_millis(50);
+/// Interval between two checks of the attempts, which is the precision of timeouts.
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why an attempt is woken up.
+/// The reason to wake up an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptAlarm {
-    /// Its server owes a sign of life for longer than is borne, or has started again and knows
-    /// nothing of it.
+    /// The server has owed a response for longer than is tolerated, or has restarted and lost the
+    /// request.
     Silent(&'static str),
-    /// The caller or the route gives up.
-    TimeUp,
+    /// The deadline of the caller or of the route has passed.
+    DeadlinePassed,
 }
 
-/// One attempt as the watch sees it.
+/// An attempt as seen by the watch.
 pub(super) struct WatchedAttempt {
     server: Rc<BackendServer>,
-    give_up: Instant,
-    patience: Cell<Option<Duration>>,
+    give_up_at: Instant,
+    silence_limit: Cell<Option<Duration>>,
     alarm: Cell<Option<AttemptAlarm>>,
     signal: RefCell<ShutdownSignal>,
 }
 
 impl WatchedAttempt {
-    /// An attempt at `server` that ends at `give_up` at the latest.
-    pub(super) fn new(server: Rc<BackendServer>, give_up: Instant) -> Rc<Self> {
+    /// Creates the entry of an attempt at `server` that ends at `give_up_at` at the latest.
+    pub(super) fn new(server: Rc<BackendServer>, give_up_at: Instant) -> Rc<Self> {
         Rc::new(Self {
             server,
-            give_up,
-            patience: Cell::new(None),
+            give_up_at,
+            silence_limit: Cell::new(None),
             alarm: Cell::new(None),
             signal: RefCell::default(),
         })
     }
 
-    /// Sets how long a silence of the server is borne from now on; `None` bears any.
-    pub(super) fn set_patience(&self, patience: Option<Duration>) {
-        self.patience.set(patience);
+    /// Sets the maximum silence of the server from now on; `None` tolerates any.
+    pub(super) fn set_silence_limit(&self, silence_limit: Option<Duration>) {
+        self.silence_limit.set(silence_limit);
     }
 
     /// Waits for the next alarm.
@@ -63,45 +63,45 @@
         }
     }
 
-    fn ring(&self, alarm: AttemptAlarm) {
+    fn raise(&self, alarm: AttemptAlarm) {
         self.alarm.set(Some(alarm));
         self.signal.take().give();
     }
 
-    fn look(&self, fleet: &Fleet, now: Instant) {
-        if now >= self.give_up {
-            self.ring(AttemptAlarm::TimeUp);
+    fn check(&self, fleet: &Fleet, now: Instant) {
+        if now >= self.give_up_at {
+            self.raise(AttemptAlarm::DeadlinePassed);
             return;
         }
-        let Some(patience) = self.patience.get() else { return };
+        let Some(silence_limit) = self.silence_limit.get() else { return };
         if fleet.has_restarted(&self.server) {
-            self.ring(AttemptAlarm::Silent("the server has started again"));
+            self.raise(AttemptAlarm::Silent("the server has restarted"));
             return;
         }
-        if fleet.is_silent(&self.server, patience, now) {
-            self.ring(AttemptAlarm::Silent("the server is silent"));
+        if fleet.is_silent(&self.server, silence_limit, now) {
+            self.raise(AttemptAlarm::Silent("the server is silent"));
         }
     }
 }
 
-/// All attempts that are under way.
+/// All attempts in progress.
 #[derive(Default)]
 pub(super) struct AttemptWatch {
     attempts: RefCell<Vec<Weak<WatchedAttempt>>>,
 }
 
 impl AttemptWatch {
-    /// Watches an attempt for as long as it lives.
+    /// Watches an attempt until it is dropped.
     pub(super) fn add(&self, attempt: &Rc<WatchedAttempt>) {
         self.attempts.borrow_mut().push(Rc::downgrade(attempt));
     }
 
-    fn look(&self, fleet: &Fleet) {
+    fn check(&self, fleet: &Fleet) {
         let now = Instant::now();
         let mut attempts = self.attempts.borrow_mut();
         attempts.retain(|attempt| match attempt.upgrade() {
             Some(attempt) => {
-                attempt.look(fleet, now);
+                attempt.check(fleet, now);
                 true
             }
             None => false,
@@ -109,12 +109,12 @@
     }
 }
 
-/// Looks at all attempts for ever.
+/// Checks all attempts at each tick, indefinitely.
 pub(super) async fn watch_attempts(fleet: Rc<Fleet>, timer: TimerService) {
-    let mut ticks = timer.every(WATCH_EVERY);
+    let mut ticks = timer.every(WATCH_INTERVAL);
     while ticks.tick().await.is_some() {
         fleet.expire_servers();
-        fleet.watch_lines();
-        fleet.watch().look(&fleet);
+        fleet.update_queues();
+        fleet.watch().check(&fleet);
     }
 }
--- a/crates/papayamux-router/src/direct/cache_survey.rs
+++ b/crates/papayamux-router/src/direct/cache_survey.rs
@@ -1,4 +1,4 @@
-//! Asks engines for lists of their caches where no router knows what they hold.
+//! Queries engines for the contents of their caches if no router knows them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,34 +16,35 @@
 use super::peers::PeerExchange;
 use super::Fleet;
 
-/// How often a starting router looks whether it knows of servers.
-const START_CHECK: Duration = Duration::from_millis(20);
-/// How long a list may take: an engine under load answers after a step or two, of up to 100 ms each.
-const LIST_WITHIN: Duration = Duration::from_millis(500);
-/// Bytes of the longest list: some ten thousand parts.
-const LONGEST_LIST: usize = 1024 * 1024;
+/// Interval at which a starting router checks whether it knows any servers.
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a cache list: an engine under load answers after one or two steps of up to 100 ms
+/// each.
+const LIST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum size of a cache list, which holds some ten thousand parts.
+const MAX_LIST_BYTES: usize = 1024 * 1024;
 
-/// Why there is no list.
+/// The error of reading a cache list.
 #[derive(Debug, Error)]
 enum SurveyError {
-    #[error("no answer within {LIST_WITHIN:?}")]
+    #[error("no answer within {LIST_TIMEOUT:?}")]
     Late,
     #[error("status {0}")]
     Status(StatusCode),
-    #[error("the list is longer than {LONGEST_LIST} bytes")]
+    #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
     #[error(transparent)]
     Connection(#[from] UpstreamError),
     #[error("the list broke off: {0}")]
     BrokenOff(#[from] hyper::Error),
-    #[error("the list is from another start of the engine")]
+    #[error("the list is from a different start of the engine")]
     OtherStart,
     #[error(transparent)]
     List(#[from] CacheListError),
 }
 
-/// Asks this router's share of the engines once, soon after its start, where the other routers have
-/// started as lately.
+/// Queries this router's share of the engines once, soon after its start, if all other routers have
+/// started recently too.
 pub(super) async fn survey_caches(
     fleet: Rc<Fleet>,
     peers: Rc<PeerExchange>,
@@ -53,7 +54,7 @@
         return;
     }
     while fleet.server_count() == 0 {
-        monoio::time::sleep(START_CHECK).await;
+        monoio::time::sleep(START_CHECK_INTERVAL).await;
     }
     monoio::time::sleep(SURVEY_AFTER).await;
     let Some(others) = peers.fresh_routers() else {
@@ -78,13 +79,13 @@
     engine: Rc<BackendServer>,
 ) {
     let listed = read_list(&fleet, &*interface, &engine);
-    let listed = monoio::time::timeout(LIST_WITHIN, listed).await;
+    let listed = monoio::time::timeout(LIST_TIMEOUT, listed).await;
     match listed.unwrap_or(Err(SurveyError::Late)) {
         Ok(listed) => {
             let listing = CacheListing::new(engine.id.clone(), listed);
             log::info!(server:% = engine.id, parts = listing.parts.len(); "cache listed");
-            fleet.note_listing(&listing);
-            peers.tell_listing(listing);
+            fleet.record_listing(&listing);
+            peers.announce_listing(listing);
         }
         Err(error) => {
             log::warn!(server:% = engine.id, error:% = error; "no list of the cache");
@@ -100,7 +101,7 @@
     let request = interface.cache_request(&engine.name);
     let mut answer = fleet.pool().send(engine.address, request).await?;
     if answer.head.status != StatusCode::MISDIRECTED_REQUEST {
-        fleet.take_notice(engine, interface.server_notice(&answer.head));
+        fleet.record_notice(engine, interface.server_notice(&answer.head));
     }
     if answer.head.status != StatusCode::OK {
         return Err(SurveyError::Status(answer.head.status));
@@ -108,7 +109,7 @@
     let mut body = BytesMut::new();
     while let Some(piece) = answer.next_piece().await {
         body.extend_from_slice(&piece?);
-        if body.len() > LONGEST_LIST {
+        if body.len() > MAX_LIST_BYTES {
             return Err(SurveyError::TooLong);
         }
     }
--- a/crates/papayamux-router/src/direct/call_handler.rs
+++ b/crates/papayamux-router/src/direct/call_handler.rs
@@ -1,4 +1,4 @@
-//! Serves callers' requests: admits them, finds a server, passes the answer on.
+//! Handles callers' requests: admits them, finds a server and forwards the answer.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -12,7 +12,7 @@
 
 use super::active_request::ActiveRequest;
 use super::attempt::{
-    collect_body, send_attempt, AttemptAnswer, CollectedBody, LostAttempt, TIME_UP,
+    collect_body, send_attempt, AttemptAnswer, CollectedBody, LostAttempt, DEADLINE_PASSED,
 };
 use super::call_plan::CallPlan;
 use super::interface::CallInterface;
@@ -20,23 +20,23 @@
 use super::stream_relay::{InFlight, StreamRelay};
 use super::{CallFailure, CallHead, Fleet, NotRunReason};
 
-/// Headers that belong to one connection.
+/// Connection-specific headers, which must not be forwarded.
 const CONNECTION_HEADERS: [&str; 5] =
     ["keep-alive", "proxy-connection", "te", "trailer", "upgrade"];
 
-/// The requests of callers.
+/// Handler for the requests of callers.
 pub struct CallHandler {
     fleet: Rc<Fleet>,
     interface: Rc<dyn CallInterface>,
 }
 
 impl CallHandler {
-    /// A handler that speaks `interface`.
+    /// Creates a handler that translates requests by `interface`.
     pub fn new(fleet: Rc<Fleet>, interface: Rc<dyn CallInterface>) -> Rc<Self> {
         Rc::new(Self { fleet, interface })
     }
 
-    /// Answers a request.
+    /// Handles a request and returns its answer.
     pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
@@ -78,24 +78,24 @@
         arrived: Instant,
     ) -> Result<Response<AnswerBody>, CallFailure> {
         let admitted = self.fleet.admit(&call).await?;
-        let draw = rand::random::<f64>();
-        let Some(service) = admitted.route.pick_service(draw).cloned() else {
+        let sample = rand::random::<f64>();
+        let Some(service) = admitted.route.pick_service(sample).cloned() else {
             return Err(CallFailure::not_run(NotRunReason::NoServer));
         };
         let fleet = self.fleet.clone();
         let mut plan =
             CallPlan::new(fleet, call, admitted.route, service, admitted.holder, arrived);
-        plan.body = read_body(body, admitted.longest_body, plan.left()).await?;
+        plan.body = read_body(body, admitted.max_body_bytes, plan.left()).await?;
         plan.check_quarantine()?;
         plan.check_open()?;
         let in_flight = InFlight::begin(&self.fleet);
         self.fleet.budget().borrow_mut().note_request(&plan.service, Instant::now());
-        plan.wait_for_rest().await?;
-        plan.wait_for_turn().await?;
+        plan.wait_for_backoff().await?;
+        plan.wait_for_slot().await?;
         self.run(plan, in_flight).await
     }
 
-    /// Makes attempts until there is an answer, or none can be had.
+    /// Makes attempts until there is an answer or no further attempt is possible.
     async fn run(
         &self,
         mut plan: CallPlan,
@@ -105,10 +105,12 @@
         loop {
             let mut attempt = match self.attempt(&mut plan).await {
                 Ok(attempt) => attempt,
-                Err(Failed::Given(failure)) => return fallback.ok_or(failure),
-                Err(Failed::Lost(lost)) => match plan.after_loss(&lost) {
+                Err(AttemptFailure::NotMade(failure)) => return fallback.ok_or(failure),
+                Err(AttemptFailure::Lost(lost)) => match plan.after_loss(&lost) {
                     Ok(()) => continue,
-                    Err(failure) if lost.cause == TIME_UP => return Err(timed_out(failure)),
+                    Err(failure) if lost.cause == DEADLINE_PASSED => {
+                        return Err(timed_out(failure))
+                    }
                     Err(failure) => return fallback.ok_or(failure),
                 },
             };
@@ -116,34 +118,34 @@
                 return Ok(self.pass_stream(plan, attempt, in_flight));
             }
             let body = match collect_body(&plan, &mut attempt).await {
-                Ok(CollectedBody::Whole(body)) => body,
-                Ok(CollectedBody::Begun(begun)) => {
-                    return Ok(self.pass_rest(plan, attempt, begun, in_flight));
+                Ok(CollectedBody::Complete(body)) => body,
+                Ok(CollectedBody::Partial(collected)) => {
+                    return Ok(self.pass_remainder(plan, attempt, collected, in_flight));
                 }
                 Err(lost) => match plan.after_loss(&lost) {
                     Ok(()) => continue,
                     Err(failure) => return fallback.ok_or(failure),
                 },
             };
-            let response = self.whole_answer(&plan, attempt, body);
+            let response = self.complete_answer(&plan, attempt, body);
             let failed = response.status().is_server_error();
             if !failed || !plan.kind().may_repeat() {
                 return Ok(response);
             }
-            match plan.after_loss(&LostAttempt::unknown("the server failed")) {
+            match plan.after_loss(&LostAttempt::unknown("the server answered with an error")) {
                 Ok(()) => fallback = Some(response),
                 Err(_) => return Ok(response),
             }
         }
     }
 
-    async fn attempt(&self, plan: &mut CallPlan) -> Result<AttemptAnswer, Failed> {
+    async fn attempt(&self, plan: &mut CallPlan) -> Result<AttemptAnswer, AttemptFailure> {
         plan.find_holders().await;
         let (chosen, active) = loop {
-            let chosen = plan.choose().map_err(Failed::Given)?;
+            let chosen = plan.choose().map_err(AttemptFailure::NotMade)?;
             let mut active = ActiveRequest::begin(plan, &chosen);
             active.wait_for_parts(plan).await;
-            // The server may have left while the request waited.
+            // The server may have departed while the request waited.
             if active.may_be_sent() {
                 active.begin_sending(plan);
                 break (chosen, active);
@@ -152,10 +154,10 @@
         };
         let dispatch = plan.dispatch(&chosen, plan.call.last_event);
         let request = self.interface.server_request(&plan.call, &dispatch, plan.body.clone());
-        send_attempt(&*self.interface, plan, active, request).await.map_err(Failed::Lost)
+        send_attempt(&*self.interface, plan, active, request).await.map_err(AttemptFailure::Lost)
     }
 
-    fn whole_answer(
+    fn complete_answer(
         &self,
         plan: &CallPlan,
         attempt: AttemptAnswer,
@@ -164,9 +166,9 @@
         let mut head = answer_head(&attempt.answer.head);
         head.headers.remove(http::header::CONTENT_LENGTH);
         log_answer(plan, &attempt);
-        plan.note_run();
+        plan.record_completion();
         if !plan.kind().is_stream() {
-            attempt.active.note_call_end();
+            attempt.active.record_call_end();
         }
         attempt.answer.finish();
         Response::from_parts(head, AnswerBody::Whole(body))
@@ -184,24 +186,25 @@
         Response::from_parts(head, relay.into_body())
     }
 
-    fn pass_rest(
+    fn pass_remainder(
         &self,
         plan: CallPlan,
         attempt: AttemptAnswer,
-        begun: Bytes,
+        collected: Bytes,
         in_flight: InFlight,
     ) -> Response<AnswerBody> {
         let head = answer_head(&attempt.answer.head);
         log_answer(&plan, &attempt);
-        let relay = StreamRelay::rest(self.interface.clone(), plan, attempt, begun, in_flight);
+        let relay =
+            StreamRelay::remainder(self.interface.clone(), plan, attempt, collected, in_flight);
         Response::from_parts(head, relay.into_body())
     }
 }
 
-/// Why there is no answer from one attempt.
-enum Failed {
+/// The reason that an attempt has no answer.
+enum AttemptFailure {
     /// No attempt was made.
-    Given(CallFailure),
+    NotMade(CallFailure),
     /// The attempt was lost.
     Lost(LostAttempt),
 }
@@ -213,7 +216,7 @@
     }
 }
 
-/// The head of a caller's answer: the server's, without what belongs to its connection.
+/// Returns the head of the caller's answer: the server's head without connection-specific headers.
 fn answer_head(head: &Parts) -> Parts {
     let (mut answer, ()) = Response::new(()).into_parts();
     answer.status = head.status;
@@ -222,7 +225,6 @@
     answer
 }
 
-/// Removes headers that belong to one connection.
 fn remove_connection_headers(headers: &mut HeaderMap) {
     headers.remove(CONNECTION);
     headers.remove(TRANSFER_ENCODING);
@@ -234,7 +236,7 @@
 fn log_answer(plan: &CallPlan, attempt: &AttemptAnswer) {
     let metrics = plan.fleet.metrics();
     metrics.outcomes.count("answered");
-    metrics.note_head(plan.kind(), plan.arrived.elapsed());
+    metrics.record_head(plan.kind(), plan.arrived.elapsed());
     let (status, ms) = (attempt.answer.head.status.as_u16(), millis(plan.arrived.elapsed()));
     let (active, configuration) = (&attempt.active, plan.fleet.configuration_version());
     let servers_age_ms = plan.fleet.servers_age().map_or(u64::MAX, millis);
--- a/crates/papayamux-router/src/direct/call_plan.rs
+++ b/crates/papayamux-router/src/direct/call_plan.rs
@@ -1,4 +1,5 @@
-//! What was settled about a request before its first attempt, and what became of its attempts.
+//! The plan of a request: what was decided before its first attempt, and the history of its
+//! attempts.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -22,10 +23,10 @@
 use super::interface::Dispatch;
 use super::{CallFailure, CallHead, Fleet, NotRunReason};
 
-/// Time below which a further attempt is not worth making: a round trip to the server.
-const LEAST_TIME: Duration = Duration::from_millis(4);
+/// Remaining time below which a further attempt is pointless: a round trip to the server.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(4);
 
-/// A request that may be run, with all that its attempts need.
+/// An admitted request with everything that its attempts need.
 pub(super) struct CallPlan {
     pub(super) fleet: Rc<Fleet>,
     pub(super) call: Rc<CallHead>,
@@ -34,19 +35,19 @@
     pub(super) service: ServiceId,
     pub(super) holder: Option<Rc<KeyHolder>>,
     pub(super) arrived: Instant,
-    /// When the caller or the route gives up.
-    pub(super) give_up: Instant,
+    /// The earlier deadline of the caller's and the route's.
+    pub(super) give_up_at: Instant,
     fingerprint: OnceCell<RequestFingerprint>,
-    /// The crashes that the present attempt was sent after.
+    /// The crashes that were known when the current attempt was sent.
     sent_after: CrashRecord,
     history: AttemptHistory,
     tried: Vec<ServerId>,
-    /// Whether no server holds the prompt's shared part.
+    /// `true` if no server holds the shared part of the prompt.
     nobody_holds: bool,
 }
 
 impl CallPlan {
-    /// A plan without attempts so far.
+    /// Creates a plan without attempts.
     pub(super) fn new(
         fleet: Rc<Fleet>,
         call: Rc<CallHead>,
@@ -64,7 +65,7 @@
             service,
             holder,
             arrived,
-            give_up: arrived + longest,
+            give_up_at: arrived + longest,
             fingerprint: OnceCell::new(),
             sent_after: CrashRecord::default(),
             history: AttemptHistory::default(),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// What names the request's content. The body must have been read.
+    /// Returns the fingerprint of the request's content. The body must have been read before.
     pub(super) fn fingerprint(&self) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             RequestFingerprint::from(RequestContent {
@@ -86,55 +87,55 @@
         })
     }
 
-    /// What may be repeated.
+    /// Returns the kind of the request, which decides whether it may be retried.
     pub(super) fn kind(&self) -> RequestKind {
         self.route.kind
     }
 
-    /// The organisation of the caller's key.
+    /// Returns the organisation that holds the caller's key.
     pub(super) fn organisation(&self) -> Option<&OrganisationId> {
         self.holder.as_ref().map(|holder| &holder.organisation)
     }
 
-    /// The request's rank: its organisation's own, or the route's.
+    /// Returns the priority of the request: that of its organisation, or else that of the route.
     pub(super) fn priority(&self) -> u32 {
         let own = self.holder.as_ref().and_then(|holder| holder.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// What the request costs a server.
+    /// Returns the cost of the request for a server, in prompt tokens.
     pub(super) fn work(&self) -> TokenCount {
         let token_work = self.fleet.answer_token_work(&self.service);
         request_work(self.own_tokens(), self.call.answer_tokens, token_work)
     }
 
-    /// Tokens of the prompt that are shared with nobody.
+    /// Returns the number of prompt tokens outside the shared parts.
     fn own_tokens(&self) -> TokenCount {
         self.call.prompt_tokens.saturating_sub(self.call.prompt.shared_tokens())
     }
 
-    /// Time until the caller or the route gives up.
+    /// Returns the time until the deadline of the request.
     pub(super) fn left(&self) -> Duration {
-        self.give_up.saturating_duration_since(Instant::now())
+        self.give_up_at.saturating_duration_since(Instant::now())
     }
 
-    /// Whether the request may leave a server that is silent for another one.
+    /// Returns whether the request may be retried at another server if its server is silent.
     pub(super) fn may_leave(&self) -> bool {
         self.history.may_leave(self.kind(), self.route.attempts)
             && self.fleet.budget().borrow().has_room(&self.service, Instant::now())
     }
 
-    /// Attempts so far.
+    /// Returns the number of attempts so far.
     pub(super) fn offers(&self) -> u32 {
         self.history.offers()
     }
 
-    /// Waits until there is a place for the request.
-    pub(super) async fn wait_for_turn(&self) -> Result<(), CallFailure> {
-        let request = self.line_request();
+    /// Waits in the queue of the service until a slot is free.
+    pub(super) async fn wait_for_slot(&self) -> Result<(), CallFailure> {
+        let request = self.queue_request();
         let patience = request.time.patience();
-        match self.fleet.wait_for_turn(&self.service, request).await {
-            Ok(Some(waited)) => self.fleet.metrics().note_wait(self.kind(), waited),
+        match self.fleet.wait_for_slot(&self.service, request).await {
+            Ok(Some(waited)) => self.fleet.metrics().record_wait(self.kind(), waited),
             Ok(None) => {}
             Err(refusal) => {
                 log::info!(
@@ -150,7 +151,7 @@
         Ok(())
     }
 
-    fn line_request(&self) -> LineRequest {
+    fn queue_request(&self) -> LineRequest {
         let deadline = self.call.deadline;
         let asked_before = deadline.map(|time| self.fleet.asked_before(&self.route.id, time));
         let time = CallerTime {
@@ -163,7 +164,7 @@
         LineRequest { flow: self.flow(), work: self.work(), time }
     }
 
-    /// Whose share of the places the request uses.
+    /// Returns the key of the flow whose share of the slots the request uses.
     fn flow(&self) -> FlowKey {
         let (shares, urgency) = (Mechanism::FairShares, Mechanism::Urgency);
         let organisation = self.organisation().filter(|_| self.fleet.uses(shares)).cloned();
@@ -171,21 +172,21 @@
         FlowKey { organisation, priority }
     }
 
-    /// Finds out who holds the prompt's shared part, where this router doesn't know.
+    /// Queries which servers hold the shared part of the prompt, if this router doesn't know.
     pub(super) async fn find_holders(&mut self) {
-        self.nobody_holds = self.fleet.ask_for_holders(&self.service, &self.call.prompt).await;
+        self.nobody_holds = self.fleet.query_holders(&self.service, &self.call.prompt).await;
     }
 
-    /// The server for the next attempt.
+    /// Chooses the server for the next attempt.
     pub(super) fn choose(&mut self) -> Result<ChosenServer, CallFailure> {
-        if self.left() < LEAST_TIME {
+        if self.left() < MIN_ATTEMPT_TIME {
             return Err(self.failure(NotRunReason::Late));
         }
         self.check_quarantine()?;
         let call = &self.call;
         let homes = self.homes();
         match self.fleet.choose(&self.service, call, &self.tried, self.nobody_holds, homes) {
-            Some(chosen) if self.comes_too_late(&chosen) => {
+            Some(chosen) if self.is_too_late(&chosen) => {
                 log::info!(
                     request:% = self.call.id, service:% = self.service,
                     server:% = chosen.server.id, expected_ms = chosen.expected.as_millis() as u64,
@@ -198,22 +199,22 @@
                 self.sent_after = self.begin_attempt();
                 Ok(chosen)
             }
-            None => Err(self.failure(self.absence())),
+            None => Err(self.failure(self.unavailable_reason())),
         }
     }
 
-    /// Takes back a choice whose server must not get the request any more.
+    /// Withdraws the choice of a server that must not receive the request any more.
     pub(super) fn withdraw_choice(&mut self) {
         self.tried.pop();
     }
 
-    /// The regions that bind the request.
+    /// Returns the regions to which the request is restricted.
     fn homes(&self) -> RequestHomes<'_> {
         let organisation = self.holder.as_ref().map(|holder| &holder.homes);
         RequestHomes { route: &self.route.homes, organisation }
     }
 
-    /// Refuses a request for which no server is open, however long it waits.
+    /// Refuses a request that no server accepts, regardless of how long it waits.
     pub(super) fn check_open(&self) -> Result<(), CallFailure> {
         match self.fleet.closed_reason(&self.service, self.homes()) {
             Some(reason) => Err(self.failure(reason)),
@@ -221,25 +222,25 @@
         }
     }
 
-    /// Waits for the first server where all have asked for a short rest, and refuses the request at once where the
-    /// rest is long.
-    pub(super) async fn wait_for_rest(&self) -> Result<(), CallFailure> {
-        while let Some(rest) = self.rest_of_all() {
-            if rest > rest_patience(self.left()) {
+    /// Waits until the first server accepts requests if all have requested a short back-off.
+    /// Refuses the request at once if the back-off is long.
+    pub(super) async fn wait_for_backoff(&self) -> Result<(), CallFailure> {
+        while let Some(backoff) = self.backoff_of_all() {
+            if backoff > rest_patience(self.left()) {
                 return Err(self.failure(NotRunReason::Resting));
             }
-            monoio::time::sleep(rest).await;
+            monoio::time::sleep(backoff).await;
         }
         Ok(())
     }
 
-    fn rest_of_all(&self) -> Option<Duration> {
-        self.fleet.rest_of_all(&self.service, self.homes(), Instant::now())
+    fn backoff_of_all(&self) -> Option<Duration> {
+        self.fleet.backoff_of_all(&self.service, self.homes(), Instant::now())
     }
 
-    /// Why there is no server for a request, or no further one.
-    fn absence(&self) -> NotRunReason {
-        if self.rest_of_all().is_some() {
+    /// Returns the reason that no server, or no further one, is available for the request.
+    fn unavailable_reason(&self) -> NotRunReason {
+        if self.backoff_of_all().is_some() {
             return NotRunReason::Resting;
         }
         if !self.tried.is_empty() {
@@ -252,17 +253,18 @@
         })
     }
 
-    /// Whether the first event of a request that has gone nowhere yet would come after its caller has
-    /// left. Where nothing else is read at the server, the estimate may be wrong and is tried out. The
-    /// time to the last event is too uncertain to refuse by it.
-    fn comes_too_late(&self, chosen: &ChosenServer) -> bool {
+    /// Returns whether the first event would arrive after the deadline, for a request without an
+    /// attempt so far. If the server prefills nothing else, the estimate may be wrong and the
+    /// request is sent anyway. The time to the last event is too uncertain to refuse a request by
+    /// it.
+    fn is_too_late(&self, chosen: &ChosenServer) -> bool {
         let is_first = self.tried.is_empty()
             && self.kind().is_stream()
             && self.fleet.uses(Mechanism::EarlyRefusal);
         is_first && chosen.is_reading && chosen.expected > self.left()
     }
 
-    /// What the next sending carries.
+    /// Returns the data that the next attempt carries.
     pub(super) fn dispatch<'a>(
         &'a self,
         chosen: &'a ChosenServer,
@@ -278,40 +280,40 @@
         }
     }
 
-    /// Decides after an attempt that brought no answer whether there is another.
+    /// Decides whether there is another attempt after one that brought no answer.
     pub(super) fn after_loss(&mut self, lost: &LostAttempt) -> Result<(), CallFailure> {
         let loss = lost.loss;
         self.fleet.metrics().lost_attempts.count(loss_label(loss));
         let step = self.history.after_loss(self.kind(), self.route.attempts, loss);
         log::info!(
             request:% = self.call.id, fingerprint:% = self.fingerprint(), loss:? = loss,
-            cause = lost.cause.as_str(), next:? = step, server_ended = lost.server_ended,
+            cause = lost.cause.as_str(), next:? = step, server_ended = lost.server_crashed,
             server:% = self.tried.last().map_or("", ServerId::as_str);
             "attempt brought no answer"
         );
-        self.note_server_end(lost);
+        self.record_server_crash(lost);
         self.check_quarantine()?;
         match step {
             NextStep::Again { counts: false } => Ok(()),
-            NextStep::Again { counts: true } if self.take_repeat() => Ok(()),
+            NextStep::Again { counts: true } if self.claim_retry() => Ok(()),
             _ => Err(self.failure(NotRunReason::Rejected)),
         }
     }
 
-    /// Notes where an attempt was lost that its server ended under the request.
-    pub(super) fn note_server_end(&self, lost: &LostAttempt) {
-        if let Some(server) = self.tried.last().filter(|_| lost.server_ended) {
-            self.fleet.note_crash(self.fingerprint(), self.sent_after, server);
+    /// Records a crash if the server of a lost attempt crashed while it ran the request.
+    pub(super) fn record_server_crash(&self, lost: &LostAttempt) {
+        if let Some(server) = self.tried.last().filter(|_| lost.server_crashed) {
+            self.fleet.record_request_crash(self.fingerprint(), self.sent_after, server);
         }
     }
 
-    /// Refuses a request that is in quarantine. Each call with it would end as many servers as its route has
-    /// attempts, whichever router takes the call.
+    /// Refuses a request that is in quarantine. Otherwise each call with it would crash as many
+    /// servers as its route allows attempts, at any router.
     pub(super) fn check_quarantine(&self) -> Result<(), CallFailure> {
         if !self.fleet.has_suspects() {
             return Ok(());
         }
-        let Some(left) = self.fleet.hold_left(self.fingerprint()) else { return Ok(()) };
+        let Some(left) = self.fleet.quarantine_left(self.fingerprint()) else { return Ok(()) };
         log::info!(
             request:% = self.call.id, fingerprint:% = self.fingerprint(),
             held_ms = left.as_millis() as u64; "request is held"
@@ -329,14 +331,14 @@
         }
     }
 
-    /// Notes that a server has run the request to its end.
-    pub(super) fn note_run(&self) {
+    /// Records that a server has run the request to completion.
+    pub(super) fn record_completion(&self) {
         if self.fleet.has_suspects() {
-            self.fleet.note_run(self.fingerprint(), self.sent_after);
+            self.fleet.record_completion(self.fingerprint(), self.sent_after);
         }
     }
 
-    fn take_repeat(&self) -> bool {
+    fn claim_retry(&self) -> bool {
         let now = Instant::now();
         let mut budget = self.fleet.budget().borrow_mut();
         let taken = budget.take_repeat(&self.service, now);
@@ -354,7 +356,8 @@
         taken
     }
 
-    /// What the caller can be told for certain when no further attempt is made.
+    /// Returns the failure for the caller when no further attempt is made. The request counts as
+    /// not run only if this is certain.
     pub(super) fn failure(&self, reason: NotRunReason) -> CallFailure {
         if self.history.may_have_run() {
             return match reason {
@@ -364,8 +367,8 @@
         }
         let retry_after = match reason {
             NotRunReason::Resting => {
-                let rest = self.rest_of_all().unwrap_or_default();
-                Some(return_after_rest(rest, rand::random()))
+                let backoff = self.backoff_of_all().unwrap_or_default();
+                Some(return_after_rest(backoff, rand::random()))
             }
             NotRunReason::NoServer
             | NotRunReason::Rejected
--- a/crates/papayamux-router/src/direct/daemon.rs
+++ b/crates/papayamux-router/src/direct/daemon.rs
@@ -1,4 +1,5 @@
-//! The life of a router that asks backend servers directly: start, serve, drain, end.
+//! The lifecycle of a router that sends requests directly to backend servers: start, serve, drain,
+//! exit.
 
 use std::cell::Cell;
 use std::error::Error;
@@ -29,18 +30,18 @@
 use super::source_follower::{follow_source, FleetSource};
 use super::{CallHandler, CallInterface, DirectSettings, Fleet};
 
-/// Part of the grace for which new connections are still taken: the balancer needs two misses of
-/// its question, which it asks each second, to see that the router leaves.
-const ACCEPT_PART: f64 = 0.36;
-/// Time before the end of the grace at which the process ends by itself.
+/// Share of the grace period during which new connections are still accepted: the balancer checks
+/// the router each second and needs two failed checks to see that it drains.
+const ACCEPT_SHARE: f64 = 0.36;
+/// Time before the end of the grace period at which the process exits by itself.
 const END_MARGIN: Duration = Duration::from_millis(700);
-/// How often a draining router looks whether its last request has ended.
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
-/// How long a connection may be idle, or take for a request's head: longer than callers keep idle
-/// connections, so that no request crosses a close.
-const IDLE_WITHIN: Duration = Duration::from_secs(75);
-/// How often idle connections and faded records are looked through.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which a draining router checks whether its last request has completed.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of idle connections and of request heads. It exceeds the time for which callers keep
+/// idle connections, so that no request is sent while the router closes the connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// Interval at which idle connections and outdated records are removed.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
 struct DirectView {
     fleet: Rc<Fleet>,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Runs a router until a signal ends it. `reload` reads the settings again.
+/// Runs a router until a signal stops it. `reload` reads the settings again.
 pub fn run_direct_router(
     settings: DirectSettings,
     interface: Rc<dyn CallInterface>,
@@ -83,8 +84,8 @@
     let mut signals = catch_signals()?;
     runtime::run(async move {
         let router = start(&settings, interface, source)?;
-        let begun = router.wait_for_end(&mut signals, reload).await;
-        router.drain(settings.grace, begun).await;
+        let drain_started = router.wait_for_shutdown(&mut signals, reload).await;
+        router.drain(settings.grace, drain_started).await;
         Ok(())
     })?
 }
@@ -133,7 +134,7 @@
     monoio::spawn(follow_source(fleet.clone(), source));
     monoio::spawn(survey_caches(fleet.clone(), peers.clone(), interface.clone()));
     let timer = TimerService::start();
-    monoio::spawn(forget_old(fleet.clone(), timer.clone()));
+    monoio::spawn(prune_outdated(fleet.clone(), timer.clone()));
     monoio::spawn(watch_attempts(fleet.clone(), timer));
     let calls = CallHandler::new(fleet, interface);
     let handler_view = view.clone();
@@ -142,8 +143,8 @@
         async move { close_when_draining(&view, calls.handle(request).await) }
     });
     let limits = HttpLimits {
-        connections: settings.most_callers(),
-        head_within: IDLE_WITHIN,
+        connections: settings.max_callers(),
+        head_within: IDLE_TIMEOUT,
         ..HttpLimits::default()
     };
     let shutdown = ShutdownSignal::new();
@@ -155,15 +156,15 @@
     );
     let disabled = &settings.fleet.disabled;
     if !disabled.is_empty() {
-        log::warn!(disabled:% = disabled; "an experiment has switched mechanisms off");
+        log::warn!(disabled:% = disabled; "mechanisms are disabled by an experiment");
     }
     Ok(ServingRouter { view, peers, shutdown, served })
 }
 
-async fn forget_old(fleet: Rc<Fleet>, timer: TimerService) {
-    let mut ticks = timer.every(FORGET_EVERY);
+async fn prune_outdated(fleet: Rc<Fleet>, timer: TimerService) {
+    let mut ticks = timer.every(PRUNE_INTERVAL);
     while ticks.tick().await.is_some() {
-        fleet.forget_old();
+        fleet.prune_outdated();
     }
 }
 
@@ -178,8 +179,8 @@
 }
 
 impl ServingRouter {
-    /// Serves until a signal asks for the end; reads the settings again when one asks for that.
-    async fn wait_for_end(
+    /// Serves until a signal requests the shutdown. Reads the settings again on SIGHUP.
+    async fn wait_for_shutdown(
         &self,
         signals: &mut SignalReceiver,
         reload: impl Fn() -> Result<DirectSettings, Findings>,
@@ -191,24 +192,24 @@
                     self.peers.set_seeds(settings.seeds);
                 }
                 Err(findings) => {
-                    log::error!(findings:% = findings; "settings can't be read, the old ones stay");
+                    log::error!(findings:% = findings; "reading the settings failed, keeping the old ones");
                 }
             }
         }
         Instant::now()
     }
 
-    /// Turns readiness off, serves on until the balancer has seen it, lets requests finish.
-    async fn drain(self, grace: Duration, begun: Instant) {
+    /// Turns readiness off, serves on until the balancer has noticed, then lets requests complete.
+    async fn drain(self, grace: Duration, drain_started: Instant) {
         self.view.draining.set(true);
-        self.peers.leave();
+        self.peers.announce_shutdown();
         log::info!(in_flight = self.view.fleet.in_flight(); "router drains");
-        monoio::time::sleep(grace.mul_f64(ACCEPT_PART)).await;
+        monoio::time::sleep(grace.mul_f64(ACCEPT_SHARE)).await;
         self.shutdown.give();
-        let end = begun + grace.saturating_sub(END_MARGIN);
+        let end = drain_started + grace.saturating_sub(END_MARGIN);
         let mut served = self.served;
         while Instant::now() < end {
-            let check = std::pin::pin!(monoio::time::sleep(DRAIN_CHECK));
+            let check = std::pin::pin!(monoio::time::sleep(DRAIN_CHECK_INTERVAL));
             match select(&mut served, check).await {
                 Either::Left(_) => break,
                 Either::Right(_) => {}
--- a/crates/papayamux-router/src/direct/fleet/crash_records.rs
+++ b/crates/papayamux-router/src/direct/fleet/crash_records.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers have ended.
+//! Requests under which servers have crashed.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -11,35 +11,39 @@
 
 use super::Fleet;
 
-/// Records that one datagram tells others of.
-const NOTICES_AT_ONCE: usize = 32;
+/// Maximum number of records in one datagram.
+const MAX_NOTICES_PER_REPORT: usize = 32;
 
-/// Records that other routers are to be told of.
-pub(in crate::direct) struct CrashNews {
-    /// What this router has seen itself.
-    pub seen: Vec<CrashNotice>,
-    /// What it has heard from others, and passes on.
-    pub heard: Vec<CrashNotice>,
+/// Records to send to other routers.
+pub(in crate::direct) struct CrashUpdate {
+    /// Crashes observed by this router itself.
+    pub observed: Vec<CrashNotice>,
+    /// Records received from other routers, to be relayed.
+    pub received: Vec<CrashNotice>,
 }
 
 impl Fleet {
-    /// Whether any request is suspect. Without one, no request needs a fingerprint.
+    /// Returns whether any request is suspected of crashing servers. If none is, no request needs a
+    /// fingerprint.
     pub(in crate::direct) fn has_suspects(&self) -> bool {
         !self.quarantine.borrow().is_empty()
     }
 
-    /// How long a request is still to be kept from servers; `None` where it may be sent.
-    pub(in crate::direct) fn hold_left(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
+    /// Returns the remaining quarantine of a request; `None` if it may be sent.
+    pub(in crate::direct) fn quarantine_left(
+        &self,
+        fingerprint: RequestFingerprint,
+    ) -> Option<Duration> {
         self.quarantine.borrow().hold_left(fingerprint, Instant::now())
     }
 
-    /// Notes that a request is about to be sent; returns the crashes that it is sent after.
+    /// Records that a request is about to be sent; returns the crashes known before.
     pub(in crate::direct) fn begin_attempt(&self, fingerprint: RequestFingerprint) -> CrashRecord {
         self.quarantine.borrow_mut().begin_attempt(fingerprint, Instant::now())
     }
 
-    /// Notes that a server ended under a request that was sent with this record.
-    pub(in crate::direct) fn note_crash(
+    /// Records that a server crashed under a request that was sent with this record.
+    pub(in crate::direct) fn record_request_crash(
         &self,
         fingerprint: RequestFingerprint,
         sent: CrashRecord,
@@ -64,20 +68,24 @@
             fingerprint:% = fingerprint, server:% = server, crashes = record.crashes,
             held_ms = held.as_millis() as u64; "server ended under a request"
         );
-        self.crash_noted.take().give();
+        self.crash_recorded.take().give();
     }
 
-    /// Notes that a server has run a request to its end.
-    pub(in crate::direct) fn note_run(&self, fingerprint: RequestFingerprint, sent: CrashRecord) {
+    /// Records that a server has run a request to completion.
+    pub(in crate::direct) fn record_completion(
+        &self,
+        fingerprint: RequestFingerprint,
+        sent: CrashRecord,
+    ) {
         if self.quarantine.borrow_mut().note_run(fingerprint, sent, Instant::now()) {
             self.metrics.crash_records.count("cleared");
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
-            self.crash_noted.take().give();
+            self.crash_recorded.take().give();
         }
     }
 
-    /// Takes in what another router tells of such requests.
-    pub(in crate::direct) fn take_crash_notices(&self, peer: IpAddr, notices: &[CrashNotice]) {
+    /// Applies the crash records of another router.
+    pub(in crate::direct) fn receive_crash_notices(&self, peer: IpAddr, notices: &[CrashNotice]) {
         if !self.uses(Mechanism::CrashQuarantine) {
             return;
         }
@@ -99,30 +107,39 @@
             }
         }
         if learnt {
-            self.crash_noted.take().give();
+            self.crash_recorded.take().give();
         }
     }
 
-    /// Waits until there is something to tell other routers; returns all that fits into a datagram.
-    pub(in crate::direct) async fn next_crash_news(&self) -> CrashNews {
+    /// Waits until there are records to send to other routers; returns as many as fit into a
+    /// datagram.
+    pub(in crate::direct) async fn next_crash_update(&self) -> CrashUpdate {
         loop {
-            let noted = self.crash_noted.borrow().clone();
+            let crash_signal = self.crash_recorded.borrow().clone();
             let now = Instant::now();
-            let news = {
+            let update = {
                 let mut quarantine = self.quarantine.borrow_mut();
-                CrashNews {
-                    seen: quarantine.next_untold(NoticeOrigin::Seen, NOTICES_AT_ONCE, now),
-                    heard: quarantine.next_untold(NoticeOrigin::Heard, NOTICES_AT_ONCE, now),
+                CrashUpdate {
+                    observed: quarantine.next_untold(
+                        NoticeOrigin::Seen,
+                        MAX_NOTICES_PER_REPORT,
+                        now,
+                    ),
+                    received: quarantine.next_untold(
+                        NoticeOrigin::Heard,
+                        MAX_NOTICES_PER_REPORT,
+                        now,
+                    ),
                 }
             };
-            if !news.seen.is_empty() || !news.heard.is_empty() {
-                return news;
+            if !update.observed.is_empty() || !update.received.is_empty() {
+                return update;
             }
-            noted.given().await;
+            crash_signal.given().await;
         }
     }
 
-    /// Some of the requests that are held, for the next regular report.
+    /// Returns some of the quarantined requests, for the next regular report.
     pub(in crate::direct) fn next_held_requests(&self, now: Instant) -> Vec<CrashNotice> {
         self.quarantine.borrow_mut().next_held(HELD_PER_REPORT, now)
     }
--- a/crates/papayamux-router/src/direct/fleet/fleet_state.rs
+++ b/crates/papayamux-router/src/direct/fleet/fleet_state.rs
@@ -1,4 +1,4 @@
-//! What a router believes, and what it has under way.
+//! The state of a router: its view of the fleet and its requests in progress.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -32,29 +32,30 @@
 use papayamux_transport::http::upstream::UpstreamPool;
 use papayamux_transport::shutdown::ShutdownSignal;
 
-use super::part_inquiries::OwnerMail;
-use super::part_waits::StartedReading;
+use super::part_inquiries::OwnerOutbox;
+use super::part_prefills::PrefillUpdate;
+use super::queued_requests::QueuedRequest;
 use super::server_checks::ServerChecks;
 use super::source_knowledge::SourceKnowledge;
-use super::turns::Turn;
 use crate::direct::attempt_watch::AttemptWatch;
 use crate::direct::{DirectMetrics, FleetSettings};
 
-/// All that a router knows. It belongs to one thread; clones of the `Rc` share it.
+/// The state that all tasks of a router share. It belongs to one thread; clones of the `Rc` share
+/// it.
 pub struct Fleet {
     pub(super) settings: FleetSettings,
     pub(super) configuration: RefCell<Option<Rc<ConfigurationSnapshot>>>,
     pub(super) freshness: RefCell<KeyFreshness>,
     pub(super) confirmed: RefCell<ShutdownSignal>,
-    pub(super) vouched_for: Cell<bool>,
+    pub(super) confirmed_by_peers: Cell<bool>,
     pub(super) source_lost: Cell<bool>,
-    pub(super) poke: RefCell<ShutdownSignal>,
+    pub(super) read_request: RefCell<ShutdownSignal>,
     pub(super) knowledge: SourceKnowledge,
     pub(super) presence: RefCell<ServerPresence>,
     pub(super) departures: RefCell<RecentDepartures>,
     pub(super) evacuations: RefCell<DomainEvacuations>,
-    pub(super) cold_book: RefCell<ColdBook>,
-    pub(super) census: RefCell<RouterCensus>,
+    pub(super) cold_tracker: RefCell<ColdBook>,
+    pub(super) router_count: RefCell<RouterCensus>,
     pub(super) ledger: RefCell<LoadLedger>,
     pub(super) evidence: RefCell<EvidenceBook>,
     pub(super) notices: RefCell<NoticeBook>,
@@ -64,21 +65,21 @@
     pub(super) profiles: RefCell<ProfileBook>,
     pub(super) warm: RefCell<HashMap<ServerId, WarmParts>>,
     pub(super) holders: RefCell<RecentHolders>,
-    pub(super) lines: RefCell<HashMap<ServiceId, ServiceLine<Rc<Turn>>>>,
+    pub(super) queues: RefCell<HashMap<ServiceId, ServiceLine<Rc<QueuedRequest>>>>,
     pub(super) links: RefCell<LinkDelays>,
     pub(super) round_trips: RefCell<RoundTrips>,
     pub(super) queue_reports: RefCell<QueueReports>,
     pub(super) deadlines: RefCell<HashMap<RouteId, UsualDeadline>>,
     pub(super) in_flight: Cell<usize>,
-    pub(super) fault_lines: RefCell<LogLimit>,
+    pub(super) fault_log_limit: RefCell<LogLimit>,
     pub(super) flights: RefCell<PartFlights>,
-    pub(super) part_read: RefCell<ShutdownSignal>,
-    pub(super) readings: RefCell<Vec<StartedReading>>,
-    pub(super) reading_begun: RefCell<ShutdownSignal>,
-    pub(super) mail: OwnerMail,
+    pub(super) prefill_ended: RefCell<ShutdownSignal>,
+    pub(super) prefills: RefCell<Vec<PrefillUpdate>>,
+    pub(super) prefill_begun: RefCell<ShutdownSignal>,
+    pub(super) outbox: OwnerOutbox,
     pub(super) checks: ServerChecks,
     pub(super) quarantine: RefCell<CrashQuarantine>,
-    pub(super) crash_noted: RefCell<ShutdownSignal>,
+    pub(super) crash_recorded: RefCell<ShutdownSignal>,
     pub(super) watch: AttemptWatch,
     pub(super) metrics: DirectMetrics,
     pub(super) pool: UpstreamPool,
@@ -93,7 +94,7 @@
 }
 
 impl Fleet {
-    /// A router that knows nothing yet.
+    /// Creates the state of a router that knows nothing yet.
     pub fn new(settings: FleetSettings) -> Rc<Self> {
         let pool = UpstreamPool::new(settings.pool);
         Rc::new(Self {
@@ -102,7 +103,7 @@
             round_trips: RefCell::new(RoundTrips::new(settings.domain.clone())),
             knowledge: SourceKnowledge::new(settings.address, settings.read_bounds().interval()),
             departures: RefCell::new(RecentDepartures::new(settings.departure_bounds())),
-            census: RefCell::new(RouterCensus::new(
+            router_count: RefCell::new(RouterCensus::new(
                 settings.address,
                 settings.expects_others,
                 Instant::now(),
@@ -110,12 +111,12 @@
             settings,
             configuration: RefCell::default(),
             confirmed: RefCell::default(),
-            vouched_for: Cell::new(false),
+            confirmed_by_peers: Cell::new(false),
             source_lost: Cell::new(false),
-            poke: RefCell::default(),
+            read_request: RefCell::default(),
             presence: RefCell::default(),
             evacuations: RefCell::default(),
-            cold_book: RefCell::default(),
+            cold_tracker: RefCell::default(),
             ledger: RefCell::default(),
             evidence: RefCell::default(),
             notices: RefCell::default(),
@@ -124,57 +125,58 @@
             profiles: RefCell::default(),
             warm: RefCell::default(),
             holders: RefCell::default(),
-            lines: RefCell::default(),
+            queues: RefCell::default(),
             links: RefCell::default(),
             queue_reports: RefCell::default(),
             deadlines: RefCell::default(),
             in_flight: Cell::new(0),
-            fault_lines: RefCell::default(),
+            fault_log_limit: RefCell::default(),
             flights: RefCell::default(),
-            part_read: RefCell::default(),
-            readings: RefCell::default(),
-            reading_begun: RefCell::default(),
-            mail: OwnerMail::default(),
+            prefill_ended: RefCell::default(),
+            prefills: RefCell::default(),
+            prefill_begun: RefCell::default(),
+            outbox: OwnerOutbox::default(),
             checks: ServerChecks::default(),
             quarantine: RefCell::default(),
-            crash_noted: RefCell::default(),
+            crash_recorded: RefCell::default(),
             watch: AttemptWatch::default(),
             metrics: DirectMetrics::default(),
             pool,
         })
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &FleetSettings {
         &self.settings
     }
 
-    /// Whether a mechanism is in use: all are, but for those that an experiment has switched off.
+    /// Returns whether a mechanism is in use: all are, except those that an experiment has
+    /// disabled.
     pub(in crate::direct) fn uses(&self, mechanism: Mechanism) -> bool {
         self.settings.disabled.allow(mechanism)
     }
 
-    /// Counters and histograms.
+    /// Returns counters and histograms.
     pub fn metrics(&self) -> &DirectMetrics {
         &self.metrics
     }
 
-    /// Connections to servers.
+    /// Returns the connections to servers.
     pub fn pool(&self) -> &UpstreamPool {
         &self.pool
     }
 
-    /// The watch over attempts.
+    /// Returns the watch over attempts.
     pub(in crate::direct) fn watch(&self) -> &AttemptWatch {
         &self.watch
     }
 
-    /// Loads at servers, own and others'.
+    /// Returns the loads of servers by the requests of this router and of the others.
     pub fn ledger(&self) -> &RefCell<LoadLedger> {
         &self.ledger
     }
 
-    /// The budget for repeats.
+    /// Returns the budget for retries.
     pub fn budget(&self) -> &RefCell<ServiceRetryBudget> {
         &self.budget
     }
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -1,4 +1,5 @@
-//! Asks the owner of a shared part who holds it, and answers for the parts that this router owns.
+//! Queries the owner of a shared part for its holders, and answers for the parts that this router
+//! owns.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -15,33 +16,33 @@
 use papayamux_state::quantities::TokenCount;
 use papayamux_transport::shutdown::ShutdownSignal;
 
-use super::part_waits::StartedReading;
+use super::part_prefills::PrefillUpdate;
 use super::Fleet;
 
-/// Holders named in one answer: one to use, and others where that one is busy.
-const MOST_HOLDERS: usize = 4;
+/// Maximum number of holders in an answer: one to use, and others in case it is busy.
+const MAX_HOLDERS: usize = 4;
 
-/// A question that is to be put to the owner of its part.
+/// A query to the owner of a part.
 pub(in crate::direct) struct PartInquiry {
     /// The prefix that ends with the part.
     pub part: PartId,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub reply: oneshot::Sender<PartAnswer>,
 }
 
-/// What waits to be sent to owners of parts.
+/// Messages to be sent to the owners of parts.
 #[derive(Default)]
-pub(super) struct OwnerMail {
+pub(super) struct OwnerOutbox {
     inquiries: RefCell<Vec<PartInquiry>>,
-    notes: RefCell<Vec<StartedReading>>,
+    notes: RefCell<Vec<PrefillUpdate>>,
     waiting: RefCell<ShutdownSignal>,
     answers: RefCell<AnswerTimes>,
 }
 
 impl Fleet {
-    /// Asks the owner of a prompt's shared part who holds it, where this router knows nobody. Returns
-    /// whether nobody does.
-    pub(in crate::direct) async fn ask_for_holders(
+    /// Queries the owner of a prompt's shared part for its holders if this router knows none.
+    /// Returns `true` if no server holds the part.
+    pub(in crate::direct) async fn query_holders(
         &self,
         service: &ServiceId,
         prompt: &PromptChain,
@@ -53,19 +54,20 @@
             && is_worth_telling(shared.get())
             && !self.knows_holder(service, part);
         let reading = self.profiles.borrow().service_speed(service).reading_time(shared);
-        let patience = self.mail.answers.borrow().patience(reading).filter(|_| asks);
+        let patience = self.outbox.answers.borrow().patience(reading).filter(|_| asks);
         let Some(patience) = patience else { return false };
         let asked = Instant::now();
         let (reply, answer) = oneshot::channel();
-        self.mail.inquiries.borrow_mut().push(PartInquiry { part, reply });
-        self.mail.waiting.take().give();
-        // Without an answer the home is believed to hold the part, as if nobody had been asked.
+        self.outbox.inquiries.borrow_mut().push(PartInquiry { part, reply });
+        self.outbox.waiting.take().give();
+        // Without an answer the home is assumed to hold the part, as if the owner had not been
+        // queried.
         let Ok(Ok(answer)) = monoio::time::timeout(patience, answer).await else {
             self.metrics.part_inquiries.count("unanswered");
             return false;
         };
-        self.note_owner_answer(asked.elapsed());
-        let found = self.take_holders(&prefixes, &answer);
+        self.record_owner_answer(asked.elapsed());
+        let found = self.record_reported_holders(&prefixes, &answer);
         let result = match (found, answer.is_sure) {
             (true, _) => "found",
             (false, true) => "nobody",
@@ -75,31 +77,33 @@
         !found && answer.is_sure
     }
 
-    /// Notes how long an owner's answer took.
-    pub(in crate::direct) fn note_owner_answer(&self, took: Duration) {
-        self.mail.answers.borrow_mut().note(took);
+    /// Records how long an owner took to answer.
+    pub(in crate::direct) fn record_owner_answer(&self, elapsed: Duration) {
+        self.outbox.answers.borrow_mut().note(elapsed);
     }
 
-    /// Tells the owner of a part that a server holds it from now on, or will when it has read it.
-    pub(super) fn tell_owner(&self, started: StartedReading) {
+    /// Notifies the owner of a part that a server holds it, or will hold it after its prefill.
+    pub(super) fn notify_owner(&self, update: PrefillUpdate) {
         if self.uses(Mechanism::PartOwners) {
-            self.mail.notes.borrow_mut().push(started);
-            self.mail.waiting.take().give();
+            self.outbox.notes.borrow_mut().push(update);
+            self.outbox.waiting.take().give();
         }
     }
 
-    /// Waits until there is something for owners of parts; returns all of it.
-    pub(in crate::direct) async fn next_mail(&self) -> (Vec<PartInquiry>, Vec<StartedReading>) {
+    /// Waits until there are messages for owners of parts; returns all of them.
+    pub(in crate::direct) async fn next_owner_messages(
+        &self,
+    ) -> (Vec<PartInquiry>, Vec<PrefillUpdate>) {
         let is_empty =
-            self.mail.inquiries.borrow().is_empty() && self.mail.notes.borrow().is_empty();
+            self.outbox.inquiries.borrow().is_empty() && self.outbox.notes.borrow().is_empty();
         if is_empty {
-            let waiting = self.mail.waiting.borrow().clone();
+            let waiting = self.outbox.waiting.borrow().clone();
             waiting.given().await;
         }
-        (self.mail.inquiries.take(), self.mail.notes.take())
+        (self.outbox.inquiries.take(), self.outbox.notes.take())
     }
 
-    /// The servers that are known to hold a part or to read it, those that hold it first.
+    /// Returns the servers that are known to hold or prefill a part, those that hold it first.
     pub(in crate::direct) fn holders_of(&self, part: PartId) -> Vec<PartHolder> {
         let now = Instant::now();
         let (warm, flights) = (self.warm.borrow(), self.flights.borrow());
@@ -110,11 +114,11 @@
         });
         let mut holders: Vec<_> = holding.collect();
         holders.sort_unstable_by_key(|holder| (holder.reading_ms, holder.server.0));
-        holders.truncate(MOST_HOLDERS);
+        holders.truncate(MAX_HOLDERS);
         holders
     }
 
-    /// Whether a server is known to hold a part against which nothing speaks.
+    /// Returns whether a server is known that holds a part and has no failure evidence against it.
     fn knows_holder(&self, service: &ServiceId, part: PartId) -> bool {
         let (presence, warm) = (self.presence.borrow(), self.warm.borrow());
         let (evidence, now) = (self.evidence.borrow(), Instant::now());
@@ -125,20 +129,29 @@
         })
     }
 
-    /// Takes in who holds a part; whether anybody does that is there.
-    fn take_holders(&self, prefixes: &[(PartId, TokenCount)], answer: &PartAnswer) -> bool {
+    /// Records the holders of a part; returns whether any of them is a known server.
+    fn record_reported_holders(
+        &self,
+        prefixes: &[(PartId, TokenCount)],
+        answer: &PartAnswer,
+    ) -> bool {
         let mut found = false;
         for holder in &answer.holders {
             let Some(server) = self.server_by_key(holder.server) else { continue };
             found = true;
-            self.take_holder(server, prefixes, *holder);
+            self.record_reported_holder(server, prefixes, *holder);
         }
         found
     }
 
-    fn take_holder(&self, server: ServerId, prefixes: &[(PartId, TokenCount)], holder: PartHolder) {
+    fn record_reported_holder(
+        &self,
+        server: ServerId,
+        prefixes: &[(PartId, TokenCount)],
+        holder: PartHolder,
+    ) {
         if holder.reading_ms == 0 {
-            self.note_holder(&HolderNote { server, prefixes: prefixes.to_vec() });
+            self.record_holder(&HolderNote { server, prefixes: prefixes.to_vec() });
             return;
         }
         let reading = PromptReading {
@@ -149,6 +162,6 @@
             waiting: 0,
         };
         let reading = Some(reading);
-        self.note_reading(&StartedReading { server, prefixes: prefixes.to_vec(), reading });
+        self.record_prefill(&PrefillUpdate { server, prefixes: prefixes.to_vec(), reading });
     }
 }
--- /dev/null
+++ b/crates/papayamux-router/src/direct/fleet/queued_requests.rs
@@ -0,0 +1,174 @@
+//! Requests that wait for a slot at the servers of a service.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use papayamux_coordination::mechanism::Mechanism;
+use papayamux_coordination::server_evidence::ServerStanding;
+use papayamux_coordination::server_places::{free_places, ServerWork};
+use papayamux_coordination::service_line::{LineArrival, LineRefusal, LineRequest};
+use papayamux_state::backend::BackendServer;
+use papayamux_state::ids::{RouteId, ServiceId};
+use papayamux_transport::shutdown::ShutdownSignal;
+
+use super::Fleet;
+
+/// A request in the queue.
+#[derive(Debug, Default)]
+pub(in crate::direct) struct QueuedRequest {
+    outcome: Cell<Option<QueueOutcome>>,
+    decided: ShutdownSignal,
+}
+
+/// Two entries are equal only if they are the same entry.
+impl PartialEq for QueuedRequest {
+    fn eq(&self, other: &Self) -> bool {
+        std::ptr::eq(self, other)
+    }
+}
+
+#[derive(Debug, Clone, Copy)]
+enum QueueOutcome {
+    Dispatched,
+    TurnedAway(LineRefusal),
+}
+
+impl QueuedRequest {
+    fn decide(&self, outcome: QueueOutcome) {
+        self.outcome.set(Some(outcome));
+        self.decided.give();
+    }
+}
+
+/// Removes a request from the queue when its caller disconnects.
+struct QueueGuard<'a> {
+    fleet: &'a Fleet,
+    service: &'a ServiceId,
+    queued: &'a Rc<QueuedRequest>,
+}
+
+impl Drop for QueueGuard<'_> {
+    fn drop(&mut self) {
+        let mut queues = self.fleet.queues.borrow_mut();
+        let Some(service_queue) = queues.get_mut(self.service) else { return };
+        match self.queued.outcome.get() {
+            Some(QueueOutcome::Dispatched) => service_queue.note_taken(),
+            Some(QueueOutcome::TurnedAway(_)) => {}
+            None => {
+                service_queue.leave(self.queued);
+            }
+        }
+    }
+}
+
+impl Fleet {
+    /// Waits until there is a slot for a request, or fails if there will be none on time. Returns
+    /// the duration of the wait; `None` if the request was admitted at once.
+    pub(in crate::direct) async fn wait_for_slot(
+        &self,
+        service: &ServiceId,
+        request: LineRequest,
+    ) -> Result<Option<Duration>, LineRefusal> {
+        if !self.uses(Mechanism::Line) {
+            return Ok(None);
+        }
+        let now = Instant::now();
+        let queued = Rc::new(QueuedRequest::default());
+        let arrival = {
+            let open_slots = self.free_places(service, now);
+            let mut queues = self.queues.borrow_mut();
+            let service_queue = queues.entry(service.clone()).or_default();
+            service_queue.arrive(request, queued.clone(), open_slots)
+        };
+        let expected = match arrival {
+            LineArrival::Goes => return Ok(None),
+            LineArrival::TurnedAway(refusal) => return Err(refusal),
+            LineArrival::Waits(wait) => wait,
+        };
+        let guard = QueueGuard { fleet: self, service, queued: &queued };
+        queued.decided.given().await;
+        drop(guard);
+        match queued.outcome.get() {
+            Some(QueueOutcome::TurnedAway(refusal)) => Err(refusal),
+            Some(QueueOutcome::Dispatched) | None => {
+                self.metrics.record_wait_ratio(expected, now.elapsed());
+                Ok(Some(now.elapsed()))
+            }
+        }
+    }
+
+    /// Returns how long ago a caller on a route first sent its request, as far as the deadline
+    /// shows.
+    pub(in crate::direct) fn asked_before(&self, route: &RouteId, deadline: Duration) -> Duration {
+        if !self.uses(Mechanism::UsualDeadline) {
+            return Duration::ZERO;
+        }
+        self.deadlines.borrow_mut().entry(route.clone()).or_default().note(deadline)
+    }
+
+    /// Dispatches the queued requests of a service to free slots.
+    pub(super) fn dispatch_queued(&self, service: &ServiceId) {
+        let mut queues = self.queues.borrow_mut();
+        let Some(service_queue) =
+            queues.get_mut(service).filter(|service_queue| !service_queue.is_empty())
+        else {
+            return;
+        };
+        let open_slots = self.free_places(service, Instant::now());
+        // Other routers see the same free slots: each takes its share and checks again soon.
+        let routers = u32::try_from(self.ledger.borrow().reporting() + 1).unwrap_or(u32::MAX);
+        for queued in service_queue.call(open_slots, open_slots.div_ceil(routers)) {
+            queued.decide(QueueOutcome::Dispatched);
+        }
+    }
+
+    /// Refuses queued requests that can't be served on time, and dispatches those with a free slot.
+    pub(in crate::direct) fn update_queues(&self) {
+        let now = Instant::now();
+        let mut waiting = Vec::new();
+        for (service, service_queue) in self.queues.borrow_mut().iter_mut() {
+            for (queued, refusal) in service_queue.take_overdue(now) {
+                queued.decide(QueueOutcome::TurnedAway(refusal));
+            }
+            if !service_queue.is_empty() {
+                waiting.push(service.clone());
+            }
+        }
+        waiting.iter().for_each(|service| self.dispatch_queued(service));
+    }
+
+    /// Returns how many requests the servers of a service can take now without a long wait, as far
+    /// as is known. A service without any server to count has no limit here.
+    fn free_places(&self, service: &ServiceId, now: Instant) -> u32 {
+        let presence = self.presence.borrow();
+        let serving = presence.catalog().of_service(service);
+        let serving = serving.filter(|server| self.takes_requests(server));
+        let (mut healthy, mut ejected, mut backing_off) = (None, None, None);
+        for server in serving {
+            if self.is_backing_off(server, now) {
+                backing_off = Some(0);
+                continue;
+            }
+            let open_slots = self.free_slots_at(server, now);
+            let sum = match self.evidence.borrow().standing(&server.id, now) {
+                ServerStanding::Held => &mut ejected,
+                ServerStanding::Good | ServerStanding::OnTrial => &mut healthy,
+            };
+            *sum = Some(sum.unwrap_or(0u32).saturating_add(open_slots));
+        }
+        healthy.or(ejected).or(backing_off).unwrap_or(u32::MAX)
+    }
+
+    /// Returns the number of free slots of a server.
+    pub(super) fn free_slots_at(&self, server: &BackendServer, now: Instant) -> u32 {
+        let work = match self.engine_profile(&server.service) {
+            Some(_) => ServerWork::Engine,
+            None => ServerWork::Plain,
+        };
+        let load = self.load_at(server, now);
+        let waiting = self.queue_reports.borrow().waiting(&server.id, now);
+        let open_slots = free_places(work, server.slots, load, waiting, &self.speed(server));
+        self.send_room(server, now).at_most(open_slots)
+    }
+}
--- a/crates/papayamux-router/src/direct/fleet/server_notices.rs
+++ b/crates/papayamux-router/src/direct/fleet/server_notices.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves with their answers.
+//! Notices with which servers report their own state in answers.
 
 use std::time::{Duration, Instant};
 
@@ -8,8 +8,8 @@
 use super::{Fleet, RequestHomes};
 
 impl Fleet {
-    /// Takes in what a server said with an answer.
-    pub(in crate::direct) fn take_notice(&self, server: &BackendServer, notice: ServerNotice) {
+    /// Records the notice in an answer of a server.
+    pub(in crate::direct) fn record_notice(&self, server: &BackendServer, notice: ServerNotice) {
         if notice.leaves && !self.leaves(server) {
             self.metrics.server_notices.count("leaves");
             log::info!(server:% = server.id; "server says that it leaves");
@@ -22,19 +22,19 @@
         self.notices.borrow_mut().note(&server.id, notice, Instant::now());
     }
 
-    /// Whether a server has said with an answer that it leaves.
+    /// Returns whether a server has announced with an answer that it drains.
     pub(in crate::direct) fn leaves(&self, server: &BackendServer) -> bool {
         self.notices.borrow().leaves(&server.id)
     }
 
-    /// Whether a server has asked for a rest that isn't over.
-    pub(in crate::direct) fn rests(&self, server: &BackendServer, now: Instant) -> bool {
+    /// Returns whether a back-off requested by a server is still in effect.
+    pub(in crate::direct) fn is_backing_off(&self, server: &BackendServer, now: Instant) -> bool {
         self.notices.borrow().rest_left(&server.id, now).is_some()
     }
 
-    /// How long until the first server of a service takes a request with these homes, where all that would take it
-    /// rest.
-    pub(in crate::direct) fn rest_of_all(
+    /// Returns the time until the first server of a service takes a request with these home
+    /// regions, if all that could take it have requested a back-off.
+    pub(in crate::direct) fn backoff_of_all(
         &self,
         service: &ServiceId,
         homes: RequestHomes<'_>,
@@ -44,7 +44,7 @@
         let servers = presence.catalog().of_service(service);
         let open = servers.filter(|server| self.takes_requests(server));
         let open = open.filter(|server| self.is_home(server, homes));
-        let rests = open.map(|server| notices.rest_left(&server.id, now));
-        rests.min_by_key(|rest| rest.unwrap_or_default()).flatten()
+        let backoffs = open.map(|server| notices.rest_left(&server.id, now));
+        backoffs.min_by_key(|rest| rest.unwrap_or_default()).flatten()
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -1,4 +1,5 @@
-//! What the router knows of the source, by its own reads and by the word of routers that read it.
+//! The state of the source as known by this router's own reads and by updates of routers that read
+//! it.
 
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -21,13 +22,14 @@
 
 use super::Fleet;
 
-/// Changes told in one datagram: of up to 100 bytes each, under 13 KB. Whoever lacks more reads them.
-const MOST_CHANGES: usize = 128;
-/// What is known of the source, and who tells it.
+/// Maximum number of changes in one datagram: at up to 100 bytes each, they take less than 13 KB. A
+/// follower that lacks more reads them from the source.
+const MAX_CHANGES: usize = 128;
+/// The known state of the source, and the router's role in reading and relaying it.
 pub(super) struct SourceKnowledge {
     view: Cell<SourceView>,
     journal: RefCell<BeliefJournal>,
-    duty: RefCell<SourceDuty>,
+    role_selection: RefCell<SourceDuty>,
     followers: RefCell<FollowerTable>,
     advanced: RefCell<ShutdownSignal>,
     differs_since: Cell<Option<Instant>>,
@@ -35,12 +37,13 @@
 }
 
 impl SourceKnowledge {
-    /// Nothing is known yet; by itself the router would read at the pause `alone`.
+    /// Creates the state of a router that knows nothing yet. Without other routers it would read at
+    /// the interval `alone`.
     pub(super) fn new(own: IpAddr, alone: Duration) -> Self {
         Self {
             view: Cell::default(),
             journal: RefCell::default(),
-            duty: RefCell::new(SourceDuty::new(own, alone)),
+            role_selection: RefCell::new(SourceDuty::new(own, alone)),
             followers: RefCell::default(),
             advanced: RefCell::default(),
             differs_since: Cell::new(None),
@@ -50,24 +53,25 @@
 }
 
 impl Fleet {
-    /// The position of the source behind which changes have to be read; `None` where everything has.
+    /// Returns the position of the source after which changes have to be read; `None` if everything
+    /// has to be read.
     pub(in crate::direct) fn source_position(&self) -> Option<SourcePosition> {
         self.knowledge.view.get().position()
     }
 
-    /// Notes that everything was read, up to this position.
-    pub(in crate::direct) fn note_whole_read(&self, at: SourcePosition) {
+    /// Records that everything was read, up to this position.
+    pub(in crate::direct) fn record_full_read(&self, at: SourcePosition) {
         self.knowledge.journal.borrow_mut().note_gap(at);
         self.change_view(|view| view.note_whole(at));
-        self.note_beliefs();
+        self.journal_known_servers();
     }
 
-    /// Whether changes that a read brought up to `at` are to be taken over for servers.
-    pub(in crate::direct) fn takes_changes(&self, at: SourcePosition) -> bool {
+    /// Returns whether the server changes of a read up to `at` are to be applied.
+    pub(in crate::direct) fn accept_changes(&self, at: SourcePosition) -> bool {
         self.change_view(|view| view.note_changes(at))
     }
 
-    /// Notes that everything has to be read.
+    /// Records that everything has to be read again.
     pub(in crate::direct) fn forget_position(&self) {
         self.change_view(SourceView::forget);
     }
@@ -79,43 +83,45 @@
         result
     }
 
-    /// Notes that a server's entry went, for those who follow this router.
-    pub(super) fn note_heard_departure(&self, name: &ServerName) {
+    /// Journals that a server's entry was removed, for the followers of this router.
+    pub(super) fn journal_departure(&self, name: &ServerName) {
         self.knowledge.journal.borrow_mut().note_departure(name.clone());
     }
 
-    /// A newer version of the configuration than the one in force, of which another router has told.
+    /// Returns a version of the configuration announced by another router that is newer than the
+    /// one in force.
     pub(in crate::direct) fn wanted_version(&self) -> Option<ConfigVersion> {
         self.knowledge.view.get().wanted(self.configuration_version())
     }
 
-    /// Notes that this router has read the source itself.
-    pub(in crate::direct) fn note_own_read(&self) {
+    /// Records that this router has read the source itself.
+    pub(in crate::direct) fn record_own_read(&self) {
         self.knowledge.hops.set(0);
-        self.tell_followers();
+        self.notify_followers();
     }
 
-    /// What the router does to know the source.
+    /// Returns the router's role: reader or follower of the source.
     pub(in crate::direct) fn source_role(&self) -> SourceRole {
-        self.knowledge.duty.borrow().role()
+        self.knowledge.role_selection.borrow().role()
     }
 
-    /// Whether this router looks often for a source that is away.
+    /// Returns whether this router retries frequently while the source is unavailable.
     pub(in crate::direct) fn seeks_source(&self) -> bool {
-        self.settings.readers == SourceReaders::All || self.knowledge.duty.borrow().seeks_source()
+        self.settings.readers == SourceReaders::All
+            || self.knowledge.role_selection.borrow().seeks_source()
     }
 
-    /// Chooses the role again among the routers that are known.
+    /// Chooses the role anew among the known routers.
     pub(in crate::direct) fn choose_source_role(&self, known: &[IpAddr], now: Instant) {
         if self.settings.readers == SourceReaders::All {
             return;
         }
         let view = DutyView {
             known,
-            doubts_reads: !self.may_be_confirmed() || self.awaits_renewals(),
+            doubts_reads: !self.source_is_reachable() || self.awaits_renewals(),
             has_followers: !self.knowledge.followers.borrow_mut().current(now).is_empty(),
         };
-        if !self.knowledge.duty.borrow_mut().choose(view, now) {
+        if !self.knowledge.role_selection.borrow_mut().choose(view, now) {
             return;
         }
         let routers = known.len() + 1;
@@ -123,7 +129,7 @@
             SourceRole::Reader(pause) => {
                 let pause_ms = pause.as_millis() as u64;
                 log::info!(routers = routers, pause_ms = pause_ms; "reads the source for others");
-                self.poke();
+                self.request_read();
             }
             SourceRole::Follower(followed) => {
                 log::info!(routers = routers, followed:% = followed; "follows a router");
@@ -131,7 +137,8 @@
         }
     }
 
-    /// What to ask the router that is followed; nothing where none is, or where all is still to be read.
+    /// Returns the request to the followed router; `None` if there is none, or if everything has to
+    /// be read first.
     pub(in crate::direct) fn follow_request(&self, life: u64) -> Option<(IpAddr, FollowRequest)> {
         let SourceRole::Follower(followed) = self.source_role() else { return None };
         let position = self.source_position()?.0;
@@ -139,8 +146,8 @@
         Some((followed, FollowRequest { life, asked_ms, position }))
     }
 
-    /// Notes that `router` follows this one; what to tell it at once.
-    pub(in crate::direct) fn note_follower(
+    /// Records that `router` follows this one; returns the update to send to it at once.
+    pub(in crate::direct) fn record_follower(
         &self,
         router: IpAddr,
         request: FollowRequest,
@@ -155,63 +162,66 @@
             return None;
         }
         let entry = followers.current(now).into_iter().find(|(follower, _)| *follower == router);
-        self.news_for(&entry?.1)
+        self.update_for(&entry?.1)
     }
 
-    /// Waits until there is something newer to tell; then what, and to whom.
-    pub(in crate::direct) async fn next_news(&self) -> Vec<(IpAddr, FleetNews)> {
+    /// Waits until something is newer; returns the updates with their recipients.
+    pub(in crate::direct) async fn next_updates(&self) -> Vec<(IpAddr, FleetNews)> {
         let advanced = self.knowledge.advanced.borrow().clone();
         advanced.given().await;
         let followers = self.knowledge.followers.borrow_mut().current(Instant::now());
-        let news = followers.iter();
-        news.filter_map(|(router, entry)| Some((*router, self.news_for(entry)?))).collect()
+        let update = followers.iter();
+        update.filter_map(|(router, entry)| Some((*router, self.update_for(entry)?))).collect()
     }
 
-    /// Takes in what `sender` tells of the source.
-    pub(in crate::direct) fn take_news(&self, sender: IpAddr, life: u64, news: FleetNews) {
+    /// Applies an update of `sender` about the source.
+    pub(in crate::direct) fn receive_update(&self, sender: IpAddr, life: u64, update: FleetNews) {
         let now = boot_now();
         let question = VouchQuestion {
-            life: news.life,
-            asked: BootInstant(Duration::from_millis(news.asked_ms)),
+            life: update.life,
+            asked: BootInstant(Duration::from_millis(update.asked_ms)),
         };
         if question.life != life || question.asked > now {
             return;
         }
-        let Some(known) = StatedShift(news.shift_ms).on_askers_clock(question, now) else { return };
+        let Some(known) = StatedShift(update.shift_ms).on_askers_clock(question, now) else {
+            return;
+        };
         let steady = Instant::now();
         let stated = StatedView {
-            position: SourcePosition(news.position),
-            behind: news.span.as_ref().map(|span| SourcePosition(span.behind)),
-            version: ConfigVersion(news.version),
+            position: SourcePosition(update.position),
+            behind: update.span.as_ref().map(|span| SourcePosition(span.behind)),
+            version: ConfigVersion(update.version),
             known,
         };
         let version = self.configuration_version();
         let in_force = ViewInForce { version, confirmed: self.confirmed_since() };
         let verdict = self.change_view(|view| view.judge(stated, in_force));
         if verdict.progresses {
-            self.knowledge.duty.borrow_mut().note_newer(sender, steady);
+            self.knowledge.role_selection.borrow_mut().note_newer(sender, steady);
         }
-        if let Some(span) = news.span.filter(|_| verdict.takes_servers) {
-            let grace = Duration::from_millis(u64::from(news.grace_ms));
-            self.adopt_span(span, grace, steady);
+        if let Some(span) = update.span.filter(|_| verdict.takes_servers) {
+            let grace = Duration::from_millis(u64::from(update.grace_ms));
+            self.apply_span(span, grace, steady);
         }
         if verdict.needs_read {
-            self.poke();
+            self.request_read();
         }
         if verdict.confirms {
-            self.knowledge.hops.set(news.hops);
-            self.metrics.news_age.observe(now.since(known).as_secs_f64());
-            self.metrics.news_hops.observe(f64::from(news.hops));
-            self.note_list_contact(false, steady);
-            self.note_confirmation(known);
+            self.knowledge.hops.set(update.hops);
+            self.metrics.update_age.observe(now.since(known).as_secs_f64());
+            self.metrics.update_hops.observe(f64::from(update.hops));
+            self.record_list_contact(false, steady);
+            self.record_confirmation(known);
         }
         if verdict.progresses {
-            self.tell_followers();
+            self.notify_followers();
         }
     }
 
-    /// Takes over changes of servers, how long lapsed ones may still come back, and evacuations.
-    fn adopt_span(&self, span: NewsSpan, grace: Duration, now: Instant) {
+    /// Applies server changes, the time for which expired entries may still be renewed, and
+    /// evacuations.
+    fn apply_span(&self, span: NewsSpan, grace: Duration, now: Instant) {
         for change in span.changes {
             match change {
                 ServerNews::Present(server) => self.adopt_server(server, now),
@@ -220,19 +230,20 @@
         }
         self.adopt_grace(grace, now);
         self.replace_evacuations(span.evacuations);
-        self.note_beliefs();
-        // Entries that lapsed in an outage are given up at slightly different times.
+        self.journal_known_servers();
+        // Entries that expired in an outage are removed at slightly different times.
         match grace.is_zero() {
-            true => self.compare_beliefs(BeliefDigest(span.digest), now),
+            true => self.compare_known_servers(BeliefDigest(span.digest), now),
             false => self.knowledge.differs_since.set(None),
         }
     }
 
-    /// Reads everything again where this router believes something else than the one it follows for as long
-    /// as it would take to read by itself: a departure that was kept from it then has an effect as soon as without
-    /// others. No way to that is known; it bounds what a mistake in either could do.
-    fn compare_beliefs(&self, told: BeliefDigest, now: Instant) {
-        if self.knowledge.journal.borrow().digest() == told {
+    /// Reads everything again if the known servers differ from those of the followed router for as
+    /// long as this router's own read interval. A departure that was missed then takes effect as
+    /// soon as without other routers. No cause of such a difference is known; the check limits the
+    /// effect of a fault in either router.
+    fn compare_known_servers(&self, reported: BeliefDigest, now: Instant) {
+        if self.knowledge.journal.borrow().digest() == reported {
             self.knowledge.differs_since.set(None);
             return;
         }
@@ -242,23 +253,23 @@
             log::warn!("servers differ from those of the router that is followed, reading all");
             self.knowledge.differs_since.set(None);
             self.forget_position();
-            self.poke();
+            self.request_read();
         }
     }
 
-    /// Notes what is believed now, for those who follow this router.
-    pub(in crate::direct) fn note_beliefs(&self) {
+    /// Journals the known servers, for the followers of this router.
+    pub(in crate::direct) fn journal_known_servers(&self) {
         let Some(position) = self.source_position() else { return };
         let (presence, departures) = (self.presence.borrow(), self.departures.borrow());
         let mut journal = self.knowledge.journal.borrow_mut();
         journal.note(presence.catalog(), position, |server| departures.lingers(server));
     }
 
-    fn tell_followers(&self) {
+    fn notify_followers(&self) {
         self.knowledge.advanced.take().give();
     }
 
-    fn news_for(&self, entry: &FollowerEntry) -> Option<FleetNews> {
+    fn update_for(&self, entry: &FollowerEntry) -> Option<FleetNews> {
         let known = self.confirmed_since()?;
         let journal = self.knowledge.journal.borrow();
         let position = journal.position()?;
@@ -274,13 +285,13 @@
             hops: self.knowledge.hops.get() + 1,
             grace_ms: u32::try_from(grace.as_millis()).unwrap_or(u32::MAX),
             span: span
-                .filter(|span| span.changes.len() <= MOST_CHANGES)
-                .map(|span| told_span(span, self.evacuation_orders())),
+                .filter(|span| span.changes.len() <= MAX_CHANGES)
+                .map(|span| update_span(span, self.evacuation_orders())),
         })
     }
 }
 
-fn told_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
+fn update_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
     let changes = span.changes.into_iter().map(|change| match change {
         BeliefChange::Present(server) => ServerNews::Present((*server).clone()),
         BeliefChange::Gone { name, lingers } => ServerNews::Gone { name, lingers },
--- a/crates/papayamux-router/src/direct/peers/news.rs
+++ b/crates/papayamux-router/src/direct/peers/source_updates.rs
@@ -1,4 +1,4 @@
-//! Follows a router that reads the source, and tells those that follow this one.
+//! Follows a router that reads the source, and sends updates to the followers of this one.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -9,13 +9,15 @@
 
 use super::PeerExchange;
 
-/// Pause between two questions to the router that is followed: it tells for 2.5 s, so that one may be lost.
-const FOLLOW_EVERY: Duration = Duration::from_secs(1);
-/// Pause between two choices of whom to follow, part of what a silent reader may cost.
-const CHOOSE_EVERY: Duration = Duration::from_millis(150);
+/// Interval between two follow requests to the followed router, which sends updates for 2.5 s after
+/// each, so that one request may be lost.
+const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two choices of the followed router, which is part of the delay that a silent
+/// reader may cause.
+const ROLE_CHOICE_INTERVAL: Duration = Duration::from_millis(150);
 
 impl PeerExchange {
-    /// Chooses again and again whom to follow, and asks there to be told of changes.
+    /// Repeatedly chooses the router to follow, and sends it follow requests.
     pub(super) async fn follow(self: Rc<Self>) {
         let mut asked: Option<(IpAddr, Instant)> = None;
         loop {
@@ -24,7 +26,7 @@
             self.fleet.choose_source_role(&known, now);
             if let Some((followed, request)) = self.fleet.follow_request(self.life) {
                 let due = asked.is_none_or(|(router, at)| {
-                    router != followed || now.saturating_duration_since(at) >= FOLLOW_EVERY
+                    router != followed || now.saturating_duration_since(at) >= FOLLOW_INTERVAL
                 });
                 if due {
                     asked = Some((followed, now));
@@ -35,32 +37,32 @@
                     .await;
                 }
             }
-            monoio::time::sleep(CHOOSE_EVERY).await;
+            monoio::time::sleep(ROLE_CHOICE_INTERVAL).await;
         }
     }
 
-    pub(super) fn take_follower(
+    pub(super) fn receive_follow_request(
         self: &Rc<Self>,
         sender: IpAddr,
         request: FollowRequest,
         now: Instant,
     ) {
-        let Some(news) = self.fleet.note_follower(sender, request, now) else { return };
+        let Some(update) = self.fleet.record_follower(sender, request, now) else { return };
         let exchange = self.clone();
-        monoio::spawn(async move { exchange.send_news(sender, news).await });
+        monoio::spawn(async move { exchange.send_update(sender, update).await });
     }
 
-    /// Tells the followers at once of whatever is newer.
-    pub(super) async fn tell_news(self: Rc<Self>) {
+    /// Sends newer state to the followers at once.
+    pub(super) async fn send_updates(self: Rc<Self>) {
         loop {
-            for (follower, news) in self.fleet.next_news().await {
-                self.send_news(follower, news).await;
+            for (follower, update) in self.fleet.next_updates().await {
+                self.send_update(follower, update).await;
             }
         }
     }
 
-    async fn send_news(&self, follower: IpAddr, news: FleetNews) {
-        let report = RouterReport { news: Some(news), ..RouterReport::default() };
+    async fn send_update(&self, follower: IpAddr, update: FleetNews) {
+        let report = RouterReport { news: Some(update), ..RouterReport::default() };
         self.send_partial(report, &[follower]).await;
     }
 }
