--- a/crates/papayamux-agent/src/orders/order_core.rs
+++ b/crates/papayamux-agent/src/orders/order_core.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use papayamux_coordination::orders::{ChangePlan, EngineReading, StopBook};
+use papayamux_coordination::orders::{ChangePlan, EngineSnapshot, StopTracker};
 use papayamux_protocol::serving::{ServingAnswer, ServingQuestion};
 use papayamux_state::weights::WeightsRef;
 use serde_json::json;
@@ -26,7 +26,7 @@
     /// Which requests are taken.
     pub gate: Rc<ModelGate>,
     /// What this server wants to stop serving.
-    pub stops: RefCell<StopBook>,
+    pub stops: RefCell<StopTracker>,
     /// The metrics.
     pub metrics: OrderMetrics,
     report: RefCell<OrderReport>,
@@ -38,7 +38,7 @@
     /// The revision of the target.
     pub revision: Option<u64>,
     /// The engine's state.
-    pub view: EngineReading,
+    pub view: EngineSnapshot,
     /// What separates it from the target.
     pub plan: ChangePlan,
     /// What is waited for.
@@ -54,7 +54,7 @@
         }
         Self {
             gate: ModelGate::new(settings.look_every * FRESH_LOOKS),
-            stops: RefCell::new(StopBook::new(settings.evidence_for, Instant::now())),
+            stops: RefCell::new(StopTracker::new(settings.evidence_for, Instant::now())),
             settings,
             target,
             metrics,
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::{select, Either};
 use papayamux_coordination::orders::{
-    ChangePlan, EngineReading, FenceBook, FenceError, FenceSight, LoadBackoff, LoadSlots,
+    ChangePlan, EngineSnapshot, FenceError, FenceObservation, FenceTracker, LoadBackoff, LoadSlots,
     OrderDraft, ServerTarget, StepRights,
 };
 use papayamux_state::weights::WeightsRef;
@@ -38,15 +38,15 @@
 /// The engine's state as it was read.
 struct EngineLook {
     asked: Instant,
-    view: EngineReading,
-    sight: FenceSight,
+    view: EngineSnapshot,
+    sight: FenceObservation,
 }
 
 /// The one task that orders the engine.
 pub struct OrderTask {
     core: Rc<AgentCore>,
     orders: Rc<OrderCore>,
-    fence: FenceBook,
+    fence: FenceTracker,
     unshown: u32,
     backoff: LoadBackoff,
     awaited: BTreeMap<WeightsRef, String>,
@@ -71,7 +71,7 @@
             metrics: orders.metrics.clone(),
         };
         Self {
-            fence: FenceBook::new(core.incarnation),
+            fence: FenceTracker::new(core.incarnation),
             stops: StopRequests::new(client, orders.clone()),
             core,
             orders,
@@ -146,7 +146,7 @@
                 return self.wait_for("state_unread");
             }
         };
-        if look.sight == FenceSight::Successor {
+        if look.sight == FenceObservation::Successor {
             return LookEnd::Superseded;
         }
         let plan = ChangePlan::new(&target, &look.view);
@@ -165,7 +165,7 @@
     async fn read(&mut self) -> Result<EngineLook, EngineError> {
         let asked = Instant::now();
         let state = read_state(&self.core.client).await?;
-        let view = EngineReading::from(&state);
+        let view = EngineSnapshot::from(&state);
         let sight = self.fence.observe(view.fence);
         self.orders.metrics.fences.count(sight.label());
         self.orders.gate.note_loaded(view.loaded.keys().cloned().collect(), asked);
@@ -173,14 +173,14 @@
     }
 
     /// Notes loads that have ended, and serves on where stopping is not wanted any more.
-    fn settle(&mut self, target: &ServerTarget, view: &EngineReading, plan: &ChangePlan) {
+    fn settle(&mut self, target: &ServerTarget, view: &EngineSnapshot, plan: &ChangePlan) {
         let now = Instant::now();
         let awaited = std::mem::take(&mut self.awaited);
         for (weights, version) in awaited {
             let label = match view.loaded.get(&weights) {
                 Some(loaded) if *loaded == version => "loaded",
                 _ if view.has_failed(&weights, &version) => {
-                    let pause = self.backoff.note_failure(&weights, now, rand::random());
+                    let pause = self.backoff.record_failure(&weights, now, rand::random());
                     let pause = pause.as_millis() as u64;
                     log::warn!(weights:% = weights, pause_ms = pause; "load failed");
                     "failed"
@@ -230,13 +230,13 @@
     }
 
     /// Whether the engine has to be told who orders it.
-    fn claims(&mut self, sight: FenceSight) -> bool {
+    fn claims(&mut self, sight: FenceObservation) -> bool {
         match sight {
-            FenceSight::Own => self.unshown = 0,
-            FenceSight::Restarted => self.unshown += 1,
+            FenceObservation::Own => self.unshown = 0,
+            FenceObservation::Restarted => self.unshown += 1,
             _ => {}
         }
-        sight != FenceSight::Own && self.unshown <= MOST_UNSHOWN
+        sight != FenceObservation::Own && self.unshown <= MOST_UNSHOWN
     }
 
     async fn send(
@@ -265,12 +265,12 @@
         match outcome {
             OrderOutcome::NotSent(_) => return LookEnd::Wait,
             OrderOutcome::Stale { highest } => {
-                return match self.fence.note_refused(highest) {
-                    FenceSight::Successor => LookEnd::Superseded,
+                return match self.fence.record_refusal(highest) {
+                    FenceObservation::Successor => LookEnd::Superseded,
                     _ => LookEnd::Again,
                 };
             }
-            OrderOutcome::Obeyed => self.fence.note_obeyed(),
+            OrderOutcome::Obeyed => self.fence.record_obeyed(),
             OrderOutcome::Refused(status) => {
                 log::warn!(server:% = self.core.server, status:% = status; "order refused");
             }
@@ -294,7 +294,7 @@
             effects.count("unread");
             return LookEnd::Wait;
         };
-        if after.sight == FenceSight::Successor {
+        if after.sight == FenceObservation::Successor {
             return LookEnd::Superseded;
         }
         let seen = draft.is_in_effect(&after.view);
@@ -305,7 +305,7 @@
         LookEnd::Wait
     }
 
-    fn report(&self, target: &ServerTarget, view: EngineReading, plan: ChangePlan) {
+    fn report(&self, target: &ServerTarget, view: EngineSnapshot, plan: ChangePlan) {
         let waits = self.waits.clone();
         self.orders.note_report(OrderReport { revision: Some(target.revision), view, plan, waits });
     }
--- a/crates/papayamux-agent/src/orders/step_choice.rs
+++ b/crates/papayamux-agent/src/orders/step_choice.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use papayamux_coordination::orders::{
-    needed_keepers, ChangePlan, LoadBackoff, LoadSlots, ServerTarget, ServingEvidence,
+    required_servers, ChangePlan, LoadBackoff, LoadSlots, ServerTarget, ServingEvidence,
 };
 use papayamux_state::weights::WeightsRef;
 
@@ -28,13 +28,13 @@
     evidence: &EvidenceTable,
     now: Instant,
 ) -> Option<Option<Instant>> {
-    let keepers = target.keepers(weights).count();
-    if keepers == 0 {
+    let declared_peers = target.declared_peers(weights).count();
+    if declared_peers == 0 {
         return Some(None);
     }
     let mut ends: Vec<_> = evidence.get(weights)?.iter().map(|word| word.until).collect();
     ends.sort_unstable_by(|left, right| right.cmp(left));
-    let end = *ends.get(needed_keepers(keepers) - 1)?;
+    let end = *ends.get(required_servers(declared_peers) - 1)?;
     (end > now).then_some(Some(end))
 }
 
--- a/crates/papayamux-agent/src/orders/stop_requests.rs
+++ b/crates/papayamux-agent/src/orders/stop_requests.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::orders::{
-    needed_keepers, ChangePlan, EngineReading, LoadBackoff, LoadSlots, ServerTarget,
+    required_servers, ChangePlan, EngineSnapshot, LoadBackoff, LoadSlots, ServerTarget,
     ServingEvidence,
 };
 use papayamux_state::ids::ServerId;
@@ -53,7 +53,7 @@
     pub fn settle(
         &mut self,
         target: &ServerTarget,
-        view: &EngineReading,
+        view: &EngineSnapshot,
         plan: &ChangePlan,
         evidence: &mut EvidenceTable,
     ) {
@@ -69,7 +69,7 @@
             });
             let goes_on = is_surplus && stops.has_stopped(&weights) || is_updated;
             if !goes_on {
-                stops.serve_on(&weights);
+                stops.resume_serving(&weights);
                 evidence.remove(&weights);
                 self.drains.remove(&weights);
             }
@@ -122,10 +122,10 @@
         }
         self.turn = self.turn.wrapping_add(1);
         let weights = wishes[self.turn % wishes.len()].clone();
-        let keepers: Vec<_> =
-            target.keepers(&weights).map(|(name, agent)| (name.clone(), agent)).collect();
+        let declared_peers: Vec<_> =
+            target.declared_peers(&weights).map(|(name, agent)| (name.clone(), agent)).collect();
         let is_surplus = plan.surplus.contains(&weights);
-        if keepers.is_empty() {
+        if declared_peers.is_empty() {
             if is_surplus {
                 self.wait_for("last_server");
             }
@@ -135,10 +135,12 @@
             self.wait_for("ask_later");
             return false;
         }
-        let kept = self.ask(&weights, &keepers).await;
+        let kept = self.ask(&weights, &declared_peers).await;
         match kept {
             None => false,
-            Some(kept) if is_surplus => self.stop(&weights, &kept, needed_keepers(keepers.len())),
+            Some(kept) if is_surplus => {
+                self.stop(&weights, &kept, required_servers(declared_peers.len()))
+            }
             Some(kept) => {
                 evidence.insert(weights, kept);
                 true
@@ -167,14 +169,14 @@
     async fn ask(
         &mut self,
         weights: &WeightsRef,
-        keepers: &[(ServerId, SocketAddr)],
+        declared_peers: &[(ServerId, SocketAddr)],
     ) -> Option<Vec<ServingEvidence>> {
         self.orders.stops.borrow_mut().begin_stop(weights);
-        let kept = self.client.ask_all(weights, keepers).await;
-        if kept.len() >= needed_keepers(keepers.len()) {
+        let kept = self.client.ask_all(weights, declared_peers).await;
+        if kept.len() >= required_servers(declared_peers.len()) {
             return Some(kept);
         }
-        self.orders.stops.borrow_mut().serve_on(weights);
+        self.orders.stops.borrow_mut().resume_serving(weights);
         let share: f64 = rand::random();
         self.next_ask = Instant::now() + self.client.evidence_for.mul_f64(0.1 + 0.4 * share);
         self.wait_for("too_few_keepers");
@@ -185,7 +187,7 @@
         let mut stops = self.orders.stops.borrow_mut();
         let stopped = stops.stop(weights, kept, needed, Instant::now);
         if !stopped {
-            stops.serve_on(weights);
+            stops.resume_serving(weights);
         }
         drop(stops);
         if stopped {
--- a/crates/papayamux-agent/tests/orders.rs
+++ b/crates/papayamux-agent/tests/orders.rs
@@ -42,8 +42,9 @@
     let wanted = [(itinerary.clone(), "3".to_string()), (taiwanese.clone(), "2".to_string())];
     assert_eq!((target.revision, target.weights.clone()), (7, wanted.into()));
     assert_eq!(target.role, "decode");
-    let keepers: Vec<_> = target.keepers(&itinerary).map(|(name, _)| name.to_string()).collect();
-    assert_eq!((keepers, target.peers.len()), (vec!["engine-1".to_string()], 1));
+    let declared_peers: Vec<_> =
+        target.declared_peers(&itinerary).map(|(name, _)| name.to_string()).collect();
+    assert_eq!((declared_peers, target.peers.len()), (vec!["engine-1".to_string()], 1));
     assert!(target.is_in_force(&WeightsRef::model(&"spare".parse().unwrap())));
     assert_eq!(declared_target(&in_force, &"tickets".parse().unwrap()), None);
     assert_eq!(declared_target(&in_force, &"engine-9".parse().unwrap()), None);
--- a/crates/papayamux-coordination/src/claims/claim_round.rs
+++ b/crates/papayamux-coordination/src/claims/claim_round.rs
@@ -25,31 +25,31 @@
     granted: HashSet<ServerId>,
     refused: HashSet<ServerId>,
     held: Option<HeldClaim>,
-    worst: Option<RefusalNotice>,
+    most_severe: Option<RefusalNotice>,
 }
 
 impl ClaimRound {
     /// A round that asks the witnesses of each fleet that counts.
     pub fn new(fleets: Vec<Vec<ServerId>>) -> Self {
         let (granted, refused) = (HashSet::new(), HashSet::new());
-        Self { fleets, granted, refused, held: None, worst: None }
+        Self { fleets, granted, refused, held: None, most_severe: None }
     }
 
     /// All who are asked, each once.
-    pub fn asked(&self) -> BTreeSet<ServerId> {
+    pub fn all_witnesses(&self) -> BTreeSet<ServerId> {
         self.fleets.iter().flatten().cloned().collect()
     }
 
     /// Takes a witness's answer; `None` where there was none in time.
-    pub fn take(&mut self, witness: &ServerId, reply: Option<ClaimReply>) {
+    pub fn record_reply(&mut self, witness: &ServerId, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Granted) => {
                 self.granted.insert(witness.clone());
             }
             Some(ClaimReply::Refused { notice, held }) => {
                 self.refused.insert(witness.clone());
-                self.note_held(held);
-                self.note_refusal(notice);
+                self.record_held(held);
+                self.record_refusal(notice);
             }
             None => {
                 self.refused.insert(witness.clone());
@@ -78,7 +78,7 @@
     /// longest wait.
     pub fn refusal(&self) -> RefusalNotice {
         let reason = RefusalReason::NoMajority;
-        self.worst.clone().unwrap_or(RefusalNotice::new(reason, 1_000))
+        self.most_severe.clone().unwrap_or(RefusalNotice::new(reason, 1_000))
     }
 
     fn fleet_verdict(&self, fleet: &[ServerId]) -> ClaimVerdict {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn note_held(&mut self, held: Option<HeldClaim>) {
+    fn record_held(&mut self, held: Option<HeldClaim>) {
         let Some(held) = held else { return };
         let known_place = self.held.as_ref().is_some_and(|known| known.place.is_some());
         if !known_place {
@@ -102,12 +102,12 @@
         }
     }
 
-    fn note_refusal(&mut self, notice: RefusalNotice) {
+    fn record_refusal(&mut self, notice: RefusalNotice) {
         let rank = |notice: &RefusalNotice| {
             (notice.reason == RefusalReason::KeyReused, notice.retry_after_ms)
         };
-        if self.worst.as_ref().is_none_or(|worst| rank(&notice) > rank(worst)) {
-            self.worst = Some(notice);
+        if self.most_severe.as_ref().is_none_or(|most_severe| rank(&notice) > rank(most_severe)) {
+            self.most_severe = Some(notice);
         }
     }
 }
--- a/crates/papayamux-coordination/src/claims/fleet_window.rs
+++ b/crates/papayamux-coordination/src/claims/fleet_window.rs
@@ -7,7 +7,7 @@
 use papayamux_state::ids::ServerId;
 
 /// Earlier fleets kept at most. Where there are more within one window, no key is claimed.
-const MOST_PREVIOUS: usize = 8;
+const MAX_PREVIOUS: usize = 8;
 
 #[derive(Debug, Clone)]
 struct PreviousView {
@@ -46,7 +46,7 @@
     /// count than a claim may name.
     pub fn digests(&self, now: Instant) -> Option<Vec<FleetDigest>> {
         let views = self.views(now);
-        (views.len() <= MOST_PREVIOUS).then(|| views.iter().map(|view| view.digest()).collect())
+        (views.len() <= MAX_PREVIOUS).then(|| views.iter().map(|view| view.digest()).collect())
     }
 
     /// The witnesses of `key` in each fleet that counts at `now`, the one in force first.
@@ -61,9 +61,9 @@
     }
 
     fn views(&self, now: Instant) -> Vec<&FleetView> {
-        let earlier = self.previous.iter().filter(|previous| previous.until > now);
+        let previous_views = self.previous.iter().filter(|previous| previous.until > now);
         let mut views = vec![&self.current];
-        for previous in earlier {
+        for previous in previous_views {
             if previous.view.digest() != self.current.digest() {
                 views.push(&previous.view);
             }
--- a/crates/papayamux-coordination/src/fleet_knowledge/follower_table.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/follower_table.rs
@@ -6,24 +6,24 @@
 
 use papayamux_state::source::SourcePosition;
 
-use super::dated_statement::HeardQuestion;
 use super::reader_order::FANOUT;
+use super::timestamped_report::ReceivedQuery;
 
 /// How long a router that follows is told without asking again: it asks each second, and one question
 /// may be lost.
-const FOLLOWS_FOR: Duration = Duration::from_millis(2_500);
+const FOLLOWER_TTL: Duration = Duration::from_millis(2_500);
 /// Followers at most. Routers that do not agree on who is there may crowd at one for a while; whoever is
 /// not told looks for another.
-const MOST_FOLLOWERS: usize = 2 * FANOUT;
+const MAX_FOLLOWERS: usize = 2 * FANOUT;
 
 /// A router that follows this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerEntry {
     /// Its last question.
-    pub question: HeardQuestion,
+    pub query: ReceivedQuery,
     /// The position that it has read up to.
     pub position: SourcePosition,
-    asked: Instant,
+    queried_at: Instant,
 }
 
 /// All routers that follow this one.
@@ -34,18 +34,18 @@
 
 impl FollowerTable {
     /// Notes that `router` follows; whether it is told.
-    pub fn note(
+    pub fn record(
         &mut self,
         router: IpAddr,
-        question: HeardQuestion,
+        query: ReceivedQuery,
         position: SourcePosition,
         now: Instant,
     ) -> bool {
         self.expire(now);
-        if self.followers.len() >= MOST_FOLLOWERS && !self.followers.contains_key(&router) {
+        if self.followers.len() >= MAX_FOLLOWERS && !self.followers.contains_key(&router) {
             return false;
         }
-        self.followers.insert(router, FollowerEntry { question, position, asked: now });
+        self.followers.insert(router, FollowerEntry { query, position, queried_at: now });
         true
     }
 
@@ -56,6 +56,7 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        self.followers.retain(|_, entry| now.saturating_duration_since(entry.asked) < FOLLOWS_FOR);
+        self.followers
+            .retain(|_, entry| now.saturating_duration_since(entry.queried_at) < FOLLOWER_TTL);
     }
 }
--- a/crates/papayamux-coordination/src/fleet_knowledge/mod.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/mod.rs
@@ -5,18 +5,18 @@
 //! afford to read more often than each router by itself could. Safety stays local: each router dates
 //! what it hears on its own clock, and reads by itself once that is too old.
 
-mod belief_journal;
-mod dated_statement;
 mod follower_table;
 mod reader_order;
-mod source_duty;
+mod role_selector;
+mod server_change_log;
 mod source_readers;
 mod source_view;
+mod timestamped_report;
 
-pub use belief_journal::{BeliefChange, BeliefDigest, BeliefJournal, BeliefSpan};
-pub use dated_statement::{HeardQuestion, StatedShift};
 pub use follower_table::{FollowerEntry, FollowerTable};
 pub use reader_order::{reader_count, reading_interval, ReaderOrder};
-pub use source_duty::{DutyView, SourceDuty, SourceRole};
+pub use role_selector::{RoleSelector, RoleView, SourceRole};
+pub use server_change_log::{ServerChange, ServerChangeLog, ServerChangeSpan, ServerDigest};
 pub use source_readers::{ReadersError, SourceReaders};
-pub use source_view::{NewsVerdict, SourceView, StatedView, ViewInForce};
+pub use source_view::{ReportVerdict, ReportedView, SourceView, ViewInForce};
+pub use timestamped_report::{ReceivedQuery, ReportedOffset};
--- a/crates/papayamux-coordination/src/fleet_knowledge/reader_order.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/reader_order.rs
@@ -6,9 +6,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Readers of a fleet that is not tiny: one may be frozen and one cut off while the third reads on.
-const MOST_READERS: usize = 3;
+const MAX_READERS: usize = 3;
 /// Readers of the smallest fleets: one may be lost.
-const FEWEST_READERS: usize = 2;
+const MIN_READERS: usize = 2;
 /// Routers for each reader below which a further one is not worth its calls.
 const ROUTERS_PER_READER: usize = 8;
 /// Routers that follow one. A tree of three readers then reaches 51 routers in one hop, 819 in two and
@@ -16,18 +16,18 @@
 pub(super) const FANOUT: usize = 16;
 /// The shortest pause between two reads of one reader. A server's leaving is heard after half of it in
 /// the mean, 150 ms.
-const SHORTEST_READING: Duration = Duration::from_millis(300);
+const MIN_READING_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How many of `routers` read the source.
 pub fn reader_count(routers: usize) -> usize {
-    (routers / ROUTERS_PER_READER).clamp(FEWEST_READERS, MOST_READERS).min(routers.max(1))
+    (routers / ROUTERS_PER_READER).clamp(MIN_READERS, MAX_READERS).min(routers.max(1))
 }
 
 /// The pause between two reads of one reader, where a router that reads by itself pauses for `alone`:
 /// so long that a small fleet makes no more calls than it would with each router reading.
-pub fn reading_interval(routers: usize, alone: Duration) -> Duration {
-    let part = reader_count(routers) as f64 / routers.max(1) as f64;
-    alone.mul_f64(part).max(SHORTEST_READING).min(alone)
+pub fn reading_interval(routers: usize, solo_interval: Duration) -> Duration {
+    let reading_fraction = reader_count(routers) as f64 / routers.max(1) as f64;
+    solo_interval.mul_f64(reading_fraction).max(MIN_READING_INTERVAL).min(solo_interval)
 }
 
 /// The routers in an order on which all agree who know the same routers: by a hash of their addresses,
@@ -47,12 +47,12 @@
     }
 
     /// The order without the routers that `leaves_out` names.
-    pub fn without(&self, leaves_out: impl Fn(&IpAddr) -> bool) -> Self {
+    pub fn without(&self, is_excluded: impl Fn(&IpAddr) -> bool) -> Self {
         let routers = self.routers.iter().copied();
-        Self { routers: routers.filter(|router| !leaves_out(router)).collect() }
+        Self { routers: routers.filter(|router| !is_excluded(router)).collect() }
     }
 
-    fn place_of(&self, router: IpAddr) -> Option<usize> {
+    fn index_of(&self, router: IpAddr) -> Option<usize> {
         let key = (address_hash(&router), router);
         self.routers.binary_search_by_key(&key, |other| (address_hash(other), *other)).ok()
     }
@@ -60,10 +60,10 @@
     /// Whom `own` follows; `None` where it reads itself. It stands behind those whom it follows, so
     /// that no two routers that agree on the order follow each other.
     pub fn followed_by(&self, own: IpAddr) -> Option<IpAddr> {
-        let place = self.place_of(own)?;
+        let index = self.index_of(own)?;
         let readers = reader_count(self.routers.len());
-        let behind = place.checked_sub(readers)?;
-        self.routers.get(Self::parent_place(behind, readers)).copied()
+        let follower_index = index.checked_sub(readers)?;
+        self.routers.get(Self::parent_index(follower_index, readers)).copied()
     }
 
     /// The first of the readers that is not `own`.
@@ -73,12 +73,12 @@
 
     /// The place of the router that the one `behind` readers follows. Levels are filled in turn, so that
     /// readers have about as many followers each.
-    fn parent_place(behind: usize, readers: usize) -> usize {
+    fn parent_index(follower_index: usize, readers: usize) -> usize {
         let (mut level, mut start, mut first) = (readers, 0, 0);
         loop {
             let children = level * FANOUT;
-            if behind < first + children {
-                return start + (behind - first) % level;
+            if follower_index < first + children {
+                return start + (follower_index - first) % level;
             }
             first += children;
             start += level;
--- a/crates/papayamux-coordination/src/fleet_knowledge/source_duty.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/role_selector.rs
@@ -9,12 +9,12 @@
 /// Pauses between two reads that a followed router may let pass without news before another one is
 /// followed: one read may fail. A follower's own read comes later than that, so that the loss of a reader costs
 /// hardly a call.
-const SILENT_PAUSES: u32 = 2;
+const MAX_SILENT_INTERVALS: u32 = 2;
 /// What a slow answer of the source and the way may take beside them.
-const NEWS_DELAY: Duration = Duration::from_millis(100);
+const UPDATE_DELAY: Duration = Duration::from_millis(100);
 /// How long a router that brought no news is passed over. In an outage of the source each follower so
 /// comes by some four others, all of which tell it of the source's return.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(3);
+const SKIP_DURATION: Duration = Duration::from_secs(3);
 
 /// What a router does to know the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,11 +27,11 @@
 
 /// What a router knows when it chooses its role.
 #[derive(Debug, Clone, Copy)]
-pub struct DutyView<'a> {
+pub struct RoleView<'a> {
     /// The other routers.
     pub known: &'a [IpAddr],
     /// Whether the router's own last read of the source failed, or left open which servers have left.
-    pub doubts_reads: bool,
+    pub has_uncertain_read: bool,
     /// Whether others follow it.
     pub has_followers: bool,
 }
@@ -39,32 +39,32 @@
 #[derive(Debug, Clone, Copy)]
 struct FollowedRouter {
     router: IpAddr,
-    fruitful: Instant,
+    last_update: Instant,
 }
 
 /// The choice of a role, again and again.
 #[derive(Debug)]
-pub struct SourceDuty {
+pub struct RoleSelector {
     own: IpAddr,
-    alone: Duration,
+    solo_interval: Duration,
     interval: Duration,
     known: Vec<IpAddr>,
     order: ReaderOrder,
-    passed_over: HashMap<IpAddr, Instant>,
+    skipped: HashMap<IpAddr, Instant>,
     followed: Option<FollowedRouter>,
     seeks_source: bool,
 }
 
-impl SourceDuty {
+impl RoleSelector {
     /// The duty of the router at `own`, which would read at the pause `alone` by itself.
-    pub fn new(own: IpAddr, alone: Duration) -> Self {
+    pub fn new(own: IpAddr, solo_interval: Duration) -> Self {
         Self {
             own,
-            alone,
-            interval: alone,
+            solo_interval,
+            interval: solo_interval,
             known: Vec::new(),
             order: ReaderOrder::new([own]),
-            passed_over: HashMap::new(),
+            skipped: HashMap::new(),
             followed: None,
             seeks_source: true,
         }
@@ -86,28 +86,28 @@
 
     /// Chooses the role. Returns whether the router begins or ceases to read for others, reads more
     /// often than before, or follows another one.
-    pub fn choose(&mut self, view: DutyView<'_>, now: Instant) -> bool {
+    pub fn choose(&mut self, view: RoleView<'_>, now: Instant) -> bool {
         let before = self.role();
         let routers = view.known.len() + 1;
-        let often = reading_interval(routers, self.alone);
-        self.pass_over_silent(often * SILENT_PAUSES + NEWS_DELAY, now);
-        self.passed_over.retain(|_, until| now < *until);
+        let shared_interval = reading_interval(routers, self.solo_interval);
+        self.skip_silent(shared_interval * MAX_SILENT_INTERVALS + UPDATE_DELAY, now);
+        self.skipped.retain(|_, until| now < *until);
         if self.known != view.known {
             self.known = view.known.to_vec();
             self.order = ReaderOrder::new(view.known.iter().copied().chain([self.own]));
         }
-        let usable = self.order.without(|router| self.passed_over.contains_key(router));
+        let candidates = self.order.without(|router| self.skipped.contains_key(router));
         self.seeks_source = self.order.followed_by(self.own).is_none();
         // Nobody but itself would profit from many reads of a router that is alone in its view.
         let reads_for_others = self.seeks_source || view.has_followers;
-        self.interval = if reads_for_others { often } else { self.alone };
-        let followed = match self.seeks_source && view.doubts_reads {
+        self.interval = if reads_for_others { shared_interval } else { self.solo_interval };
+        let followed = match self.seeks_source && view.has_uncertain_read {
             // A reader that can't read, or could not just now, is told by one that can, wherever it stands.
-            true => usable.first_other(self.own),
-            false => usable.followed_by(self.own),
+            true => candidates.first_other(self.own),
+            false => candidates.followed_by(self.own),
         };
         if self.followed.map(|followed| followed.router) != followed {
-            self.followed = followed.map(|router| FollowedRouter { router, fruitful: now });
+            self.followed = followed.map(|router| FollowedRouter { router, last_update: now });
         }
         match (before, self.role()) {
             (SourceRole::Reader(before), SourceRole::Reader(pause)) => pause < before / 2,
@@ -116,16 +116,17 @@
     }
 
     /// Notes that `router` brought a newer confirmation than was known.
-    pub fn note_newer(&mut self, router: IpAddr, now: Instant) {
+    pub fn record_newer(&mut self, router: IpAddr, now: Instant) {
         if let Some(followed) = self.followed.as_mut().filter(|known| known.router == router) {
-            followed.fruitful = now;
+            followed.last_update = now;
         }
     }
 
-    fn pass_over_silent(&mut self, longest: Duration, now: Instant) {
-        let silence = |followed: &FollowedRouter| now.saturating_duration_since(followed.fruitful);
-        if let Some(silent) = self.followed.take_if(|followed| silence(followed) >= longest) {
-            self.passed_over.insert(silent.router, now + PASSED_OVER_FOR);
+    fn skip_silent(&mut self, max_silence: Duration, now: Instant) {
+        let silence =
+            |followed: &FollowedRouter| now.saturating_duration_since(followed.last_update);
+        if let Some(silent) = self.followed.take_if(|followed| silence(followed) >= max_silence) {
+            self.skipped.insert(silent.router, now + SKIP_DURATION);
         }
     }
 }
--- a/crates/papayamux-coordination/src/fleet_knowledge/source_view.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/source_view.rs
@@ -10,11 +10,11 @@
 
 /// What another router states of the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StatedView {
+pub struct ReportedView {
     /// The position up to which it knows all.
     pub position: SourcePosition,
     /// Its changes of servers are those behind this position; `None` where it no longer has them all.
-    pub behind: Option<SourcePosition>,
+    pub after: Option<SourcePosition>,
     /// The newest version of the configuration up to its position.
     pub version: ConfigVersion,
     /// When that was known to be the newest, on the clock of the router that is told.
@@ -32,7 +32,7 @@
 
 /// What follows from a statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NewsVerdict {
+pub struct ReportVerdict {
     /// Whether its changes of servers are to be taken over. The view's position is its position then.
     pub takes_servers: bool,
     /// Whether it is of a later moment than any statement before, or goes farther than what was known.
@@ -49,7 +49,7 @@
 pub struct SourceView {
     position: Option<SourcePosition>,
     wanted: ConfigVersion,
-    told: Option<BootInstant>,
+    last_reported: Option<BootInstant>,
 }
 
 impl SourceView {
@@ -69,32 +69,36 @@
     }
 
     /// Decides what a statement is good for.
-    pub fn judge(&mut self, stated: StatedView, in_force: ViewInForce) -> NewsVerdict {
-        let nothing = NewsVerdict {
+    pub fn evaluate_report(
+        &mut self,
+        report: ReportedView,
+        in_force: ViewInForce,
+    ) -> ReportVerdict {
+        let rejected = ReportVerdict {
             takes_servers: false,
             progresses: false,
             confirms: false,
             needs_read: true,
         };
-        let Some(own) = self.position else { return nothing };
-        let is_behind = stated.position < own;
-        let joins = stated.behind.is_some_and(|behind| behind <= own);
-        if !is_behind && !joins {
-            return nothing;
+        let Some(own) = self.position else { return rejected };
+        let is_older = report.position < own;
+        let is_contiguous = report.after.is_some_and(|after| after <= own);
+        if !is_older && !is_contiguous {
+            return rejected;
         }
-        if !is_behind {
-            self.position = Some(stated.position);
+        if !is_older {
+            self.position = Some(report.position);
         }
-        let is_later = self.told.is_none_or(|told| stated.known > told);
-        self.told = self.told.max(Some(stated.known));
+        let is_later = self.last_reported.is_none_or(|last_reported| report.known > last_reported);
+        self.last_reported = self.last_reported.max(Some(report.known));
         // Never less than was wanted: an older version may be told of after a newer one.
-        self.wanted = self.wanted.max(stated.version);
-        let is_newer = in_force.confirmed.is_none_or(|confirmed| stated.known > confirmed);
-        NewsVerdict {
-            takes_servers: !is_behind,
-            progresses: is_later || stated.position > own,
-            confirms: stated.version == in_force.version && is_newer,
-            needs_read: stated.version > in_force.version,
+        self.wanted = self.wanted.max(report.version);
+        let is_newer = in_force.confirmed.is_none_or(|confirmed| report.known > confirmed);
+        ReportVerdict {
+            takes_servers: !is_older,
+            progresses: is_later || report.position > own,
+            confirms: report.version == in_force.version && is_newer,
+            needs_read: report.version > in_force.version,
         }
     }
 
@@ -102,14 +106,14 @@
     ///
     /// Others may have told of more while it was under way. What it says of servers is older then: a
     /// drain that was told of would be taken back.
-    pub fn note_changes(&mut self, at: SourcePosition) -> bool {
+    pub fn record_changes(&mut self, at: SourcePosition) -> bool {
         let is_overtaken = self.position > Some(at);
         self.position = self.position.max(Some(at));
         !is_overtaken
     }
 
     /// Notes that a read brought everything, up to `at`.
-    pub fn note_whole(&mut self, at: SourcePosition) {
+    pub fn record_full_read(&mut self, at: SourcePosition) {
         self.position = Some(at);
     }
 
--- a/crates/papayamux-coordination/src/fleet_knowledge/dated_statement.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/timestamped_report.rs
@@ -7,43 +7,43 @@
 
 use papayamux_state::boot_time::BootInstant;
 
-use crate::peer_vouching::VouchQuestion;
+use crate::freshness_confirmation::FreshnessQuery;
 
 /// Milliseconds from the hearing of a question to the moment that a statement dates; negative where
 /// that moment was earlier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct StatedShift(pub i64);
+pub struct ReportedOffset(pub i64);
 
 /// A question of another router, as this one heard it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeardQuestion {
+pub struct ReceivedQuery {
     /// The question.
-    pub question: VouchQuestion,
+    pub query: FreshnessQuery,
     /// When it was heard, on this router's clock.
-    pub heard: BootInstant,
+    pub received: BootInstant,
 }
 
-impl HeardQuestion {
+impl ReceivedQuery {
     /// How a moment on this router's clock is stated to the asker; rounded to the past.
-    pub fn shift_to(&self, known: BootInstant) -> StatedShift {
+    pub fn offset_to(&self, known: BootInstant) -> ReportedOffset {
         let millis = |instant: BootInstant| i64::try_from(instant.0.as_millis());
-        let (Ok(known), Ok(heard)) = (millis(known), millis(self.heard)) else {
-            return StatedShift(i64::MIN);
+        let (Ok(known), Ok(received)) = (millis(known), millis(self.received)) else {
+            return ReportedOffset(i64::MIN);
         };
         // Both were cut off to whole milliseconds, the one that counts against the asker by up to one.
-        StatedShift(known.saturating_sub(heard).saturating_sub(1))
+        ReportedOffset(known.saturating_sub(received).saturating_sub(1))
     }
 }
 
-impl StatedShift {
+impl ReportedOffset {
     /// The moment on the clock of the router that asked; `None` where it lies before that clock's
     /// beginning. Never later than `now`.
-    pub fn on_askers_clock(self, question: VouchQuestion, now: BootInstant) -> Option<BootInstant> {
-        let asked = question.asked;
+    pub fn on_querier_clock(self, query: FreshnessQuery, now: BootInstant) -> Option<BootInstant> {
+        let sent_at = query.sent_at;
         let span = std::time::Duration::from_millis(self.0.unsigned_abs());
         let known = match self.0 {
-            0.. => asked.after(span),
-            _ => BootInstant(asked.0.checked_sub(span)?),
+            0.. => sent_at.after(span),
+            _ => BootInstant(sent_at.0.checked_sub(span)?),
         };
         Some(known.min(now))
     }
--- a/crates/papayamux-coordination/src/peer_vouching.rs
+++ b/crates/papayamux-coordination/src/freshness_confirmation.rs
@@ -14,23 +14,23 @@
 
 /// Age of the own confirmation, as a part of the longest at which keys are accepted, from which others
 /// are asked: one read of the source may be lost without a question.
-const ASK_FROM_PART: f64 = 0.5;
+const QUERY_AGE_FRACTION: f64 = 0.5;
 /// How long a question is answered: the next reports to its sender, of which one may be lost.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(1);
+const QUERY_TTL: Duration = Duration::from_secs(1);
 
 /// A question, by which its answer is known again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct VouchQuestion {
+pub struct FreshnessQuery {
     /// The life of the router that asks, drawn at its start: its clock begins anew when its instance
     /// does.
-    pub life: u64,
+    pub incarnation: u64,
     /// When it asked, on its own clock.
-    pub asked: BootInstant,
+    pub sent_at: BootInstant,
 }
 
 /// What a router knows of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct VouchStatement {
+pub struct FreshnessReport {
     /// The version that it has in force.
     pub version: ConfigVersion,
     /// How long ago that was known to be the newest.
@@ -38,46 +38,46 @@
 }
 
 /// Whether to ask others, with a confirmation of this age.
-pub fn should_ask(age: Option<Duration>, longest: Option<Duration>) -> bool {
-    let Some(longest) = longest else { return false };
-    age.is_some_and(|age| age >= longest.mul_f64(ASK_FROM_PART))
+pub fn should_query(age: Option<Duration>, max_age: Option<Duration>) -> bool {
+    let Some(max_age) = max_age else { return false };
+    age.is_some_and(|age| age >= max_age.mul_f64(QUERY_AGE_FRACTION))
 }
 
 /// Until when the configuration of the router that asked is known to have been the newest, by an
 /// answer that arrived at `now`; `None` where it vouches for nothing.
-pub fn vouched_until(
-    question: VouchQuestion,
+pub fn confirmed_until(
+    query: FreshnessQuery,
     own: (u64, ConfigVersion),
-    statement: VouchStatement,
+    report: FreshnessReport,
     now: BootInstant,
 ) -> Option<BootInstant> {
-    let (life, version) = own;
-    let answers = question.life == life && question.asked <= now;
-    let vouches = statement.version == version && statement.age <= question.asked.0;
-    (answers && vouches).then(|| BootInstant(question.asked.0.saturating_sub(statement.age)))
+    let (incarnation, version) = own;
+    let is_own_query = query.incarnation == incarnation && query.sent_at <= now;
+    let confirms = report.version == version && report.age <= query.sent_at.0;
+    (is_own_query && confirms).then(|| BootInstant(query.sent_at.0.saturating_sub(report.age)))
 }
 
 /// The questions of other routers that are still to be answered.
 #[derive(Debug)]
-pub struct VouchQuestions<R> {
-    open: HashMap<R, (VouchQuestion, Instant)>,
+pub struct FreshnessQueries<R> {
+    open: HashMap<R, (FreshnessQuery, Instant)>,
 }
 
-impl<R> Default for VouchQuestions<R> {
+impl<R> Default for FreshnessQueries<R> {
     fn default() -> Self {
         Self { open: HashMap::new() }
     }
 }
 
-impl<R: Copy + Eq + Hash> VouchQuestions<R> {
+impl<R: Copy + Eq + Hash> FreshnessQueries<R> {
     /// Notes what `router` asks.
-    pub fn note(&mut self, router: R, question: VouchQuestion, now: Instant) {
-        self.open.insert(router, (question, now));
+    pub fn record(&mut self, router: R, query: FreshnessQuery, now: Instant) {
+        self.open.insert(router, (query, now));
     }
 
     /// The questions to answer now.
-    pub fn open(&mut self, now: Instant) -> Vec<(R, VouchQuestion)> {
-        self.open.retain(|_, (_, noted)| now.duration_since(*noted) < ANSWERED_WITHIN);
-        self.open.iter().map(|(router, (question, _))| (*router, *question)).collect()
+    pub fn open(&mut self, now: Instant) -> Vec<(R, FreshnessQuery)> {
+        self.open.retain(|_, (_, recorded_at)| now.duration_since(*recorded_at) < QUERY_TTL);
+        self.open.iter().map(|(router, (query, _))| (*router, *query)).collect()
     }
 }
--- a/crates/papayamux-coordination/src/key_freshness.rs
+++ b/crates/papayamux-coordination/src/key_freshness.rs
@@ -13,31 +13,32 @@
 /// for timers that fire late.
 pub const REVOCATION_RESERVE: Duration = Duration::from_millis(1_200);
 /// The most of a short bound that is kept in reserve, so that keys work at all.
-const MOST_RESERVED: f64 = 0.4;
+const MAX_RESERVED_FRACTION: f64 = 0.4;
 
 /// The longest age of the configuration at which keys are accepted, for a bound on revocation.
-pub fn longest_key_age(revoke_within: Duration) -> Duration {
-    revoke_within.saturating_sub(REVOCATION_RESERVE.min(revoke_within.mul_f64(MOST_RESERVED)))
+pub fn max_key_age(revoke_within: Duration) -> Duration {
+    revoke_within
+        .saturating_sub(REVOCATION_RESERVE.min(revoke_within.mul_f64(MAX_RESERVED_FRACTION)))
 }
 
 /// Confirmation of the configuration, by its source or by other routers.
 #[derive(Debug)]
 pub struct KeyFreshness {
-    longest_age: Option<Duration>,
+    max_age: Option<Duration>,
     confirmed: Option<BootInstant>,
-    vouched: Option<BootInstant>,
+    peer_confirmed: Option<BootInstant>,
 }
 
 impl KeyFreshness {
     /// Keys must be confirmed within `revoke_within` less a reserve; `None` lets keys be used
     /// however old they are.
     pub fn new(revoke_within: Option<Duration>) -> Self {
-        Self { longest_age: revoke_within.map(longest_key_age), confirmed: None, vouched: None }
+        Self { max_age: revoke_within.map(max_key_age), confirmed: None, peer_confirmed: None }
     }
 
     /// The longest age at which keys are accepted; `None` where any is.
-    pub fn longest_age(&self) -> Option<Duration> {
-        self.longest_age
+    pub fn max_age(&self) -> Option<Duration> {
+        self.max_age
     }
 
     /// Notes that a read which was sent at `sent` returned the newest configuration, to this router or
@@ -48,13 +49,13 @@
     }
 
     /// Notes that another router knew the configuration to be the newest at `known`.
-    pub fn vouch(&mut self, known: BootInstant) {
-        self.vouched = self.vouched.max(Some(known));
+    pub fn confirm_by_peer(&mut self, known: BootInstant) {
+        self.peer_confirmed = self.peer_confirmed.max(Some(known));
     }
 
     /// How old the last confirmation is, whoever gave it.
     pub fn age(&self, now: BootInstant) -> Option<Duration> {
-        self.confirmed.max(self.vouched).map(|known| now.since(known))
+        self.confirmed.max(self.peer_confirmed).map(|known| now.since(known))
     }
 
     /// When the configuration and the servers were known to be the newest.
@@ -74,9 +75,9 @@
     }
 
     fn is_within(&self, age: Option<Duration>) -> bool {
-        match (self.longest_age, age) {
+        match (self.max_age, age) {
             (None, _) => true,
-            (Some(longest), Some(age)) => age < longest,
+            (Some(max_age), Some(age)) => age < max_age,
             (Some(_), None) => false,
         }
     }
--- a/crates/papayamux-coordination/src/orders/compare.rs
+++ b/crates/papayamux-coordination/src/orders/compare.rs
@@ -13,7 +13,7 @@
 
 /// What an engine says of itself.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EngineReading {
+pub struct EngineSnapshot {
     /// The fencing number of the last order obeyed.
     pub fence: Option<u64>,
     /// The present role.
@@ -24,7 +24,7 @@
     failed: BTreeSet<NamedVersion>,
 }
 
-impl From<&EngineState> for EngineReading {
+impl From<&EngineState> for EngineSnapshot {
     fn from(state: &EngineState) -> Self {
         let of_kind = |kind: WeightsKind, list: &[EngineWeights]| -> Vec<(WeightsRef, String)> {
             let named = |weights: &EngineWeights| {
@@ -48,7 +48,7 @@
     }
 }
 
-impl EngineReading {
+impl EngineSnapshot {
     /// Whether `version` of `weights` is being loaded.
     pub fn is_loading(&self, weights: &WeightsRef, version: &str) -> bool {
         self.loading.contains(&(weights.name.clone(), version.to_string()))
@@ -82,7 +82,7 @@
 
 impl ChangePlan {
     /// Compares an engine with its target.
-    pub fn new(target: &ServerTarget, view: &EngineReading) -> Self {
+    pub fn new(target: &ServerTarget, view: &EngineSnapshot) -> Self {
         let mut plan =
             Self { loading: view.loads(), role: view.role != target.role, ..Self::default() };
         for (weights, version) in &target.weights {
@@ -160,7 +160,7 @@
 impl OrderDraft {
     /// The next order towards `target`, or none where nothing is to be ordered now. Since an
     /// order is the engine's whole target, it repeats all that may not change yet.
-    pub fn next(target: &ServerTarget, view: &EngineReading, rights: &StepRights) -> Option<Self> {
+    pub fn next(target: &ServerTarget, view: &EngineSnapshot, rights: &StepRights) -> Option<Self> {
         let mut draft =
             Self { weights: BTreeMap::new(), role: target.role.clone(), reasons: Vec::new() };
         if rights.claim {
@@ -182,7 +182,7 @@
         (!draft.reasons.is_empty()).then_some(draft)
     }
 
-    fn add_wanted(&mut self, target: &ServerTarget, view: &EngineReading, rights: &StepRights) {
+    fn add_wanted(&mut self, target: &ServerTarget, view: &EngineSnapshot, rights: &StepRights) {
         for (weights, version) in &target.weights {
             let loaded = view.loaded.get(weights);
             let may_load = rights.load.as_ref() == Some(weights);
@@ -205,7 +205,7 @@
         }
     }
 
-    fn add_surplus(&mut self, target: &ServerTarget, view: &EngineReading, rights: &StepRights) {
+    fn add_surplus(&mut self, target: &ServerTarget, view: &EngineSnapshot, rights: &StepRights) {
         for (weights, version) in &view.loaded {
             if target.weights.contains_key(weights) {
                 continue;
@@ -238,7 +238,7 @@
 
     /// Whether `view` shows the order's effect: all it names loaded, loading or failed, nothing
     /// else loaded.
-    pub fn is_in_effect(&self, view: &EngineReading) -> bool {
+    pub fn is_in_effect(&self, view: &EngineSnapshot) -> bool {
         let is_there = |(weights, version): (&WeightsRef, &String)| {
             view.loaded.get(weights) == Some(version)
                 || view.is_loading(weights, version)
--- a/crates/papayamux-coordination/src/orders/fence.rs
+++ b/crates/papayamux-coordination/src/orders/fence.rs
@@ -15,13 +15,13 @@
 /// Numbers from here on are no fencing numbers of an agent.
 pub const FENCE_CEILING: u64 = 1 << 53;
 /// The highest step that a revision alone leads to; the rest of the term is for later orders.
-const MOST_REVISION_STEPS: u64 = STEPS_PER_TERM / 2;
+const MAX_REVISION_STEPS: u64 = STEPS_PER_TERM / 2;
 /// Bits of an incarnation below its milliseconds.
 const INCARNATION_RANDOM_BITS: u32 = 20;
 const MILLIS_PER_SECOND: u64 = 1_000;
 /// Orders refused as older before the first one is obeyed, after which another agent is taken to
 /// be the newer one.
-const MOST_RAISES: u32 = 16;
+const MAX_RAISES: u32 = 16;
 
 /// A fencing number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -61,14 +61,14 @@
     Exhausted(u64),
     /// Another agent keeps ordering.
     #[error(
-        "{MOST_RAISES} orders in a row were refused as older: another agent orders this engine"
+        "{MAX_RAISES} orders in a row were refused as older: another agent orders this engine"
     )]
     Contended,
 }
 
 /// What the number in an engine's state says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FenceSight {
+pub enum FenceObservation {
     /// The engine has obeyed nobody, and this agent has not ordered yet.
     Unclaimed,
     /// An earlier agent ordered last, and this one has not ordered yet.
@@ -83,23 +83,23 @@
     Successor,
 }
 
-impl FenceSight {
+impl FenceObservation {
     /// The stable word for metrics.
     pub const fn label(self) -> &'static str {
         match self {
-            FenceSight::Unclaimed => "unclaimed",
-            FenceSight::Predecessor => "predecessor",
-            FenceSight::Own => "own",
-            FenceSight::Restarted => "restarted",
-            FenceSight::LateOrder => "late_order",
-            FenceSight::Successor => "successor",
+            FenceObservation::Unclaimed => "unclaimed",
+            FenceObservation::Predecessor => "predecessor",
+            FenceObservation::Own => "own",
+            FenceObservation::Restarted => "restarted",
+            FenceObservation::LateOrder => "late_order",
+            FenceObservation::Successor => "successor",
         }
     }
 }
 
 /// The fencing numbers of one life of an agent.
 #[derive(Debug, Clone)]
-pub struct FenceBook {
+pub struct FenceTracker {
     floor: u64,
     first_issued: Option<u64>,
     last_issued: u64,
@@ -108,7 +108,7 @@
     raises: u32,
 }
 
-impl FenceBook {
+impl FenceTracker {
     /// The numbers of the agent with this incarnation.
     pub fn new(incarnation: Incarnation) -> Self {
         let seconds = (incarnation.get() >> INCARNATION_RANDOM_BITS) / MILLIS_PER_SECOND;
@@ -128,46 +128,50 @@
     }
 
     /// Takes the number of the engine's state, read after all earlier orders were answered.
-    pub fn observe(&mut self, reported: Option<u64>) -> FenceSight {
+    pub fn observe(&mut self, reported: Option<u64>) -> FenceObservation {
         let Some(number) = reported else {
-            return if self.established { FenceSight::Restarted } else { FenceSight::Unclaimed };
+            return if self.established {
+                FenceObservation::Restarted
+            } else {
+                FenceObservation::Unclaimed
+            };
         };
         if self.first_issued.is_some_and(|first| (first..=self.last_issued).contains(&number)) {
             self.established = true;
-            return FenceSight::Own;
+            return FenceObservation::Own;
         }
         if self.established && number < self.last_issued {
-            return FenceSight::LateOrder;
+            return FenceObservation::LateOrder;
         }
         if self.established {
-            return FenceSight::Successor;
+            return FenceObservation::Successor;
         }
-        self.rise_above(number);
-        FenceSight::Predecessor
+        self.raise_floor_above(number);
+        FenceObservation::Predecessor
     }
 
     /// An order was obeyed.
-    pub fn note_obeyed(&mut self) {
+    pub fn record_obeyed(&mut self) {
         self.established = true;
         self.raises = 0;
     }
 
     /// An order was refused because of the higher number `highest`.
-    pub fn note_refused(&mut self, highest: u64) -> FenceSight {
+    pub fn record_refusal(&mut self, highest: u64) -> FenceObservation {
         if self.established && highest > self.last_issued {
-            return FenceSight::Successor;
+            return FenceObservation::Successor;
         }
         self.raises += 1;
-        self.rise_above(highest);
-        FenceSight::Predecessor
+        self.raise_floor_above(highest);
+        FenceObservation::Predecessor
     }
 
     /// The number for the next order at `revision`: above all given and seen before.
     pub fn issue(&mut self, revision: u64) -> Result<FenceNumber, FenceError> {
-        if self.raises >= MOST_RAISES {
+        if self.raises >= MAX_RAISES {
             return Err(FenceError::Contended);
         }
-        let revised = self.floor.saturating_add(revision.min(MOST_REVISION_STEPS));
+        let revised = self.floor.saturating_add(revision.min(MAX_REVISION_STEPS));
         let number = revised.max(self.last_issued + 1);
         if number >= FENCE_CEILING {
             return Err(FenceError::Exhausted(self.highest_seen));
@@ -178,7 +182,7 @@
     }
 
     /// Moves to a term of its own, which the agent of `number` does not reach by its next orders.
-    fn rise_above(&mut self, number: u64) {
+    fn raise_floor_above(&mut self, number: u64) {
         self.highest_seen = self.highest_seen.max(number);
         let above = (number / STEPS_PER_TERM).saturating_add(1).saturating_mul(STEPS_PER_TERM);
         self.floor = self.floor.max(above);
--- a/crates/papayamux-coordination/src/orders/load_backoff.rs
+++ b/crates/papayamux-coordination/src/orders/load_backoff.rs
@@ -6,16 +6,16 @@
 use papayamux_state::weights::WeightsRef;
 
 /// The pause after the first failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(60);
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
 /// Weights whose failures are remembered.
-const MOST_REMEMBERED: usize = 128;
+const MAX_FAILURES: usize = 128;
 
 #[derive(Debug, Clone, Copy)]
 struct LoadFailure {
     count: u32,
-    until: Instant,
+    retry_at: Instant,
 }
 
 /// Pauses after failed loads: doubled with each failure, and spread at random so that agents
@@ -28,16 +28,16 @@
 impl LoadBackoff {
     /// Whether `weights` may be tried at `now`.
     pub fn may_try(&self, weights: &WeightsRef, now: Instant) -> bool {
-        self.failures.get(weights).is_none_or(|failure| failure.until <= now)
+        self.failures.get(weights).is_none_or(|failure| failure.retry_at <= now)
     }
 
     /// A load failed; `share` from 0 to 1 is drawn at random by the caller. Gives the pause.
-    pub fn note_failure(&mut self, weights: &WeightsRef, now: Instant, share: f64) -> Duration {
+    pub fn record_failure(&mut self, weights: &WeightsRef, now: Instant, jitter: f64) -> Duration {
         let count = self.failures.get(weights).map_or(0, |failure| failure.count);
-        let longest = FIRST_PAUSE.saturating_mul(1 << count.min(16)).min(LONGEST_PAUSE);
-        let pause = longest.mul_f64(0.5 + share.clamp(0.0, 1.0) / 2.0);
-        if self.failures.len() < MOST_REMEMBERED || self.failures.contains_key(weights) {
-            let failure = LoadFailure { count: count.saturating_add(1), until: now + pause };
+        let max_pause = INITIAL_BACKOFF.saturating_mul(1 << count.min(16)).min(MAX_BACKOFF);
+        let pause = max_pause.mul_f64(0.5 + jitter.clamp(0.0, 1.0) / 2.0);
+        if self.failures.len() < MAX_FAILURES || self.failures.contains_key(weights) {
+            let failure = LoadFailure { count: count.saturating_add(1), retry_at: now + pause };
             self.failures.insert(weights.clone(), failure);
         }
         pause
--- a/crates/papayamux-coordination/src/orders/load_slots.rs
+++ b/crates/papayamux-coordination/src/orders/load_slots.rs
@@ -15,14 +15,14 @@
 use thiserror::Error;
 
 /// How late after its slot's start an order may still be sent.
-pub const SLOT_LATENESS: Duration = Duration::from_millis(100);
+pub const MAX_SLOT_LATENESS: Duration = Duration::from_millis(100);
 /// The part of the store's rate that slots use, in percent. The rest covers errors of clocks and
 /// delays on the way: at 80 % two loads that a full store would part by one second are parted by
 /// 1.25 s, so that errors below 250 ms do not add up to a refusal.
 const USED_PERCENT: u64 = 80;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 /// Loads a second in the highest rate.
-const HIGHEST_RATE: u64 = 1_000_000;
+const MAX_RATE: u64 = 1_000_000;
 
 /// Loads a second that the weight store answers, to all its readers together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -30,7 +30,7 @@
 
 /// Why a text is not a load rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a load rate is a whole number of loads a second from 1 to {HIGHEST_RATE}")]
+#[error("a load rate is a whole number of loads a second from 1 to {MAX_RATE}")]
 pub struct LoadRateError;
 
 impl LoadRate {
@@ -49,7 +49,7 @@
     type Error = LoadRateError;
 
     fn try_from(rate: u64) -> Result<Self, LoadRateError> {
-        (1..=HIGHEST_RATE).contains(&rate).then_some(Self(rate)).ok_or(LoadRateError)
+        (1..=MAX_RATE).contains(&rate).then_some(Self(rate)).ok_or(LoadRateError)
     }
 }
 
@@ -79,9 +79,9 @@
     /// The slots of `server` among the declared engines `fleet`; one that is not declared takes
     /// the place after the last.
     pub fn new(server: &ServerId, fleet: &BTreeSet<ServerId>, rate: LoadRate) -> Self {
-        let place = |name: &ServerId| (name_hash(name.as_str()), name.clone());
-        let own = place(server);
-        let rank = fleet.iter().filter(|other| place(other) < own).count() as u64;
+        let sort_key = |name: &ServerId| (name_hash(name.as_str()), name.clone());
+        let own = sort_key(server);
+        let rank = fleet.iter().filter(|other| sort_key(other) < own).count() as u64;
         let length = fleet.len() as u64;
         match fleet.contains(server) {
             true => Self { slot: rate.slot_length(), rank, fleet: length },
@@ -99,9 +99,9 @@
     pub fn open_slot(&self, now: Duration) -> Option<u64> {
         let frame = self.frame().as_nanos().max(1);
         let offset = (self.slot.as_nanos()) * u128::from(self.rank);
-        let since = now.as_nanos().checked_sub(offset)?;
-        let late = since % frame;
-        (late <= SLOT_LATENESS.as_nanos()).then_some((since / frame) as u64)
+        let elapsed = now.as_nanos().checked_sub(offset)?;
+        let lateness = elapsed % frame;
+        (lateness <= MAX_SLOT_LATENESS.as_nanos()).then_some((elapsed / frame) as u64)
     }
 
     /// Time from `now` to the start of the engine's next slot, never zero.
--- a/crates/papayamux-coordination/src/orders/mod.rs
+++ b/crates/papayamux-coordination/src/orders/mod.rs
@@ -5,11 +5,13 @@
 mod load_backoff;
 mod load_slots;
 mod server_target;
-mod stop_book;
+mod stop_tracker;
 
-pub use compare::{ChangePlan, EngineReading, OrderDraft, OrderReason, StepRights};
-pub use fence::{FenceBook, FenceError, FenceNumber, FenceSight, FENCE_CEILING, STEPS_PER_TERM};
+pub use compare::{ChangePlan, EngineSnapshot, OrderDraft, OrderReason, StepRights};
+pub use fence::{
+    FenceError, FenceNumber, FenceObservation, FenceTracker, FENCE_CEILING, STEPS_PER_TERM,
+};
 pub use load_backoff::LoadBackoff;
-pub use load_slots::{LoadRate, LoadRateError, LoadSlots, SLOT_LATENESS};
-pub use server_target::{needed_keepers, PeerServer, ServerTarget, TargetError};
-pub use stop_book::{ServingEvidence, StopBook};
+pub use load_slots::{LoadRate, LoadRateError, LoadSlots, MAX_SLOT_LATENESS};
+pub use server_target::{required_servers, PeerServer, ServerTarget, TargetError};
+pub use stop_tracker::{ServingEvidence, StopTracker};
--- a/crates/papayamux-coordination/src/orders/server_target.rs
+++ b/crates/papayamux-coordination/src/orders/server_target.rs
@@ -76,7 +76,7 @@
     }
 
     /// The other servers that are declared to serve `weights`.
-    pub fn keepers<'a>(
+    pub fn declared_peers<'a>(
         &'a self,
         weights: &'a WeightsRef,
     ) -> impl Iterator<Item = (&'a ServerId, SocketAddr)> {
@@ -92,6 +92,6 @@
 
 /// How many of `others` declared servers must serve before one server stops serving: half of them,
 /// and at least one. So many serve on when all that can stop have stopped.
-pub fn needed_keepers(others: usize) -> usize {
+pub fn required_servers(others: usize) -> usize {
     others.div_ceil(2).max(1)
 }
--- a/crates/papayamux-coordination/src/orders/stop_book.rs
+++ b/crates/papayamux-coordination/src/orders/stop_tracker.rs
@@ -25,18 +25,18 @@
 
 /// What this server wants to stop serving, and has stopped serving.
 #[derive(Debug)]
-pub struct StopBook {
-    quiet_until: Instant,
+pub struct StopTracker {
+    startup_deadline: Instant,
     stopping: BTreeSet<WeightsRef>,
     stopped: BTreeSet<WeightsRef>,
 }
 
-impl StopBook {
+impl StopTracker {
     /// The book of an agent that starts at `now`. For the time `quiet_for` others can't count on
     /// it: an order that its predecessor sent may still be on its way to the engine.
-    pub fn new(quiet_for: Duration, now: Instant) -> Self {
-        let quiet_until = now + quiet_for;
-        Self { quiet_until, stopping: BTreeSet::new(), stopped: BTreeSet::new() }
+    pub fn new(startup_delay: Duration, now: Instant) -> Self {
+        let startup_deadline = now + startup_delay;
+        Self { startup_deadline, stopping: BTreeSet::new(), stopped: BTreeSet::new() }
     }
 
     /// Answers a server that wants to stop whether it can count on this one for `weights`;
@@ -53,7 +53,7 @@
         if !is_serving {
             return Err(ServingRefusal::NotServing);
         }
-        if now < self.quiet_until {
+        if now < self.startup_deadline {
             return Err(ServingRefusal::JustStarted);
         }
         Ok(())
@@ -65,7 +65,7 @@
     }
 
     /// The wish has gone, or the server serves `weights` again. All evidence is void.
-    pub fn serve_on(&mut self, weights: &WeightsRef) {
+    pub fn resume_serving(&mut self, weights: &WeightsRef) {
         self.stopping.remove(weights);
         self.stopped.remove(weights);
     }
@@ -113,5 +113,5 @@
 
 /// Whether `needed` of `evidence` count at `now`.
 fn is_enough(evidence: &[ServingEvidence], needed: usize, now: Instant) -> bool {
-    evidence.iter().filter(|word| word.until > now).count() >= needed
+    evidence.iter().filter(|entry| entry.until > now).count() >= needed
 }
--- a/crates/papayamux-coordination/src/router_peers.rs
+++ b/crates/papayamux-coordination/src/router_peers.rs
@@ -10,30 +10,30 @@
 
 /// Silence after which a router is forgotten; its address comes back with the next router that
 /// hears it. Longer than a short cut, so that a healed link is used at once.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const PEER_TTL: Duration = Duration::from_secs(10);
 /// Silence after which a router is no longer named to others.
-const NAME_WITHIN: Duration = Duration::from_secs(3);
+const MAX_CONTACT_AGE: Duration = Duration::from_secs(3);
 /// Routers told at a time.
 const FANOUT: usize = 12;
 /// Reports by which a datagram may be late; an older number is that of a restarted router.
-const REORDERED: u64 = 8;
+const REORDER_WINDOW: u64 = 8;
 /// Routers named in one report: with a hundred reports in a few seconds each router of the largest fleet
 /// is named several times in that time.
 const NAMED_PER_REPORT: usize = 16;
 /// Routers kept: twice the largest fleet that is designed for.
-const MOST_PEERS: usize = 1_024;
+const MAX_PEERS: usize = 1_024;
 
 #[derive(Debug, Clone, Copy)]
 struct PeerState {
     named: Instant,
-    heard: Option<Instant>,
+    last_contact: Option<Instant>,
     sequence: u64,
     fresh: bool,
 }
 
 /// What a router says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerNews<'a> {
+pub struct PeerUpdate<'a> {
     /// The number of its report.
     pub sequence: u64,
     /// The routers that it hears.
@@ -48,14 +48,14 @@
     own: IpAddr,
     seeds: Vec<IpAddr>,
     peers: BTreeMap<IpAddr, PeerState>,
-    told_last: Option<IpAddr>,
-    named_last: Option<IpAddr>,
+    last_target: Option<IpAddr>,
+    last_named: Option<IpAddr>,
 }
 
 impl RouterPeers {
     /// The router at `own`, which begins with `seeds`.
     pub fn new(own: IpAddr, seeds: Vec<IpAddr>) -> Self {
-        Self { own, seeds, peers: BTreeMap::new(), told_last: None, named_last: None }
+        Self { own, seeds, peers: BTreeMap::new(), last_target: None, last_named: None }
     }
 
     /// Replaces the addresses to begin with.
@@ -64,34 +64,35 @@
     }
 
     /// Notes a report of `peer`; `false` where it is older than one that was heard before.
-    pub fn hear(&mut self, peer: IpAddr, news: PeerNews<'_>, now: Instant) -> bool {
-        let PeerNews { sequence, known, fresh } = news;
+    pub fn record_update(&mut self, peer: IpAddr, update: PeerUpdate<'_>, now: Instant) -> bool {
+        let PeerUpdate { sequence, known, fresh } = update;
         if peer == self.own {
             return false;
         }
-        let unheard = PeerState { named: now, heard: None, sequence: 0, fresh: false };
+        let unknown_peer = PeerState { named: now, last_contact: None, sequence: 0, fresh: false };
         for address in known.iter().filter(|address| **address != self.own) {
-            if self.peers.len() < MOST_PEERS {
-                self.peers.entry(*address).or_insert(unheard).named = now;
+            if self.peers.len() < MAX_PEERS {
+                self.peers.entry(*address).or_insert(unknown_peer).named = now;
             }
         }
-        let state = self.peers.entry(peer).or_insert(unheard);
-        let heard_lately = state.heard.is_some_and(|heard| now - heard < NAME_WITHIN);
-        let restarted = sequence.saturating_add(REORDERED) < state.sequence;
-        if heard_lately && sequence <= state.sequence && !restarted {
+        let state = self.peers.entry(peer).or_insert(unknown_peer);
+        let has_recent_contact =
+            state.last_contact.is_some_and(|last_contact| now - last_contact < MAX_CONTACT_AGE);
+        let restarted = sequence.saturating_add(REORDER_WINDOW) < state.sequence;
+        if has_recent_contact && sequence <= state.sequence && !restarted {
             return false;
         }
-        *state = PeerState { named: now, heard: Some(now), sequence, fresh };
+        *state = PeerState { named: now, last_contact: Some(now), sequence, fresh };
         true
     }
 
     /// Some of the routers that are heard, in turn, to be named to others.
     pub fn next_named(&mut self, now: Instant) -> Vec<IpAddr> {
         let alive = self.alive(now);
-        let start = self.named_last.map_or(0, |last| alive.partition_point(|peer| *peer <= last));
+        let start = self.last_named.map_or(0, |last| alive.partition_point(|peer| *peer <= last));
         let count = NAMED_PER_REPORT.min(alive.len());
         let named: Vec<_> = alive.iter().cycle().skip(start).take(count).copied().collect();
-        self.named_last = named.last().copied().or(self.named_last);
+        self.last_named = named.last().copied().or(self.last_named);
         named
     }
 
@@ -118,23 +119,23 @@
 
     /// Whom to tell next: a few routers in turn, and the seeds that are not among the known ones.
     pub fn next_targets(&mut self, now: Instant) -> Vec<IpAddr> {
-        self.peers.retain(|_, state| now - state.last_sign() < FORGET_AFTER);
+        self.peers.retain(|_, state| now - state.last_activity() < PEER_TTL);
         let seeds = self.seeds.iter().filter(|seed| **seed != self.own);
         let unknown_seeds = seeds.filter(|seed| !self.peers.contains_key(seed)).copied();
-        let start = self.told_last.map_or(0, |last| self.peers.range(..=last).count());
-        let turn = self.peers.keys().cycle().skip(start).take(FANOUT.min(self.peers.len()));
-        let turn: Vec<_> = turn.copied().collect();
-        self.told_last = turn.last().copied().or(self.told_last);
-        unknown_seeds.chain(turn.iter().copied()).collect()
+        let start = self.last_target.map_or(0, |last| self.peers.range(..=last).count());
+        let rotation = self.peers.keys().cycle().skip(start).take(FANOUT.min(self.peers.len()));
+        let rotation: Vec<_> = rotation.copied().collect();
+        self.last_target = rotation.last().copied().or(self.last_target);
+        unknown_seeds.chain(rotation.iter().copied()).collect()
     }
 }
 
 impl PeerState {
-    fn last_sign(&self) -> Instant {
-        self.heard.map_or(self.named, |heard| heard.max(self.named))
+    fn last_activity(&self) -> Instant {
+        self.last_contact.map_or(self.named, |last_contact| last_contact.max(self.named))
     }
 
     fn is_alive(&self, now: Instant) -> bool {
-        self.heard.is_some_and(|heard| now - heard < NAME_WITHIN)
+        self.last_contact.is_some_and(|last_contact| now - last_contact < MAX_CONTACT_AGE)
     }
 }
--- a/crates/papayamux-coordination/tests/claim_model/mod.rs
+++ b/crates/papayamux-coordination/tests/claim_model/mod.rs
@@ -16,10 +16,10 @@
 /// Retention, start deadline and the longest time between two processes that put the same
 /// declared fleet in force.
 pub const RETENTION: Duration = Duration::from_millis(1_000);
-pub const START_WITHIN: Duration = Duration::from_millis(100);
-pub const MOST_LAG: Duration = Duration::from_millis(200);
+pub const START_TIMEOUT: Duration = Duration::from_millis(100);
+pub const MAX_LAG: Duration = Duration::from_millis(200);
 
-const MOST_CLAIMS: usize = 1_000;
+const MAX_CLAIMS: usize = 1_000;
 
 /// A message on its way, or an agent that has taken a call and has yet to act.
 #[derive(Debug, Clone)]
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 struct Witness {
     table: ClaimTable,
-    born: Duration,
+    started_at: Duration,
     view: usize,
 }
 
@@ -43,14 +43,14 @@
 struct Attempt {
     claim: ClaimId,
     round: ClaimRound,
-    asked: Vec<usize>,
+    all_witnesses: Vec<usize>,
     started: Duration,
     decided: bool,
 }
 
 /// Routers, witnesses and messages at one time.
 #[derive(Debug, Clone)]
-pub struct World {
+pub struct Simulation {
     origin: Instant,
     pub now: Duration,
     fleets: Vec<FleetView>,
@@ -81,15 +81,15 @@
     FleetView::new(declared.collect(), 3, RETENTION).unwrap()
 }
 
-impl World {
+impl Simulation {
     /// `routers` routers before witnesses that have lived for a retention; `fleets[0]` is in
     /// force, `fleets[1]`, where given, may follow it.
     pub fn new(routers: usize, fleets: &[&[usize]]) -> Self {
         let fleets: Vec<_> = fleets.iter().map(|servers| fleet(servers)).collect();
         let now = RETENTION;
-        let mut table = ClaimTable::new(RETENTION, MOST_CLAIMS);
+        let mut table = ClaimTable::new(RETENTION, MAX_CLAIMS);
         table.declare_view(fleets[0].digest(), Duration::ZERO);
-        let witness = Witness { table, born: Duration::ZERO, view: 0 };
+        let witness = Witness { table, started_at: Duration::ZERO, view: 0 };
         Self {
             origin: Instant::now(),
             now,
@@ -112,13 +112,19 @@
         let round = ClaimRound::new(self.routers[router].witnesses(key(), at));
         let views = self.routers[router].digests(at).unwrap();
         let fingerprint = CallFingerprint::new("POST", "/book", b"");
-        let asked: Vec<_> = round.asked().iter().map(index).collect();
+        let all_witnesses: Vec<_> = round.all_witnesses().iter().map(index).collect();
         let attempt = self.attempts.len();
-        for witness in asked.iter().copied() {
+        for witness in all_witnesses.iter().copied() {
             let ask = ClaimAsk { key: key(), fingerprint, claim, views: views.clone() };
             self.pending.push(Pending::Claim { attempt, witness, ask });
         }
-        self.attempts.push(Attempt { claim, round, asked, started: self.now, decided: false });
+        self.attempts.push(Attempt {
+            claim,
+            round,
+            all_witnesses,
+            started: self.now,
+            decided: false,
+        });
     }
 
     /// A witness is replaced by one without memory, which knows the fleet in force.
@@ -127,9 +133,9 @@
             Some(_) => 1,
             None => 0,
         };
-        let mut table = ClaimTable::new(RETENTION, MOST_CLAIMS);
+        let mut table = ClaimTable::new(RETENTION, MAX_CLAIMS);
         table.declare_view(self.fleets[view].digest(), Duration::ZERO);
-        self.witnesses[witness] = Witness { table, born: self.now, view };
+        self.witnesses[witness] = Witness { table, started_at: self.now, view };
     }
 
     /// A router is replaced by one that knows the fleet in force and no earlier one.
@@ -160,16 +166,18 @@
         let witness = &mut self.witnesses[witness];
         if self.changed.is_some() && witness.view == 0 {
             witness.view = 1;
-            witness.table.declare_view(self.fleets[1].digest(), self.now - witness.born);
+            witness.table.declare_view(self.fleets[1].digest(), self.now - witness.started_at);
         }
     }
 
     /// Time goes on. Nobody lags behind a declaration by more than [`MOST_LAG`].
     pub fn advance(&mut self, by: Duration) {
         let target = self.now + by;
-        let due = self.changed.map(|changed| changed + MOST_LAG);
-        if let Some(due) = due.filter(|due| *due > self.now && *due <= target) {
-            self.now = due;
+        let lag_deadline = self.changed.map(|changed| changed + MAX_LAG);
+        if let Some(lag_deadline) =
+            lag_deadline.filter(|lag_deadline| *lag_deadline > self.now && *lag_deadline <= target)
+        {
+            self.now = lag_deadline;
             (0..self.routers.len()).for_each(|router| self.learn_router(router));
             (0..self.witnesses.len()).for_each(|witness| self.learn_witness(witness));
         }
@@ -185,13 +193,13 @@
     pub fn deliver(&mut self, message: usize, refuses: bool) {
         match self.pending.remove(message) {
             Pending::Claim { attempt, witness, ask } => {
-                let (now, born) = (self.now, self.witnesses[witness].born);
-                let claimed = self.witnesses[witness].table.claim(&ask, now - born);
+                let (now, started_at) = (self.now, self.witnesses[witness].started_at);
+                let claimed = self.witnesses[witness].table.claim(&ask, now - started_at);
                 let reply = reply_to(claimed);
                 self.pending.push(Pending::Reply { attempt, witness, reply });
             }
             Pending::Reply { attempt, witness, reply } => {
-                self.attempts[attempt].round.take(&name(witness), Some(reply));
+                self.attempts[attempt].round.record_reply(&name(witness), Some(reply));
                 self.decide(attempt);
             }
             Pending::Release { attempt, witness } => {
@@ -229,7 +237,7 @@
     }
 
     /// Whether delivering this message is another step than delivering the one before it.
-    pub fn stands_alone(&self, message: usize) -> bool {
+    pub fn is_distinct_step(&self, message: usize) -> bool {
         let released = |pending: &Pending| match pending {
             Pending::Release { attempt, .. } => Some(*attempt),
             _ => None,
@@ -246,7 +254,7 @@
         entry.decided = true;
         match entry.round.verdict() {
             ClaimVerdict::Won => {
-                let deadline = entry.started + START_WITHIN;
+                let deadline = entry.started + START_TIMEOUT;
                 self.pending.push(Pending::Open { attempt, deadline });
             }
             _ => self.release(attempt),
@@ -254,7 +262,7 @@
     }
 
     fn release(&mut self, attempt: usize) {
-        for witness in self.attempts[attempt].asked.clone() {
+        for witness in self.attempts[attempt].all_witnesses.clone() {
             self.pending.push(Pending::Release { attempt, witness });
         }
     }
--- a/crates/papayamux-coordination/tests/compare.rs
+++ b/crates/papayamux-coordination/tests/compare.rs
@@ -4,7 +4,7 @@
 
 use bolero::{check, TypeGenerator};
 use papayamux_coordination::orders::{
-    ChangePlan, EngineReading, OrderDraft, ServerTarget, StepRights,
+    ChangePlan, EngineSnapshot, OrderDraft, ServerTarget, StepRights,
 };
 use papayamux_protocol::engine::{EngineOrder, EngineState, EngineWeights, FailedLoad};
 use papayamux_state::weights::{WeightsKind, WeightsRef};
@@ -86,7 +86,7 @@
     }
 
     fn step(&mut self, target: &ServerTarget, fence: u64, may_load: bool, may_unload: bool) {
-        let view = EngineReading::from(&self.state);
+        let view = EngineSnapshot::from(&self.state);
         let plan = ChangePlan::new(target, &view);
         let load = plan.missing.iter().chain(&plan.outdated).next().cloned();
         let unload = plan.surplus.iter().filter(|_| may_unload).cloned().collect();
@@ -94,7 +94,7 @@
         let loads = view.loads();
         if let Some(draft) = OrderDraft::next(target, &view, &rights) {
             self.obey(&draft.number(fence.into()));
-            let after = EngineReading::from(&self.state);
+            let after = EngineSnapshot::from(&self.state);
             assert!(draft.is_in_effect(&after));
             assert!(after.loads() <= loads + usize::from(may_load), "a load without its slot");
             let kept = view.loaded.keys().filter(|_| !may_unload);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn it_converges_from_whatever_happened() {
+fn engine_converges_to_its_target_after_any_events() {
     let events =
         check!().with_iterations(GENERATED_INPUTS).with_type::<(Vec<(u8, u8)>, Vec<EngineEvent>)>();
     events.for_each(|(wanted, events)| {
@@ -140,7 +140,7 @@
             engine.step(&target, fence, true, true);
             engine.finish(&target);
         }
-        let view = EngineReading::from(&engine.state);
+        let view = EngineSnapshot::from(&engine.state);
         assert_eq!((view.loaded.clone(), view.role.as_str()), (target.weights.clone(), "both"));
         assert!(ChangePlan::new(&target, &view).is_done());
     });
--- a/crates/papayamux-coordination/tests/constants.rs
+++ b/crates/papayamux-coordination/tests/constants.rs
@@ -17,7 +17,7 @@
     "recent_departures.rs",
     "cache_survey.rs",
     "part_owners.rs",
-    "source_pace.rs",
+    "source_polling.rs",
     "crash_quarantine.rs",
     "server_notices.rs",
     "service_retry_budget.rs",
--- a/crates/papayamux-coordination/tests/domain_evacuations.rs
+++ b/crates/papayamux-coordination/tests/domain_evacuations.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn order_that_is_written_again_is_the_same_evacuation() {
+fn repeated_order_is_the_same_evacuation() {
     let mut evacuations = DomainEvacuations::default();
     assert_eq!(evacuations.begin(order("hall", 4)), Some(begun("hall", 4)));
     assert_eq!(evacuations.begin(order("hall", 7)), None);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn end_of_what_never_began_changes_nothing() {
+fn ending_an_unknown_evacuation_changes_nothing() {
     let mut evacuations = DomainEvacuations::default();
     assert_eq!(evacuations.end(&"hall".parse().unwrap()), None);
     evacuations.begin(order("hall", 4));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn all_orders_at_once_end_what_they_lack_and_begin_what_is_new() {
+fn replacing_all_orders_ends_missing_and_begins_new_evacuations() {
     let mut evacuations = DomainEvacuations::default();
     evacuations.begin(order("hall", 4));
     evacuations.begin(order("desk", 5));
--- a/crates/papayamux-coordination/tests/fleet_knowledge/confirmations.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/confirmations.rs
@@ -8,8 +8,8 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use papayamux_coordination::fleet_knowledge::{HeardQuestion, StatedShift};
-use papayamux_coordination::peer_vouching::VouchQuestion;
+use papayamux_coordination::fleet_knowledge::{ReceivedQuery, ReportedOffset};
+use papayamux_coordination::freshness_confirmation::FreshnessQuery;
 use papayamux_state::boot_time::BootInstant;
 
 const ROUTERS: usize = 3;
@@ -17,51 +17,51 @@
 const DEPTH: usize = 7;
 const STEP: u64 = 1_000;
 /// The true time at which the source changes from version 1 to 2.
-const CHANGED: u64 = STEP / 2;
+const CHANGED_AT: u64 = STEP / 2;
 /// Beginnings of the routers' clocks against the true time.
 const CLOCKS: [u64; ROUTERS] = [50_000, 1_000_000, 20_000];
 
 /// A rule of the confirmation that a run leaves out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Planted {
+enum InjectedFault {
     Nothing,
     /// A statement is dated from its arrival.
-    DatedByArrival,
+    TimestampedByArrival,
     /// A statement of another version counts.
     AnyVersion,
     /// A statement to an earlier life counts.
-    AnyLife,
+    AnyIncarnation,
     /// A read is dated from its answer.
     ReadByArrival,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct RouterState {
-    life: u64,
+    incarnation: u64,
     clock: u64,
     version: u64,
     confirmed: Option<u64>,
     /// Questions of others that it has heard: the asker, its life, when it asked and when this was heard.
-    heard: Vec<(usize, u64, u64, u64)>,
+    received: Vec<(usize, u64, u64, u64)>,
     /// When the read under way was sent and what the source had then.
     reading: Option<(u64, u64)>,
 }
 
 /// A statement under way.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Statement {
+struct ConfirmationReport {
     to: usize,
-    life: u64,
+    incarnation: u64,
     asked: u64,
-    shift: i64,
+    offset: i64,
     version: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct World {
+struct Simulation {
     now: u64,
     routers: Vec<RouterState>,
-    statements: Vec<Statement>,
+    reports: Vec<ConfirmationReport>,
     questions: Vec<(usize, usize, u64, u64)>,
 }
 
@@ -71,7 +71,7 @@
     Send(usize),
     Receive(usize),
     Ask(usize, usize),
-    Hear(usize),
+    ReceiveQuery(usize),
     State(usize, usize),
     /// Delivers a statement and keeps a copy of it under way; the end of a run loses what is left.
     Deliver(usize),
@@ -82,22 +82,22 @@
     BootInstant(Duration::from_millis(millis))
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let router = |clock| RouterState {
-            life: 1,
+            incarnation: 1,
             clock,
             version: 1,
             confirmed: None,
-            heard: Vec::new(),
+            received: Vec::new(),
             reading: None,
         };
         let routers = CLOCKS.into_iter().map(router).collect();
-        Self { now: 0, routers, statements: Vec::new(), questions: Vec::new() }
+        Self { now: 0, routers, reports: Vec::new(), questions: Vec::new() }
     }
 
     fn newest(&self) -> u64 {
-        if self.now >= CHANGED {
+        if self.now >= CHANGED_AT {
             2
         } else {
             1
@@ -121,17 +121,17 @@
             if self.questions.iter().all(|(asker, ..)| *asker != router) {
                 actions.push(Action::Ask(router, (router + 1) % ROUTERS));
             }
-            for question in 0..self.routers[router].heard.len() {
-                actions.push(Action::State(router, question));
+            for query in 0..self.routers[router].received.len() {
+                actions.push(Action::State(router, query));
             }
         }
-        actions.extend((0..self.questions.len()).map(Action::Hear));
-        actions.extend((0..self.statements.len()).map(Action::Deliver));
+        actions.extend((0..self.questions.len()).map(Action::ReceiveQuery));
+        actions.extend((0..self.reports.len()).map(Action::Deliver));
         actions.push(Action::Restart(0));
         actions
     }
 
-    fn take(&mut self, action: Action, planted: Planted) {
+    fn apply(&mut self, action: Action, fault: InjectedFault) {
         match action {
             Action::Wait => self.now += STEP,
             Action::Send(router) => {
@@ -141,24 +141,24 @@
             Action::Receive(router) => {
                 let arrived = self.clock(router);
                 let Some((sent, version)) = self.routers[router].reading.take() else { return };
-                let dated = if planted == Planted::ReadByArrival { arrived } else { sent };
+                let timestamp = if fault == InjectedFault::ReadByArrival { arrived } else { sent };
                 let state = &mut self.routers[router];
                 if version >= state.version {
                     state.version = version;
-                    state.confirmed = state.confirmed.max(Some(dated));
+                    state.confirmed = state.confirmed.max(Some(timestamp));
                 }
             }
             Action::Ask(asker, asked) => {
-                let question = (asker, asked, self.routers[asker].life, self.clock(asker));
-                self.questions.push(question);
+                let query = (asker, asked, self.routers[asker].incarnation, self.clock(asker));
+                self.questions.push(query);
             }
-            Action::Hear(index) => {
-                let (asker, asked, life, at) = self.questions.remove(index);
-                let heard = self.clock(asked);
-                self.routers[asked].heard = vec![(asker, life, at, heard)];
+            Action::ReceiveQuery(index) => {
+                let (asker, asked, incarnation, at) = self.questions.remove(index);
+                let received = self.clock(asked);
+                self.routers[asked].received = vec![(asker, incarnation, at, received)];
             }
             Action::State(router, index) => self.state(router, index),
-            Action::Deliver(index) => self.deliver(index, planted),
+            Action::Deliver(index) => self.deliver(index, fault),
             Action::Restart(router) => self.restart(router),
         }
     }
@@ -166,28 +166,30 @@
     fn state(&mut self, router: usize, index: usize) {
         let state = &self.routers[router];
         let Some(confirmed) = state.confirmed else { return };
-        let (asker, life, asked, heard) = state.heard[index];
-        let question = VouchQuestion { life, asked: instant(asked) };
-        let heard = HeardQuestion { question, heard: instant(heard) };
-        let shift = heard.shift_to(instant(confirmed)).0;
-        let statement = Statement { to: asker, life, asked, shift, version: state.version };
-        if !self.statements.contains(&statement) {
-            self.statements.push(statement);
+        let (asker, incarnation, asked, received) = state.received[index];
+        let query = FreshnessQuery { incarnation, sent_at: instant(asked) };
+        let received = ReceivedQuery { query, received: instant(received) };
+        let offset = received.offset_to(instant(confirmed)).0;
+        let report =
+            ConfirmationReport { to: asker, incarnation, asked, offset, version: state.version };
+        if !self.reports.contains(&report) {
+            self.reports.push(report);
         }
     }
 
-    fn deliver(&mut self, index: usize, planted: Planted) {
-        let Statement { to, life, asked, shift, version } = self.statements[index].clone();
+    fn deliver(&mut self, index: usize, fault: InjectedFault) {
+        let ConfirmationReport { to, incarnation, asked, offset, version } =
+            self.reports[index].clone();
         let now = instant(self.clock(to));
         let state = &self.routers[to];
-        let accepted = (life == state.life || planted == Planted::AnyLife)
-            && (version == state.version || planted == Planted::AnyVersion);
+        let accepted = (incarnation == state.incarnation || fault == InjectedFault::AnyIncarnation)
+            && (version == state.version || fault == InjectedFault::AnyVersion);
         if !accepted {
             return;
         }
-        let asked = if planted == Planted::DatedByArrival { now } else { instant(asked) };
-        let question = VouchQuestion { life, asked };
-        let known = StatedShift(shift).on_askers_clock(question, now);
+        let asked = if fault == InjectedFault::TimestampedByArrival { now } else { instant(asked) };
+        let query = FreshnessQuery { incarnation, sent_at: asked };
+        let known = ReportedOffset(offset).on_querier_clock(query, now);
         let known = known.map(|known| known.0.as_millis() as u64);
         self.routers[to].confirmed = self.routers[to].confirmed.max(known);
     }
@@ -198,11 +200,11 @@
         let version = self.newest();
         self.now += STEP;
         let state = &mut self.routers[router];
-        state.life += 1;
+        state.incarnation += 1;
         state.clock = 10_000;
         state.version = version;
         state.confirmed = None;
-        state.heard.clear();
+        state.received.clear();
         state.reading = None;
     }
 
@@ -212,70 +214,71 @@
             let state = &self.routers[router];
             let Some(confirmed) = state.confirmed else { return true };
             let Some(moment) = confirmed.checked_sub(state.clock) else { return true };
-            moment <= self.now && (state.version == 2 || moment < CHANGED)
+            moment <= self.now && (state.version == 2 || moment < CHANGED_AT)
         })
     }
 }
 
 /// Goes through all runs; whether each was sound throughout.
-fn all_are_sound(planted: Planted) -> bool {
-    let mut worlds = HashSet::from([World::new()]);
+fn all_runs_are_sound(fault: InjectedFault) -> bool {
+    let mut simulations = HashSet::from([Simulation::new()]);
     for _ in 0..DEPTH {
         let mut next = HashSet::new();
-        for world in &worlds {
-            for action in world.actions() {
-                let mut after = world.clone();
-                after.take(action, planted);
+        for simulation in &simulations {
+            for action in simulation.actions() {
+                let mut after = simulation.clone();
+                after.apply(action, fault);
                 if !after.is_sound() {
                     return false;
                 }
                 next.insert(after);
             }
         }
-        worlds = next;
+        simulations = next;
     }
     true
 }
 
 #[test]
-fn nothing_is_taken_for_newer_than_it_is() {
-    assert!(all_are_sound(Planted::Nothing));
+fn confirmations_never_exceed_the_true_freshness() {
+    assert!(all_runs_are_sound(InjectedFault::Nothing));
 }
 
 #[test]
-fn statement_dated_from_its_arrival_is_found() {
-    assert!(!all_are_sound(Planted::DatedByArrival));
+fn report_timestamped_by_arrival_is_detected() {
+    assert!(!all_runs_are_sound(InjectedFault::TimestampedByArrival));
 }
 
 #[test]
-fn statement_of_another_version_is_found() {
-    assert!(!all_are_sound(Planted::AnyVersion));
+fn report_of_another_version_is_detected() {
+    assert!(!all_runs_are_sound(InjectedFault::AnyVersion));
 }
 
 #[test]
-fn read_dated_from_its_answer_is_found() {
-    assert!(!all_are_sound(Planted::ReadByArrival));
+fn read_timestamped_by_its_answer_is_detected() {
+    assert!(!all_runs_are_sound(InjectedFault::ReadByArrival));
 }
 
 #[test]
-fn statement_to_an_earlier_life_is_found() {
-    assert!(!all_are_sound(Planted::AnyLife));
+fn report_to_an_earlier_incarnation_is_detected() {
+    assert!(!all_runs_are_sound(InjectedFault::AnyIncarnation));
 }
 
 #[test]
-fn shifts_are_rounded_to_the_past() {
-    let question = VouchQuestion { life: 1, asked: instant(5_000) };
-    for (heard, known) in [(900_400, 900_300), (900_400, 901_700), (900_999, 901_000)] {
-        let heard = BootInstant(Duration::from_micros(heard * 1_000 + 1));
+fn offsets_are_rounded_to_the_past() {
+    let query = FreshnessQuery { incarnation: 1, sent_at: instant(5_000) };
+    for (received, known) in [(900_400, 900_300), (900_400, 901_700), (900_999, 901_000)] {
+        let received = BootInstant(Duration::from_micros(received * 1_000 + 1));
         let later = BootInstant(Duration::from_micros(known * 1_000 + 999));
-        let shift = HeardQuestion { question, heard }.shift_to(later);
-        let told = shift.on_askers_clock(question, instant(1_000_000)).unwrap();
-        let exact = question.asked.0.as_secs_f64() + later.0.as_secs_f64() - heard.0.as_secs_f64();
+        let offset = ReceivedQuery { query, received }.offset_to(later);
+        let told = offset.on_querier_clock(query, instant(1_000_000)).unwrap();
+        let exact =
+            query.sent_at.0.as_secs_f64() + later.0.as_secs_f64() - received.0.as_secs_f64();
         assert!(told.0.as_secs_f64() <= exact && exact - told.0.as_secs_f64() < 0.003);
     }
-    assert_eq!(StatedShift(i64::MIN).on_askers_clock(question, instant(6_000)), None);
+    assert_eq!(ReportedOffset(i64::MIN).on_querier_clock(query, instant(6_000)), None);
     assert_eq!(
-        StatedShift(i64::MAX).on_askers_clock(question, instant(6_000)),
+        ReportedOffset(i64::MAX).on_querier_clock(query, instant(6_000)),
         Some(instant(6_000))
     );
 }
--- a/crates/papayamux-coordination/tests/fleet_knowledge/evacuations.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/evacuations.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 
 use papayamux_coordination::domain_evacuations::DomainEvacuations;
-use papayamux_coordination::fleet_knowledge::{SourceView, StatedView, ViewInForce};
+use papayamux_coordination::fleet_knowledge::{ReportedView, SourceView, ViewInForce};
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::evacuation::EvacuationOrder;
 use papayamux_state::service_config::ConfigVersion;
@@ -21,11 +21,11 @@
 const ROUTERS: usize = 3;
 const DEPTH: usize = 7;
 /// Messages under way at once: more only repeat what fewer show.
-const MOST_MESSAGES: usize = 2;
+const MAX_MESSAGES: usize = 2;
 
 /// A rule that a run leaves out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Planted {
+enum InjectedFault {
     Nothing,
     /// A statement counts whatever position it is of.
     AnyPosition,
@@ -43,12 +43,12 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Message {
-    Read { to: usize, behind: u64, at: u64 },
-    Statement { to: usize, position: u64, evacuated: bool },
+    Read { to: usize, read_from: u64, at: u64 },
+    Report { to: usize, position: u64, evacuated: bool },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct World {
+struct Simulation {
     written: usize,
     routers: [Router; ROUTERS],
     messages: Vec<Message>,
@@ -58,7 +58,7 @@
 enum Action {
     Write,
     Read(usize),
-    Tell(usize, usize),
+    SendReport(usize, usize),
     Deliver(usize),
     Lose(usize),
     Restart(usize),
@@ -79,7 +79,7 @@
     /// The product's own types in the state of this router.
     fn state(&self) -> (SourceView, DomainEvacuations) {
         let (mut view, mut evacuations) = (SourceView::default(), DomainEvacuations::default());
-        view.note_whole(SourcePosition(self.position));
+        view.record_full_read(SourcePosition(self.position));
         evacuations.replace(orders(self.evacuated, self.position));
         (view, evacuations)
     }
@@ -90,7 +90,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let router = Router { position: 0, evacuated: false };
         let routers = [router.clone(), router.clone(), router];
@@ -106,10 +106,11 @@
         if self.written < WRITES.len() {
             actions.push(Action::Write);
         }
-        if self.messages.len() < MOST_MESSAGES {
+        if self.messages.len() < MAX_MESSAGES {
             actions.extend((0..READERS).map(Action::Read));
-            actions
-                .extend([(0, 2), (1, 2), (0, 1), (2, 0)].map(|(from, to)| Action::Tell(from, to)));
+            actions.extend(
+                [(0, 2), (1, 2), (0, 1), (2, 0)].map(|(from, to)| Action::SendReport(from, to)),
+            );
         }
         actions.extend((0..self.messages.len()).map(Action::Deliver));
         actions.extend((0..self.messages.len()).map(Action::Lose));
@@ -117,21 +118,21 @@
         actions
     }
 
-    fn act(&mut self, action: Action, planted: Planted) {
+    fn act(&mut self, action: Action, fault: InjectedFault) {
         match action {
             Action::Write => self.written += 1,
             Action::Read(to) => {
-                let (behind, at) = (self.routers[to].position, self.position());
-                self.messages.push(Message::Read { to, behind, at });
+                let (read_from, at) = (self.routers[to].position, self.position());
+                self.messages.push(Message::Read { to, read_from, at });
             }
-            Action::Tell(from, to) => {
+            Action::SendReport(from, to) => {
                 let Router { position, evacuated } = self.routers[from].clone();
-                self.messages.push(Message::Statement { to, position, evacuated });
+                self.messages.push(Message::Report { to, position, evacuated });
             }
             Action::Deliver(index) => match self.messages.remove(index) {
-                Message::Read { to, behind, at } => self.take_read(to, behind, at, planted),
-                Message::Statement { to, position, evacuated } => {
-                    self.take_statement(to, position, evacuated, planted);
+                Message::Read { to, read_from, at } => self.take_read(to, read_from, at, fault),
+                Message::Report { to, position, evacuated } => {
+                    self.take_report(to, position, evacuated, fault);
                 }
             },
             Action::Lose(index) => drop(self.messages.remove(index)),
@@ -140,16 +141,16 @@
                 let position = self.position();
                 self.routers[index] = Router { position, evacuated: held_at(position) };
                 self.messages.retain(|message| match message {
-                    Message::Read { to, .. } | Message::Statement { to, .. } => *to != index,
+                    Message::Read { to, .. } | Message::Report { to, .. } => *to != index,
                 });
             }
         }
     }
 
-    fn take_read(&mut self, to: usize, behind: u64, at: u64, planted: Planted) {
+    fn take_read(&mut self, to: usize, read_from: u64, at: u64, fault: InjectedFault) {
         let (mut view, mut evacuations) = self.routers[to].state();
-        if view.note_changes(SourcePosition(at)) || planted == Planted::LateReads {
-            for position in behind + 1..=at {
+        if view.record_changes(SourcePosition(at)) || fault == InjectedFault::LateReads {
+            for position in read_from + 1..=at {
                 match held_at(position) {
                     true => drop(evacuations.begin(orders(true, position).remove(0))),
                     false => drop(evacuations.end(&DOMAIN.parse().unwrap())),
@@ -159,18 +160,18 @@
         self.routers[to].take(view, &evacuations);
     }
 
-    fn take_statement(&mut self, to: usize, position: u64, evacuated: bool, planted: Planted) {
+    fn take_report(&mut self, to: usize, position: u64, evacuated: bool, fault: InjectedFault) {
         let (mut view, mut evacuations) = self.routers[to].state();
-        let stated = StatedView {
+        let report = ReportedView {
             position: SourcePosition(position),
-            behind: Some(SourcePosition(0)),
+            after: Some(SourcePosition(0)),
             version: ConfigVersion(1),
             known: BootInstant(std::time::Duration::ZERO),
         };
         let in_force = ViewInForce { version: ConfigVersion(1), confirmed: None };
-        let verdict = view.judge(stated, in_force);
-        if verdict.takes_servers || planted == Planted::AnyPosition {
-            match planted == Planted::NoEnds && !evacuated {
+        let verdict = view.evaluate_report(report, in_force);
+        if verdict.takes_servers || fault == InjectedFault::AnyPosition {
+            match fault == InjectedFault::NoEnds && !evacuated {
                 true => {}
                 false => drop(evacuations.replace(orders(evacuated, position))),
             }
@@ -184,33 +185,33 @@
 }
 
 /// Goes through all runs; whether each was sound throughout.
-fn all_are_sound(planted: Planted) -> bool {
-    let mut worlds = HashSet::from([World::new()]);
+fn all_runs_are_sound(fault: InjectedFault) -> bool {
+    let mut simulations = HashSet::from([Simulation::new()]);
     for _ in 0..DEPTH {
         let mut next = HashSet::new();
-        for world in &worlds {
-            for action in world.actions() {
-                let mut after = world.clone();
-                after.act(action, planted);
+        for simulation in &simulations {
+            for action in simulation.actions() {
+                let mut after = simulation.clone();
+                after.act(action, fault);
                 if !after.is_sound() {
                     return false;
                 }
                 next.insert(after);
             }
         }
-        worlds = next;
+        simulations = next;
     }
     true
 }
 
 #[test]
-fn routers_believe_what_the_source_held_at_their_position() {
-    assert!(all_are_sound(Planted::Nothing));
+fn known_evacuations_match_the_source_at_each_position() {
+    assert!(all_runs_are_sound(InjectedFault::Nothing));
 }
 
 #[test]
-fn planted_faults_are_found() {
-    for planted in [Planted::AnyPosition, Planted::NoEnds, Planted::LateReads] {
-        assert!(!all_are_sound(planted), "{planted:?}");
+fn injected_faults_are_detected() {
+    for fault in [InjectedFault::AnyPosition, InjectedFault::NoEnds, InjectedFault::LateReads] {
+        assert!(!all_runs_are_sound(fault), "{fault:?}");
     }
 }
--- a/crates/papayamux-coordination/tests/fleet_knowledge/fleet.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/fleet.rs
@@ -7,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::fleet_knowledge::{
-    DutyView, FollowerTable, HeardQuestion, SourceDuty, SourceRole,
+    FollowerTable, ReceivedQuery, RoleSelector, RoleView, SourceRole,
 };
-use papayamux_coordination::peer_vouching::VouchQuestion;
-use papayamux_coordination::source_pace::{PaceView, ReadBounds, SourcePace};
+use papayamux_coordination::freshness_confirmation::FreshnessQuery;
+use papayamux_coordination::source_polling::{PollSchedule, PollView, ReadBounds};
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::source::SourcePosition;
 
@@ -19,65 +19,65 @@
 /// One step of simulated time.
 const TICK: u64 = 10;
 /// Pause between two choices and two questions of a router.
-const CHOOSE_EVERY: u64 = 150;
-const ASK_EVERY: u64 = 1_000;
+const CHOICE_INTERVAL: u64 = 150;
+const QUERY_INTERVAL: u64 = 1_000;
 /// The pause at which a router would read by itself, by the bounds below.
-const ALONE: u64 = 1_000;
+const SOLO_INTERVAL: u64 = 1_000;
 
 struct Router {
     address: IpAddr,
-    duty: SourceDuty,
-    pace: SourcePace,
+    selector: RoleSelector,
+    schedule: PollSchedule,
     followers: FollowerTable,
     /// When what it knows was read, and until when it stands still.
     known: Option<u64>,
     read_ended: u64,
     asked: Option<(IpAddr, u64)>,
-    still_until: u64,
-    draw: f64,
+    paused_until: u64,
+    jitter_sample: f64,
 }
 
 struct Fleet {
     begun: Instant,
     now: u64,
     routers: Vec<Router>,
-    places: HashMap<IpAddr, usize>,
+    indexes: HashMap<IpAddr, usize>,
     known: Vec<IpAddr>,
     cut_off: HashSet<usize>,
     source_is_away: bool,
     calls: u64,
     /// Messages for the next step: to whom, from whom, and what was known since when.
-    news: Vec<(usize, usize, u64)>,
+    updates: Vec<(usize, usize, u64)>,
 }
 
 impl Fleet {
     fn start(routers: u32) -> Self {
         let known: Vec<_> = (0..routers).map(address).collect();
         let bounds = ReadBounds {
-            drain_within: Some(Duration::from_millis(2 * ALONE)),
+            drain_within: Some(Duration::from_millis(2 * SOLO_INTERVAL)),
             ..ReadBounds::default()
         };
         let router = |(index, address): (usize, &IpAddr)| Router {
             address: *address,
-            duty: SourceDuty::new(*address, bounds.interval()),
-            pace: SourcePace::new(bounds),
+            selector: RoleSelector::new(*address, bounds.interval()),
+            schedule: PollSchedule::new(bounds),
             followers: FollowerTable::default(),
             known: None,
             read_ended: 0,
             asked: None,
-            still_until: 0,
-            draw: (index as f64 * 0.618).fract(),
+            paused_until: 0,
+            jitter_sample: (index as f64 * 0.618).fract(),
         };
         Self {
             begun: Instant::now(),
             now: 0,
             routers: known.iter().enumerate().map(router).collect(),
-            places: known.iter().enumerate().map(|(index, address)| (*address, index)).collect(),
+            indexes: known.iter().enumerate().map(|(index, address)| (*address, index)).collect(),
             known,
             cut_off: HashSet::new(),
             source_is_away: false,
             calls: 0,
-            news: Vec::new(),
+            updates: Vec::new(),
         }
     }
 
@@ -90,11 +90,11 @@
         let end = self.now + millis;
         while self.now < end {
             self.now += TICK;
-            for (to, from, known) in std::mem::take(&mut self.news) {
+            for (to, from, known) in std::mem::take(&mut self.updates) {
                 self.deliver(to, from, known);
             }
             for index in 0..self.routers.len() {
-                if self.routers[index].still_until <= self.now {
+                if self.routers[index].paused_until <= self.now {
                     self.step(index);
                 }
             }
@@ -103,19 +103,19 @@
 
     fn step(&mut self, index: usize) {
         let now = self.instant();
-        if self.now % CHOOSE_EVERY == (index as u64 * TICK) % CHOOSE_EVERY {
+        if self.now % CHOICE_INTERVAL == (index as u64 * TICK) % CHOICE_INTERVAL {
             self.choose(index, now);
         }
         let router = &self.routers[index];
-        let view = PaceView {
-            role: router.duty.role(),
-            seeks_source: router.duty.seeks_source(),
+        let view = PollView {
+            role: router.selector.role(),
+            seeks_source: router.selector.seeks_source(),
             awaits_renewals: false,
             since_read: Duration::from_millis(self.now - router.read_ended),
             age: router.known.map(|known| Duration::from_millis(self.now - known)),
         };
         let is_first = router.known.is_none() && router.read_ended == 0;
-        if is_first || router.pace.wait(view, router.draw).is_none() {
+        if is_first || router.schedule.wait(view, router.jitter_sample).is_none() {
             self.read(index);
         }
     }
@@ -126,36 +126,36 @@
         let router = &mut self.routers[index];
         router.read_ended = self.now;
         if fails {
-            router.pace.note_failure();
+            router.schedule.record_failure();
             return;
         }
-        router.pace.note_success();
+        router.schedule.record_success();
         router.known = Some(self.now);
-        self.tell(index);
+        self.notify_followers(index);
     }
 
-    fn tell(&mut self, index: usize) {
+    fn notify_followers(&mut self, index: usize) {
         let now = self.instant();
         let Some(known) = self.routers[index].known else { return };
         for (follower, entry) in self.routers[index].followers.current(now) {
-            let heard = entry.question.heard.0.as_millis() as i64;
-            let shift = entry.question.shift_to(BootInstant(Duration::from_millis(known)));
-            let told = shift.on_askers_clock(entry.question.question, entry.question.heard);
-            assert!(told.is_none() || shift.0 <= known as i64 - heard);
-            self.news.push((self.places[&follower], index, known));
+            let received = entry.query.received.0.as_millis() as i64;
+            let offset = entry.query.offset_to(BootInstant(Duration::from_millis(known)));
+            let converted = offset.on_querier_clock(entry.query.query, entry.query.received);
+            assert!(converted.is_none() || offset.0 <= known as i64 - received);
+            self.updates.push((self.indexes[&follower], index, known));
         }
     }
 
     fn deliver(&mut self, to: usize, from: usize, known: u64) {
         let now = self.instant();
         let router = &mut self.routers[to];
-        if router.still_until > self.now || router.known.is_some_and(|own| own >= known) {
+        if router.paused_until > self.now || router.known.is_some_and(|own| own >= known) {
             return;
         }
         router.known = Some(known);
         let sender = address(from as u32);
-        router.duty.note_newer(sender, now);
-        self.tell(to);
+        router.selector.record_newer(sender, now);
+        self.notify_followers(to);
     }
 
     fn choose(&mut self, index: usize, now: Instant) {
@@ -166,28 +166,32 @@
             .filter(|known| *known != self.routers[index].address)
             .collect();
         let router = &mut self.routers[index];
-        let view = DutyView {
+        let view = RoleView {
             known: &others,
-            doubts_reads: self.cut_off.contains(&index) || self.source_is_away,
+            has_uncertain_read: self.cut_off.contains(&index) || self.source_is_away,
             has_followers: !router.followers.current(now).is_empty(),
         };
-        router.duty.choose(view, now);
-        let SourceRole::Follower(followed) = router.duty.role() else { return };
-        let is_due =
-            router.asked.is_none_or(|(asked, at)| asked != followed || self.now - at >= ASK_EVERY);
+        router.selector.choose(view, now);
+        let SourceRole::Follower(followed) = router.selector.role() else { return };
+        let is_due = router
+            .asked
+            .is_none_or(|(asked, at)| asked != followed || self.now - at >= QUERY_INTERVAL);
         if !is_due || router.known.is_none() {
             return;
         }
         router.asked = Some((followed, self.now));
         let (asker, asked) = (router.address, BootInstant(Duration::from_millis(self.now)));
-        let question = HeardQuestion { question: VouchQuestion { life: 1, asked }, heard: asked };
-        let place = self.places[&followed];
-        if self.routers[place].still_until > self.now {
+        let query = ReceivedQuery {
+            query: FreshnessQuery { incarnation: 1, sent_at: asked },
+            received: asked,
+        };
+        let place = self.indexes[&followed];
+        if self.routers[place].paused_until > self.now {
             return;
         }
-        self.routers[place].followers.note(asker, question, SourcePosition(0), now);
+        self.routers[place].followers.record(asker, query, SourcePosition(0), now);
         if let Some(known) = self.routers[place].known {
-            self.news.push((index, place, known));
+            self.updates.push((index, place, known));
         }
     }
 
@@ -196,7 +200,7 @@
         let sound = (0..self.routers.len())
             .filter(|index| !self.cut_off.contains(index))
             .map(|index| &self.routers[index])
-            .filter(|router| router.still_until <= self.now);
+            .filter(|router| router.paused_until <= self.now);
         let mut ages: Vec<_> =
             sound.map(|router| router.known.map_or(u64::MAX, |known| self.now - known)).collect();
         ages.sort_unstable();
@@ -204,13 +208,13 @@
     }
 
     fn readers(&self) -> Vec<usize> {
-        let reads = |router: &Router| matches!(router.duty.role(), SourceRole::Reader(_));
+        let reads = |router: &Router| matches!(router.selector.role(), SourceRole::Reader(_));
         (0..self.routers.len()).filter(|index| reads(&self.routers[*index])).collect()
     }
 }
 
 /// The oldest knowledge in the fleet, looked at each 50 ms while it runs for `millis`.
-fn oldest(fleet: &mut Fleet, millis: u64) -> u64 {
+fn max_age(fleet: &mut Fleet, millis: u64) -> u64 {
     (0..millis / 50)
         .map(|_| {
             fleet.run(50);
@@ -221,21 +225,21 @@
 }
 
 #[test]
-fn calls_of_a_fleet_stay_level_from_thirty_to_a_thousand_routers() {
+fn call_rate_stays_bounded_from_thirty_to_a_thousand_routers() {
     for routers in [30, 68, 100, 300, 1_000] {
         let mut fleet = Fleet::start(routers);
         fleet.run(5_000);
         let before = fleet.calls;
-        let oldest = oldest(&mut fleet, 10_000);
+        let max_age = max_age(&mut fleet, 10_000);
         let a_second = (fleet.calls - before) as f64 / 10.0;
         // Three readers at 300 ms, less their draws, and no more.
         assert!(a_second <= 13.0, "{routers}: {a_second} calls a second");
-        assert!(oldest <= 400, "{routers}: {oldest} ms old");
+        assert!(max_age <= 400, "{routers}: {max_age} ms old");
     }
 }
 
 #[test]
-fn all_routers_know_within_the_first_exchange_after_a_loss_of_power() {
+fn fleet_wide_restart_needs_one_read_per_router() {
     for routers in [68, 300, 1_000] {
         let mut fleet = Fleet::start(routers);
         fleet.run(TICK);
@@ -248,20 +252,23 @@
 }
 
 #[test]
-fn frozen_and_cut_off_readers_are_replaced_before_anybody_reads_too_late() {
+fn paused_and_partitioned_readers_are_replaced_in_time() {
     for routers in [6, 30, 68, 300, 1_000] {
         let mut fleet = Fleet::start(routers);
         fleet.run(5_000);
         let readers = fleet.readers();
         let (frozen, cut) = (readers[0], readers[1]);
-        fleet.routers[frozen].still_until = fleet.now + 6_000;
+        fleet.routers[frozen].paused_until = fleet.now + 6_000;
         fleet.cut_off.insert(cut);
         let before = fleet.calls;
-        let oldest = oldest(&mut fleet, 6_000);
-        assert!(oldest <= ALONE + 50, "{routers}: {oldest} ms old");
+        let max_age = max_age(&mut fleet, 6_000);
+        assert!(max_age <= SOLO_INTERVAL + 50, "{routers}: {max_age} ms old");
         // It can't read, but others tell it of their reads.
         let behind_the_cut = fleet.now - fleet.routers[cut].known.unwrap();
-        assert!(behind_the_cut <= 2 * ALONE, "{routers}: {behind_the_cut} ms old behind the cut");
+        assert!(
+            behind_the_cut <= 2 * SOLO_INTERVAL,
+            "{routers}: {behind_the_cut} ms old behind the cut"
+        );
         let calls = fleet.calls - before;
         let alone = u64::from(routers) * 6;
         assert!(
@@ -272,7 +279,7 @@
 }
 
 #[test]
-fn return_of_the_source_is_known_to_all_within_a_second() {
+fn recovered_source_is_known_to_all_within_a_second() {
     for routers in [6, 68, 300, 1_000] {
         let mut fleet = Fleet::start(routers);
         fleet.run(5_000);
@@ -287,13 +294,13 @@
         );
         fleet.source_is_away = false;
         fleet.run(1_000);
-        let oldest = *fleet.ages().last().unwrap();
-        assert!(oldest <= 1_000, "{routers}: {oldest} ms old");
+        let max_age = *fleet.ages().last().unwrap();
+        assert!(max_age <= 1_000, "{routers}: {max_age} ms old");
     }
 }
 
 /// The time until 99 of 100 routers know of what is written at this moment.
-fn known_by_most_after(fleet: &mut Fleet) -> u64 {
+fn time_until_most_know(fleet: &mut Fleet) -> u64 {
     let written = fleet.now;
     let known = |router: &&Router| router.known.is_some_and(|known| known > written);
     let most = fleet.routers.len() - fleet.routers.len() / 100;
@@ -305,25 +312,25 @@
 }
 
 #[test]
-fn evacuation_is_known_to_most_routers_within_a_second() {
+fn evacuation_reaches_most_routers_within_a_second() {
     for routers in [6, 24, 300, 1_000] {
         let mut fleet = Fleet::start(routers);
         fleet.run(5_000);
-        let calm = known_by_most_after(&mut fleet);
-        assert!(calm <= 500, "{routers}: {calm} ms");
+        let healthy = time_until_most_know(&mut fleet);
+        assert!(healthy <= 500, "{routers}: {healthy} ms");
         // The source turns a third of the routers away, the first readers among them.
         fleet.cut_off = (0..routers as usize).filter(|index| index % 3 == 0).collect();
-        let at_first = known_by_most_after(&mut fleet);
+        let at_first = time_until_most_know(&mut fleet);
         assert!(at_first <= 3_000, "{routers}, a third turned away just now: {at_first} ms");
         fleet.run(3_000);
-        let turned_away = known_by_most_after(&mut fleet);
+        let turned_away = time_until_most_know(&mut fleet);
         assert!(turned_away <= 1_000, "{routers}, a third turned away: {turned_away} ms");
         // Another third has just started and reads everything by itself.
         for index in (0..routers as usize).filter(|index| index % 3 == 1) {
             let router = &mut fleet.routers[index];
             (router.known, router.read_ended, router.asked) = (None, 0, None);
         }
-        let started = known_by_most_after(&mut fleet);
+        let started = time_until_most_know(&mut fleet);
         assert!(started <= 1_000, "{routers}, a third just started: {started} ms");
     }
 }
--- a/crates/papayamux-coordination/tests/fleet_knowledge/reader_order.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/reader_order.rs
@@ -6,7 +6,7 @@
 
 use papayamux_coordination::fleet_knowledge::{reader_count, reading_interval, ReaderOrder};
 
-const ALONE: Duration = Duration::from_secs(1);
+const SOLO_INTERVAL: Duration = Duration::from_secs(1);
 
 pub fn address(index: u32) -> IpAddr {
     IpAddr::V4(Ipv4Addr::from(0x0a01_0000 + index * 7))
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn every_router_is_within_three_hops_and_nobody_is_followed_by_many() {
+fn every_router_is_within_three_hops_and_has_few_followers() {
     for routers in [1, 2, 3, 5, 6, 30, 68, 100, 300, 420, 1_000] {
         let fleet = fleet(routers);
         let order = ReaderOrder::new(fleet.clone());
@@ -39,13 +39,13 @@
             *followers.entry(followed).or_default() += 1;
         }
         assert!(followers.values().all(|count| *count <= 16), "{routers}: {followers:?}");
-        let deepest = fleet.iter().map(|router| hops(&order, *router)).max().unwrap();
-        assert!(deepest <= 1 + u32::from(routers > 51) + u32::from(routers > 819), "{routers}");
+        let max_hops = fleet.iter().map(|router| hops(&order, *router)).max().unwrap();
+        assert!(max_hops <= 1 + u32::from(routers > 51) + u32::from(routers > 819), "{routers}");
     }
 }
 
 #[test]
-fn order_does_not_depend_on_who_looks() {
+fn order_does_not_depend_on_the_input_order() {
     let mut routers = fleet(68);
     let order = ReaderOrder::new(routers.clone());
     routers.reverse();
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn calls_of_a_fleet_stay_level_and_never_exceed_those_of_each_reading_by_itself() {
+fn call_rate_is_bounded_and_never_exceeds_that_of_independent_readers() {
     let calls = |routers: usize| {
-        reader_count(routers) as f64 / reading_interval(routers, ALONE).as_secs_f64()
+        reader_count(routers) as f64 / reading_interval(routers, SOLO_INTERVAL).as_secs_f64()
     };
     for routers in 1..=1_000 {
         assert!(calls(routers) <= routers as f64 + 1e-6, "{routers}: {}", calls(routers));
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn loss_of_a_router_moves_only_those_near_it() {
+fn losing_a_reader_keeps_the_other_readers() {
     let all = fleet(68);
     let order = ReaderOrder::new(all.clone());
     let reader = *all.iter().find(|router| order.followed_by(**router).is_none()).unwrap();
-    let rest = ReaderOrder::new(all.iter().copied().filter(|router| *router != reader));
+    let remaining = ReaderOrder::new(all.iter().copied().filter(|router| *router != reader));
     let readers = |order: &ReaderOrder| -> Vec<IpAddr> {
         all.iter().copied().filter(|router| order.followed_by(*router).is_none()).collect()
     };
-    let kept = readers(&rest).iter().filter(|router| readers(&order).contains(router)).count();
+    let kept = readers(&remaining).iter().filter(|router| readers(&order).contains(router)).count();
     assert!(kept >= 2, "the other readers read on");
 }
--- a/crates/papayamux-coordination/tests/fleet_knowledge/beliefs.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use papayamux_coordination::fleet_knowledge::{BeliefChange, BeliefJournal, BeliefSpan};
+use papayamux_coordination::fleet_knowledge::{ServerChange, ServerChangeLog, ServerChangeSpan};
 use papayamux_coordination::server_presence::{PresenceChange, ServerPresence};
 use papayamux_state::backend::{BackendServer, ServerPhase};
 use papayamux_state::ids::{ServerId, ServerName, ServerStart};
@@ -39,12 +39,12 @@
 
 /// A router's list of servers, with its journal.
 #[derive(Default)]
-struct Believer {
+struct RouterModel {
     presence: ServerPresence,
-    journal: BeliefJournal,
+    journal: ServerChangeLog,
 }
 
-impl Believer {
+impl RouterModel {
     fn put(&mut self, server: BackendServer) {
         // A start that replaces another one is believed at once here.
         match self.presence.id_of(&server.name).is_some_and(|known| known != server.id) {
@@ -58,21 +58,21 @@
         if let Some(id) = self.presence.id_of(&name) {
             self.presence.note_overwritten(&id);
         }
-        self.journal.note_departure(name);
+        self.journal.record_departure(name);
     }
 
-    fn note(&mut self, position: u64) {
-        self.journal.note(self.presence.catalog(), at(position), |_| false);
+    fn record(&mut self, position: u64) {
+        self.journal.record(self.presence.catalog(), at(position), |_| false);
     }
 
-    fn adopt(&mut self, span: BeliefSpan) {
+    fn adopt(&mut self, span: ServerChangeSpan) {
         for change in span.changes {
             match change {
-                BeliefChange::Present(server) => drop(self.presence.adopt((*server).clone())),
-                BeliefChange::Gone { name, .. } => self.remove(&name.to_string()),
+                ServerChange::Present(server) => drop(self.presence.adopt((*server).clone())),
+                ServerChange::Departed { name, .. } => self.remove(&name.to_string()),
             }
         }
-        self.note(span.position.0);
+        self.record(span.position.0);
     }
 
     fn position(&self) -> SourcePosition {
@@ -81,40 +81,40 @@
 }
 
 #[test]
-fn span_tells_each_server_once_as_it_is_now() {
-    let mut reader = Believer::default();
+fn span_has_one_current_entry_per_server() {
+    let mut reader = RouterModel::default();
     reader.put(serving("i-1"));
     reader.put(serving("i-2"));
-    reader.note(10);
+    reader.record(10);
     reader.put(server("i-1", 1, ServerPhase::Draining));
-    reader.note(12);
+    reader.record(12);
     reader.remove("i-1");
     reader.put(serving("i-3"));
-    reader.note(15);
+    reader.record(15);
     let span = reader.journal.since(at(10)).unwrap();
-    let gone = BeliefChange::Gone { name: "i-1".parse().unwrap(), lingers: false };
-    assert_eq!(span.changes, [gone, BeliefChange::Present(Rc::new(serving("i-3")))]);
+    let gone = ServerChange::Departed { name: "i-1".parse().unwrap(), terminating: false };
+    assert_eq!(span.changes, [gone, ServerChange::Present(Rc::new(serving("i-3")))]);
     assert!(reader.journal.since(at(15)).unwrap().changes.is_empty());
 }
 
 /// A follower may have given the server up meanwhile, and its own read of the entry may be overtaken by what it is
 /// told.
 #[test]
-fn server_whose_lapsed_entry_came_back_is_told_again() {
-    let mut reader = Believer::default();
+fn server_whose_expired_entry_returned_is_reported_again() {
+    let mut reader = RouterModel::default();
     let back = Instant::now();
     reader.put(serving("i-1"));
-    reader.note(10);
+    reader.record(10);
     let id = reader.presence.id_of(&"i-1".parse().unwrap()).unwrap();
     reader.presence.note_contact(true, back);
     assert_eq!(reader.presence.note_removal(&id, back), PresenceChange::Lapsed);
-    reader.note(12);
-    let mut follower = Believer::default();
+    reader.record(12);
+    let mut follower = RouterModel::default();
     follower.put(serving("i-1"));
     follower.remove("i-1");
-    follower.note(13);
+    follower.record(13);
     reader.put(serving("i-1"));
-    reader.note(14);
+    reader.record(14);
     follower.adopt(reader.journal.since(follower.position()).unwrap());
     assert!(follower.presence.id_of(&"i-1".parse().unwrap()).is_some());
     assert_eq!(follower.journal.digest(), reader.journal.digest());
@@ -122,61 +122,61 @@
 
 /// The reader heard of the lapse and of the return in one read, or of the return alone.
 #[test]
-fn server_that_lapsed_for_a_follower_alone_is_told_again() {
+fn server_expired_only_at_a_follower_is_reported_again() {
     let back = Instant::now();
-    let mut reader = Believer::default();
+    let mut reader = RouterModel::default();
     reader.put(serving("i-1"));
-    reader.note(10);
+    reader.record(10);
     reader.presence.note_contact(true, back);
-    let mut follower = Believer::default();
+    let mut follower = RouterModel::default();
     follower.put(serving("i-1"));
     follower.presence.note_contact(true, back);
     let id = follower.presence.id_of(&"i-1".parse().unwrap()).unwrap();
     assert_eq!(follower.presence.note_removal(&id, back), PresenceChange::Lapsed);
-    follower.note(12);
+    follower.record(12);
     reader.put(serving("i-1"));
-    reader.note(14);
+    reader.record(14);
     follower.adopt(reader.journal.since(follower.position()).unwrap());
     assert!(!follower.presence.awaits_renewals(), "it is known to be back");
 }
 
 #[test]
-fn what_a_reader_no_longer_knows_or_not_yet_is_not_told() {
-    let mut reader = Believer::default();
+fn positions_outside_the_known_range_have_no_span() {
+    let mut reader = RouterModel::default();
     reader.put(serving("i-1"));
-    reader.note(10);
+    reader.record(10);
     assert!(
         reader.journal.since(at(9)).is_none(),
         "somebody may have left before it began to read"
     );
     assert!(reader.journal.since(at(11)).is_none(), "the follower knows more");
-    assert!(BeliefJournal::default().since(at(0)).is_none());
+    assert!(ServerChangeLog::default().since(at(0)).is_none());
 }
 
 #[test]
-fn server_that_comes_back_is_told_as_present() {
-    let mut reader = Believer::default();
+fn returning_server_is_reported_as_present() {
+    let mut reader = RouterModel::default();
     reader.put(serving("i-1"));
-    reader.note(1);
+    reader.record(1);
     reader.remove("i-1");
-    reader.note(2);
+    reader.record(2);
     reader.put(server("i-1", 2, ServerPhase::Serving));
-    reader.note(3);
-    let present = BeliefChange::Present(Rc::new(server("i-1", 2, ServerPhase::Serving)));
+    reader.record(3);
+    let present = ServerChange::Present(Rc::new(server("i-1", 2, ServerPhase::Serving)));
     assert_eq!(reader.journal.since(at(1)).unwrap().changes, [present]);
 }
 
 #[test]
-fn server_that_came_and_went_between_two_reads_is_told_as_gone() {
-    let mut reader = Believer::default();
-    reader.note(1);
+fn server_added_and_removed_between_two_reads_is_reported_as_departed() {
+    let mut reader = RouterModel::default();
+    reader.record(1);
     reader.put(serving("i-1"));
     reader.remove("i-1");
-    reader.note(9);
-    let gone = BeliefChange::Gone { name: "i-1".parse().unwrap(), lingers: false };
+    reader.record(9);
+    let gone = ServerChange::Departed { name: "i-1".parse().unwrap(), terminating: false };
     assert_eq!(reader.journal.since(at(5)).unwrap().changes, [gone]);
-    reader.journal.note_gap(at(20));
-    reader.note(20);
+    reader.journal.record_gap(at(20));
+    reader.record(20);
     assert!(
         reader.journal.since(at(19)).is_none(),
         "what came and went before a whole read is unknown"
@@ -184,15 +184,15 @@
 }
 
 #[test]
-fn server_that_changed_and_changed_back_between_two_reads_is_told_again() {
-    let mut reader = Believer::default();
+fn server_that_changed_and_changed_back_between_two_reads_is_reported_again() {
+    let mut reader = RouterModel::default();
     reader.put(serving("i-1"));
-    reader.note(1);
+    reader.record(1);
     // Another reader saw the server draining at 4, and told a follower.
     reader.put(server("i-1", 1, ServerPhase::Draining));
     reader.put(serving("i-1"));
-    reader.note(9);
-    let present = BeliefChange::Present(Rc::new(serving("i-1")));
+    reader.record(9);
+    let present = ServerChange::Present(Rc::new(serving("i-1")));
     assert_eq!(reader.journal.since(at(4)).unwrap().changes, [present]);
 }
 
@@ -200,16 +200,16 @@
 /// either in turn, misses most of it, and still ends with what the readers believe; so does one that
 /// follows it or a reader in turn.
 #[test]
-fn follower_of_changing_readers_ends_with_the_same_beliefs() {
+fn followers_of_alternating_readers_converge() {
     let steps = bolero::check!().with_iterations(GENERATED_INPUTS).with_max_len(STEPS_BYTES);
     steps.with_type::<Vec<(u8, u8)>>().for_each(|steps| {
         let mut source: Vec<(u64, BackendServer, bool)> = Vec::new();
-        let mut readers = [Believer::default(), Believer::default()];
+        let mut readers = [RouterModel::default(), RouterModel::default()];
         let mut read_up_to = [0; 2];
-        let (mut follower, mut leaf) = (Believer::default(), Believer::default());
-        readers.iter_mut().for_each(|reader| reader.note(0));
-        follower.note(0);
-        leaf.note(0);
+        let (mut follower, mut leaf) = (RouterModel::default(), RouterModel::default());
+        readers.iter_mut().for_each(|reader| reader.record(0));
+        follower.record(0);
+        leaf.record(0);
         for (kind, place) in steps {
             let (which, name) = (usize::from(place % 2), format!("i-{}", place % 5));
             match kind % 7 {
@@ -227,15 +227,15 @@
                         }
                     }
                     read_up_to[which] = source.len();
-                    readers[which].note(source.len() as u64);
+                    readers[which].record(source.len() as u64);
                 }
                 5 => {
                     let told = readers[which].journal.since(follower.position());
                     told.into_iter().for_each(|span| follower.adopt(span));
                 }
                 _ => {
-                    let teller = if which == 0 { &readers[0] } else { &follower };
-                    let told = teller.journal.since(leaf.position());
+                    let sender = if which == 0 { &readers[0] } else { &follower };
+                    let told = sender.journal.since(leaf.position());
                     told.into_iter().for_each(|span| leaf.adopt(span));
                 }
             }
@@ -247,7 +247,7 @@
                     false => reader.put(server.clone()),
                 }
             }
-            reader.note(source.len() as u64);
+            reader.record(source.len() as u64);
         }
         let span = readers[0].journal.since(follower.position()).unwrap();
         follower.adopt(span);
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn beliefs_are_taken_over_without_being_weighed_again() {
+fn adopted_entries_are_applied_without_reassessment() {
     let mut presence = ServerPresence::default();
     presence.adopt(server("i-1", 5, ServerPhase::Serving));
     // An entry of an earlier start would have to be renewed for a while; the router that tells of it
--- a/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::fleet_knowledge::{
-    BeliefChange, BeliefJournal, BeliefSpan, SourceView, StatedView, ViewInForce,
+    ReportedView, ServerChange, ServerChangeLog, ServerChangeSpan, SourceView, ViewInForce,
 };
 use papayamux_coordination::server_presence::ServerPresence;
 use papayamux_state::backend::{BackendServer, ServerPhase};
@@ -18,7 +18,7 @@
 use papayamux_state::service_config::ConfigVersion;
 use papayamux_state::source::SourcePosition;
 
-use super::beliefs::{server, serving};
+use super::server_changes::{server, serving};
 
 const ROUTERS: usize = 3;
 /// Inputs tried: each of eight faults planted by hand was found within them.
@@ -30,21 +30,21 @@
 #[derive(Debug, Clone)]
 enum Written {
     Server(BackendServer),
-    Gone(String),
+    Departed(String),
     Configuration,
 }
 
 /// A read that was answered, or a statement that was made, and is still on its way.
 #[derive(Debug, Clone)]
 enum Message {
-    Changes { to: usize, sent: u64, behind: u64, at: u64, configuration: Option<u64> },
-    Statement { to: usize, span: BeliefSpan, version: u64, known: u64, has_span: bool },
+    Changes { to: usize, sent: u64, after: u64, at: u64, configuration: Option<u64> },
+    Report { to: usize, span: ServerChangeSpan, version: u64, known: u64, has_span: bool },
 }
 
 #[derive(Default)]
 struct Router {
     presence: ServerPresence,
-    journal: BeliefJournal,
+    journal: ServerChangeLog,
     view: SourceView,
     version: u64,
     confirmed: Option<u64>,
@@ -52,7 +52,7 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: u64,
     /// Every change, with the moment at which it was written; the position counts them.
     written: Vec<(u64, Written)>,
@@ -68,14 +68,14 @@
     SourcePosition(position)
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self::default();
-        for router in &mut world.routers {
-            router.journal.note(router.presence.catalog(), at(0), |_| false);
-            router.view.note_whole(at(0));
+        let mut simulation = Self::default();
+        for router in &mut simulation.routers {
+            router.journal.record(router.presence.catalog(), at(0), |_| false);
+            router.view.record_full_read(at(0));
         }
-        world
+        simulation
     }
 
     fn position(&self) -> u64 {
@@ -101,7 +101,7 @@
                     let draining = server.phase == ServerPhase::Draining;
                     listed.insert(server.name.to_string(), (server.id.to_string(), draining));
                 }
-                Written::Gone(name) => drop(listed.remove(name)),
+                Written::Departed(name) => drop(listed.remove(name)),
                 Written::Configuration => {}
             }
         }
@@ -120,32 +120,36 @@
             return;
         }
         let wanted = router.view.wanted(ConfigVersion(router.version));
-        let behind = router.view.position().unwrap().0;
+        let after = router.view.position().unwrap().0;
         let newest = self.version_at(self.position());
         let configuration = wanted.map(|_| newest);
         let read =
-            Message::Changes { to, sent: self.now, behind, at: self.position(), configuration };
+            Message::Changes { to, sent: self.now, after, at: self.position(), configuration };
         self.messages.push(read);
     }
 
-    fn state(&mut self, from: usize, to: usize) {
-        let teller = &self.routers[from];
-        let Some(known) = teller.confirmed else { return };
-        let behind = self.routers[to].view.position().unwrap();
-        let position = teller.journal.position().unwrap();
-        let told = teller.journal.since(behind);
-        let has_span = told.is_some();
-        let nothing =
-            BeliefSpan { behind, position, changes: Vec::new(), digest: teller.journal.digest() };
-        let version = teller.view.newest(ConfigVersion(teller.version)).0;
-        let span = told.unwrap_or(nothing);
-        self.messages.push(Message::Statement { to, span, version, known, has_span });
+    fn report_to(&mut self, from: usize, to: usize) {
+        let sender = &self.routers[from];
+        let Some(known) = sender.confirmed else { return };
+        let after = self.routers[to].view.position().unwrap();
+        let position = sender.journal.position().unwrap();
+        let changes_sent = sender.journal.since(after);
+        let has_span = changes_sent.is_some();
+        let empty = ServerChangeSpan {
+            after,
+            position,
+            changes: Vec::new(),
+            digest: sender.journal.digest(),
+        };
+        let version = sender.view.newest(ConfigVersion(sender.version)).0;
+        let span = changes_sent.unwrap_or(empty);
+        self.messages.push(Message::Report { to, span, version, known, has_span });
     }
 
     fn deliver(&mut self, index: usize) {
         match self.messages.remove(index) {
-            Message::Changes { to, sent, behind, at: up_to, configuration } => {
-                let changes = self.written[behind as usize..up_to as usize].to_vec();
+            Message::Changes { to, sent, after, at: up_to, configuration } => {
+                let changes = self.written[after as usize..up_to as usize].to_vec();
                 let newest = self.version_at(up_to);
                 let has_newest =
                     changes.iter().any(|(_, change)| matches!(change, Written::Configuration));
@@ -155,28 +159,28 @@
                 if has_newest {
                     router.version = router.version.max(newest);
                 }
-                if router.view.note_changes(at(up_to)) {
+                if router.view.record_changes(at(up_to)) {
                     changes.into_iter().for_each(|(_, change)| router.take(change));
                 }
-                router.note();
+                router.record();
                 if router.view.wanted(ConfigVersion(router.version)).is_none() {
                     router.confirmed = router.confirmed.max(Some(sent));
                 }
             }
-            Message::Statement { to, span, version, known, has_span } => {
+            Message::Report { to, span, version, known, has_span } => {
                 let router = &mut self.routers[to];
-                let stated = StatedView {
+                let report = ReportedView {
                     position: span.position,
-                    behind: has_span.then_some(span.behind),
+                    after: has_span.then_some(span.after),
                     version: ConfigVersion(version),
                     known: instant(known),
                 };
                 let confirmed = router.confirmed.map(instant);
                 let in_force = ViewInForce { version: ConfigVersion(router.version), confirmed };
-                let verdict = router.view.judge(stated, in_force);
+                let verdict = router.view.evaluate_report(report, in_force);
                 if verdict.takes_servers {
                     span.changes.into_iter().for_each(|change| router.adopt(change));
-                    router.note();
+                    router.record();
                 }
                 if verdict.confirms {
                     router.confirmed = router.confirmed.max(Some(known));
@@ -209,20 +213,20 @@
             assert_eq!(last.as_ref().unwrap().phase == ServerPhase::Draining, draining);
             router.presence.adopt(last.unwrap());
         }
-        router.journal.note_gap(at(position));
-        router.view.note_whole(at(position));
-        router.note();
+        router.journal.record_gap(at(position));
+        router.view.record_full_read(at(position));
+        router.record();
         self.routers[index] = router;
         // What was on its way to its earlier life counts for nothing.
         self.messages.retain(|message| match message {
-            Message::Changes { to, .. } | Message::Statement { to, .. } => *to != index,
+            Message::Changes { to, .. } | Message::Report { to, .. } => *to != index,
         });
     }
 
     fn check(&self) {
         for router in &self.routers {
             let position = router.view.position().unwrap().0;
-            assert_eq!(router.believed(), self.listed_at(position), "at {position}");
+            assert_eq!(router.known_servers(), self.listed_at(position), "at {position}");
             let Some(confirmed) = router.confirmed else { continue };
             // The moment itself may lie before what was written in it.
             let then = self.position_when(confirmed.saturating_sub(1));
@@ -242,15 +246,15 @@
                 self.presence.adopt(server);
             }
             Written::Server(server) => drop(self.presence.note_entry(server, Instant::now())),
-            Written::Gone(name) => self.remove(&name),
+            Written::Departed(name) => self.remove(&name),
             Written::Configuration => {}
         }
     }
 
-    fn adopt(&mut self, change: BeliefChange) {
+    fn adopt(&mut self, change: ServerChange) {
         match change {
-            BeliefChange::Present(server) => drop(self.presence.adopt((*server).clone())),
-            BeliefChange::Gone { name, .. } => self.remove(&name.to_string()),
+            ServerChange::Present(server) => drop(self.presence.adopt((*server).clone())),
+            ServerChange::Departed { name, .. } => self.remove(&name.to_string()),
         }
     }
 
@@ -259,15 +263,15 @@
         if let Some(id) = self.presence.id_of(&name) {
             self.presence.note_overwritten(&id);
         }
-        self.journal.note_departure(name);
+        self.journal.record_departure(name);
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let position = self.view.position().unwrap();
-        self.journal.note(self.presence.catalog(), position, |_| false);
+        self.journal.record(self.presence.catalog(), position, |_| false);
     }
 
-    fn believed(&self) -> BTreeMap<String, (String, bool)> {
+    fn known_servers(&self) -> BTreeMap<String, (String, bool)> {
         let servers = self.presence.catalog().iter();
         let entry = |server: &std::rc::Rc<BackendServer>| {
             let draining = server.phase == ServerPhase::Draining;
@@ -278,67 +282,74 @@
 }
 
 #[test]
-fn what_routers_believe_is_what_the_source_held() {
+fn known_servers_match_the_source_at_each_position() {
     let steps = bolero::check!().with_iterations(GENERATED_INPUTS).with_max_len(STEPS_BYTES);
     steps.with_type::<Vec<(u8, u8)>>().for_each(|steps| {
-        let mut world = World::new();
-        for (kind, draw) in steps {
-            world.now += 1;
-            let (router, draw) = (usize::from(draw % 3), usize::from(*draw));
-            let name = format!("i-{}", draw % 4);
+        let mut simulation = Simulation::new();
+        for (kind, choice) in steps {
+            simulation.now += 1;
+            let (router, choice) = (usize::from(choice % 3), usize::from(*choice));
+            let name = format!("i-{}", choice % 4);
             match kind % 16 {
-                0 => world.write(Written::Server(serving(&name))),
-                1 => world.write(Written::Server(server(&name, 1, ServerPhase::Draining))),
-                2 => world.write(Written::Server(server(&name, draw as u64, ServerPhase::Serving))),
-                3 => world.write(Written::Gone(name)),
-                4 => world.write(Written::Configuration),
-                5 | 6 => world.read(router),
-                7 => world.state(router, (router + 1) % ROUTERS),
-                8 => world.state(router, (router + 2) % ROUTERS),
-                9..=13 if !world.messages.is_empty() => {
-                    world.deliver(draw % world.messages.len());
+                0 => simulation.write(Written::Server(serving(&name))),
+                1 => simulation.write(Written::Server(server(&name, 1, ServerPhase::Draining))),
+                2 => simulation.write(Written::Server(server(
+                    &name,
+                    choice as u64,
+                    ServerPhase::Serving,
+                ))),
+                3 => simulation.write(Written::Departed(name)),
+                4 => simulation.write(Written::Configuration),
+                5 | 6 => simulation.read(router),
+                7 => simulation.report_to(router, (router + 1) % ROUTERS),
+                8 => simulation.report_to(router, (router + 2) % ROUTERS),
+                9..=13 if !simulation.messages.is_empty() => {
+                    simulation.deliver(choice % simulation.messages.len());
                 }
-                14 => world.read_recent(router, draw as u64 % 4),
-                15 if draw % 16 == 0 => world.restart(router),
+                14 => simulation.read_recent(router, choice as u64 % 4),
+                15 if choice % 16 == 0 => simulation.restart(router),
                 _ => {}
             }
-            world.check();
+            simulation.check();
         }
     });
 }
 
 #[test]
-fn routers_that_follow_each_other_stop_telling() {
+fn mutual_followers_stop_relaying() {
     let mut views = [SourceView::default(), SourceView::default()];
-    views.iter_mut().for_each(|view| view.note_whole(at(5)));
+    views.iter_mut().for_each(|view| view.record_full_read(at(5)));
     let in_force = ViewInForce { version: ConfigVersion(3), confirmed: Some(instant(10)) };
-    let stated = StatedView {
+    let report = ReportedView {
         position: at(9),
-        behind: Some(at(5)),
+        after: Some(at(5)),
         version: ConfigVersion(4),
         known: instant(20),
     };
-    assert!(views[0].judge(stated, in_force).progresses);
+    assert!(views[0].evaluate_report(report, in_force).progresses);
     // Told on, it is dated a little earlier.
-    let told_on = StatedView { known: instant(19), ..stated };
-    assert!(views[1].judge(told_on, in_force).progresses);
-    let told_back = StatedView { known: instant(18), behind: Some(at(9)), ..stated };
-    assert!(!views[0].judge(told_back, in_force).progresses);
+    let relayed = ReportedView { known: instant(19), ..report };
+    assert!(views[1].evaluate_report(relayed, in_force).progresses);
+    let returned = ReportedView { known: instant(18), after: Some(at(9)), ..report };
+    assert!(!views[0].evaluate_report(returned, in_force).progresses);
 }
 
 #[test]
-fn older_version_told_of_later_makes_no_newer_one_forgotten() {
+fn later_report_of_an_older_version_keeps_the_newer_one() {
     let mut view = SourceView::default();
-    view.note_whole(at(5));
+    view.record_full_read(at(5));
     let in_force = ViewInForce { version: ConfigVersion(3), confirmed: None };
-    let newer = StatedView {
+    let newer = ReportedView {
         position: at(9),
-        behind: Some(at(5)),
+        after: Some(at(5)),
         version: ConfigVersion(7),
         known: instant(20),
     };
-    assert!(view.judge(newer, in_force).needs_read);
-    view.judge(StatedView { position: at(8), version: ConfigVersion(4), ..newer }, in_force);
+    assert!(view.evaluate_report(newer, in_force).needs_read);
+    view.evaluate_report(
+        ReportedView { position: at(8), version: ConfigVersion(4), ..newer },
+        in_force,
+    );
     // Version 4 would be confirmed by the next read, whose changes begin behind version 7.
     assert_eq!(view.wanted(ConfigVersion(4)), Some(ConfigVersion(7)));
 }
--- a/crates/papayamux-coordination/tests/keys_stay_fresh.rs
+++ b/crates/papayamux-coordination/tests/keys_stay_fresh.rs
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn nothing_is_fresh_before_the_first_confirmation() {
+fn keys_are_stale_before_the_first_confirmation() {
     assert!(!KeyFreshness::new(Some(BOUND)).is_fresh(at(10)));
     assert!(KeyFreshness::new(None).is_fresh(at(10)));
 }
 
 #[test]
-fn age_counts_from_the_sending_of_the_read() {
+fn age_counts_from_when_the_read_was_sent() {
     let mut freshness = KeyFreshness::new(Some(BOUND));
     // The read was sent at 1,000 and came back a second later.
     freshness.confirm(at(1_000));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn suspension_makes_keys_stale() {
+fn suspended_instance_has_stale_keys() {
     let mut freshness = KeyFreshness::new(Some(BOUND));
     freshness.confirm(at(1_000));
     // The instance was suspended for a minute; the boot clock went on.
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn late_confirmation_does_not_set_the_age_back() {
+fn older_confirmation_does_not_increase_the_age() {
     let mut freshness = KeyFreshness::new(Some(BOUND));
     freshness.confirm(at(3_000));
     freshness.confirm(at(1_000));
--- a/crates/papayamux-coordination/tests/load_slots.rs
+++ b/crates/papayamux-coordination/tests/load_slots.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bolero::check;
-use papayamux_coordination::orders::{LoadBackoff, LoadRate, LoadSlots, SLOT_LATENESS};
+use papayamux_coordination::orders::{LoadBackoff, LoadRate, LoadSlots, MAX_SLOT_LATENESS};
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::{WeightsKind, WeightsRef};
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn no_second_has_more_loads_than_the_rate_although_each_comes_late() {
+fn loads_never_exceed_the_rate_in_any_second_even_when_late() {
     check!().with_iterations(GENERATED_INPUTS).with_type::<(u8, u8, Vec<u8>)>().for_each(
         |(size, rate, lateness)| {
             let fleet = fleet(size % 40 + 1);
@@ -32,11 +32,11 @@
                 for round in 0..4 {
                     now += slots.until_next(now);
                     assert!(slots.open_slot(now).is_some());
-                    let late = lateness.get(place * 4 + round).copied().unwrap_or_default();
-                    let late = SLOT_LATENESS * u32::from(late) / 255;
-                    let same = slots.open_slot(now + late) == slots.open_slot(now);
-                    assert!(same || late >= slots.frame());
-                    loads.push(now + late);
+                    let delay = lateness.get(place * 4 + round).copied().unwrap_or_default();
+                    let delay = MAX_SLOT_LATENESS * u32::from(delay) / 255;
+                    let same = slots.open_slot(now + delay) == slots.open_slot(now);
+                    assert!(same || delay >= slots.frame());
+                    loads.push(now + delay);
                 }
             }
             loads.sort_unstable();
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn pauses_after_failures_grow_and_end() {
+fn backoff_grows_to_its_maximum_and_is_forgotten() {
     let (mut backoff, now) = (LoadBackoff::default(), Instant::now());
     let weights = WeightsRef { kind: WeightsKind::Model, name: "itinerary".to_string() };
-    let pauses: Vec<_> = (0..12).map(|_| backoff.note_failure(&weights, now, 1.0)).collect();
+    let pauses: Vec<_> = (0..12).map(|_| backoff.record_failure(&weights, now, 1.0)).collect();
     assert!(pauses.is_sorted() && pauses[0] < pauses[1]);
     assert_eq!(pauses.last(), Some(&Duration::from_secs(60)));
     assert!(!backoff.may_try(&weights, now) && backoff.may_try(&weights, now + pauses[11]));
--- a/crates/papayamux-coordination/tests/router_peers.rs
+++ b/crates/papayamux-coordination/tests/router_peers.rs
@@ -5,14 +5,14 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::router_peers::{PeerNews, RouterPeers};
+use papayamux_coordination::router_peers::{PeerUpdate, RouterPeers};
 
 fn address(index: u32) -> IpAddr {
     IpAddr::V4(Ipv4Addr::from(0x0a00_0000 + index))
 }
 
-fn news(sequence: u64, known: &[IpAddr]) -> PeerNews<'_> {
-    PeerNews { sequence, known, fresh: false }
+fn update(sequence: u64, known: &[IpAddr]) -> PeerUpdate<'_> {
+    PeerUpdate { sequence, known, fresh: false }
 }
 
 /// Lets routers report in rounds; returns who knows whom at the end.
@@ -31,7 +31,7 @@
             let targets: BTreeSet<_> = targets.into_iter().collect();
             for target in targets {
                 let place = (0..routers).find(|other| address(*other) == target).unwrap();
-                all[place as usize].hear(address(index), news(round, &known), now);
+                all[place as usize].record_update(address(index), update(round, &known), now);
             }
         }
     }
@@ -40,35 +40,35 @@
 }
 
 #[test]
-fn few_routers_know_all_others_within_a_second() {
+fn small_fleet_discovers_all_peers_within_a_second() {
     assert!(run(6, 3, 4).values().all(|known| *known == 5));
 }
 
 #[test]
-fn many_routers_hear_many_others() {
+fn large_fleet_keeps_contact_with_most_peers() {
     let known = run(100, 3, 40);
     assert!(known.values().all(|known| *known >= 80), "{known:?}");
 }
 
 #[test]
-fn restarted_router_is_heard_at_once_and_a_late_datagram_is_not() {
+fn restarted_peer_is_accepted_at_once_and_a_late_datagram_is_dropped() {
     let now = Instant::now();
     let mut peers = RouterPeers::new(address(0), Vec::new());
-    assert!(peers.hear(address(1), news(500, &[]), now));
-    assert!(!peers.hear(address(1), news(499, &[]), now));
-    assert!(peers.hear(address(1), news(1, &[]), now));
+    assert!(peers.record_update(address(1), update(500, &[]), now));
+    assert!(!peers.record_update(address(1), update(499, &[]), now));
+    assert!(peers.record_update(address(1), update(1, &[]), now));
 }
 
 #[test]
-fn one_router_that_has_been_up_for_long_tells_a_restart_from_a_loss_of_all() {
+fn one_long_running_peer_distinguishes_a_restart_from_a_fleet_wide_start() {
     let now = Instant::now();
     let mut peers = RouterPeers::new(address(0), Vec::new());
     assert!(peers.all_are_fresh(now), "nobody is heard");
-    peers.hear(address(1), PeerNews { fresh: true, ..news(1, &[]) }, now);
+    peers.record_update(address(1), PeerUpdate { fresh: true, ..update(1, &[]) }, now);
     assert!(peers.all_are_fresh(now));
-    peers.hear(address(2), news(900, &[]), now);
+    peers.record_update(address(2), update(900, &[]), now);
     assert!(!peers.all_are_fresh(now));
     let later = now + Duration::from_secs(4);
-    peers.hear(address(1), PeerNews { fresh: true, ..news(17, &[]) }, later);
+    peers.record_update(address(1), PeerUpdate { fresh: true, ..update(17, &[]) }, later);
     assert!(peers.all_are_fresh(later), "the other one is gone");
 }
--- a/crates/papayamux-coordination/tests/stops.rs
+++ b/crates/papayamux-coordination/tests/stops.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bolero::{check, TypeGenerator};
-use papayamux_coordination::orders::{needed_keepers, ServingEvidence, StopBook};
+use papayamux_coordination::orders::{required_servers, ServingEvidence, StopTracker};
 use papayamux_protocol::serving::ServingRefusal;
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::{WeightsKind, WeightsRef};
@@ -15,22 +15,22 @@
 /// Inputs tried by each property: at least as many as a second takes in a debug build.
 const GENERATED_INPUTS: usize = 50_000;
 
-const EVIDENCE_FOR: Duration = Duration::from_secs(5);
+const EVIDENCE_TTL: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, TypeGenerator)]
 enum FleetAction {
     BeginStop { server: u8 },
-    Ask { server: u8, other: u8 },
+    Query { server: u8, other: u8 },
     Stop { server: u8 },
-    OrderArrives { server: u8 },
-    GiveUp { server: u8 },
+    DeliverOrder { server: u8 },
+    CancelStop { server: u8 },
     RestartAgent { server: u8 },
     Wait { millis: u16 },
 }
 
 struct ModelAgent {
     name: ServerId,
-    book: StopBook,
+    tracker: StopTracker,
     evidence: Vec<ServingEvidence>,
     loaded: bool,
     ordered: Option<Instant>,
@@ -44,7 +44,7 @@
 
 impl ModelAgent {
     fn serves(&self, weights: &WeightsRef) -> bool {
-        self.loaded && !self.book.has_stopped(weights)
+        self.loaded && !self.tracker.has_stopped(weights)
     }
 }
 
@@ -53,13 +53,13 @@
         let start = Instant::now();
         let agents = (0..size).map(|index| ModelAgent {
             name: format!("engine-{index}").parse().unwrap(),
-            book: StopBook::new(EVIDENCE_FOR, start),
+            tracker: StopTracker::new(EVIDENCE_TTL, start),
             evidence: Vec::new(),
             loaded: true,
             ordered: None,
         });
         let weights = WeightsRef { kind: WeightsKind::Model, name: "itinerary".to_string() };
-        Self { agents: agents.collect(), weights, now: start + EVIDENCE_FOR }
+        Self { agents: agents.collect(), weights, now: start + EVIDENCE_TTL }
     }
 
     fn serving(&self) -> usize {
@@ -71,30 +71,30 @@
         let place = |server: &u8| usize::from(*server) % size;
         match action {
             FleetAction::BeginStop { server } => {
-                self.agents[place(server)].book.begin_stop(&weights);
+                self.agents[place(server)].tracker.begin_stop(&weights);
             }
-            FleetAction::Ask { server, other } => self.ask(place(server), place(other)),
+            FleetAction::Query { server, other } => self.query(place(server), place(other)),
             FleetAction::Stop { server } => {
                 let agent = &mut self.agents[place(server)];
-                let needed = needed_keepers(size - 1);
-                if agent.book.stop(&weights, &agent.evidence, needed, || now) {
+                let needed = required_servers(size - 1);
+                if agent.tracker.stop(&weights, &agent.evidence, needed, || now) {
                     agent.ordered.get_or_insert(now);
                 }
             }
-            FleetAction::OrderArrives { server } => {
+            FleetAction::DeliverOrder { server } => {
                 let agent = &mut self.agents[place(server)];
                 agent.loaded &= agent.ordered.take().is_none();
             }
-            FleetAction::GiveUp { server } => {
+            FleetAction::CancelStop { server } => {
                 let agent = &mut self.agents[place(server)];
                 if agent.ordered.is_none() {
                     agent.evidence.clear();
-                    agent.book.serve_on(&weights);
+                    agent.tracker.resume_serving(&weights);
                 }
             }
             FleetAction::RestartAgent { server } => {
                 let agent = &mut self.agents[place(server)];
-                agent.book = StopBook::new(EVIDENCE_FOR, now);
+                agent.tracker = StopTracker::new(EVIDENCE_TTL, now);
                 agent.evidence.clear();
             }
             FleetAction::Wait { millis } => {
@@ -103,15 +103,15 @@
         }
     }
 
-    fn ask(&mut self, server: usize, other: usize) {
-        let wants_stop = self.agents[server].book.stopping().next().is_some();
+    fn query(&mut self, server: usize, other: usize) {
+        let wants_stop = self.agents[server].tracker.stopping().next().is_some();
         let answer = &self.agents[other];
-        let answered = answer.book.answer(&self.weights, answer.loaded, self.now);
+        let answered = answer.tracker.answer(&self.weights, answer.loaded, self.now);
         if server != other && wants_stop && answered.is_ok() {
-            let word = answer.name.clone();
+            let sender = answer.name.clone();
             let evidence = &mut self.agents[server].evidence;
-            evidence.retain(|older| older.server != word);
-            evidence.push(ServingEvidence { server: word, until: self.now + EVIDENCE_FOR });
+            evidence.retain(|older| older.server != sender);
+            evidence.push(ServingEvidence { server: sender, until: self.now + EVIDENCE_TTL });
         }
     }
 
@@ -119,7 +119,7 @@
     fn wait(&mut self, time: Duration) {
         self.now += time;
         for agent in &mut self.agents {
-            if agent.ordered.is_some_and(|ordered| ordered + EVIDENCE_FOR <= self.now) {
+            if agent.ordered.is_some_and(|ordered| ordered + EVIDENCE_TTL <= self.now) {
                 agent.ordered = None;
                 agent.loaded = false;
             }
@@ -128,49 +128,54 @@
 }
 
 #[test]
-fn half_of_the_servers_always_serve() {
+fn required_servers_always_serve() {
     check!().with_iterations(GENERATED_INPUTS).with_type::<(u8, Vec<FleetAction>)>().for_each(
         |(size, actions)| {
             let mut fleet = ModelFleet::new(usize::from(size % 5 + 1));
-            let least = needed_keepers(fleet.agents.len() - 1);
+            let required = required_servers(fleet.agents.len() - 1);
             for action in actions {
                 fleet.act(action);
-                assert!(fleet.serving() >= least, "{} of {}", fleet.serving(), fleet.agents.len());
+                assert!(
+                    fleet.serving() >= required,
+                    "{} of {}",
+                    fleet.serving(),
+                    fleet.agents.len()
+                );
             }
         },
     );
 }
 
 #[test]
-fn one_after_the_other_stops_and_the_last_does_not() {
+fn servers_stop_one_by_one_except_the_last() {
     let mut fleet = ModelFleet::new(2);
     for server in [0_u8, 1, 0, 1] {
         fleet.act(&FleetAction::BeginStop { server });
-        fleet.act(&FleetAction::Ask { server, other: 1 - server });
+        fleet.act(&FleetAction::Query { server, other: 1 - server });
         fleet.act(&FleetAction::Stop { server });
-        fleet.act(&FleetAction::OrderArrives { server });
+        fleet.act(&FleetAction::DeliverOrder { server });
     }
     assert_eq!(fleet.serving(), 1);
 }
 
 #[test]
-fn a_stop_that_was_paused_past_its_evidence_is_taken_back() {
+fn stop_paused_past_its_evidence_is_reverted() {
     let now = Instant::now();
     let weights = WeightsRef { kind: WeightsKind::Model, name: "itinerary".to_string() };
-    let mut book = StopBook::new(EVIDENCE_FOR, now);
-    assert_eq!(book.answer(&weights, true, now), Err(ServingRefusal::JustStarted));
-    assert_eq!(book.answer(&weights, true, now + EVIDENCE_FOR), Ok(()));
-    book.begin_stop(&weights);
-    let refused = book.answer(&weights, true, now + EVIDENCE_FOR);
+    let mut tracker = StopTracker::new(EVIDENCE_TTL, now);
+    assert_eq!(tracker.answer(&weights, true, now), Err(ServingRefusal::JustStarted));
+    assert_eq!(tracker.answer(&weights, true, now + EVIDENCE_TTL), Ok(()));
+    tracker.begin_stop(&weights);
+    let refused = tracker.answer(&weights, true, now + EVIDENCE_TTL);
     assert_eq!(refused, Err(ServingRefusal::StopsItself));
     let server: ServerId = "engine-1".parse().unwrap();
-    let evidence = [ServingEvidence { server, until: now + EVIDENCE_FOR }];
-    let looks = Cell::new(0);
+    let evidence = [ServingEvidence { server, until: now + EVIDENCE_TTL }];
+    let clock_reads = Cell::new(0);
     let clock = || {
-        looks.set(looks.get() + 1);
-        now + EVIDENCE_FOR * (looks.get() - 1)
+        clock_reads.set(clock_reads.get() + 1);
+        now + EVIDENCE_TTL * (clock_reads.get() - 1)
     };
-    assert!(!book.stop(&weights, &evidence, 1, clock));
-    assert!(!book.has_stopped(&weights));
-    assert!(book.stop(&weights, &evidence, 1, || now));
+    assert!(!tracker.stop(&weights, &evidence, 1, clock));
+    assert!(!tracker.has_stopped(&weights));
+    assert!(tracker.stop(&weights, &evidence, 1, || now));
 }
--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -54,7 +54,7 @@
     let mut round = ClaimRound::new(fleets);
     let claim_within = keeper.settings().claim_within;
     let mut replies: FuturesUnordered<_> = round
-        .asked()
+        .all_witnesses()
         .into_iter()
         .map(|witness| {
             let (keeper, hold, ask) = (keeper.clone(), hold.clone(), ask.clone());
@@ -67,7 +67,7 @@
         .collect();
     while round.verdict() == ClaimVerdict::Pending {
         let Some((witness, reply)) = replies.next().await else { break };
-        round.take(&witness, reply);
+        round.record_reply(&witness, reply);
     }
     if round.verdict() == ClaimVerdict::Won {
         monoio::spawn(async move { while replies.next().await.is_some() {} });
@@ -75,7 +75,7 @@
     }
     let rest = async {
         while let Some((witness, reply)) = replies.next().await {
-            round.take(&witness, reply);
+            round.record_reply(&witness, reply);
         }
     };
     let _ = monoio::time::timeout(LAST_ANSWERS_WITHIN, rest).await;
--- a/crates/papayamux-router/src/direct/fleet/beliefs.rs
+++ b/crates/papayamux-router/src/direct/fleet/beliefs.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use papayamux_coordination::mechanism::Mechanism;
-use papayamux_coordination::peer_vouching::{
-    should_ask, vouched_until, VouchQuestion, VouchStatement,
+use papayamux_coordination::freshness_confirmation::{
+    confirmed_until, should_query, FreshnessQuery, FreshnessReport,
 };
+use papayamux_coordination::mechanism::Mechanism;
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::service_config::{ConfigVersion, ConfigurationSnapshot};
 use papayamux_transport::boot_clock::boot_now;
@@ -72,13 +72,13 @@
     pub(in crate::direct) fn needs_vouching(&self) -> bool {
         let freshness = self.freshness.borrow();
         self.uses(Mechanism::PeerVouching)
-            && should_ask(freshness.age(boot_now()), freshness.longest_age())
+            && should_query(freshness.age(boot_now()), freshness.max_age())
     }
 
     /// What this router can tell others of the configuration.
-    pub(in crate::direct) fn statement(&self) -> Option<VouchStatement> {
+    pub(in crate::direct) fn statement(&self) -> Option<FreshnessReport> {
         let version = self.configuration()?.version;
-        Some(VouchStatement { version, age: self.configuration_age()? })
+        Some(FreshnessReport { version, age: self.configuration_age()? })
     }
 
     /// Takes in what `peer` answers to a question of this router's present `life`.
@@ -86,14 +86,14 @@
         &self,
         peer: IpAddr,
         life: u64,
-        question: VouchQuestion,
-        statement: VouchStatement,
+        question: FreshnessQuery,
+        statement: FreshnessReport,
     ) {
         let now = boot_now();
         let own = (life, self.configuration_version());
-        let Some(known) = vouched_until(question, own, statement, now) else { return };
+        let Some(known) = confirmed_until(question, own, statement, now) else { return };
         let mut freshness = self.freshness.borrow_mut();
-        freshness.vouch(known);
+        freshness.confirm_by_peer(known);
         if !freshness.is_confirmed(now) && !self.vouched_for.replace(true) {
             log::info!(
                 peer:% = peer, configuration:% = statement.version,
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::fleet_knowledge::{
-    BeliefChange, BeliefDigest, BeliefJournal, BeliefSpan, DutyView, FollowerEntry, FollowerTable,
-    HeardQuestion, SourceDuty, SourceReaders, SourceRole, SourceView, StatedShift, StatedView,
-    ViewInForce,
+    FollowerEntry, FollowerTable, ReceivedQuery, ReportedOffset, ReportedView, RoleSelector,
+    RoleView, ServerChange, ServerChangeLog, ServerChangeSpan, ServerDigest, SourceReaders,
+    SourceRole, SourceView, ViewInForce,
 };
-use papayamux_coordination::peer_vouching::VouchQuestion;
+use papayamux_coordination::freshness_confirmation::FreshnessQuery;
 use papayamux_protocol::fleet_news::{FleetNews, FollowRequest, NewsSpan, ServerNews};
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::evacuation::EvacuationOrder;
@@ -26,8 +26,8 @@
 /// What is known of the source, and who tells it.
 pub(super) struct SourceKnowledge {
     view: Cell<SourceView>,
-    journal: RefCell<BeliefJournal>,
-    duty: RefCell<SourceDuty>,
+    journal: RefCell<ServerChangeLog>,
+    duty: RefCell<RoleSelector>,
     followers: RefCell<FollowerTable>,
     advanced: RefCell<ShutdownSignal>,
     differs_since: Cell<Option<Instant>>,
@@ -40,7 +40,7 @@
         Self {
             view: Cell::default(),
             journal: RefCell::default(),
-            duty: RefCell::new(SourceDuty::new(own, alone)),
+            duty: RefCell::new(RoleSelector::new(own, alone)),
             followers: RefCell::default(),
             advanced: RefCell::default(),
             differs_since: Cell::new(None),
@@ -57,14 +57,14 @@
 
     /// Notes that everything was read, up to this position.
     pub(in crate::direct) fn note_whole_read(&self, at: SourcePosition) {
-        self.knowledge.journal.borrow_mut().note_gap(at);
-        self.change_view(|view| view.note_whole(at));
+        self.knowledge.journal.borrow_mut().record_gap(at);
+        self.change_view(|view| view.record_full_read(at));
         self.note_beliefs();
     }
 
     /// Whether changes that a read brought up to `at` are to be taken over for servers.
     pub(in crate::direct) fn takes_changes(&self, at: SourcePosition) -> bool {
-        self.change_view(|view| view.note_changes(at))
+        self.change_view(|view| view.record_changes(at))
     }
 
     /// Notes that everything has to be read.
@@ -81,7 +81,7 @@
 
     /// Notes that a server's entry went, for those who follow this router.
     pub(super) fn note_heard_departure(&self, name: &ServerName) {
-        self.knowledge.journal.borrow_mut().note_departure(name.clone());
+        self.knowledge.journal.borrow_mut().record_departure(name.clone());
     }
 
     /// A newer version of the configuration than the one in force, of which another router has told.
@@ -110,9 +110,9 @@
         if self.settings.readers == SourceReaders::All {
             return;
         }
-        let view = DutyView {
+        let view = RoleView {
             known,
-            doubts_reads: !self.may_be_confirmed() || self.awaits_renewals(),
+            has_uncertain_read: !self.may_be_confirmed() || self.awaits_renewals(),
             has_followers: !self.knowledge.followers.borrow_mut().current(now).is_empty(),
         };
         if !self.knowledge.duty.borrow_mut().choose(view, now) {
@@ -146,12 +146,12 @@
         request: FollowRequest,
         now: Instant,
     ) -> Option<FleetNews> {
-        let asked = BootInstant(Duration::from_millis(request.asked_ms));
-        let question = VouchQuestion { life: request.life, asked };
-        let question = HeardQuestion { question, heard: boot_now() };
+        let sent_at = BootInstant(Duration::from_millis(request.asked_ms));
+        let query = FreshnessQuery { incarnation: request.life, sent_at };
+        let query = ReceivedQuery { query, received: boot_now() };
         let position = SourcePosition(request.position);
         let mut followers = self.knowledge.followers.borrow_mut();
-        if !followers.note(router, question, position, now) {
+        if !followers.record(router, query, position, now) {
             return None;
         }
         let entry = followers.current(now).into_iter().find(|(follower, _)| *follower == router);
@@ -170,26 +170,28 @@
     /// Takes in what `sender` tells of the source.
     pub(in crate::direct) fn take_news(&self, sender: IpAddr, life: u64, news: FleetNews) {
         let now = boot_now();
-        let question = VouchQuestion {
-            life: news.life,
-            asked: BootInstant(Duration::from_millis(news.asked_ms)),
+        let query = FreshnessQuery {
+            incarnation: news.life,
+            sent_at: BootInstant(Duration::from_millis(news.asked_ms)),
         };
-        if question.life != life || question.asked > now {
+        if query.incarnation != life || query.sent_at > now {
             return;
         }
-        let Some(known) = StatedShift(news.shift_ms).on_askers_clock(question, now) else { return };
+        let Some(known) = ReportedOffset(news.shift_ms).on_querier_clock(query, now) else {
+            return;
+        };
         let steady = Instant::now();
-        let stated = StatedView {
+        let stated = ReportedView {
             position: SourcePosition(news.position),
-            behind: news.span.as_ref().map(|span| SourcePosition(span.behind)),
+            after: news.span.as_ref().map(|span| SourcePosition(span.behind)),
             version: ConfigVersion(news.version),
             known,
         };
         let version = self.configuration_version();
         let in_force = ViewInForce { version, confirmed: self.confirmed_since() };
-        let verdict = self.change_view(|view| view.judge(stated, in_force));
+        let verdict = self.change_view(|view| view.evaluate_report(stated, in_force));
         if verdict.progresses {
-            self.knowledge.duty.borrow_mut().note_newer(sender, steady);
+            self.knowledge.duty.borrow_mut().record_newer(sender, steady);
         }
         if let Some(span) = news.span.filter(|_| verdict.takes_servers) {
             let grace = Duration::from_millis(u64::from(news.grace_ms));
@@ -223,7 +225,7 @@
         self.note_beliefs();
         // Entries that lapsed in an outage are given up at slightly different times.
         match grace.is_zero() {
-            true => self.compare_beliefs(BeliefDigest(span.digest), now),
+            true => self.compare_beliefs(ServerDigest(span.digest), now),
             false => self.knowledge.differs_since.set(None),
         }
     }
@@ -231,7 +233,7 @@
     /// Reads everything again where this router believes something else than the one it follows for as long
     /// as it would take to read by itself: a departure that was kept from it then has an effect as soon as without
     /// others. No way to that is known; it bounds what a mistake in either could do.
-    fn compare_beliefs(&self, told: BeliefDigest, now: Instant) {
+    fn compare_beliefs(&self, told: ServerDigest, now: Instant) {
         if self.knowledge.journal.borrow().digest() == told {
             self.knowledge.differs_since.set(None);
             return;
@@ -251,7 +253,7 @@
         let Some(position) = self.source_position() else { return };
         let (presence, departures) = (self.presence.borrow(), self.departures.borrow());
         let mut journal = self.knowledge.journal.borrow_mut();
-        journal.note(presence.catalog(), position, |server| departures.lingers(server));
+        journal.record(presence.catalog(), position, |server| departures.lingers(server));
     }
 
     fn tell_followers(&self) {
@@ -263,12 +265,12 @@
         let journal = self.knowledge.journal.borrow();
         let position = journal.position()?;
         let span = journal.since(entry.position);
-        let question = entry.question.question;
+        let query = entry.query.query;
         let grace = self.presence.borrow().grace_left(Instant::now());
         Some(FleetNews {
-            life: question.life,
-            asked_ms: u64::try_from(question.asked.0.as_millis()).ok()?,
-            shift_ms: entry.question.shift_to(known).0,
+            life: query.incarnation,
+            asked_ms: u64::try_from(query.sent_at.0.as_millis()).ok()?,
+            shift_ms: entry.query.offset_to(known).0,
             position: position.0,
             version: self.knowledge.view.get().newest(self.configuration_version()).0,
             hops: self.knowledge.hops.get() + 1,
@@ -280,13 +282,15 @@
     }
 }
 
-fn told_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
+fn told_span(span: ServerChangeSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
     let changes = span.changes.into_iter().map(|change| match change {
-        BeliefChange::Present(server) => ServerNews::Present((*server).clone()),
-        BeliefChange::Gone { name, lingers } => ServerNews::Gone { name, lingers },
+        ServerChange::Present(server) => ServerNews::Present((*server).clone()),
+        ServerChange::Departed { name, terminating } => {
+            ServerNews::Gone { name, lingers: terminating }
+        }
     });
     NewsSpan {
-        behind: span.behind.0,
+        behind: span.after.0,
         changes: changes.collect(),
         digest: span.digest.0,
         evacuations,
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -10,11 +10,13 @@
 use bytes::Bytes;
 use monoio::net::udp::UdpSocket;
 use papayamux_coordination::cache_survey::{CacheListing, ListingNews, FRESH_FOR};
+use papayamux_coordination::freshness_confirmation::{
+    FreshnessQueries, FreshnessQuery, FreshnessReport,
+};
 use papayamux_coordination::part_flights::PromptReading;
 use papayamux_coordination::part_owners::SilentOwners;
-use papayamux_coordination::peer_vouching::{VouchQuestion, VouchQuestions, VouchStatement};
 use papayamux_coordination::placement::{HolderNote, RouterId, ServerLoad};
-use papayamux_coordination::router_peers::{PeerNews, RouterPeers};
+use papayamux_coordination::router_peers::{PeerUpdate, RouterPeers};
 use papayamux_protocol::router_report::{
     ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedQuestion,
     ReportedReading, RouterReport,
@@ -53,7 +55,7 @@
     socket: UdpSocket,
     address: SocketAddr,
     pub(super) peers: RefCell<RouterPeers>,
-    questions: RefCell<VouchQuestions<IpAddr>>,
+    questions: RefCell<FreshnessQueries<IpAddr>>,
     listings: RefCell<ListingNews>,
     pub(super) life: u64,
     pub(super) started: Instant,
@@ -147,14 +149,14 @@
         };
         let now = Instant::now();
         let news =
-            PeerNews { sequence: report.sequence, known: &report.known, fresh: report.fresh };
-        let newer = self.peers.borrow_mut().hear(sender, news, now);
+            PeerUpdate { sequence: report.sequence, known: &report.known, fresh: report.fresh };
+        let newer = self.peers.borrow_mut().record_update(sender, news, now);
         self.fleet.note_routers(sender, &report.known, report.counted, now);
         if !newer {
             return;
         }
         if let Some(question) = report.question {
-            self.questions.borrow_mut().note(sender, read_question(question), now);
+            self.questions.borrow_mut().record(sender, read_question(question), now);
         }
         if let Some(configuration) = report.configuration {
             self.take_answers(sender, &configuration);
@@ -256,7 +258,7 @@
     }
 
     fn take_answers(&self, sender: IpAddr, configuration: &ReportedConfiguration) {
-        let statement = VouchStatement {
+        let statement = FreshnessReport {
             version: ConfigVersion(configuration.version),
             age: Duration::from_millis(configuration.age_ms),
         };
@@ -334,10 +336,10 @@
         if open.is_empty() {
             return None;
         }
-        let VouchStatement { version, age } = self.fleet.statement()?;
+        let FreshnessReport { version, age } = self.fleet.statement()?;
         let answers = open.into_iter().map(|(router, question)| {
-            let asked_ms = whole_millis(question.asked.0);
-            (router, ReportedQuestion { life: question.life, asked_ms })
+            let asked_ms = whole_millis(question.sent_at.0);
+            (router, ReportedQuestion { life: question.incarnation, asked_ms })
         });
         Some(ReportedConfiguration {
             version: version.0,
@@ -361,9 +363,9 @@
     Some(ReportedReading { server: server.into(), prefixes: prefixes.clone(), cold, expected_ms })
 }
 
-fn read_question(question: ReportedQuestion) -> VouchQuestion {
+fn read_question(question: ReportedQuestion) -> FreshnessQuery {
     let asked = BootInstant(Duration::from_millis(question.asked_ms));
-    VouchQuestion { life: question.life, asked }
+    FreshnessQuery { incarnation: question.life, sent_at: asked }
 }
 
 fn whole_millis(span: Duration) -> u64 {
--- a/crates/papayamux-router/src/direct/settings.rs
+++ b/crates/papayamux-router/src/direct/settings.rs
@@ -7,12 +7,12 @@
 use bon::Builder;
 use papayamux_coordination::cold_servers::ColdAllowance;
 use papayamux_coordination::fleet_knowledge::SourceReaders;
-use papayamux_coordination::key_freshness::longest_key_age;
+use papayamux_coordination::key_freshness::max_key_age;
 use papayamux_coordination::mechanism::DisabledMechanisms;
 use papayamux_coordination::placement::PlacementPolicy;
 use papayamux_coordination::recent_departures::DepartureBounds;
 use papayamux_coordination::service_retry_budget::RetryAllowance;
-use papayamux_coordination::source_pace::ReadBounds;
+use papayamux_coordination::source_polling::ReadBounds;
 use papayamux_settings::{Findings, IniFile, Millis};
 use papayamux_state::ids::{FailureDomain, Region};
 use papayamux_transport::http::upstream::PoolLimits;
@@ -71,7 +71,7 @@
             apply_within: self.apply_within,
             drain_within: self.drain_within,
             evacuate_within: self.evacuate_within,
-            key_age: self.revoke_within.map(longest_key_age),
+            key_age: self.revoke_within.map(max_key_age),
         }
     }
 
--- a/crates/papayamux-router/src/direct/source_follower.rs
+++ b/crates/papayamux-router/src/direct/source_follower.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use futures_util::future::{select, Either};
-use papayamux_coordination::source_pace::{PaceView, SourcePace, READ_WITHIN};
+use papayamux_coordination::source_polling::{PollSchedule, PollView, READ_TIMEOUT};
 use papayamux_state::service_config::ConfigurationSnapshot;
 use papayamux_state::source::{
     SourceChange, SourceChanges, SourceContents, SourceError, SourcePosition,
@@ -48,7 +48,7 @@
 
 /// Reads from the source for ever.
 pub async fn follow_source(fleet: Rc<Fleet>, source: Rc<dyn FleetSource>) {
-    let pace = SourcePace::new(fleet.settings().read_bounds());
+    let pace = PollSchedule::new(fleet.settings().read_bounds());
     let now = Instant::now();
     let mut follower = SourceFollower { fleet, source, pace, last_read: now, last_asked: now };
     loop {
@@ -62,7 +62,7 @@
 struct SourceFollower {
     fleet: Rc<Fleet>,
     source: Rc<dyn FleetSource>,
-    pace: SourcePace,
+    pace: PollSchedule,
     last_read: Instant,
     /// When the configuration alone was read last, because another router had told of a newer one.
     last_asked: Instant,
@@ -88,7 +88,7 @@
                 matches!(select(sleep, poked).await, Either::Right(_))
             };
             let last = self.last_read.max(self.last_asked);
-            let may_read = last.elapsed() >= self.pace.asked_spacing();
+            let may_read = last.elapsed() >= self.pace.requested_read_spacing();
             if poked && may_read && !self.take_wanted().await {
                 return;
             }
@@ -100,7 +100,7 @@
     async fn take_wanted(&mut self) -> bool {
         let Some(wanted) = self.fleet.wanted_version() else { return false };
         let reading = self.source.read_configuration(ReadRecency::Recent);
-        let read = monoio::time::timeout(READ_WITHIN, reading).await;
+        let read = monoio::time::timeout(READ_TIMEOUT, reading).await;
         self.last_asked = Instant::now();
         match read.unwrap_or_else(|_| Err(late())) {
             Ok(Some(configuration)) => {
@@ -116,7 +116,7 @@
             }
             Ok(None) => false,
             Err(error) => {
-                self.note_failure(&error);
+                self.record_failure(&error);
                 true
             }
         }
@@ -133,17 +133,17 @@
         Ok(())
     }
 
-    fn note_failure(&mut self, error: &SourceError) {
+    fn record_failure(&mut self, error: &SourceError) {
         self.fleet.metrics().source_reads.count("failed");
-        if self.pace.note_failure() {
+        if self.pace.record_failure() {
             log::warn!(error:% = error; "source lost");
         }
         self.fleet.note_source_lost();
         self.source.disconnect();
     }
 
-    fn view(&self) -> PaceView {
-        PaceView {
+    fn view(&self) -> PollView {
+        PollView {
             role: self.fleet.source_role(),
             seeks_source: self.fleet.seeks_source(),
             awaits_renewals: self.fleet.awaits_renewals(),
@@ -180,13 +180,13 @@
                 }
             }
         };
-        let result = monoio::time::timeout(READ_WITHIN, reading).await;
+        let result = monoio::time::timeout(READ_TIMEOUT, reading).await;
         self.last_read = Instant::now();
         let result = result.unwrap_or_else(|_| Err(late()));
         match result {
             Ok(read) => {
                 self.fleet.metrics().source_reads.count("answered");
-                let failed = self.pace.note_success();
+                let failed = self.pace.record_success();
                 if failed {
                     log::info!("source regained");
                 }
@@ -207,7 +207,7 @@
                 return ReadResult::Again;
             }
             Err(error) => {
-                self.note_failure(&error);
+                self.record_failure(&error);
             }
         }
         ReadResult::Done
@@ -256,7 +256,7 @@
 }
 
 fn late() -> SourceError {
-    SourceError::Unavailable(format!("no answer within {READ_WITHIN:?}"))
+    SourceError::Unavailable(format!("no answer within {READ_TIMEOUT:?}"))
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
