--- a/crates/papayamux-coordination/src/claims/claim_round.rs
+++ b/crates/papayamux-coordination/src/claims/claim_round.rs
@@ -1,4 +1,4 @@
-//! Counting the witnesses' answers to one attempt.
+//! Counts the witnesses' replies to the claim of one attempt.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -7,14 +7,14 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::refusal::RefusalReason;
 
-/// Whether an attempt may run.
+/// The outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Not decided yet.
+    /// The outcome is still open.
     Pending,
-    /// A majority of the witnesses in each fleet that counts has granted the key.
+    /// In every fleet that counts, a majority of the witnesses has granted the key.
     Won,
-    /// In some fleet no majority can be had any more.
+    /// In at least one fleet, a majority is no longer possible.
     Lost,
 }
 
@@ -29,18 +29,18 @@
 }
 
 impl ClaimRound {
-    /// A round that asks the witnesses of each fleet that counts.
+    /// Creates a round over the witnesses of each fleet that counts.
     pub fn new(fleets: Vec<Vec<ServerId>>) -> Self {
         let (granted, refused) = (HashSet::new(), HashSet::new());
         Self { fleets, granted, refused, held: None, most_severe: None }
     }
 
-    /// All who are asked, each once.
+    /// Returns the witnesses of all fleets, without duplicates.
     pub fn all_witnesses(&self) -> BTreeSet<ServerId> {
         self.fleets.iter().flatten().cloned().collect()
     }
 
-    /// Takes a witness's answer; `None` where there was none in time.
+    /// Records a witness's reply; `None` if none arrived on time.
     pub fn record_reply(&mut self, witness: &ServerId, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Granted) => {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether the attempt may run.
+    /// Returns the outcome so far.
     pub fn verdict(&self) -> ClaimVerdict {
         let verdicts: Vec<_> = self.fleets.iter().map(|fleet| self.fleet_verdict(fleet)).collect();
         if verdicts.is_empty() || verdicts.contains(&ClaimVerdict::Lost) {
@@ -69,13 +69,14 @@
         }
     }
 
-    /// The other attempt that a witness has granted the key to, with its place where known.
+    /// Returns another attempt to which a witness has granted the key, preferably one whose place is
+    /// known.
     pub fn held(&self) -> Option<&HeldClaim> {
         self.held.as_ref()
     }
 
-    /// What the caller should learn of the refusals: a reused key before all else, then the
-    /// longest wait.
+    /// Returns the refusal to report to the caller: a reused key takes precedence, then the longest
+    /// retry delay.
     pub fn refusal(&self) -> RefusalNotice {
         let reason = RefusalReason::NoMajority;
         self.most_severe.clone().unwrap_or(RefusalNotice::new(reason, 1_000))
--- a/crates/papayamux-coordination/src/claims/fleet_window.rs
+++ b/crates/papayamux-coordination/src/claims/fleet_window.rs
@@ -1,4 +1,4 @@
-//! The declared fleet with the ones before it that still count.
+//! The declared fleet, and the previous ones that still count.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use papayamux_state::claims::{ClaimKey, FleetDigest, FleetView};
 use papayamux_state::ids::ServerId;
 
-/// Earlier fleets kept at most. Where there are more within one window, no key is claimed.
+/// Limit on the fleets that one claim names. With more fleets in one window, no key is claimed.
 const MAX_PREVIOUS: usize = 8;
 
 #[derive(Debug, Clone)]
@@ -15,8 +15,8 @@
     until: Instant,
 }
 
-/// The fleet in force, and each that was in force within the last window: a key may have been
-/// granted by the witnesses that any of them gives.
+/// The fleet in force, and each one that was in force within the last window. A key may have been
+/// granted by the witnesses of any of them.
 #[derive(Debug, Clone)]
 pub struct FleetWindow {
     window: Duration,
@@ -25,13 +25,13 @@
 }
 
 impl FleetWindow {
-    /// The window of a router that has known no fleet before `current`. Witnesses that know of
-    /// another refuse its claims until that one counts no more.
+    /// Creates the window of a router that knows no fleet before `current`. Witnesses that know an
+    /// earlier one refuse the router's claims until that fleet no longer counts.
     pub fn new(current: FleetView, window: Duration) -> Self {
         Self { window, current, previous: Vec::new() }
     }
 
-    /// Puts another fleet in force.
+    /// Puts `view` in force and keeps the previous fleet for one window.
     pub fn replace(&mut self, view: FleetView, now: Instant) {
         self.previous.retain(|previous| previous.until > now);
         if view.digest() == self.current.digest() {
@@ -42,19 +42,19 @@
         self.previous.push(PreviousView { view, until: now + self.window });
     }
 
-    /// The digests that a claim at `now` names, the one in force first; none where more fleets
+    /// Returns the digests that a claim at `now` names, the fleet in force first; `None` if more fleets
     /// count than a claim may name.
     pub fn digests(&self, now: Instant) -> Option<Vec<FleetDigest>> {
         let views = self.views(now);
         (views.len() <= MAX_PREVIOUS).then(|| views.iter().map(|view| view.digest()).collect())
     }
 
-    /// The witnesses of `key` in each fleet that counts at `now`, the one in force first.
+    /// Returns the witnesses of `key` in each fleet that counts at `now`, the fleet in force first.
     pub fn witnesses(&self, key: ClaimKey, now: Instant) -> Vec<Vec<ServerId>> {
         self.views(now).iter().map(|view| view.witnesses(key)).collect()
     }
 
-    /// All servers of the fleets that count at `now`.
+    /// Returns the servers of all fleets that count at `now`.
     pub fn servers(&self, now: Instant) -> HashSet<ServerId> {
         let views = self.views(now);
         views.iter().flat_map(|view| view.servers()).map(|known| known.server.clone()).collect()
--- a/crates/papayamux-coordination/src/claims/mod.rs
+++ b/crates/papayamux-coordination/src/claims/mod.rs
@@ -1,4 +1,4 @@
-//! The router's rule for claims: whom to ask, and when an attempt may run.
+//! The router's claims of idempotency keys: which witnesses to query, and when an attempt may run.
 
 mod claim_round;
 mod fleet_window;
--- a/crates/papayamux-coordination/src/domain_evacuations.rs
+++ b/crates/papayamux-coordination/src/domain_evacuations.rs
@@ -1,8 +1,8 @@
-//! Which failure domains are evacuated, as the source says.
+//! Failure domains that are evacuated according to the source.
 //!
-//! An evacuation belongs to a position of the source like the list of servers. Routers that read the source
-//! tell those who follow them all evacuations in force, so that a follower that missed one statement has
-//! everything with the next.
+//! Evacuations belong to a position of the source, like the list of servers. Routers that read the source
+//! send all evacuations in force to their followers, so that a follower that missed one report is
+//! complete again with the next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +10,12 @@
 use papayamux_state::ids::FailureDomain;
 use papayamux_state::source::SourcePosition;
 
-/// What changed for a failure domain.
+/// A change of a failure domain's evacuation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// Its servers get nothing from now on.
+    /// The evacuation began: the domain's servers receive no more requests.
     Begun(EvacuationOrder),
-    /// Its servers may get requests again.
+    /// The evacuation ended: the domain's servers may receive requests again.
     Ended(FailureDomain),
 }
 
@@ -26,12 +26,12 @@
 }
 
 impl DomainEvacuations {
-    /// Whether nothing may be sent to the servers of `domain`.
+    /// Returns whether `domain` is evacuated, so that its servers may receive no requests.
     pub fn covers(&self, domain: &FailureDomain) -> bool {
         self.orders.contains_key(domain)
     }
 
-    /// All orders in force, by failure domain.
+    /// Returns all orders in force, sorted by failure domain.
     pub fn orders(&self) -> Vec<EvacuationOrder> {
         let orders = self.orders.iter();
         let order = |(domain, position): (&FailureDomain, &SourcePosition)| EvacuationOrder {
@@ -41,30 +41,31 @@
         orders.map(order).collect()
     }
 
-    /// The number of failure domains that are evacuated.
+    /// Returns the number of evacuated failure domains.
     pub fn len(&self) -> usize {
         self.orders.len()
     }
 
-    /// Whether none is evacuated.
+    /// Returns whether no failure domain is evacuated.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// Takes in an order; what changed. One that is written again is the same evacuation.
+    /// Applies an order and returns the change. A repeated order for the same domain continues the same
+    /// evacuation.
     pub fn begin(&mut self, order: EvacuationOrder) -> Option<EvacuationChange> {
         let EvacuationOrder { domain, position } = order;
         let known = self.orders.insert(domain.clone(), position);
         known.is_none().then_some(EvacuationChange::Begun(EvacuationOrder { domain, position }))
     }
 
-    /// Takes in that an order was withdrawn; what changed.
+    /// Applies the withdrawal of an order and returns the change.
     pub fn end(&mut self, domain: &FailureDomain) -> Option<EvacuationChange> {
         self.orders.remove(domain).map(|_| EvacuationChange::Ended(domain.clone()))
     }
 
-    /// Takes over all orders in force at once; what changed. An order at a later position than the one that
-    /// was known means an end and a new start, of which the end was missed.
+    /// Replaces all orders in force and returns the changes. An order at a later position than the known
+    /// one indicates an end and a new start, of which the end was missed; it yields no change.
     pub fn replace(&mut self, orders: Vec<EvacuationOrder>) -> Vec<EvacuationChange> {
         let ordered: BTreeSet<_> = orders.iter().map(|order| order.domain.clone()).collect();
         let ended: Vec<_> =
--- a/crates/papayamux-coordination/src/fleet_knowledge/follower_table.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/follower_table.rs
@@ -1,4 +1,4 @@
-//! The routers that follow this one.
+//! Table of the routers that follow this one.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,19 +9,19 @@
 use super::reader_order::FANOUT;
 use super::timestamped_report::ReceivedQuery;
 
-/// How long a router that follows is told without asking again: it asks each second, and one question
-/// may be lost.
+/// Duration for which a follower receives updates after a query. It sends a query every second, one of
+/// which may be lost.
 const FOLLOWER_TTL: Duration = Duration::from_millis(2_500);
-/// Followers at most. Routers that do not agree on who is there may crowd at one for a while; whoever is
-/// not told looks for another.
+/// Maximum number of followers. While routers disagree on the members of the fleet, too many may choose
+/// the same one; a router that receives no updates chooses another.
 const MAX_FOLLOWERS: usize = 2 * FANOUT;
 
 /// A router that follows this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowerEntry {
-    /// Its last question.
+    /// The last query.
     pub query: ReceivedQuery,
-    /// The position that it has read up to.
+    /// Position of the source up to which the follower knew all changes when it sent the query.
     pub position: SourcePosition,
     queried_at: Instant,
 }
@@ -33,7 +33,8 @@
 }
 
 impl FollowerTable {
-    /// Notes that `router` follows; whether it is told.
+    /// Records a query of `router`. Returns `false` if the table is full, so that the router receives no
+    /// updates.
     pub fn record(
         &mut self,
         router: IpAddr,
@@ -49,7 +50,7 @@
         true
     }
 
-    /// The routers to be told now.
+    /// Returns the followers to update now. Removes expired ones first.
     pub fn current(&mut self, now: Instant) -> Vec<(IpAddr, FollowerEntry)> {
         self.expire(now);
         self.followers.iter().map(|(router, entry)| (*router, *entry)).collect()
--- a/crates/papayamux-coordination/src/fleet_knowledge/mod.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/mod.rs
@@ -1,9 +1,9 @@
-//! What a fleet of routers knows of the source, and how it spreads: a few routers read the source, all
-//! others follow one of them or one another.
+//! Distribution of the source's state within the router fleet: a few routers read the source, all others
+//! follow one of them or one another.
 //!
-//! The source's price and load then stay nearly level however many routers there are, and readers can
-//! afford to read more often than each router by itself could. Safety stays local: each router dates
-//! what it hears on its own clock, and reads by itself once that is too old.
+//! The cost and load of the source thereby stay nearly constant regardless of the number of routers, and
+//! readers can afford to read more often than each router on its own could. Safety stays local: each
+//! router timestamps received updates on its own clock, and reads the source itself once they are too old.
 
 mod follower_table;
 mod reader_order;
--- a/crates/papayamux-coordination/src/fleet_knowledge/role_selector.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/role_selector.rs
@@ -1,4 +1,4 @@
-//! Whether a router reads the source for others, or follows one that does.
+//! Selects whether a router reads the source for others or follows another router.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -6,33 +6,33 @@
 
 use super::reader_order::{reading_interval, ReaderOrder};
 
-/// Pauses between two reads that a followed router may let pass without news before another one is
-/// followed: one read may fail. A follower's own read comes later than that, so that the loss of a reader costs
-/// hardly a call.
+/// Number of read intervals that may pass without an update from the followed router before another one
+/// is followed. One read may fail. The follower's own read is due later, so that losing a reader causes
+/// hardly any extra calls to the source.
 const MAX_SILENT_INTERVALS: u32 = 2;
-/// What a slow answer of the source and the way may take beside them.
+/// Additional allowance for a slow answer of the source and for network delays.
 const UPDATE_DELAY: Duration = Duration::from_millis(100);
-/// How long a router that brought no news is passed over. In an outage of the source each follower so
-/// comes by some four others, all of which tell it of the source's return.
+/// Duration for which a router that sent no updates is skipped. During an outage of the source, each
+/// follower thereby queries about four routers, all of which notify it when the source has recovered.
 const SKIP_DURATION: Duration = Duration::from_secs(3);
 
-/// What a router does to know the source.
+/// Role of a router towards the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SourceRole {
-    /// It reads at this pause, for itself and those who follow it.
+    /// Reads the source at this interval, for itself and its followers.
     Reader(Duration),
-    /// It is told by this router, and reads only where that fails.
+    /// Receives updates from this router, and reads the source only if they fail to arrive.
     Follower(IpAddr),
 }
 
-/// What a router knows when it chooses its role.
+/// State of a router that determines its role.
 #[derive(Debug, Clone, Copy)]
 pub struct RoleView<'a> {
-    /// The other routers.
+    /// Known other routers.
     pub known: &'a [IpAddr],
-    /// Whether the router's own last read of the source failed, or left open which servers have left.
+    /// `true` if the router's own last read of the source failed, or left open which servers have departed.
     pub has_uncertain_read: bool,
-    /// Whether others follow it.
+    /// `true` if other routers follow this one.
     pub has_followers: bool,
 }
 
@@ -42,7 +42,7 @@
     last_update: Instant,
 }
 
-/// The choice of a role, again and again.
+/// Selects the role of a router, and revises it as routers come and go.
 #[derive(Debug)]
 pub struct RoleSelector {
     own: IpAddr,
@@ -56,7 +56,8 @@
 }
 
 impl RoleSelector {
-    /// The duty of the router at `own`, which would read at the pause `alone` by itself.
+    /// Creates the selector of the router at `own`, which reads at `solo_interval` if it reads only for
+    /// itself.
     pub fn new(own: IpAddr, solo_interval: Duration) -> Self {
         Self {
             own,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The role as it was chosen last.
+    /// Returns the role selected last.
     pub fn role(&self) -> SourceRole {
         match self.followed {
             Some(followed) => SourceRole::Follower(followed.router),
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Whether this router is among those that look often for a source that is away. The others are
-    /// told of its return by them; all together would press it.
+    /// Returns whether this router is among those that poll an unavailable source frequently. They notify
+    /// the others of its recovery, as polling by all routers would overload it.
     pub fn seeks_source(&self) -> bool {
         self.seeks_source
     }
 
-    /// Chooses the role. Returns whether the router begins or ceases to read for others, reads more
-    /// often than before, or follows another one.
+    /// Selects the role. Returns whether the router starts or stops reading, reads at less than half of
+    /// the previous interval, or follows a different router.
     pub fn choose(&mut self, view: RoleView<'_>, now: Instant) -> bool {
         let before = self.role();
         let routers = view.known.len() + 1;
@@ -98,11 +99,11 @@
         }
         let candidates = self.order.without(|router| self.skipped.contains_key(router));
         self.seeks_source = self.order.followed_by(self.own).is_none();
-        // Nobody but itself would profit from many reads of a router that is alone in its view.
+        // Frequent reads benefit only the router itself if it has no followers.
         let reads_for_others = self.seeks_source || view.has_followers;
         self.interval = if reads_for_others { shared_interval } else { self.solo_interval };
         let followed = match self.seeks_source && view.has_uncertain_read {
-            // A reader that can't read, or could not just now, is told by one that can, wherever it stands.
+            // A reader with an uncertain read follows the first other candidate, regardless of the order.
             true => candidates.first_other(self.own),
             false => candidates.followed_by(self.own),
         };
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Notes that `router` brought a newer confirmation than was known.
+    /// Records that `router` sent a newer confirmation than the known one.
     pub fn record_newer(&mut self, router: IpAddr, now: Instant) {
         if let Some(followed) = self.followed.as_mut().filter(|known| known.router == router) {
             followed.last_update = now;
--- a/crates/papayamux-coordination/src/fleet_knowledge/server_change_log.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/server_change_log.rs
@@ -1,4 +1,4 @@
-//! What a router has come to believe of servers since when, to be told to those who follow it.
+//! Change log of the server states known to a router, from which it updates its followers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -8,72 +8,74 @@
 use papayamux_state::source::SourcePosition;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Departures kept. A follower tells its position each second, in which far fewer servers leave.
+/// Maximum number of departures kept. A follower reports its position every second, in which far fewer
+/// servers depart.
 const MAX_DEPARTURES: usize = 4_096;
 
-/// A change of what is believed of one server.
+/// A change of the known state of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ServerChange {
-    /// It is there, as described.
+    /// The server is present, with this entry.
     Present(Rc<BackendServer>),
-    /// It is gone.
+    /// The server has departed.
     Departed {
-        /// The name that it had.
+        /// Name of the server.
         name: ServerName,
-        /// Whether it lives on for a while, so that others can copy from it.
+        /// `true` if it keeps running for a while, so that other servers can copy from its cache.
         terminating: bool,
     },
 }
 
-/// A short name of all that is believed of servers. Two routers that believe the same have the same.
+/// Digest of the known server states. Two routers with the same states have the same digest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerDigest(pub u64);
 
-/// All changes between two positions.
+/// The changes of servers between two positions of the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerChangeSpan {
-    /// Changes behind this position,
+    /// The span starts after this position.
     pub after: SourcePosition,
-    /// up to this one.
+    /// The span ends at this position, inclusive.
     pub position: SourcePosition,
-    /// The changes, one a server.
+    /// The changes, at most one per server.
     pub changes: Vec<ServerChange>,
-    /// The digest at the later position.
+    /// Digest of the server states at `position`.
     pub digest: ServerDigest,
 }
 
-/// Keeps for each server at which position its present state was first believed.
+/// Records for each server the position at which its current state was first known.
 ///
-/// A reader and its followers may note one change at different positions of the source, but never
-/// before it happened: so all changes behind a position include those that happened behind it.
+/// A reader and its followers may record the same change at different positions of the source, but never
+/// at one before it happened. The changes recorded after a position therefore include all that happened
+/// after it.
 #[derive(Debug, Default)]
 pub struct ServerChangeLog {
     present: HashMap<ServerName, (Rc<BackendServer>, SourcePosition)>,
     departed: BTreeMap<(SourcePosition, ServerName), bool>,
-    /// Departures that were heard of since the last note.
+    /// Departures received since the last call of `record`.
     departures: Vec<ServerName>,
-    /// Departures before this position are no longer known.
+    /// Departures up to this position may be missing.
     base: SourcePosition,
     position: Option<SourcePosition>,
     digest: ServerDigest,
-    /// Changes of the catalog that were looked at.
+    /// The catalog's change counter at the last comparison.
     seen_changes: u64,
 }
 
 impl ServerChangeLog {
-    /// Notes that a server's entry went, also where the server was never known here: one that came and
-    /// went between two reads may have been told to a follower by another router, which would keep it.
+    /// Records that a server's entry was removed, even if the server was never known here. A follower may
+    /// know a server that came and went between two reads from another router, and would keep it.
     pub fn record_departure(&mut self, name: ServerName) {
         self.departures.push(name);
     }
 
-    /// Notes that everything was read at `position`: what came and went before that is not known.
+    /// Records a full read at `position`. Servers that came and went before it are unknown.
     pub fn record_gap(&mut self, position: SourcePosition) {
         self.base = self.base.max(position);
     }
 
-    /// Notes that the catalog holds what is believed at `position`; `lingers` tells whether a server
-    /// that is gone lives on for a while.
+    /// Records that `catalog` holds the server states known at `position`. `terminating` returns whether a
+    /// departed server keeps running for a while.
     pub fn record(
         &mut self,
         catalog: &ServerCatalog,
@@ -84,7 +86,7 @@
             self.base = position;
         }
         self.position = self.position.max(Some(position));
-        // Three times a second most is as before, and a catalog may have thousands of servers.
+        // Called three times a second, mostly without changes, on catalogs of up to thousands of servers.
         if catalog.changes() == self.seen_changes && self.departures.is_empty() {
             return;
         }
@@ -114,17 +116,18 @@
         self.digest = digest_of(self.present.values().map(|(server, _)| server));
     }
 
-    /// The position up to which all is known.
+    /// Returns the position up to which all changes are known.
     pub fn position(&self) -> Option<SourcePosition> {
         self.position
     }
 
-    /// The digest of what is believed.
+    /// Returns the digest of the known server states.
     pub fn digest(&self) -> ServerDigest {
         self.digest
     }
 
-    /// What has changed behind `behind`; `None` where that is no longer known or lies ahead.
+    /// Returns the changes after position `after`, or `None` if they are no longer complete or `after` lies
+    /// beyond the known position.
     pub fn since(&self, after: SourcePosition) -> Option<ServerChangeSpan> {
         let position = self.position.filter(|position| *position >= after)?;
         if after < self.base {
@@ -141,8 +144,8 @@
         Some(ServerChangeSpan { after, position, changes, digest: self.digest })
     }
 
-    /// Whether the entry is the one that was noted. One that changed and changed back since is another:
-    /// a follower may have been told of the state between by another router.
+    /// Returns whether this very entry is the recorded one. An entry that changed and changed back since
+    /// counts as new, as a follower may have received the intermediate state from another router.
     fn is_recorded(&self, server: &Rc<BackendServer>) -> bool {
         let known = self.present.get(&server.name);
         known.is_some_and(|(known, _)| Rc::ptr_eq(known, server))
--- a/crates/papayamux-coordination/src/fleet_knowledge/source_readers.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/source_readers.rs
@@ -1,23 +1,23 @@
-//! Which routers read the source: what operators may choose.
+//! Setting for the routers that read the source.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// Who reads the source.
+/// The routers that read the source.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum SourceReaders {
-    /// A few routers, whom the others follow.
+    /// A few routers; the others follow them.
     #[default]
     Few,
-    /// Each router by itself, also where others could tell it.
+    /// Every router reads the source itself and follows no other.
     All,
 }
 
-/// Why a text doesn't say who reads.
+/// The error of parsing a [`SourceReaders`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{0:?} are no readers; use few or all")]
+#[error("unknown source readers {0:?}; use few or all")]
 pub struct ReadersError(String);
 
 impl fmt::Display for SourceReaders {
--- a/crates/papayamux-coordination/src/fleet_knowledge/source_view.rs
+++ b/crates/papayamux-coordination/src/fleet_knowledge/source_view.rs
@@ -1,50 +1,51 @@
-//! How far a router knows the source, by its own reads and by the word of others.
+//! Position up to which a router knows the source, from its own reads and from reports of other routers.
 //!
-//! Two things have to hold at any time. The servers that are believed are those that the source listed at
-//! the position. And whatever version of the configuration lies before the position is in force, or wanted:
-//! changes behind the position don't show it any more.
+//! Two invariants hold at any time. The known servers are those that the source listed at the position.
+//! And the newest configuration version up to the position is in force, or wanted: a read of the changes
+//! after the position doesn't return it any more.
 
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::service_config::ConfigVersion;
 use papayamux_state::source::SourcePosition;
 
-/// What another router states of the source.
+/// Report of another router on its view of the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedView {
-    /// The position up to which it knows all.
+    /// Position up to which the sender knows all changes.
     pub position: SourcePosition,
-    /// Its changes of servers are those behind this position; `None` where it no longer has them all.
+    /// Position after which the report contains all changes of servers; `None` if the sender no longer has
+    /// all of them.
     pub after: Option<SourcePosition>,
-    /// The newest version of the configuration up to its position.
+    /// Newest configuration version up to `position`.
     pub version: ConfigVersion,
-    /// When that was known to be the newest, on the clock of the router that is told.
+    /// Time at which that was known to be the newest, on the receiving router's clock.
     pub known: BootInstant,
 }
 
-/// What the router that is told has in force.
+/// The configuration that the receiving router has in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewInForce {
-    /// The version of its configuration.
+    /// Version in force.
     pub version: ConfigVersion,
-    /// When that was known to be the newest.
+    /// Time at which that version was known to be the newest.
     pub confirmed: Option<BootInstant>,
 }
 
-/// What follows from a statement.
+/// Consequences of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportVerdict {
-    /// Whether its changes of servers are to be taken over. The view's position is its position then.
+    /// `true` if its changes of servers must be applied. The view has moved to its position then.
     pub takes_servers: bool,
-    /// Whether it is of a later moment than any statement before, or goes farther than what was known.
-    /// Only then is it worth telling on: two routers that follow each other would else never stop.
+    /// `true` if it refers to a later time than all reports before, or to a later position than the known
+    /// one. Only such a report is relayed; otherwise, two routers that follow each other would never stop.
     pub progresses: bool,
-    /// Whether configuration and servers were the newest at the moment that it names.
+    /// `true` if configuration and servers are confirmed to be the newest at the reported time.
     pub confirms: bool,
-    /// Whether a read of this router's own is needed.
+    /// `true` if this router must read the source itself.
     pub needs_read: bool,
 }
 
-/// How far a router knows the source.
+/// A router's view of the source.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SourceView {
     position: Option<SourcePosition>,
@@ -53,22 +54,22 @@
 }
 
 impl SourceView {
-    /// The position behind which changes have to be read; `None` where everything has.
+    /// Returns the position after which changes must be read; `None` if a full read is required.
     pub fn position(&self) -> Option<SourcePosition> {
         self.position
     }
 
-    /// The newest version of the configuration that lies before the position, as far as is known.
+    /// Returns the newest known configuration version up to the position.
     pub fn newest(&self, in_force: ConfigVersion) -> ConfigVersion {
         self.wanted.max(in_force)
     }
 
-    /// A version that another router has told of, newer than the one in force.
+    /// Returns the version reported by another router, if it is newer than the one in force.
     pub fn wanted(&self, in_force: ConfigVersion) -> Option<ConfigVersion> {
         (self.wanted > in_force).then_some(self.wanted)
     }
 
-    /// Decides what a statement is good for.
+    /// Applies a report to the view and returns its consequences.
     pub fn evaluate_report(
         &mut self,
         report: ReportedView,
@@ -91,7 +92,7 @@
         }
         let is_later = self.last_reported.is_none_or(|last_reported| report.known > last_reported);
         self.last_reported = self.last_reported.max(Some(report.known));
-        // Never less than was wanted: an older version may be told of after a newer one.
+        // Never decreases, since an older version may be reported after a newer one.
         self.wanted = self.wanted.max(report.version);
         let is_newer = in_force.confirmed.is_none_or(|confirmed| report.known > confirmed);
         ReportVerdict {
@@ -102,22 +103,22 @@
         }
     }
 
-    /// Notes that a read brought the changes up to `at`; whether those of servers are to be taken over.
+    /// Records a read of the changes up to `at`. Returns whether its changes of servers must be applied.
     ///
-    /// Others may have told of more while it was under way. What it says of servers is older then: a
-    /// drain that was told of would be taken back.
+    /// Reports of other routers may have moved the view further while the read was in flight. Its changes
+    /// of servers are outdated then, and applying them would, for example, revert a reported drain.
     pub fn record_changes(&mut self, at: SourcePosition) -> bool {
         let is_overtaken = self.position > Some(at);
         self.position = self.position.max(Some(at));
         !is_overtaken
     }
 
-    /// Notes that a read brought everything, up to `at`.
+    /// Records a full read, up to `at`.
     pub fn record_full_read(&mut self, at: SourcePosition) {
         self.position = Some(at);
     }
 
-    /// Notes that everything has to be read.
+    /// Discards the position, so that a full read is required.
     pub fn forget(&mut self) {
         self.position = None;
     }
--- a/crates/papayamux-coordination/src/orders/compare.rs
+++ b/crates/papayamux-coordination/src/orders/compare.rs
@@ -1,4 +1,4 @@
-//! What separates an engine from its target, and the next order on the way.
+//! Compares an engine with its target and derives the next order.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,17 +8,17 @@
 use super::fence::FenceNumber;
 use super::server_target::ServerTarget;
 
-/// Name and version. An engine's list of loads does not tell models from adapters.
+/// Name and version. An engine's list of loads doesn't distinguish models from adapters.
 type NamedVersion = (String, String);
 
-/// What an engine says of itself.
+/// Snapshot of the state that an engine reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineSnapshot {
-    /// The fencing number of the last order obeyed.
+    /// Fencing number of the last order obeyed.
     pub fence: Option<u64>,
-    /// The present role.
+    /// Current role.
     pub role: String,
-    /// What answers requests, with versions.
+    /// Loaded weights, which can answer requests, with versions.
     pub loaded: BTreeMap<WeightsRef, String>,
     loading: BTreeSet<NamedVersion>,
     failed: BTreeSet<NamedVersion>,
@@ -49,34 +49,34 @@
 }
 
 impl EngineSnapshot {
-    /// Whether `version` of `weights` is being loaded.
+    /// Returns whether `version` of `weights` is being loaded.
     pub fn is_loading(&self, weights: &WeightsRef, version: &str) -> bool {
         self.loading.contains(&(weights.name.clone(), version.to_string()))
     }
 
-    /// Whether the last load of `version` of `weights` failed.
+    /// Returns whether the last load of `version` of `weights` failed.
     pub fn has_failed(&self, weights: &WeightsRef, version: &str) -> bool {
         self.failed.contains(&(weights.name.clone(), version.to_string()))
     }
 
-    /// Loads that go on.
+    /// Returns the number of loads in progress.
     pub fn loads(&self) -> usize {
         self.loading.len()
     }
 }
 
-/// What separates an engine from its target.
+/// The differences between an engine and its target.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ChangePlan {
-    /// Weights to be loaded where none of their versions is.
+    /// Weights to be loaded of which no version is loaded.
     pub missing: Vec<WeightsRef>,
-    /// Weights of which another version is loaded.
+    /// Weights to be loaded of which another version is loaded.
     pub outdated: Vec<WeightsRef>,
-    /// Weights loaded beyond the target.
+    /// Loaded weights that the target doesn't contain.
     pub surplus: Vec<WeightsRef>,
-    /// Loads that go on.
+    /// Number of loads in progress.
     pub loading: usize,
-    /// Whether the role is another one.
+    /// `true` if the role differs.
     pub role: bool,
 }
 
@@ -98,31 +98,31 @@
         plan
     }
 
-    /// Whether the engine is as its target says.
+    /// Returns whether the engine matches its target.
     pub fn is_done(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// Why an order is sent.
+/// The reason for sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OrderReason {
-    /// It makes the agent known as the one that orders the engine.
+    /// Establishes the agent as the one that orders the engine.
     Claim,
-    /// Weights are missing.
+    /// Loads missing weights.
     Load,
-    /// Weights have another version.
+    /// Loads another version of loaded weights.
     Update,
-    /// Weights are not wanted any more.
+    /// Unloads weights that are no longer wanted.
     Unload,
-    /// A load is not wanted any more.
+    /// Cancels a load that is no longer wanted.
     CancelLoad,
-    /// The role is another one.
+    /// Changes the role.
     Role,
 }
 
 impl OrderReason {
-    /// The stable word for metrics and logs.
+    /// Returns the stable label for metrics and logs.
     pub const fn label(self) -> &'static str {
         match self {
             OrderReason::Claim => "claim",
@@ -135,31 +135,31 @@
     }
 }
 
-/// What the next order may do.
+/// The changes that the next order may make.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StepRights {
-    /// Weights that may begin to load: one load a slot of the weight store.
+    /// Weights whose load may start; each slot of the weight store admits one load.
     pub load: Option<WeightsRef>,
     /// Weights that may be unloaded.
     pub unload: BTreeSet<WeightsRef>,
-    /// Whether an order is due although it changes nothing.
+    /// `true` if an order must be sent even if it changes nothing.
     pub claim: bool,
 }
 
-/// An order without its number.
+/// An order without its fencing number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderDraft {
-    /// All that the engine is to have, with versions.
+    /// All weights that the engine must have, with versions.
     pub weights: BTreeMap<WeightsRef, String>,
-    /// The role.
+    /// Role of the engine.
     pub role: String,
-    /// Why it is sent; never empty.
+    /// Reasons for sending the order; never empty.
     pub reasons: Vec<OrderReason>,
 }
 
 impl OrderDraft {
-    /// The next order towards `target`, or none where nothing is to be ordered now. Since an
-    /// order is the engine's whole target, it repeats all that may not change yet.
+    /// Returns the next order towards `target`, or `None` if there is nothing to order now. As an order
+    /// is the engine's complete target, it repeats everything that may not change yet.
     pub fn next(target: &ServerTarget, view: &EngineSnapshot, rights: &StepRights) -> Option<Self> {
         let mut draft =
             Self { weights: BTreeMap::new(), role: target.role.clone(), reasons: Vec::new() };
@@ -218,7 +218,7 @@
         }
     }
 
-    /// The order as sent, with its number.
+    /// Returns the order as sent, with its fencing number.
     pub fn number(&self, fence: FenceNumber) -> EngineOrder {
         let names = |kind: WeightsKind| {
             let of_kind = self.weights.keys().filter(|weights| weights.kind == kind);
@@ -236,8 +236,8 @@
         }
     }
 
-    /// Whether `view` shows the order's effect: all it names loaded, loading or failed, nothing
-    /// else loaded.
+    /// Returns whether `view` shows the order's effect: all weights that it names are loaded, loading or
+    /// failed, no others are loaded, and the role matches.
     pub fn is_in_effect(&self, view: &EngineSnapshot) -> bool {
         let is_there = |(weights, version): (&WeightsRef, &String)| {
             view.loaded.get(weights) == Some(version)
--- a/crates/papayamux-coordination/src/orders/fence.rs
+++ b/crates/papayamux-coordination/src/orders/fence.rs
@@ -1,26 +1,26 @@
-//! Fencing numbers: which agent's order is the newer one.
+//! Fencing numbers, which determine the newer one of two agents' orders.
 //!
-//! A number is a term above and a step below. The term is the second in which the agent started,
-//! or one more than the term that the engine reports, whichever is higher; the step starts at the
-//! revision in force and rises with each order. All numbers stay below 2^53, so that an engine
-//! that reads JSON numbers as doubles compares them rightly.
+//! The high part of a number is a term, the low part a step. The term is the second in which the agent
+//! started, or one more than the term that the engine reports, whichever is higher. The step starts at
+//! the revision in force and increases with each order. All numbers stay below 2^53, so that an engine
+//! that parses JSON numbers as doubles compares them correctly.
 
 use std::fmt;
 
 use papayamux_state::ids::Incarnation;
 use thiserror::Error;
 
-/// Steps in one term.
+/// Number of steps in one term.
 pub const STEPS_PER_TERM: u64 = 1 << 20;
-/// Numbers from here on are no fencing numbers of an agent.
+/// Exclusive upper bound of the fencing numbers that agents issue.
 pub const FENCE_CEILING: u64 = 1 << 53;
-/// The highest step that a revision alone leads to; the rest of the term is for later orders.
+/// Maximum step derived from a revision. The rest of the term is reserved for later orders.
 const MAX_REVISION_STEPS: u64 = STEPS_PER_TERM / 2;
-/// Bits of an incarnation below its milliseconds.
+/// Number of random bits below the milliseconds of an incarnation.
 const INCARNATION_RANDOM_BITS: u32 = 20;
 const MILLIS_PER_SECOND: u64 = 1_000;
-/// Orders refused as older before the first one is obeyed, after which another agent is taken to
-/// be the newer one.
+/// Number of orders refused as older, before the first one is obeyed, after which another agent is
+/// considered the newer one.
 const MAX_RAISES: u32 = 16;
 
 /// A fencing number.
@@ -28,12 +28,12 @@
 pub struct FenceNumber(u64);
 
 impl FenceNumber {
-    /// The number as sent to an engine.
+    /// Returns the number as sent to an engine.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The agent's part of the number.
+    /// Returns the term, the part that identifies the agent.
     pub const fn term(self) -> u64 {
         self.0 / STEPS_PER_TERM
     }
@@ -51,40 +51,40 @@
     }
 }
 
-/// Why there is no next number.
+/// The error of issuing the next number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FenceError {
-    /// The engine reports a number that no agent gives.
+    /// The engine reports a number that no agent issues.
     #[error(
-        "the engine reports fencing number {0}, above all that agents give; restart the engine"
+        "the engine reports fencing number {0}, above all that agents issue; restart the engine"
     )]
     Exhausted(u64),
-    /// Another agent keeps ordering.
+    /// Another agent keeps sending orders.
     #[error(
         "{MAX_RAISES} orders in a row were refused as older: another agent orders this engine"
     )]
     Contended,
 }
 
-/// What the number in an engine's state says.
+/// The meaning of the fencing number in an engine's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FenceObservation {
-    /// The engine has obeyed nobody, and this agent has not ordered yet.
+    /// The engine has obeyed no order yet.
     Unclaimed,
-    /// An earlier agent ordered last, and this one has not ordered yet.
+    /// The last order was from an earlier agent, and the engine hasn't obeyed this one yet.
     Predecessor,
-    /// This agent ordered last.
+    /// The last order was from this agent.
     Own,
     /// The engine has forgotten this agent's orders.
     Restarted,
-    /// An older order was obeyed after this agent's own: the engine ignores fencing numbers.
+    /// The engine obeyed an older order after this agent's own: it ignores fencing numbers.
     LateOrder,
-    /// A newer agent orders this engine.
+    /// The last order was from a newer agent.
     Successor,
 }
 
 impl FenceObservation {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub const fn label(self) -> &'static str {
         match self {
             FenceObservation::Unclaimed => "unclaimed",
@@ -97,7 +97,7 @@
     }
 }
 
-/// The fencing numbers of one life of an agent.
+/// Issues the fencing numbers of one incarnation of an agent.
 #[derive(Debug, Clone)]
 pub struct FenceTracker {
     floor: u64,
@@ -109,7 +109,7 @@
 }
 
 impl FenceTracker {
-    /// The numbers of the agent with this incarnation.
+    /// Creates the tracker of the agent with this incarnation.
     pub fn new(incarnation: Incarnation) -> Self {
         let seconds = (incarnation.get() >> INCARNATION_RANDOM_BITS) / MILLIS_PER_SECOND;
         Self {
@@ -122,12 +122,13 @@
         }
     }
 
-    /// Whether the engine has obeyed an order of this agent.
+    /// Returns whether the engine has obeyed an order of this agent.
     pub fn is_established(&self) -> bool {
         self.established
     }
 
-    /// Takes the number of the engine's state, read after all earlier orders were answered.
+    /// Evaluates the number in the engine's state, which must be read after all earlier orders were
+    /// answered.
     pub fn observe(&mut self, reported: Option<u64>) -> FenceObservation {
         let Some(number) = reported else {
             return if self.established {
@@ -150,13 +151,13 @@
         FenceObservation::Predecessor
     }
 
-    /// An order was obeyed.
+    /// Records that an order was obeyed.
     pub fn record_obeyed(&mut self) {
         self.established = true;
         self.raises = 0;
     }
 
-    /// An order was refused because of the higher number `highest`.
+    /// Records that an order was refused in favour of the higher number `highest`.
     pub fn record_refusal(&mut self, highest: u64) -> FenceObservation {
         if self.established && highest > self.last_issued {
             return FenceObservation::Successor;
@@ -166,7 +167,7 @@
         FenceObservation::Predecessor
     }
 
-    /// The number for the next order at `revision`: above all given and seen before.
+    /// Issues the number of the next order at `revision`, above all issued and observed so far.
     pub fn issue(&mut self, revision: u64) -> Result<FenceNumber, FenceError> {
         if self.raises >= MAX_RAISES {
             return Err(FenceError::Contended);
@@ -181,7 +182,7 @@
         Ok(FenceNumber(number))
     }
 
-    /// Moves to a term of its own, which the agent of `number` does not reach by its next orders.
+    /// Moves to the term after that of `number`, which its agent's next orders don't reach.
     fn raise_floor_above(&mut self, number: u64) {
         self.highest_seen = self.highest_seen.max(number);
         let above = (number / STEPS_PER_TERM).saturating_add(1).saturating_mul(STEPS_PER_TERM);
--- a/crates/papayamux-coordination/src/orders/load_backoff.rs
+++ b/crates/papayamux-coordination/src/orders/load_backoff.rs
@@ -1,15 +1,15 @@
-//! How long weights whose load failed are left alone.
+//! Back-off for weights whose load failed.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use papayamux_state::weights::WeightsRef;
 
-/// The pause after the first failure.
+/// Maximum back-off after the first failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
-/// The longest pause.
+/// Maximum back-off.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// Weights whose failures are remembered.
+/// Maximum number of weights whose failures are recorded.
 const MAX_FAILURES: usize = 128;
 
 #[derive(Debug, Clone, Copy)]
@@ -18,20 +18,20 @@
     retry_at: Instant,
 }
 
-/// Pauses after failed loads: doubled with each failure, and spread at random so that agents
-/// refused together do not come back together.
+/// Exponential back-off after failed loads. It is jittered, so that agents refused at the same time don't
+/// retry at the same time.
 #[derive(Debug, Default)]
 pub struct LoadBackoff {
     failures: BTreeMap<WeightsRef, LoadFailure>,
 }
 
 impl LoadBackoff {
-    /// Whether `weights` may be tried at `now`.
+    /// Returns whether a load of `weights` may be tried at `now`.
     pub fn may_try(&self, weights: &WeightsRef, now: Instant) -> bool {
         self.failures.get(weights).is_none_or(|failure| failure.retry_at <= now)
     }
 
-    /// A load failed; `share` from 0 to 1 is drawn at random by the caller. Gives the pause.
+    /// Records a failed load and returns the back-off. `jitter` is a random number from 0 to 1.
     pub fn record_failure(&mut self, weights: &WeightsRef, now: Instant, jitter: f64) -> Duration {
         let count = self.failures.get(weights).map_or(0, |failure| failure.count);
         let max_pause = INITIAL_BACKOFF.saturating_mul(1 << count.min(16)).min(MAX_BACKOFF);
@@ -43,7 +43,7 @@
         pause
     }
 
-    /// Forgets the failures of all weights but those of which `is_missing` says so.
+    /// Removes the failures of all weights for which `is_missing` returns `false`.
     pub fn keep_only(&mut self, is_missing: impl Fn(&WeightsRef) -> bool) {
         self.failures.retain(|weights, _| is_missing(weights));
     }
--- a/crates/papayamux-coordination/src/orders/load_slots.rs
+++ b/crates/papayamux-coordination/src/orders/load_slots.rs
@@ -1,9 +1,9 @@
-//! When an agent may have its engine load weights, so that the fleet stays within the weight
-//! store's rate although nobody coordinates it.
+//! Time slots in which an agent may have its engine load weights. They keep the fleet within the weight
+//! store's rate without coordination.
 //!
-//! Time is cut into slots, and a frame of slots has one slot for each declared engine. The order
-//! of the engines within a frame follows from a hash of their names, so that neighbours in a rack
-//! are not neighbours in time. Each agent computes its own place from the declared fleet alone.
+//! Time is divided into slots, and a frame of slots has one slot per declared engine. Engines are ordered
+//! within a frame by a hash of their names, so that engines with consecutive names, such as those of one
+//! rack, don't load in consecutive slots. Each agent computes its own slot from the declared fleet alone.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -14,32 +14,32 @@
 use papayamux_state::placement::name_hash;
 use thiserror::Error;
 
-/// How late after its slot's start an order may still be sent.
+/// Maximum delay after a slot's start at which an order may still be sent.
 pub const MAX_SLOT_LATENESS: Duration = Duration::from_millis(100);
-/// The part of the store's rate that slots use, in percent. The rest covers errors of clocks and
-/// delays on the way: at 80 % two loads that a full store would part by one second are parted by
-/// 1.25 s, so that errors below 250 ms do not add up to a refusal.
+/// Percentage of the store's rate that slots use. The rest covers clock errors and network delays. At
+/// 80 %, two loads that would be one second apart at the full rate are 1.25 s apart, so that errors below
+/// 250 ms don't cause a refusal.
 const USED_PERCENT: u64 = 80;
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
-/// Loads a second in the highest rate.
+/// Maximum rate, in loads per second.
 const MAX_RATE: u64 = 1_000_000;
 
-/// Loads a second that the weight store answers, to all its readers together.
+/// Rate of the weight store for all its readers together, in loads per second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadRate(u64);
 
-/// Why a text is not a load rate.
+/// The error of parsing a [`LoadRate`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a load rate is a whole number of loads a second from 1 to {MAX_RATE}")]
 pub struct LoadRateError;
 
 impl LoadRate {
-    /// Loads a second.
+    /// Returns the rate in loads per second.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// Time from one slot to the next.
+    /// Returns the time from the start of one slot to that of the next.
     pub fn slot_length(self) -> Duration {
         Duration::from_nanos(NANOS_PER_SECOND * 100 / (self.0 * USED_PERCENT))
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// The slots of one engine on the wall clock.
+/// The slots of one engine, in wall-clock time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadSlots {
     slot: Duration,
@@ -76,8 +76,8 @@
 }
 
 impl LoadSlots {
-    /// The slots of `server` among the declared engines `fleet`; one that is not declared takes
-    /// the place after the last.
+    /// Creates the slots of `server` among the declared engines `fleet`. An undeclared engine gets an
+    /// additional slot after the last one.
     pub fn new(server: &ServerId, fleet: &BTreeSet<ServerId>, rate: LoadRate) -> Self {
         let sort_key = |name: &ServerId| (name_hash(name.as_str()), name.clone());
         let own = sort_key(server);
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Time from one of the engine's slots to its next.
+    /// Returns the time from one of the engine's slots to the next.
     pub fn frame(&self) -> Duration {
         nanos(self.slot.as_nanos() as u64, self.fleet)
     }
 
-    /// Which of the engine's slots `now` lies in, if its start is no longer ago than
-    /// [`SLOT_LATENESS`]; `now` is time since the epoch.
+    /// Returns the number of the engine's slot that started at most [`MAX_SLOT_LATENESS`] before `now`,
+    /// or `None`. `now` is the time since the Unix epoch.
     pub fn open_slot(&self, now: Duration) -> Option<u64> {
         let frame = self.frame().as_nanos().max(1);
         let offset = (self.slot.as_nanos()) * u128::from(self.rank);
@@ -104,7 +104,7 @@
         (lateness <= MAX_SLOT_LATENESS.as_nanos()).then_some((elapsed / frame) as u64)
     }
 
-    /// Time from `now` to the start of the engine's next slot, never zero.
+    /// Returns the time from `now` to the start of the engine's next slot, never zero.
     pub fn until_next(&self, now: Duration) -> Duration {
         let frame = self.frame().as_nanos().max(1);
         let offset = (self.slot.as_nanos()) * u128::from(self.rank) % frame;
--- a/crates/papayamux-coordination/src/orders/mod.rs
+++ b/crates/papayamux-coordination/src/orders/mod.rs
@@ -1,4 +1,4 @@
-//! Orders: how an agent brings its engine to what is declared.
+//! Orders by which an agent brings its engine to the declared state.
 
 mod compare;
 mod fence;
--- a/crates/papayamux-coordination/src/orders/server_target.rs
+++ b/crates/papayamux-coordination/src/orders/server_target.rs
@@ -1,4 +1,4 @@
-//! What one engine is to be brought to, and who else serves the same.
+//! The declared target of one engine, and the other engines that serve the same weights.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,46 +11,47 @@
 /// Another engine of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerServer {
-    /// Where its agent listens.
+    /// Address at which its agent listens.
     pub agent: SocketAddr,
-    /// What it is declared to serve.
+    /// Weights that it is declared to serve.
     pub weights: BTreeSet<WeightsRef>,
 }
 
-/// What one engine is to be brought to, as declared at a revision.
+/// The target of one engine, as declared at a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServerTarget {
-    /// How far the declarations have come; it never falls.
+    /// Revision of the declarations; it never decreases.
     pub revision: u64,
-    /// Versions by model and adapter.
+    /// Version of each model and adapter.
     pub weights: BTreeMap<WeightsRef, String>,
-    /// The role.
+    /// Role of the engine.
     pub role: String,
     /// The other declared engines.
     pub peers: BTreeMap<ServerId, PeerServer>,
-    /// Models and adapters that are in force, whoever serves them.
+    /// Models and adapters in force on any engine.
     pub in_force: BTreeSet<WeightsRef>,
 }
 
-/// Why a target can't be put into an order.
+/// The reason why a target can't be expressed by an order.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TargetError {
-    /// More than an order may name.
+    /// More models and adapters than an order may name.
     #[error("{count} models and adapters are declared; an order names at most {MOST_ORDERED}")]
     TooMany {
-        /// How many there are.
+        /// Number of declared models and adapters.
         count: usize,
     },
-    /// An order has one version for each name, so that one of the two could not change alone.
+    /// An order has one version per name, so that a model and an adapter of the same name couldn't change
+    /// independently.
     #[error("a model and an adapter are both called {name:?}")]
     NameClash {
-        /// The name.
+        /// Name of both.
         name: String,
     },
 }
 
 impl TargetError {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub fn label(&self) -> &'static str {
         match self {
             TargetError::TooMany { .. } => "too_many",
@@ -60,7 +61,7 @@
 }
 
 impl ServerTarget {
-    /// Whether orders can express the target.
+    /// Returns an error if an order can't express the target.
     pub fn check(&self) -> Result<(), TargetError> {
         let count = self.weights.len();
         if count > MOST_ORDERED {
@@ -75,7 +76,7 @@
         Ok(())
     }
 
-    /// The other servers that are declared to serve `weights`.
+    /// Returns the other servers that are declared to serve `weights`.
     pub fn declared_peers<'a>(
         &'a self,
         weights: &'a WeightsRef,
@@ -84,14 +85,14 @@
         peers.map(|(server, peer)| (server, peer.agent))
     }
 
-    /// Whether callers may still ask for `weights`.
+    /// Returns whether callers may still request `weights`.
     pub fn is_in_force(&self, weights: &WeightsRef) -> bool {
         self.in_force.contains(weights)
     }
 }
 
-/// How many of `others` declared servers must serve before one server stops serving: half of them,
-/// and at least one. So many serve on when all that can stop have stopped.
+/// Returns how many of the `others` other declared servers must be serving before one server may stop:
+/// half of them, and at least one. This many keep serving when all that may stop have stopped.
 pub fn required_servers(others: usize) -> usize {
     others.div_ceil(2).max(1)
 }
--- a/crates/papayamux-coordination/src/orders/stop_tracker.rs
+++ b/crates/papayamux-coordination/src/orders/stop_tracker.rs
@@ -1,11 +1,11 @@
-//! When a server may stop serving weights, so that the last one never does.
+//! Decides when a server may stop serving weights, so that the last one never does.
 //!
-//! A server that wants to stop says so in its book first, and from then on does not count for
-//! others. It then asks the other declared servers, and stops only where enough of them serve and
-//! do not want to stop. Of all servers that stop, take the one that began to want it last: those
-//! that it counted on did not want to stop then, and have not begun since, so that they serve on.
-//! This holds whatever the servers' lists say and however messages are delayed; the time for which
-//! an answer counts only bounds how old it may be when servers fail.
+//! A server that wants to stop records this first, and from then on doesn't count for others. It then
+//! queries the other declared servers, and stops only if enough of them serve and don't want to stop. Of
+//! all servers that stop, consider the one that recorded its intention last: those that it counted on
+//! didn't want to stop at that time and haven't begun to since, so that they keep serving. This holds for
+//! any lists of servers and any message delays. The validity of an answer only bounds its age in case
+//! servers fail.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -14,16 +14,16 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::WeightsRef;
 
-/// Another server's word that it serves weights and does not want to stop.
+/// Another server's confirmation that it serves weights and doesn't want to stop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServingEvidence {
-    /// The server.
+    /// The confirming server.
     pub server: ServerId,
-    /// Until when its word counts, from the time at which it was asked.
+    /// Time at which the confirmation expires, counted from the query.
     pub until: Instant,
 }
 
-/// What this server wants to stop serving, and has stopped serving.
+/// Tracks the weights that this server wants to stop serving, and those that it has stopped serving.
 #[derive(Debug)]
 pub struct StopTracker {
     startup_deadline: Instant,
@@ -32,15 +32,15 @@
 }
 
 impl StopTracker {
-    /// The book of an agent that starts at `now`. For the time `quiet_for` others can't count on
-    /// it: an order that its predecessor sent may still be on its way to the engine.
+    /// Creates the tracker of an agent that starts at `now`. For `startup_delay`, other servers can't count
+    /// on it, as an order of its predecessor may still be in flight to the engine.
     pub fn new(startup_delay: Duration, now: Instant) -> Self {
         let startup_deadline = now + startup_delay;
         Self { startup_deadline, stopping: BTreeSet::new(), stopped: BTreeSet::new() }
     }
 
-    /// Answers a server that wants to stop whether it can count on this one for `weights`;
-    /// `is_serving` says whether the engine answers requests for them.
+    /// Answers a server that wants to stop. Returns `Ok` if it can count on this one for `weights`;
+    /// `is_serving` tells whether the engine answers requests for them.
     pub fn answer(
         &self,
         weights: &WeightsRef,
@@ -59,19 +59,20 @@
         Ok(())
     }
 
-    /// Notes the wish to stop serving `weights`; evidence that counts is asked for after this.
+    /// Records the intention to stop serving `weights`. Evidence only counts if queried after this.
     pub fn begin_stop(&mut self, weights: &WeightsRef) {
         self.stopping.insert(weights.clone());
     }
 
-    /// The wish has gone, or the server serves `weights` again. All evidence is void.
+    /// Records that the server keeps serving `weights`, or serves them again. Invalidates all evidence.
     pub fn resume_serving(&mut self, weights: &WeightsRef) {
         self.stopping.remove(weights);
         self.stopped.remove(weights);
     }
 
-    /// Stops serving `weights` if `needed` of `evidence` count at the time that `clock` tells.
-    /// The time is taken once more after the stop, in case the process was paused in between.
+    /// Stops serving `weights` if at least `needed` entries of `evidence` are valid at the time of `clock`.
+    /// The time is checked again after the stop, in case the process was paused in between. Returns whether
+    /// the server has stopped.
     pub fn stop(
         &mut self,
         weights: &WeightsRef,
@@ -90,28 +91,28 @@
         true
     }
 
-    /// Stops serving `weights` that nobody may ask for any more.
+    /// Stops serving `weights` that callers may no longer request.
     pub fn stop_unneeded(&mut self, weights: &WeightsRef) {
         self.stopped.insert(weights.clone());
     }
 
-    /// Whether this server has stopped serving `weights`.
+    /// Returns whether this server has stopped serving `weights`.
     pub fn has_stopped(&self, weights: &WeightsRef) -> bool {
         self.stopped.contains(weights)
     }
 
-    /// What this server has stopped serving.
+    /// Returns the weights that this server has stopped serving.
     pub fn stopped(&self) -> impl Iterator<Item = &WeightsRef> {
         self.stopped.iter()
     }
 
-    /// What this server wants to stop serving.
+    /// Returns the weights that this server wants to stop serving.
     pub fn stopping(&self) -> impl Iterator<Item = &WeightsRef> {
         self.stopping.iter()
     }
 }
 
-/// Whether `needed` of `evidence` count at `now`.
+/// Returns whether at least `needed` entries of `evidence` are valid at `now`.
 fn is_enough(evidence: &[ServingEvidence], needed: usize, now: Instant) -> bool {
     evidence.iter().filter(|entry| entry.until > now).count() >= needed
 }
--- a/crates/papayamux-coordination/src/router_peers.rs
+++ b/crates/papayamux-coordination/src/router_peers.rs
@@ -1,26 +1,27 @@
-//! Which other routers there are, and whom to tell next.
+//! Membership of the router fleet, and the targets of the next report.
 //!
-//! Each router tells a few others at a time about its requests, in turn, and names the routers
-//! that it hears. So all find one another from a few addresses, and the traffic of one router is
-//! bounded however many there are.
+//! In each round, a router reports its requests to a few peers in rotation and names peers that it
+//! is in contact with. Routers thereby discover the whole fleet from a few seed addresses, and the
+//! traffic of one router is bounded regardless of the fleet's size.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// Silence after which a router is forgotten; its address comes back with the next router that
-/// hears it. Longer than a short cut, so that a healed link is used at once.
+/// Duration of silence after which a peer is removed; any router still in contact with it names it
+/// again. Outlasts a short partition, so that a healed link is used at once.
 const PEER_TTL: Duration = Duration::from_secs(10);
-/// Silence after which a router is no longer named to others.
+/// Age of the last report from a peer beyond which it is no longer named to others.
 const MAX_CONTACT_AGE: Duration = Duration::from_secs(3);
-/// Routers told at a time.
+/// Maximum number of known peers that one round of reports goes to.
 const FANOUT: usize = 12;
-/// Reports by which a datagram may be late; an older number is that of a restarted router.
+/// Number of reports by which a datagram may arrive late; a still lower sequence number means that the
+/// router has restarted.
 const REORDER_WINDOW: u64 = 8;
-/// Routers named in one report: with a hundred reports in a few seconds each router of the largest fleet
-/// is named several times in that time.
+/// Maximum number of peers named in one report. A hundred reports in a few seconds name each router of
+/// the largest fleet several times.
 const NAMED_PER_REPORT: usize = 16;
-/// Routers kept: twice the largest fleet that is designed for.
+/// Maximum number of peers kept: twice the size of the largest supported fleet.
 const MAX_PEERS: usize = 1_024;
 
 #[derive(Debug, Clone, Copy)]
@@ -31,18 +32,18 @@
     fresh: bool,
 }
 
-/// What a router says of itself.
+/// The part of a peer's report that concerns membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerUpdate<'a> {
-    /// The number of its report.
+    /// Sequence number of the report.
     pub sequence: u64,
-    /// The routers that it hears.
+    /// Routers that the sender is in contact with.
     pub known: &'a [IpAddr],
-    /// Whether it has started lately.
+    /// `true` if the sender has started recently.
     pub fresh: bool,
 }
 
-/// The other routers.
+/// The other routers of the fleet.
 #[derive(Debug)]
 pub struct RouterPeers {
     own: IpAddr,
@@ -53,17 +54,17 @@
 }
 
 impl RouterPeers {
-    /// The router at `own`, which begins with `seeds`.
+    /// Creates the peer list of the router at `own`, which initially contacts `seeds`.
     pub fn new(own: IpAddr, seeds: Vec<IpAddr>) -> Self {
         Self { own, seeds, peers: BTreeMap::new(), last_target: None, last_named: None }
     }
 
-    /// Replaces the addresses to begin with.
+    /// Replaces the seed addresses.
     pub fn set_seeds(&mut self, seeds: Vec<IpAddr>) {
         self.seeds = seeds;
     }
 
-    /// Notes a report of `peer`; `false` where it is older than one that was heard before.
+    /// Records a report from `peer`. Returns `false` if it is older than one received before.
     pub fn record_update(&mut self, peer: IpAddr, update: PeerUpdate<'_>, now: Instant) -> bool {
         let PeerUpdate { sequence, known, fresh } = update;
         if peer == self.own {
@@ -86,7 +87,7 @@
         true
     }
 
-    /// Some of the routers that are heard, in turn, to be named to others.
+    /// Returns the peers to name in the next report, in rotation among those in contact.
     pub fn next_named(&mut self, now: Instant) -> Vec<IpAddr> {
         let alive = self.alive(now);
         let start = self.last_named.map_or(0, |last| alive.partition_point(|peer| *peer <= last));
@@ -96,28 +97,29 @@
         named
     }
 
-    /// How many rounds of reports it takes until each router has been told once.
+    /// Returns the number of rounds after which each peer has received a report.
     pub fn rounds(&self) -> usize {
         self.peers.len().div_ceil(FANOUT).max(1)
     }
 
-    /// Routers that are there, heard by this one or named by others lately.
+    /// Returns all peers from which a report arrived or that others named recently.
     pub fn known(&self) -> Vec<IpAddr> {
         self.peers.keys().copied().collect()
     }
 
-    /// Routers that are heard.
+    /// Returns the peers from which a report arrived recently.
     pub fn alive(&self, now: Instant) -> Vec<IpAddr> {
         let alive = self.peers.iter().filter(|(_, state)| state.is_alive(now));
         alive.map(|(address, _)| *address).collect()
     }
 
-    /// Whether all routers that are heard have started lately, or none is heard.
+    /// Returns whether all peers in contact have started recently; `true` if there are none.
     pub fn all_are_fresh(&self, now: Instant) -> bool {
         self.peers.values().filter(|state| state.is_alive(now)).all(|state| state.fresh)
     }
 
-    /// Whom to tell next: a few routers in turn, and the seeds that are not among the known ones.
+    /// Returns the targets of the next report: a few peers in rotation, and all seeds that are not yet
+    /// known as peers. Removes expired peers first.
     pub fn next_targets(&mut self, now: Instant) -> Vec<IpAddr> {
         self.peers.retain(|_, state| now - state.last_activity() < PEER_TTL);
         let seeds = self.seeds.iter().filter(|seed| **seed != self.own);
--- a/crates/papayamux-coordination/src/source_polling.rs
+++ b/crates/papayamux-coordination/src/source_polling.rs
@@ -1,54 +1,56 @@
-//! When to ask the source of the configuration again.
+//! Schedules the reads of the configuration source.
 
 use std::time::Duration;
 
 use crate::fleet_knowledge::SourceRole;
 
-/// Part of the bounds on changes that passes between two reads: the other part is for a slow
-/// source's answer.
+/// Interval between two reads, as a fraction of the shortest bound on changes. The remainder is left
+/// for a slow answer of the source.
 const CHANGE_BOUND_FRACTION: f64 = 0.5;
-/// Part of the keys' longest age that passes between two reads: two reads may be lost.
+/// Interval between two reads, as a fraction of the maximum key age. Two reads may be lost before keys
+/// go stale.
 const KEY_AGE_FRACTION: f64 = 1.0 / 3.0;
-/// The longest pause between two reads, where no bound asks for less.
+/// Maximum interval between two reads, used if no bound requires less.
 const MAX_INTERVAL: Duration = Duration::from_millis(1_500);
-/// The shortest pause between two reads: below this the source's own time would be exceeded.
+/// Minimum interval between two reads. A shorter one would be exceeded by the source's response time.
 const MIN_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause between two reads while lapsed servers may come back.
+/// Maximum interval between two reads while expired servers may come back.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
-/// Pause after the first failure.
+/// Back-off after the first failure; it grows linearly with further ones.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest pause after failures: a source that is back is noticed within this time.
+/// Maximum back-off after failures. A recovered source is noticed within this time.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Part of the pause of a router that reads by itself that lies at least between two reads which others
-/// ask for. Each router reads a new configuration once it hears of it; where several come in quick
-/// succession, that is not once for each.
+/// Minimum spacing of reads made on request, in solo read intervals. Each router reads a new
+/// configuration once it is notified of it; with several in quick succession, it doesn't read once for
+/// each.
 const REQUESTED_READ_SPACING: f64 = 0.5;
-/// The same in pauses while reads fail. Routers that the source turns away hear of newer configurations
-/// several times in a second, and each would be a call in vain.
+/// Minimum spacing of reads made on request while reads fail, in solo read intervals. Routers that the
+/// source refuses are notified of newer configurations several times a second, and each notification
+/// would cause a failing call.
 const FAILED_READ_SPACING: f64 = 2.0;
-/// Waits below this are none: timers fire later than that.
+/// Minimum wait before a read; shorter ones are skipped, since timers fire later than that.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// Part of a pause that is drawn at random, so that routers don't ask in step.
+/// Maximum fraction by which a pause is randomly shortened, so that routers don't read in lockstep.
 const JITTER: f64 = 0.2;
-/// How long one read may take. A source under heavy load answers in hundreds of milliseconds; a
-/// connection that is silent for longer is given up.
+/// Timeout of one read. A source under heavy load answers in hundreds of milliseconds; a connection
+/// that is silent for longer is closed.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How soon what the source says has to have an effect.
+/// Times within which changes at the source must take effect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadBounds {
-    /// A new configuration.
+    /// Bound for a new configuration.
     pub apply_within: Option<Duration>,
-    /// A server that is draining.
+    /// Bound for a server that starts draining.
     pub drain_within: Option<Duration>,
-    /// The evacuation of a failure domain.
+    /// Bound for the evacuation of a failure domain.
     pub evacuate_within: Option<Duration>,
-    /// The longest age of the configuration at which keys are accepted.
+    /// Maximum age of the configuration at which keys are accepted.
     pub key_age: Option<Duration>,
 }
 
 impl ReadBounds {
-    /// The pause between two reads that keeps all bounds.
+    /// Returns the interval between two reads that meets all bounds.
     pub fn interval(self) -> Duration {
         let changes =
             [self.apply_within, self.drain_within, self.evacuate_within].into_iter().flatten();
@@ -59,23 +61,24 @@
     }
 }
 
-/// What a router knows when it decides whether to read now.
+/// State of a router that determines the time of its next read.
 #[derive(Debug, Clone, Copy)]
 pub struct PollView {
-    /// What it does to know the source.
+    /// Role of the router towards the source.
     pub role: SourceRole,
-    /// Whether it looks often for a source that is away.
+    /// `true` if the router polls an unavailable source frequently.
     pub seeks_source: bool,
-    /// Whether lapsed servers may still come back.
+    /// `true` if expired servers may still come back.
     pub awaits_renewals: bool,
-    /// Time since its last read ended.
+    /// Time since the last read completed.
     pub since_read: Duration,
-    /// How old its configuration and its list of servers are, by its own read or by that of a router it follows.
-    /// Who only vouches for the version of the configuration says nothing of servers.
+    /// Age of the configuration and the list of servers, by the router's own read or by that of a router
+    /// it follows. A freshness confirmation doesn't count, since it covers the configuration version but
+    /// not the servers.
     pub age: Option<Duration>,
 }
 
-/// The pace of reads.
+/// Schedule of a router's reads, with the back-off after failures.
 #[derive(Debug)]
 pub struct PollSchedule {
     interval: Duration,
@@ -83,29 +86,29 @@
 }
 
 impl PollSchedule {
-    /// Reads at the interval that `bounds` ask for.
+    /// Creates a schedule whose interval meets `bounds`.
     pub fn new(bounds: ReadBounds) -> Self {
         Self { interval: bounds.interval(), failures: 0 }
     }
 
-    /// Notes that a read came back; `true` where the source was away before.
+    /// Records a successful read. Returns `true` if the one before had failed.
     pub fn record_success(&mut self) -> bool {
         std::mem::take(&mut self.failures) > 0
     }
 
-    /// Notes that a read failed; `true` where it is the first in a row.
+    /// Records a failed read. Returns `true` if it is the first one in a row.
     pub fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.failures == 1
     }
 
-    /// How long to wait before the next read, as things are now; `None` where it is due. `draw` is from 0
-    /// up to 1, the same for all questions between two reads.
+    /// Returns the time until the next read, or `None` if it is due. `sample` is a random number from 0 up
+    /// to 1 that stays the same between two reads.
     ///
-    /// A follower reads by itself once what it was told is as old as its own last read would be: never
-    /// later than if it followed nobody. Where that read failed it tries again as soon as a router by
-    /// itself would: after twice the pause, behind a cut that has just healed, it would use servers that left
-    /// long ago.
+    /// A follower reads once the updates it received are as old as its own last read would be, hence no
+    /// later than if it followed nobody. After a failed read it retries as soon as a solo router would:
+    /// with a delay of two intervals, it would still use servers that departed long ago when a partition
+    /// has just healed.
     pub fn wait(&self, view: PollView, sample: f64) -> Option<Duration> {
         let jittered = |pause: Duration| pause.mul_f64(1.0 - JITTER * sample);
         let remaining = match view.role {
@@ -127,14 +130,14 @@
         (remaining >= MIN_WAIT).then_some(remaining)
     }
 
-    /// Time since the last read from which on another one is made because somebody asks for it.
+    /// Returns the minimum time since the last read for a read made on request.
     pub fn requested_read_spacing(&self) -> Duration {
         let intervals =
             if self.failures == 0 { REQUESTED_READ_SPACING } else { FAILED_READ_SPACING };
         self.interval.mul_f64(intervals)
     }
 
-    /// The pause until the next read; `draw` is from 0 up to 1.
+    /// Returns the pause before the next read. `sample` is a random number from 0 up to 1.
     pub fn pause(&self, awaits_renewals: bool, sample: f64) -> Duration {
         let pause = match self.failures {
             0 if awaits_renewals => self.interval.min(RENEWAL_INTERVAL),
