--- a/crates/papayamux-coordination/src/claims/fleet_window.rs
+++ b/crates/papayamux-coordination/src/claims/fleet_window.rs
@@ -7,7 +7,7 @@
 use papayamux_state::ids::ServerId;
 
 /// Limit on the fleets that one claim names. With more fleets in one window, no key is claimed.
-const MAX_PREVIOUS: usize = 8;
+const MAX_CLAIM_FLEETS: usize = 8;
 
 #[derive(Debug, Clone)]
 struct PreviousView {
@@ -46,7 +46,7 @@
     /// count than a claim may name.
     pub fn digests(&self, now: Instant) -> Option<Vec<FleetDigest>> {
         let views = self.views(now);
-        (views.len() <= MAX_PREVIOUS).then(|| views.iter().map(|view| view.digest()).collect())
+        (views.len() <= MAX_CLAIM_FLEETS).then(|| views.iter().map(|view| view.digest()).collect())
     }
 
     /// Returns the witnesses of `key` in each fleet that counts at `now`, the fleet in force first.
--- a/crates/papayamux-coordination/tests/fleet_knowledge/confirmations.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/confirmations.rs
@@ -52,7 +52,7 @@
 struct ConfirmationReport {
     to: usize,
     incarnation: u64,
-    asked: u64,
+    query_time: u64,
     offset: i64,
     version: u64,
 }
@@ -62,7 +62,7 @@
     now: u64,
     routers: Vec<RouterState>,
     reports: Vec<ConfirmationReport>,
-    questions: Vec<(usize, usize, u64, u64)>,
+    queries: Vec<(usize, usize, u64, u64)>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -70,9 +70,9 @@
     Wait,
     Send(usize),
     Receive(usize),
-    Ask(usize, usize),
+    Query(usize, usize),
     ReceiveQuery(usize),
-    State(usize, usize),
+    SendReport(usize, usize),
     /// Delivers a statement and keeps a copy of it under way; the end of a run loses what is left.
     Deliver(usize),
     Restart(usize),
@@ -93,7 +93,7 @@
             reading: None,
         };
         let routers = CLOCKS.into_iter().map(router).collect();
-        Self { now: 0, routers, reports: Vec::new(), questions: Vec::new() }
+        Self { now: 0, routers, reports: Vec::new(), queries: Vec::new() }
     }
 
     fn newest(&self) -> u64 {
@@ -118,14 +118,14 @@
                 Some(_) => actions.push(Action::Receive(router)),
             }
             // Of several questions of a router only the last that is heard counts.
-            if self.questions.iter().all(|(asker, ..)| *asker != router) {
-                actions.push(Action::Ask(router, (router + 1) % ROUTERS));
+            if self.queries.iter().all(|(querier, ..)| *querier != router) {
+                actions.push(Action::Query(router, (router + 1) % ROUTERS));
             }
             for query in 0..self.routers[router].received.len() {
-                actions.push(Action::State(router, query));
+                actions.push(Action::SendReport(router, query));
             }
         }
-        actions.extend((0..self.questions.len()).map(Action::ReceiveQuery));
+        actions.extend((0..self.queries.len()).map(Action::ReceiveQuery));
         actions.extend((0..self.reports.len()).map(Action::Deliver));
         actions.push(Action::Restart(0));
         actions
@@ -148,37 +148,43 @@
                     state.confirmed = state.confirmed.max(Some(timestamp));
                 }
             }
-            Action::Ask(asker, asked) => {
-                let query = (asker, asked, self.routers[asker].incarnation, self.clock(asker));
-                self.questions.push(query);
+            Action::Query(querier, queried) => {
+                let query =
+                    (querier, queried, self.routers[querier].incarnation, self.clock(querier));
+                self.queries.push(query);
             }
             Action::ReceiveQuery(index) => {
-                let (asker, asked, incarnation, at) = self.questions.remove(index);
-                let received = self.clock(asked);
-                self.routers[asked].received = vec![(asker, incarnation, at, received)];
+                let (querier, queried, incarnation, at) = self.queries.remove(index);
+                let received = self.clock(queried);
+                self.routers[queried].received = vec![(querier, incarnation, at, received)];
             }
-            Action::State(router, index) => self.state(router, index),
+            Action::SendReport(router, index) => self.send_report(router, index),
             Action::Deliver(index) => self.deliver(index, fault),
             Action::Restart(router) => self.restart(router),
         }
     }
 
-    fn state(&mut self, router: usize, index: usize) {
+    fn send_report(&mut self, router: usize, index: usize) {
         let state = &self.routers[router];
         let Some(confirmed) = state.confirmed else { return };
-        let (asker, incarnation, asked, received) = state.received[index];
-        let query = FreshnessQuery { incarnation, sent_at: instant(asked) };
+        let (querier, incarnation, query_time, received) = state.received[index];
+        let query = FreshnessQuery { incarnation, sent_at: instant(query_time) };
         let received = ReceivedQuery { query, received: instant(received) };
         let offset = received.offset_to(instant(confirmed)).0;
-        let report =
-            ConfirmationReport { to: asker, incarnation, asked, offset, version: state.version };
+        let report = ConfirmationReport {
+            to: querier,
+            incarnation,
+            query_time,
+            offset,
+            version: state.version,
+        };
         if !self.reports.contains(&report) {
             self.reports.push(report);
         }
     }
 
     fn deliver(&mut self, index: usize, fault: InjectedFault) {
-        let ConfirmationReport { to, incarnation, asked, offset, version } =
+        let ConfirmationReport { to, incarnation, query_time, offset, version } =
             self.reports[index].clone();
         let now = instant(self.clock(to));
         let state = &self.routers[to];
@@ -187,8 +193,9 @@
         if !accepted {
             return;
         }
-        let asked = if fault == InjectedFault::TimestampedByArrival { now } else { instant(asked) };
-        let query = FreshnessQuery { incarnation, sent_at: asked };
+        let query_time =
+            if fault == InjectedFault::TimestampedByArrival { now } else { instant(query_time) };
+        let query = FreshnessQuery { incarnation, sent_at: query_time };
         let known = ReportedOffset(offset).on_querier_clock(query, now);
         let known = known.map(|known| known.0.as_millis() as u64);
         self.routers[to].confirmed = self.routers[to].confirmed.max(known);
@@ -271,10 +278,10 @@
         let received = BootInstant(Duration::from_micros(received * 1_000 + 1));
         let later = BootInstant(Duration::from_micros(known * 1_000 + 999));
         let offset = ReceivedQuery { query, received }.offset_to(later);
-        let told = offset.on_querier_clock(query, instant(1_000_000)).unwrap();
+        let converted = offset.on_querier_clock(query, instant(1_000_000)).unwrap();
         let exact =
             query.sent_at.0.as_secs_f64() + later.0.as_secs_f64() - received.0.as_secs_f64();
-        assert!(told.0.as_secs_f64() <= exact && exact - told.0.as_secs_f64() < 0.003);
+        assert!(converted.0.as_secs_f64() <= exact && exact - converted.0.as_secs_f64() < 0.003);
     }
     assert_eq!(ReportedOffset(i64::MIN).on_querier_clock(query, instant(6_000)), None);
     assert_eq!(
--- a/crates/papayamux-coordination/tests/fleet_knowledge/fleet.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/fleet.rs
@@ -32,7 +32,7 @@
     /// When what it knows was read, and until when it stands still.
     known: Option<u64>,
     read_ended: u64,
-    asked: Option<(IpAddr, u64)>,
+    last_query: Option<(IpAddr, u64)>,
     paused_until: u64,
     jitter_sample: f64,
 }
@@ -64,7 +64,7 @@
             followers: FollowerTable::default(),
             known: None,
             read_ended: 0,
-            asked: None,
+            last_query: None,
             paused_until: 0,
             jitter_sample: (index as f64 * 0.618).fract(),
         };
@@ -174,24 +174,22 @@
         router.selector.choose(view, now);
         let SourceRole::Follower(followed) = router.selector.role() else { return };
         let is_due = router
-            .asked
-            .is_none_or(|(asked, at)| asked != followed || self.now - at >= QUERY_INTERVAL);
+            .last_query
+            .is_none_or(|(queried, at)| queried != followed || self.now - at >= QUERY_INTERVAL);
         if !is_due || router.known.is_none() {
             return;
         }
-        router.asked = Some((followed, self.now));
-        let (asker, asked) = (router.address, BootInstant(Duration::from_millis(self.now)));
-        let query = ReceivedQuery {
-            query: FreshnessQuery { incarnation: 1, sent_at: asked },
-            received: asked,
-        };
-        let place = self.indexes[&followed];
-        if self.routers[place].paused_until > self.now {
+        router.last_query = Some((followed, self.now));
+        let (querier, sent_at) = (router.address, BootInstant(Duration::from_millis(self.now)));
+        let query =
+            ReceivedQuery { query: FreshnessQuery { incarnation: 1, sent_at }, received: sent_at };
+        let followed_index = self.indexes[&followed];
+        if self.routers[followed_index].paused_until > self.now {
             return;
         }
-        self.routers[place].followers.record(asker, query, SourcePosition(0), now);
-        if let Some(known) = self.routers[place].known {
-            self.updates.push((index, place, known));
+        self.routers[followed_index].followers.record(querier, query, SourcePosition(0), now);
+        if let Some(known) = self.routers[followed_index].known {
+            self.updates.push((index, followed_index, known));
         }
     }
 
@@ -323,12 +321,12 @@
         let at_first = time_until_most_know(&mut fleet);
         assert!(at_first <= 3_000, "{routers}, a third turned away just now: {at_first} ms");
         fleet.run(3_000);
-        let turned_away = time_until_most_know(&mut fleet);
-        assert!(turned_away <= 1_000, "{routers}, a third turned away: {turned_away} ms");
+        let refused = time_until_most_know(&mut fleet);
+        assert!(refused <= 1_000, "{routers}, a third turned away: {refused} ms");
         // Another third has just started and reads everything by itself.
         for index in (0..routers as usize).filter(|index| index % 3 == 1) {
             let router = &mut fleet.routers[index];
-            (router.known, router.read_ended, router.asked) = (None, 0, None);
+            (router.known, router.read_ended, router.last_query) = (None, 0, None);
         }
         let started = time_until_most_know(&mut fleet);
         assert!(started <= 1_000, "{routers}, a third just started: {started} ms");
--- a/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
@@ -210,13 +210,13 @@
         readers.iter_mut().for_each(|reader| reader.record(0));
         follower.record(0);
         leaf.record(0);
-        for (kind, place) in steps {
-            let (which, name) = (usize::from(place % 2), format!("i-{}", place % 5));
+        for (kind, choice) in steps {
+            let (which, name) = (usize::from(choice % 2), format!("i-{}", choice % 5));
             match kind % 7 {
                 0 => source.push((0, serving(&name), false)),
                 1 => source.push((0, server(&name, 1, ServerPhase::Draining), false)),
                 2 => {
-                    source.push((0, server(&name, u64::from(*place), ServerPhase::Serving), false))
+                    source.push((0, server(&name, u64::from(*choice), ServerPhase::Serving), false))
                 }
                 3 => source.push((0, serving(&name), true)),
                 4 => {
@@ -230,13 +230,13 @@
                     readers[which].record(source.len() as u64);
                 }
                 5 => {
-                    let told = readers[which].journal.since(follower.position());
-                    told.into_iter().for_each(|span| follower.adopt(span));
+                    let update = readers[which].journal.since(follower.position());
+                    update.into_iter().for_each(|span| follower.adopt(span));
                 }
                 _ => {
                     let sender = if which == 0 { &readers[0] } else { &follower };
-                    let told = sender.journal.since(leaf.position());
-                    told.into_iter().for_each(|span| leaf.adopt(span));
+                    let update = sender.journal.since(leaf.position());
+                    update.into_iter().for_each(|span| leaf.adopt(span));
                 }
             }
         }
--- a/crates/papayamux-coordination/tests/freshness_confirmation.rs
+++ b/crates/papayamux-coordination/tests/freshness_confirmation.rs
@@ -81,19 +81,19 @@
 
 #[test]
 fn peers_are_queried_before_keys_go_stale() {
-    let longest = Some(max_key_age(BOUND));
-    assert!(!should_query(Some(Duration::from_millis(800)), longest));
-    assert!(should_query(Some(Duration::from_millis(2_000)), longest));
-    assert!(!should_query(None, longest), "without a configuration there is nothing to vouch for");
+    let max_age = Some(max_key_age(BOUND));
+    assert!(!should_query(Some(Duration::from_millis(800)), max_age));
+    assert!(should_query(Some(Duration::from_millis(2_000)), max_age));
+    assert!(!should_query(None, max_age), "without a configuration there is nothing to vouch for");
     assert!(!should_query(Some(Duration::from_secs(60)), None), "keys never go stale here");
 }
 
 #[test]
 fn queries_are_answered_until_they_expire() {
     let now = Instant::now();
-    let mut questions = FreshnessQueries::default();
-    questions.record(1, query(10), now);
-    questions.record(1, query(20), now);
-    assert_eq!(questions.open(now), [(1, query(20))]);
-    assert!(questions.open(now + Duration::from_secs(2)).is_empty());
+    let mut queries = FreshnessQueries::default();
+    queries.record(1, query(10), now);
+    queries.record(1, query(20), now);
+    assert_eq!(queries.open(now), [(1, query(20))]);
+    assert!(queries.open(now + Duration::from_secs(2)).is_empty());
 }
--- a/crates/papayamux-coordination/tests/load_slots.rs
+++ b/crates/papayamux-coordination/tests/load_slots.rs
@@ -26,13 +26,13 @@
             let fleet = fleet(size % 40 + 1);
             let rate = LoadRate::try_from(u64::from(rate % 30 + 1)).unwrap();
             let mut loads = Vec::new();
-            for (place, server) in fleet.iter().enumerate() {
+            for (engine_index, server) in fleet.iter().enumerate() {
                 let slots = LoadSlots::new(server, &fleet, rate);
                 let mut now = Duration::from_secs(1_700_000_000);
                 for round in 0..4 {
                     now += slots.until_next(now);
                     assert!(slots.open_slot(now).is_some());
-                    let delay = lateness.get(place * 4 + round).copied().unwrap_or_default();
+                    let delay = lateness.get(engine_index * 4 + round).copied().unwrap_or_default();
                     let delay = MAX_SLOT_LATENESS * u32::from(delay) / 255;
                     let same = slots.open_slot(now + delay) == slots.open_slot(now);
                     assert!(same || delay >= slots.frame());
--- a/crates/papayamux-coordination/tests/router_peers.rs
+++ b/crates/papayamux-coordination/tests/router_peers.rs
@@ -30,8 +30,12 @@
             assert!(!targets.contains(&address(index)), "nobody tells itself");
             let targets: BTreeSet<_> = targets.into_iter().collect();
             for target in targets {
-                let place = (0..routers).find(|other| address(*other) == target).unwrap();
-                all[place as usize].record_update(address(index), update(round, &known), now);
+                let target_index = (0..routers).find(|other| address(*other) == target).unwrap();
+                all[target_index as usize].record_update(
+                    address(index),
+                    update(round, &known),
+                    now,
+                );
             }
         }
     }
--- a/crates/papayamux-coordination/tests/stops.rs
+++ b/crates/papayamux-coordination/tests/stops.rs
@@ -68,32 +68,32 @@
 
     fn act(&mut self, action: &FleetAction) {
         let (weights, now, size) = (self.weights.clone(), self.now, self.agents.len());
-        let place = |server: &u8| usize::from(*server) % size;
+        let index_of = |server: &u8| usize::from(*server) % size;
         match action {
             FleetAction::BeginStop { server } => {
-                self.agents[place(server)].tracker.begin_stop(&weights);
+                self.agents[index_of(server)].tracker.begin_stop(&weights);
             }
-            FleetAction::Query { server, other } => self.query(place(server), place(other)),
+            FleetAction::Query { server, other } => self.query(index_of(server), index_of(other)),
             FleetAction::Stop { server } => {
-                let agent = &mut self.agents[place(server)];
+                let agent = &mut self.agents[index_of(server)];
                 let needed = required_servers(size - 1);
                 if agent.tracker.stop(&weights, &agent.evidence, needed, || now) {
                     agent.ordered.get_or_insert(now);
                 }
             }
             FleetAction::DeliverOrder { server } => {
-                let agent = &mut self.agents[place(server)];
+                let agent = &mut self.agents[index_of(server)];
                 agent.loaded &= agent.ordered.take().is_none();
             }
             FleetAction::CancelStop { server } => {
-                let agent = &mut self.agents[place(server)];
+                let agent = &mut self.agents[index_of(server)];
                 if agent.ordered.is_none() {
                     agent.evidence.clear();
                     agent.tracker.resume_serving(&weights);
                 }
             }
             FleetAction::RestartAgent { server } => {
-                let agent = &mut self.agents[place(server)];
+                let agent = &mut self.agents[index_of(server)];
                 agent.tracker = StopTracker::new(EVIDENCE_TTL, now);
                 agent.evidence.clear();
             }
