--- a/crates/papayamux-coordination/src/claims/fleet_window.rs
+++ b/crates/papayamux-coordination/src/claims/fleet_window.rs
@@ -6,7 +6,8 @@
 use papayamux_state::claims::{ClaimKey, FleetDigest, FleetView};
 use papayamux_state::ids::ServerId;
 
-/// Limit on the fleets that one claim names. With more fleets in one window, no key is claimed.
+/// Maximum number of fleets that one claim names, the current one included. With more fleets in one
+/// window, no key is claimed.
 const MAX_CLAIM_FLEETS: usize = 8;
 
 #[derive(Debug, Clone)]
--- a/crates/papayamux-coordination/src/freshness_confirmation.rs
+++ b/crates/papayamux-coordination/src/freshness_confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirmation by peers that a router's configuration is still the newest.
 //!
 //! A router that can't reach the source doesn't learn of revoked keys. A peer that can may confirm that
-//! the router's configuration is still the newest. The confirmation is dated on the querying router's
+//! the router's configuration is still the newest. The confirmation is timestamped on the querying router's
 //! clock, to the time at which it sent the query, less the age that the answer reports. Network delays
 //! and pauses of either router therefore only make the configuration appear older than it is.
 
--- a/crates/papayamux-coordination/tests/claim_model/mod.rs
+++ b/crates/papayamux-coordination/tests/claim_model/mod.rs
@@ -1,5 +1,5 @@
-//! A model of routers, witnesses and executing agents around the real table and the real rule:
-//! messages wait until a schedule delivers or loses them, in any order and at any time.
+//! A model of routers, witnesses and executing agents around the real claim table and claim rounds.
+//! Messages stay pending until a schedule delivers or loses them, in any order and at any time.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -13,15 +13,16 @@
 use papayamux_state::ids::{Incarnation, RequestId, ServerId};
 use papayamux_state::refusal::RefusalReason;
 
-/// Retention, start deadline and the longest time between two processes that put the same
-/// declared fleet in force.
+/// Retention of claims.
 pub const RETENTION: Duration = Duration::from_millis(1_000);
+/// Maximum time from the start of an attempt to its run.
 pub const START_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum time between two processes' putting the same declared fleet in force.
 pub const MAX_LAG: Duration = Duration::from_millis(200);
 
 const MAX_CLAIMS: usize = 1_000;
 
-/// A message on its way, or an agent that has taken a call and has yet to act.
+/// A message in flight, or a call that an agent has accepted but not executed yet.
 #[derive(Debug, Clone)]
 pub enum Pending {
     Claim { attempt: usize, witness: usize, ask: ClaimAsk },
@@ -48,7 +49,7 @@
     decided: bool,
 }
 
-/// Routers, witnesses and messages at one time.
+/// State of routers, witnesses and messages at one time.
 #[derive(Debug, Clone)]
 pub struct Simulation {
     origin: Instant,
@@ -82,8 +83,8 @@
 }
 
 impl Simulation {
-    /// `routers` routers before witnesses that have lived for a retention; `fleets[0]` is in
-    /// force, `fleets[1]`, where given, may follow it.
+    /// Creates `routers` routers, and witnesses that have been running for one retention. `fleets[0]` is in
+    /// force; `fleets[1]`, if given, may replace it.
     pub fn new(routers: usize, fleets: &[&[usize]]) -> Self {
         let fleets: Vec<_> = fleets.iter().map(|servers| fleet(servers)).collect();
         let now = RETENTION;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A router begins an attempt at the key.
+    /// Starts an attempt of a router to claim the key.
     pub fn begin(&mut self, router: usize) {
         let at = self.origin + self.now;
         let number = self.attempts.len() as u64;
@@ -127,7 +128,7 @@
         });
     }
 
-    /// A witness is replaced by one without memory, which knows the fleet in force.
+    /// Restarts a witness, which loses its claims and knows only the fleet in force.
     pub fn restart(&mut self, witness: usize) {
         let view = match self.changed {
             Some(_) => 1,
@@ -138,21 +139,21 @@
         self.witnesses[witness] = Witness { table, started_at: self.now, view };
     }
 
-    /// A router is replaced by one that knows the fleet in force and no earlier one.
+    /// Restarts a router, which then knows the fleet in force and no earlier one.
     pub fn restart_router(&mut self, router: usize) {
         self.router_views[router] = usize::from(self.changed.is_some());
         let view = self.fleets[self.router_views[router]].clone();
         self.routers[router] = FleetWindow::new(view, RETENTION);
     }
 
-    /// The second fleet is declared.
+    /// Declares the second fleet.
     pub fn change_fleet(&mut self) {
         if self.fleets.len() > 1 && self.changed.is_none() {
             self.changed = Some(self.now);
         }
     }
 
-    /// A router puts the second fleet in force, where it is declared.
+    /// Has a router put the second fleet in force, if declared.
     pub fn learn_router(&mut self, router: usize) {
         if self.changed.is_some() && self.router_views[router] == 0 {
             self.router_views[router] = 1;
@@ -161,7 +162,7 @@
         }
     }
 
-    /// A witness puts the second fleet in force, where it is declared.
+    /// Has a witness put the second fleet in force, if declared.
     pub fn learn_witness(&mut self, witness: usize) {
         let witness = &mut self.witnesses[witness];
         if self.changed.is_some() && witness.view == 0 {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Time goes on. Nobody lags behind a declaration by more than [`MOST_LAG`].
+    /// Advances the time. No process lags behind a declaration by more than [`MAX_LAG`].
     pub fn advance(&mut self, by: Duration) {
         let target = self.now + by;
         let lag_deadline = self.changed.map(|changed| changed + MAX_LAG);
@@ -184,12 +185,12 @@
         self.now = target;
     }
 
-    /// Loses a message.
+    /// Drops a message.
     pub fn lose(&mut self, message: usize) {
         self.pending.remove(message);
     }
 
-    /// Delivers a message. `refuses`: an agent that is asked to run refuses instead.
+    /// Delivers a message. With `refuses`, an agent refuses a call instead of executing it.
     pub fn deliver(&mut self, message: usize, refuses: bool) {
         match self.pending.remove(message) {
             Pending::Claim { attempt, witness, ask } => {
@@ -218,8 +219,8 @@
         }
     }
 
-    /// Delivers a message; a claim together with its answer, and all releases of an attempt
-    /// together, so that a search of all orders stays within reach.
+    /// Delivers a message: a claim together with its reply, and all releases of an attempt together, so
+    /// that an exhaustive search stays feasible.
     pub fn deliver_at_once(&mut self, message: usize) {
         match self.pending[message] {
             Pending::Claim { .. } => {
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Whether delivering this message is another step than delivering the one before it.
+    /// Returns whether delivering this message is a different step from delivering the previous one.
     pub fn is_distinct_step(&self, message: usize) -> bool {
         let released = |pending: &Pending| match pending {
             Pending::Release { attempt, .. } => Some(*attempt),
@@ -267,14 +268,14 @@
         }
     }
 
-    /// The shortest time between two runs.
+    /// Returns the shortest time between two runs.
     pub fn closest_runs(&self) -> Option<Duration> {
         let mut runs = self.runs.clone();
         runs.sort_unstable();
         runs.windows(2).map(|pair| pair[1] - pair[0]).min()
     }
 
-    /// Attempts that have a message on its way.
+    /// Returns the number of attempts with a message in flight.
     pub fn busy_attempts(&self) -> usize {
         let attempt_of = |pending: &Pending| match pending {
             Pending::Claim { attempt, .. }
--- a/crates/papayamux-coordination/tests/claims_run_once.rs
+++ b/crates/papayamux-coordination/tests/claims_run_once.rs
@@ -1,5 +1,5 @@
-//! A key runs at most once within the window that the design note promises, whatever is lost,
-//! late, restarted, paused or changed.
+//! A key runs at most once within the guaranteed window, under lost and delayed messages, restarts,
+//! pauses and changes of the declared fleet.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,10 +11,10 @@
 use claim_model::{Simulation, MAX_LAG, RETENTION, START_TIMEOUT};
 
 const RANDOM_SCHEDULES: usize = 10_000;
-/// Bytes of a schedule, each of which is one step.
+/// Length of a schedule in bytes, each of which is one step.
 const SCHEDULE_LENGTH: usize = 256;
 
-/// What one byte of a random schedule does.
+/// Executes one byte of a random schedule.
 fn step(simulation: &mut Simulation, byte: u8, routers: usize) {
     let (action, argument) = (byte % 16, usize::from(byte / 16));
     match action {
@@ -63,7 +63,7 @@
     let [schedules_tried, with_a_run, with_another_run] =
         [schedules_tried, with_a_run, with_another_run].map(AtomicU64::into_inner);
     println!("{schedules_tried} random schedules, {with_a_run} with a run, {with_another_run} with another after the window");
-    assert!(with_a_run > 0, "the schedules must reach a run");
+    assert!(with_a_run > 0, "no schedule reached a run");
 }
 #[test]
 fn no_second_run_after_losses_restarts_and_pauses() {
@@ -80,15 +80,15 @@
     random_schedules(3, &[&[0, 1], &[2, 3, 4]], RETENTION - START_TIMEOUT - MAX_LAG);
 }
 
-/// What an exhaustive search may still do besides delivering.
+/// Faults that an exhaustive search may still inject.
 #[derive(Debug, Clone, Copy)]
 struct FaultBudget {
     losses: u8,
     disturbances: u8,
 }
 
-/// Tries every order of deliveries, and every place for the losses, restarts and pauses of the
-/// budget; gives how many schedules that were.
+/// Tries every order of deliveries, with the losses, restarts and pauses of the budget at every point;
+/// returns the number of schedules tried.
 fn search(simulation: &Simulation, budget: FaultBudget) -> u64 {
     if simulation.pending.is_empty() {
         assert_run_once(simulation, RETENTION - START_TIMEOUT);
--- a/crates/papayamux-coordination/tests/compare.rs
+++ b/crates/papayamux-coordination/tests/compare.rs
@@ -1,4 +1,4 @@
-//! An engine reaches its target from any state, one load at a time.
+//! An engine reaches its target from any state, with one load at a time.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use papayamux_protocol::engine::{EngineOrder, EngineState, EngineWeights, FailedLoad};
 use papayamux_state::weights::{WeightsKind, WeightsRef};
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Number of inputs per property. Trying them takes at least a second in a debug build.
 const GENERATED_INPUTS: usize = 3_000;
 
 #[derive(Debug, Clone, TypeGenerator)]
@@ -96,7 +96,10 @@
             self.obey(&draft.number(fence.into()));
             let after = EngineSnapshot::from(&self.state);
             assert!(draft.is_in_effect(&after));
-            assert!(after.loads() <= loads + usize::from(may_load), "a load without its slot");
+            assert!(
+                after.loads() <= loads + usize::from(may_load),
+                "a load was started without a slot"
+            );
             let kept = view.loaded.keys().filter(|_| !may_unload);
             assert!(kept.into_iter().all(|weights| after.loaded.contains_key(weights)));
         }
--- a/crates/papayamux-coordination/tests/domain_evacuations.rs
+++ b/crates/papayamux-coordination/tests/domain_evacuations.rs
@@ -1,4 +1,4 @@
-//! What a router makes of orders to evacuate, one by one and all at once.
+//! Evacuation orders, applied one by one and all at once.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use papayamux_coordination::domain_evacuations::{DomainEvacuations, EvacuationChange};
--- a/crates/papayamux-coordination/tests/fence.rs
+++ b/crates/papayamux-coordination/tests/fence.rs
@@ -1,4 +1,4 @@
-//! Fencing numbers only rise, and a successor is told from a predecessor.
+//! Fencing numbers strictly increase and distinguish a successor from a predecessor.
 
 use bolero::check;
 use papayamux_coordination::orders::{
@@ -6,7 +6,7 @@
 };
 use papayamux_state::ids::Incarnation;
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Number of inputs per property. Trying them takes at least a second in a debug build.
 const GENERATED_INPUTS: usize = 150_000;
 
 fn started_at(seconds: u64) -> FenceTracker {
--- a/crates/papayamux-coordination/tests/fleet_knowledge/confirmations.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/confirmations.rs
@@ -1,9 +1,9 @@
-//! No router takes its configuration for newer than it is, whatever happens to messages and processes.
+//! No router takes its configuration for newer than it is, under any message delays and restarts.
 //!
-//! Three routers, each with a clock that runs from another beginning, are taken through every order of
-//! reads, questions and statements up to a depth, with statements that are late, lost or doubled, pauses
-//! and restarts. The source changes in the middle. After each step, whatever a router takes for confirmed
-//! must have been the newest at the moment that it names. Planted faults show that the check finds them.
+//! Three routers with different clock offsets execute every order of reads, queries and reports up to a
+//! depth, with delayed, lost and duplicated reports, pauses and restarts, while the source changes. After
+//! each step, a router's confirmed configuration must have been the newest at the confirmed time.
+//! Injected faults show that the check detects violations.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use papayamux_state::boot_time::BootInstant;
 
 const ROUTERS: usize = 3;
-/// Steps of one run. Each takes a second of the true time, so that no rounding hides a mistake.
+/// Number of steps of one run. A step of time is a second, so that rounding hides no fault.
 const DEPTH: usize = 7;
 const STEP: u64 = 1_000;
-/// The true time at which the source changes from version 1 to 2.
+/// True time at which the source changes from version 1 to 2.
 const CHANGED_AT: u64 = STEP / 2;
-/// Beginnings of the routers' clocks against the true time.
+/// Offsets of the routers' clocks to the true time.
 const CLOCKS: [u64; ROUTERS] = [50_000, 1_000_000, 20_000];
 
-/// A rule of the confirmation that a run leaves out.
+/// A rule of the confirmation that a run violates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum InjectedFault {
     Nothing,
-    /// A statement is dated from its arrival.
+    /// A report is timestamped by its arrival.
     TimestampedByArrival,
-    /// A statement of another version counts.
+    /// A report of another version is accepted.
     AnyVersion,
-    /// A statement to an earlier life counts.
+    /// A report to an earlier incarnation is accepted.
     AnyIncarnation,
-    /// A read is dated from its answer.
+    /// A read is timestamped by the arrival of its answer.
     ReadByArrival,
 }
 
@@ -41,13 +41,13 @@
     clock: u64,
     version: u64,
     confirmed: Option<u64>,
-    /// Questions of others that it has heard: the asker, its life, when it asked and when this was heard.
+    /// Received queries: the querying router, its incarnation, and the times of sending and of receipt.
     received: Vec<(usize, u64, u64, u64)>,
-    /// When the read under way was sent and what the source had then.
+    /// Time at which the pending read was sent, and the source's version at that time.
     reading: Option<(u64, u64)>,
 }
 
-/// A statement under way.
+/// A report in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct ConfirmationReport {
     to: usize,
@@ -73,7 +73,8 @@
     Query(usize, usize),
     ReceiveQuery(usize),
     SendReport(usize, usize),
-    /// Delivers a statement and keeps a copy of it under way; the end of a run loses what is left.
+    /// Delivers a report and keeps a copy in flight, which models duplicates. Reports still in flight at the
+    /// end of a run are lost.
     Deliver(usize),
     Restart(usize),
 }
@@ -112,12 +113,12 @@
         let mut actions = vec![Action::Wait];
         for router in 0..ROUTERS {
             match self.routers[router].reading {
-                // What the third knows it has from the others.
+                // The third router never reads and depends on reports.
                 None if router < 2 => actions.push(Action::Send(router)),
                 None => {}
                 Some(_) => actions.push(Action::Receive(router)),
             }
-            // Of several questions of a router only the last that is heard counts.
+            // One query in flight per router suffices, since only the last one received counts.
             if self.queries.iter().all(|(querier, ..)| *querier != router) {
                 actions.push(Action::Query(router, (router + 1) % ROUTERS));
             }
@@ -201,8 +202,8 @@
         self.routers[to].confirmed = self.routers[to].confirmed.max(known);
     }
 
-    /// Starts a router again, with a clock that begins anew and may so show an earlier time. That takes a
-    /// step, at whose beginning it has read the source.
+    /// Restarts a router, whose clock is reset and may show an earlier time. This takes one step; the source
+    /// is read at its start.
     fn restart(&mut self, router: usize) {
         let version = self.newest();
         self.now += STEP;
@@ -215,7 +216,7 @@
         state.reading = None;
     }
 
-    /// Whether each router's configuration was the newest at the moment that it names.
+    /// Returns whether each router's configuration was the newest at its confirmed time.
     fn is_sound(&self) -> bool {
         (0..ROUTERS).all(|router| {
             let state = &self.routers[router];
@@ -226,7 +227,7 @@
     }
 }
 
-/// Goes through all runs; whether each was sound throughout.
+/// Executes all runs; returns whether each stayed sound.
 fn all_runs_are_sound(fault: InjectedFault) -> bool {
     let mut simulations = HashSet::from([Simulation::new()]);
     for _ in 0..DEPTH {
--- a/crates/papayamux-coordination/tests/fleet_knowledge/evacuations.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/evacuations.rs
@@ -1,8 +1,8 @@
-//! Evacuations of one failure domain, as two readers and a follower of theirs know them.
+//! Evacuations of one failure domain, as known to two readers and their follower.
 //!
-//! Every order of a few writes, reads, statements, losses and restarts is gone through, with reads and
-//! statements that arrive late. After each step, what a router believes must be what the source held at the
-//! position up to which the router knows it.
+//! The test executes every order of a few writes, reads, reports, losses and restarts, with reads and
+//! reports that arrive late. After each step, a router's known evacuations must be those that the source
+//! held at the router's position.
 
 use std::collections::HashSet;
 
@@ -14,24 +14,24 @@
 use papayamux_state::source::SourcePosition;
 
 const DOMAIN: &str = "hall";
-/// Writes of the operator: a start, an end, and a new start in quick succession.
+/// Writes of the operator: the start, the end and a new start of an evacuation in quick succession.
 const WRITES: [bool; 3] = [true, false, true];
-/// The routers that read; the third one is told.
+/// Number of routers that read the source. The third one only receives reports.
 const READERS: usize = 2;
 const ROUTERS: usize = 3;
 const DEPTH: usize = 7;
-/// Messages under way at once: more only repeat what fewer show.
+/// Maximum number of messages in flight. More would only repeat what fewer show.
 const MAX_MESSAGES: usize = 2;
 
-/// A rule that a run leaves out.
+/// A rule that a run violates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum InjectedFault {
     Nothing,
-    /// A statement counts whatever position it is of.
+    /// A report is applied regardless of its position.
     AnyPosition,
-    /// A statement tells only of orders, not of their ends.
+    /// A report contains orders but not their ends.
     NoEnds,
-    /// A read counts also where others have told of more meanwhile.
+    /// A read is applied even if reports have moved the view further in the meantime.
     LateReads,
 }
 
@@ -64,7 +64,7 @@
     Restart(usize),
 }
 
-/// Whether the source holds the order at a position.
+/// Returns whether the source holds the order at a position.
 fn held_at(position: u64) -> bool {
     position.checked_sub(1).is_some_and(|last| WRITES[last as usize])
 }
@@ -76,7 +76,7 @@
 }
 
 impl Router {
-    /// The product's own types in the state of this router.
+    /// Returns the real types in the state of this router.
     fn state(&self) -> (SourceView, DomainEvacuations) {
         let (mut view, mut evacuations) = (SourceView::default(), DomainEvacuations::default());
         view.record_full_read(SourcePosition(self.position));
@@ -137,7 +137,7 @@
             },
             Action::Lose(index) => drop(self.messages.remove(index)),
             Action::Restart(index) => {
-                // It reads everything, and what was under way to its earlier life counts for nothing.
+                // The router makes a full read, and messages to its earlier incarnation are dropped.
                 let position = self.position();
                 self.routers[index] = Router { position, evacuated: held_at(position) };
                 self.messages.retain(|message| match message {
@@ -184,7 +184,7 @@
     }
 }
 
-/// Goes through all runs; whether each was sound throughout.
+/// Executes all runs; returns whether each stayed sound.
 fn all_runs_are_sound(fault: InjectedFault) -> bool {
     let mut simulations = HashSet::from([Simulation::new()]);
     for _ in 0..DEPTH {
--- a/crates/papayamux-coordination/tests/fleet_knowledge/fleet.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/fleet.rs
@@ -1,6 +1,7 @@
-//! Whole fleets in simulated time: what they ask of the source, and how soon all know of a change.
+//! Fleets in simulated time: their load on the source, and the delay until all routers know a change.
 //!
-//! The decisions are the product's own; datagrams take a millisecond, and readers an answer's time.
+//! The decisions are made by the real types. Datagrams arrive in the next time step, and the source answers
+//! within one.
 
 use std::collections::{HashMap, HashSet};
 use std::net::IpAddr;
@@ -16,12 +17,13 @@
 
 use super::reader_order::address;
 
-/// One step of simulated time.
+/// Step of simulated time, in milliseconds.
 const TICK: u64 = 10;
-/// Pause between two choices and two questions of a router.
+/// Interval between two role selections of a router, in milliseconds.
 const CHOICE_INTERVAL: u64 = 150;
+/// Interval between two queries to the followed router, in milliseconds.
 const QUERY_INTERVAL: u64 = 1_000;
-/// The pause at which a router would read by itself, by the bounds below.
+/// Read interval of a solo router under the bounds below, in milliseconds.
 const SOLO_INTERVAL: u64 = 1_000;
 
 struct Router {
@@ -29,7 +31,7 @@
     selector: RoleSelector,
     schedule: PollSchedule,
     followers: FollowerTable,
-    /// When what it knows was read, and until when it stands still.
+    /// Time at which the known state was read from the source.
     known: Option<u64>,
     read_ended: u64,
     last_query: Option<(IpAddr, u64)>,
@@ -46,7 +48,7 @@
     cut_off: HashSet<usize>,
     source_is_away: bool,
     calls: u64,
-    /// Messages for the next step: to whom, from whom, and what was known since when.
+    /// Updates for the next step: the receiver, the sender, and the time of the read.
     updates: Vec<(usize, usize, u64)>,
 }
 
@@ -85,7 +87,7 @@
         self.begun + Duration::from_millis(self.now)
     }
 
-    /// Runs for `millis`; the source answers in the same step.
+    /// Advances the time by `millis`. The source answers within a step.
     fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Ages of what routers know that run and reach the source, the oldest last.
+    /// Returns the ages of the known state at routers that run and reach the source, in ascending order.
     fn ages(&self) -> Vec<u64> {
         let sound = (0..self.routers.len())
             .filter(|index| !self.cut_off.contains(index))
@@ -211,7 +213,7 @@
     }
 }
 
-/// The oldest knowledge in the fleet, looked at each 50 ms while it runs for `millis`.
+/// Advances the time by `millis`; returns the maximum age of known state, sampled every 50 ms.
 fn max_age(fleet: &mut Fleet, millis: u64) -> u64 {
     (0..millis / 50)
         .map(|_| {
@@ -230,7 +232,7 @@
         let before = fleet.calls;
         let max_age = max_age(&mut fleet, 10_000);
         let a_second = (fleet.calls - before) as f64 / 10.0;
-        // Three readers at 300 ms, less their draws, and no more.
+        // At most three readers at intervals of 300 ms, shortened by jitter.
         assert!(a_second <= 13.0, "{routers}: {a_second} calls a second");
         assert!(max_age <= 400, "{routers}: {max_age} ms old");
     }
@@ -241,8 +243,11 @@
     for routers in [68, 300, 1_000] {
         let mut fleet = Fleet::start(routers);
         fleet.run(TICK);
-        assert_eq!(fleet.calls, u64::from(routers), "each reads once");
-        assert!(fleet.ages().iter().all(|age| *age <= TICK), "and knows all at once");
+        assert_eq!(fleet.calls, u64::from(routers), "each router must read once");
+        assert!(
+            fleet.ages().iter().all(|age| *age <= TICK),
+            "all routers must know the state at once"
+        );
         fleet.run(1_000);
         let more = fleet.calls - u64::from(routers);
         assert!(more <= 40, "{routers}: {more} further calls in the first second");
@@ -261,7 +266,7 @@
         let before = fleet.calls;
         let max_age = max_age(&mut fleet, 6_000);
         assert!(max_age <= SOLO_INTERVAL + 50, "{routers}: {max_age} ms old");
-        // It can't read, but others tell it of their reads.
+        // The partitioned router can't read, but receives updates from others.
         let behind_the_cut = fleet.now - fleet.routers[cut].known.unwrap();
         assert!(
             behind_the_cut <= 2 * SOLO_INTERVAL,
@@ -285,7 +290,7 @@
         let before = fleet.calls;
         fleet.run(8_000);
         let a_second = (fleet.calls - before) as f64 / 8.0;
-        // No more than each would make by itself: one each half second, less a drawn fifth.
+        // At most the calls of independent routers: one every half second, shortened by a jitter of a fifth.
         assert!(
             a_second <= f64::from(routers) * 2.5 + 15.0,
             "{routers}: {a_second} calls a second"
@@ -297,14 +302,17 @@
     }
 }
 
-/// The time until 99 of 100 routers know of what is written at this moment.
+/// Returns the time until 99 of 100 routers know a change that is written now.
 fn time_until_most_know(fleet: &mut Fleet) -> u64 {
     let written = fleet.now;
     let known = |router: &&Router| router.known.is_some_and(|known| known > written);
     let most = fleet.routers.len() - fleet.routers.len() / 100;
     while fleet.routers.iter().filter(known).count() < most {
         fleet.run(TICK);
-        assert!(fleet.now - written < 10_000, "not known after ten seconds");
+        assert!(
+            fleet.now - written < 10_000,
+            "the change isn't known to most routers after ten seconds"
+        );
     }
     fleet.now - written
 }
@@ -316,14 +324,14 @@
         fleet.run(5_000);
         let healthy = time_until_most_know(&mut fleet);
         assert!(healthy <= 500, "{routers}: {healthy} ms");
-        // The source turns a third of the routers away, the first readers among them.
+        // The source refuses a third of the routers, the first readers among them.
         fleet.cut_off = (0..routers as usize).filter(|index| index % 3 == 0).collect();
         let at_first = time_until_most_know(&mut fleet);
-        assert!(at_first <= 3_000, "{routers}, a third turned away just now: {at_first} ms");
+        assert!(at_first <= 3_000, "{routers}, a third refused just now: {at_first} ms");
         fleet.run(3_000);
         let refused = time_until_most_know(&mut fleet);
-        assert!(refused <= 1_000, "{routers}, a third turned away: {refused} ms");
-        // Another third has just started and reads everything by itself.
+        assert!(refused <= 1_000, "{routers}, a third refused: {refused} ms");
+        // Another third has just started and makes a full read.
         for index in (0..routers as usize).filter(|index| index % 3 == 1) {
             let router = &mut fleet.routers[index];
             (router.known, router.read_ended, router.last_query) = (None, 0, None);
--- a/crates/papayamux-coordination/tests/fleet_knowledge/main.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/main.rs
@@ -1,4 +1,5 @@
-//! A few routers read the source, the others follow them: who knows what, how soon, and how surely.
+//! Distribution of the source's state in the fleet: roles of routers, delay of updates, and consistency of
+//! the views.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 mod confirmations;
--- a/crates/papayamux-coordination/tests/fleet_knowledge/reader_order.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/reader_order.rs
@@ -1,4 +1,4 @@
-//! Who reads and who follows whom, in fleets of every size.
+//! Readers and followers in fleets of different sizes.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -16,12 +16,12 @@
     (0..routers).map(address).collect()
 }
 
-/// How many routers lie between `router` and the source.
+/// Returns the number of routers between `router` and the source.
 fn hops(order: &ReaderOrder, router: IpAddr) -> u32 {
     let (mut hops, mut at) = (0, router);
     while let Some(followed) = order.followed_by(at) {
         hops += 1;
-        assert!(hops < 10, "{router} follows in a circle");
+        assert!(hops < 10, "{router} follows in a cycle");
         at = followed;
     }
     hops
@@ -62,7 +62,7 @@
         assert!(calls(routers) <= routers as f64 + 1e-6, "{routers}: {}", calls(routers));
         assert!(calls(routers) <= 10.0 + 1e-6);
     }
-    // A quarter of a call a second for each router at most.
+    // At most 0.25 calls per second and router.
     assert!(calls(68) <= 0.25 * 68.0);
     assert!((calls(1_000) - calls(68)).abs() < 1e-6);
 }
@@ -77,5 +77,5 @@
         all.iter().copied().filter(|router| order.followed_by(*router).is_none()).collect()
     };
     let kept = readers(&remaining).iter().filter(|router| readers(&order).contains(router)).count();
-    assert!(kept >= 2, "the other readers read on");
+    assert!(kept >= 2, "the other readers must stay readers");
 }
--- a/crates/papayamux-coordination/tests/fleet_knowledge/role_selector.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/role_selector.rs
@@ -1,4 +1,4 @@
-//! A router's own choice between reading and following.
+//! A router's selection between reading and following.
 
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
@@ -34,14 +34,16 @@
     }
 }
 
-/// A follower of a large fleet that has chosen whom to follow, the others, and whom it follows.
+/// Returns the selector of a follower in a large fleet, the other routers, and the followed router.
 fn following(begun: Instant) -> (RoleSelector, Vec<IpAddr>, IpAddr) {
     let fleet = FleetRoles::of(68);
     let own = fleet.follower();
     let others = fleet.others(own);
     let mut selector = RoleSelector::new(own, SOLO_INTERVAL);
     selector.choose(view(&others), begun);
-    let SourceRole::Follower(followed) = selector.role() else { panic!("follows") };
+    let SourceRole::Follower(followed) = selector.role() else {
+        panic!("the router must follow another one")
+    };
     (selector, others, followed)
 }
 
@@ -64,7 +66,7 @@
     let (others, now) = (fleet.others(own), Instant::now());
     let mut selector = RoleSelector::new(own, SOLO_INTERVAL);
     assert!(!selector.choose(view(&[]), now));
-    // Its next read is planned by the longer pause, for which its followers would not wait.
+    // Its next read was scheduled at the solo interval, which is too long for its followers.
     assert!(selector.choose(view(&others), now));
     assert!(!selector.choose(view(&others), now));
 }
@@ -75,13 +77,15 @@
     let (mut selector, others, first) = following(begun);
     assert!(!selector.choose(view(&others), begun + Duration::from_millis(650)));
     assert!(selector.choose(view(&others), begun + Duration::from_millis(750)));
-    let SourceRole::Follower(second) = selector.role() else { panic!("follows") };
+    let SourceRole::Follower(second) = selector.role() else {
+        panic!("the router must follow another one")
+    };
     assert_ne!(first, second);
     selector.record_newer(first, begun + Duration::from_millis(760));
     assert_eq!(
         selector.role(),
         SourceRole::Follower(second),
-        "the one that was left is passed over"
+        "the abandoned router must be skipped"
     );
 }
 
@@ -104,7 +108,7 @@
     let mut selector = RoleSelector::new(own, SOLO_INTERVAL);
     selector.choose(RoleView { has_uncertain_read: true, ..view(&others) }, Instant::now());
     assert!(matches!(selector.role(), SourceRole::Follower(_)));
-    assert!(selector.seeks_source(), "it looks for the source on");
+    assert!(selector.seeks_source(), "the router must keep polling the unavailable source");
     selector.choose(view(&others), Instant::now());
     assert!(matches!(selector.role(), SourceRole::Reader(_)));
 }
@@ -115,7 +119,7 @@
     let own = fleet.follower();
     let (others, mut now) = (fleet.others(own), Instant::now());
     let mut selector = RoleSelector::new(own, SOLO_INTERVAL);
-    // Nobody answers, until few are left to be asked.
+    // No followed router sends an update, until most are skipped.
     for _ in 0..1_000 {
         now += Duration::from_millis(150);
         selector.choose(view(&others), now);
@@ -160,7 +164,7 @@
     schedule.record_failure();
     let follower = follower_view(60_000, 300);
     assert_eq!(schedule.wait(follower, 0.0), Some(Duration::from_millis(200)));
-    // A failure of long ago delays nothing.
+    // A failure long ago causes no delay.
     assert_eq!(schedule.wait(follower_view(400, 60_000), 0.0), Some(Duration::from_millis(600)));
     assert_eq!(schedule.wait(PollView { seeks_source: true, ..follower }, 0.0), None);
 }
--- a/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
@@ -1,4 +1,4 @@
-//! What readers believe of servers reaches those who follow them whole, in order, and whoever they follow.
+//! Changes of servers reach followers completely and in order, whichever router they follow.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -9,8 +9,9 @@
 use papayamux_state::ids::{ServerId, ServerName, ServerStart};
 use papayamux_state::source::SourcePosition;
 
-/// Inputs tried, and the bytes of each: some two hundred steps.
+/// Number of inputs.
 const GENERATED_INPUTS: usize = 4_000;
+/// Size of an input in bytes, enough for about 200 steps.
 const STEPS_BYTES: usize = 512;
 
 pub fn server(name: &str, start: u64, phase: ServerPhase) -> BackendServer {
@@ -37,7 +38,7 @@
     SourcePosition(position)
 }
 
-/// A router's list of servers, with its journal.
+/// A router's servers, with its change log.
 #[derive(Default)]
 struct RouterModel {
     presence: ServerPresence,
@@ -46,7 +47,7 @@
 
 impl RouterModel {
     fn put(&mut self, server: BackendServer) {
-        // A start that replaces another one is believed at once here.
+        // A start that replaces another one is adopted at once here.
         match self.presence.id_of(&server.name).is_some_and(|known| known != server.id) {
             true => drop(self.presence.adopt(server)),
             false => drop(self.presence.note_entry(server, Instant::now())),
@@ -97,8 +98,8 @@
     assert!(reader.journal.since(at(15)).unwrap().changes.is_empty());
 }
 
-/// A follower may have given the server up meanwhile, and its own read of the entry may be overtaken by what it is
-/// told.
+/// The follower may have removed the server in the meantime, and an update may overtake its own read of the
+/// returned entry.
 #[test]
 fn server_whose_expired_entry_returned_is_reported_again() {
     let mut reader = RouterModel::default();
@@ -120,7 +121,7 @@
     assert_eq!(follower.journal.digest(), reader.journal.digest());
 }
 
-/// The reader heard of the lapse and of the return in one read, or of the return alone.
+/// The reader saw the expiry and the return in one read, or the return alone.
 #[test]
 fn server_expired_only_at_a_follower_is_reported_again() {
     let back = Instant::now();
@@ -137,7 +138,7 @@
     reader.put(serving("i-1"));
     reader.record(14);
     follower.adopt(reader.journal.since(follower.position()).unwrap());
-    assert!(!follower.presence.awaits_renewals(), "it is known to be back");
+    assert!(!follower.presence.awaits_renewals(), "the server is known to have returned");
 }
 
 #[test]
@@ -147,9 +148,9 @@
     reader.record(10);
     assert!(
         reader.journal.since(at(9)).is_none(),
-        "somebody may have left before it began to read"
+        "a server may have departed before the first read"
     );
-    assert!(reader.journal.since(at(11)).is_none(), "the follower knows more");
+    assert!(reader.journal.since(at(11)).is_none(), "the follower is ahead of the reader");
     assert!(ServerChangeLog::default().since(at(0)).is_none());
 }
 
@@ -179,7 +180,7 @@
     reader.record(20);
     assert!(
         reader.journal.since(at(19)).is_none(),
-        "what came and went before a whole read is unknown"
+        "servers that came and went before a full read are unknown"
     );
 }
 
@@ -188,7 +189,7 @@
     let mut reader = RouterModel::default();
     reader.put(serving("i-1"));
     reader.record(1);
-    // Another reader saw the server draining at 4, and told a follower.
+    // Another reader saw the server draining at position 4, and notified a follower.
     reader.put(server("i-1", 1, ServerPhase::Draining));
     reader.put(serving("i-1"));
     reader.record(9);
@@ -196,9 +197,9 @@
     assert_eq!(reader.journal.since(at(4)).unwrap().changes, [present]);
 }
 
-/// The source changes at random; two readers read it at moments of their own. A follower is told by
-/// either in turn, misses most of it, and still ends with what the readers believe; so does one that
-/// follows it or a reader in turn.
+/// The source changes at random, and two readers read it at different times. A follower receives updates
+/// from either of them, misses most, and must still end with the servers known to the readers. The same
+/// holds for a router that follows the follower and a reader alternately.
 #[test]
 fn followers_of_alternating_readers_converge() {
     let steps = bolero::check!().with_iterations(GENERATED_INPUTS).with_max_len(STEPS_BYTES);
@@ -263,8 +264,8 @@
 fn adopted_entries_are_applied_without_reassessment() {
     let mut presence = ServerPresence::default();
     presence.adopt(server("i-1", 5, ServerPhase::Serving));
-    // An entry of an earlier start would have to be renewed for a while; the router that tells of it
-    // has seen that.
+    // An entry of an earlier start would first have to be renewed for a while; the reporting router has
+    // already verified that.
     let changes = presence.adopt(server("i-1", 3, ServerPhase::Serving));
     let changes: Vec<_> = changes.into_iter().map(|(_, change)| change).collect();
     assert_eq!(changes, [PresenceChange::Restarted, PresenceChange::Arrived]);
--- a/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
@@ -1,10 +1,10 @@
-//! Three routers before a source that changes, in any order of reads, questions and statements that cross:
-//! what they believe is at all times what the source held.
+//! Three routers keep a consistent view of a changing source, in any order of reads and reports that
+//! overtake one another.
 //!
-//! Each router has its list of servers, its journal and its view, the product's own. Answers and statements
-//! are made at one moment and arrive at another, or never. After each step, the servers that a router
-//! believes must be those of its position, its position must reach as far as the source did at the moment
-//! that it takes for confirmed, and its configuration must be no older than the one of that moment.
+//! Each router has the real list of servers, change log and view. Answers and reports are created at one
+//! time and arrive later, or never. After each step, a router's servers must be those of its position, its
+//! position must be no earlier than that of the source at the router's confirmed time, and its
+//! configuration no older than the source's at that time.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -21,12 +21,12 @@
 use super::server_changes::{server, serving};
 
 const ROUTERS: usize = 3;
-/// Inputs tried: each of eight faults planted by hand was found within them.
+/// Number of inputs. They suffice to detect each of eight manually injected faults.
 const GENERATED_INPUTS: usize = 4_000;
-/// Bytes of an input: some two hundred steps.
+/// Size of an input in bytes, enough for about 200 steps.
 const STEPS_BYTES: usize = 512;
 
-/// A change of the source.
+/// A change written to the source.
 #[derive(Debug, Clone)]
 enum Written {
     Server(BackendServer),
@@ -34,7 +34,7 @@
     Configuration,
 }
 
-/// A read that was answered, or a statement that was made, and is still on its way.
+/// The answer of a read, or a report, in flight.
 #[derive(Debug, Clone)]
 enum Message {
     Changes { to: usize, sent: u64, after: u64, at: u64, configuration: Option<u64> },
@@ -54,7 +54,7 @@
 #[derive(Default)]
 struct Simulation {
     now: u64,
-    /// Every change, with the moment at which it was written; the position counts them.
+    /// All changes, with the times at which they were written. A position is a number of changes.
     written: Vec<(u64, Written)>,
     routers: [Router; ROUTERS],
     messages: Vec<Message>,
@@ -82,7 +82,7 @@
         self.written.len() as u64
     }
 
-    /// The newest version of the configuration up to a position.
+    /// Returns the newest configuration version up to a position.
     fn version_at(&self, position: u64) -> u64 {
         let written = self.written[..position as usize].iter();
         written.filter(|(_, change)| matches!(change, Written::Configuration)).count() as u64
@@ -92,7 +92,7 @@
         self.written.iter().take_while(|(when, _)| *when <= moment).count() as u64
     }
 
-    /// What the source listed at a position.
+    /// Returns the servers that the source listed at a position.
     fn listed_at(&self, position: u64) -> BTreeMap<String, (String, bool)> {
         let mut listed = BTreeMap::new();
         for (_, change) in &self.written[..position as usize] {
@@ -112,8 +112,8 @@
         self.written.push((self.now, change));
     }
 
-    /// A read is sent and answered; the answer is on its way. Where another router has told of a newer
-    /// configuration, that is read first.
+    /// Sends a read, whose answer is then in flight. If another router reported a newer configuration, that
+    /// is read first.
     fn read(&mut self, to: usize) {
         let router = &mut self.routers[to];
         if std::mem::replace(&mut router.reads, true) {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// A router reads the configuration that it was told of, as it was a while ago.
+    /// Has a router read the wanted configuration from an outdated state of the source.
     fn read_recent(&mut self, index: usize, age: u64) {
         let version = self.version_at(self.position().saturating_sub(age));
         let router = &mut self.routers[index];
@@ -198,7 +198,7 @@
         }
     }
 
-    /// A router starts again and reads everything.
+    /// Restarts a router, which makes a full read.
     fn restart(&mut self, index: usize) {
         let (position, version, now) =
             (self.position(), self.version_at(self.position()), self.now);
@@ -217,7 +217,7 @@
         router.view.record_full_read(at(position));
         router.record();
         self.routers[index] = router;
-        // What was on its way to its earlier life counts for nothing.
+        // Messages to its earlier incarnation are dropped.
         self.messages.retain(|message| match message {
             Message::Changes { to, .. } | Message::Report { to, .. } => *to != index,
         });
@@ -228,7 +228,7 @@
             let position = router.view.position().unwrap().0;
             assert_eq!(router.known_servers(), self.listed_at(position), "at {position}");
             let Some(confirmed) = router.confirmed else { continue };
-            // The moment itself may lie before what was written in it.
+            // Changes written at the confirmed time itself may be missing.
             let then = self.position_when(confirmed.saturating_sub(1));
             assert!(position >= then, "the list ends at {position}, the source was at {then}");
             assert!(router.version >= self.version_at(then), "{} is too old", router.version);
@@ -239,7 +239,7 @@
 impl Router {
     fn take(&mut self, change: Written) {
         match change {
-            // A start that replaces another one is believed at once here.
+            // A start that replaces another one is adopted at once here.
             Written::Server(server)
                 if self.presence.id_of(&server.name).is_some_and(|known| known != server.id) =>
             {
@@ -327,7 +327,7 @@
         known: instant(20),
     };
     assert!(views[0].evaluate_report(report, in_force).progresses);
-    // Told on, it is dated a little earlier.
+    // A relayed report has a slightly earlier timestamp.
     let relayed = ReportedView { known: instant(19), ..report };
     assert!(views[1].evaluate_report(relayed, in_force).progresses);
     let returned = ReportedView { known: instant(18), after: Some(at(9)), ..report };
@@ -350,6 +350,6 @@
         ReportedView { position: at(8), version: ConfigVersion(4), ..newer },
         in_force,
     );
-    // Version 4 would be confirmed by the next read, whose changes begin behind version 7.
+    // Otherwise, the next read would confirm version 4, as its changes start after version 7.
     assert_eq!(view.wanted(ConfigVersion(4)), Some(ConfigVersion(7)));
 }
--- a/crates/papayamux-coordination/tests/freshness_confirmation.rs
+++ b/crates/papayamux-coordination/tests/freshness_confirmation.rs
@@ -1,4 +1,4 @@
-//! Routers that vouch for one another's configuration, and what delays and pauses do to that.
+//! Freshness confirmations between routers, under delayed answers, restarts and partitions.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -38,8 +38,8 @@
     let confirmed_at =
         |version| confirmed_until(query(10_000), OWN, report(version, 1), at(10_100));
     assert!(confirmed_at(4).is_some());
-    assert_eq!(confirmed_at(5), None, "a newer one may have taken the key away");
-    assert_eq!(confirmed_at(3), None, "an older one says nothing of a newer one");
+    assert_eq!(confirmed_at(5), None, "a newer version may have revoked the key");
+    assert_eq!(confirmed_at(3), None, "an older version says nothing about newer ones");
 }
 
 #[test]
@@ -54,7 +54,7 @@
 fn keys_stay_valid_behind_a_partition_and_expire_within_the_bound_when_all_are_cut_off() {
     let mut freshness = KeyFreshness::new(Some(BOUND));
     freshness.confirm(at(1_000));
-    // A peer reads the source each 600 ms until 20,000; it is asked each quarter of a second.
+    // A peer reads the source every 600 ms until 20,000 ms, and is queried every 250 ms.
     for sent_at in (1_500..24_000).step_by(250) {
         let read = sent_at.min(20_000) / 600 * 600;
         let report = report(4, sent_at - read);
@@ -84,7 +84,7 @@
     let max_age = Some(max_key_age(BOUND));
     assert!(!should_query(Some(Duration::from_millis(800)), max_age));
     assert!(should_query(Some(Duration::from_millis(2_000)), max_age));
-    assert!(!should_query(None, max_age), "without a configuration there is nothing to vouch for");
+    assert!(!should_query(None, max_age), "without a configuration there is nothing to confirm");
     assert!(!should_query(Some(Duration::from_secs(60)), None), "keys never go stale here");
 }
 
--- a/crates/papayamux-coordination/tests/keys_stay_fresh.rs
+++ b/crates/papayamux-coordination/tests/keys_stay_fresh.rs
@@ -21,7 +21,7 @@
 #[test]
 fn age_counts_from_when_the_read_was_sent() {
     let mut freshness = KeyFreshness::new(Some(BOUND));
-    // The read was sent at 1,000 and came back a second later.
+    // The read was sent at 1,000 ms and returned a second later.
     freshness.confirm(at(1_000));
     let bound = 1_000 + (BOUND - REVOCATION_RESERVE).as_millis() as u64;
     assert!(freshness.is_fresh(at(bound - 1)));
@@ -32,7 +32,7 @@
 fn suspended_instance_has_stale_keys() {
     let mut freshness = KeyFreshness::new(Some(BOUND));
     freshness.confirm(at(1_000));
-    // The instance was suspended for a minute; the boot clock went on.
+    // The instance was suspended for a minute, during which the boot clock kept running.
     assert!(!freshness.is_fresh(at(61_000)));
     freshness.confirm(at(61_005));
     assert!(freshness.is_fresh(at(61_010)));
--- a/crates/papayamux-coordination/tests/load_slots.rs
+++ b/crates/papayamux-coordination/tests/load_slots.rs
@@ -1,4 +1,4 @@
-//! Loads of a whole fleet stay within the weight store's rate.
+//! The loads of a fleet stay within the weight store's rate.
 
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
@@ -10,7 +10,7 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::{WeightsKind, WeightsRef};
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Number of inputs per property. Trying them takes at least a second in a debug build.
 const GENERATED_INPUTS: usize = 5_000;
 
 const SECOND: Duration = Duration::from_secs(1);
--- a/crates/papayamux-coordination/tests/router_peers.rs
+++ b/crates/papayamux-coordination/tests/router_peers.rs
@@ -1,4 +1,4 @@
-//! Routers find one another and keep their traffic bounded.
+//! Routers discover one another from a few seeds, with bounded traffic.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
     PeerUpdate { sequence, known, fresh: false }
 }
 
-/// Lets routers report in rounds; returns who knows whom at the end.
+/// Simulates rounds of reports; returns the number of peers in contact with each router at the end.
 fn run(routers: u32, seeds: u32, rounds: u64) -> BTreeMap<u32, usize> {
     let begun = Instant::now();
     let seeds: Vec<_> = (0..seeds).map(address).collect();
@@ -27,7 +27,7 @@
             let targets = all[index as usize].next_targets(now);
             let known = all[index as usize].next_named(now);
             assert!(targets.len() <= 12 + seeds.len());
-            assert!(!targets.contains(&address(index)), "nobody tells itself");
+            assert!(!targets.contains(&address(index)), "a router must not report to itself");
             let targets: BTreeSet<_> = targets.into_iter().collect();
             for target in targets {
                 let target_index = (0..routers).find(|other| address(*other) == target).unwrap();
@@ -67,12 +67,12 @@
 fn one_long_running_peer_distinguishes_a_restart_from_a_fleet_wide_start() {
     let now = Instant::now();
     let mut peers = RouterPeers::new(address(0), Vec::new());
-    assert!(peers.all_are_fresh(now), "nobody is heard");
+    assert!(peers.all_are_fresh(now), "no peer is in contact");
     peers.record_update(address(1), PeerUpdate { fresh: true, ..update(1, &[]) }, now);
     assert!(peers.all_are_fresh(now));
     peers.record_update(address(2), update(900, &[]), now);
     assert!(!peers.all_are_fresh(now));
     let later = now + Duration::from_secs(4);
     peers.record_update(address(1), PeerUpdate { fresh: true, ..update(17, &[]) }, later);
-    assert!(peers.all_are_fresh(later), "the other one is gone");
+    assert!(peers.all_are_fresh(later), "the other peer has fallen silent");
 }
--- a/crates/papayamux-coordination/tests/source_polling.rs
+++ b/crates/papayamux-coordination/tests/source_polling.rs
@@ -1,4 +1,4 @@
-//! Reads come often enough for every bound, and no more often.
+//! The source is read often enough for every bound, and no more often.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 #[test]
 fn unavailable_source_is_retried_at_least_every_half_second() {
     let mut schedule = PollSchedule::new(ReadBounds::default());
-    assert!(schedule.record_failure(), "the first failure is news");
+    assert!(schedule.record_failure(), "the first failure in a row is reported");
     assert!(!schedule.record_failure());
     for _ in 0..100 {
         schedule.record_failure();
@@ -45,5 +45,5 @@
     assert!(schedule.record_success());
     assert!(!schedule.record_success());
     assert!(schedule.pause(false, 0.0) > schedule.pause(false, 0.9));
-    assert!(schedule.pause(true, 0.0) < Duration::from_millis(400), "renewals are seen soon");
+    assert!(schedule.pause(true, 0.0) < Duration::from_millis(400), "renewals are noticed early");
 }
--- a/crates/papayamux-coordination/tests/stops.rs
+++ b/crates/papayamux-coordination/tests/stops.rs
@@ -1,5 +1,5 @@
-//! The last server of a model is never taken out, in a small model of a fleet: agents act in any
-//! order and on old answers, restart and forget, and their last orders reach the engines late.
+//! The last server of a model never stops serving it, in a small model of a fleet. Agents act in any order
+//! and on outdated answers, lose their state in restarts, and their last orders reach the engines late.
 
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
@@ -12,7 +12,7 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::{WeightsKind, WeightsRef};
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Number of inputs per property. Trying them takes at least a second in a debug build.
 const GENERATED_INPUTS: usize = 50_000;
 
 const EVIDENCE_TTL: Duration = Duration::from_secs(5);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Orders on their way arrive within the time for which a new agent keeps quiet.
+    /// Advances the time. Orders in flight arrive within the startup delay of a restarted agent.
     fn wait(&mut self, time: Duration) {
         self.now += time;
         for agent in &mut self.agents {
