--- a/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
@@ -42,7 +42,7 @@
 #[derive(Default)]
 struct RouterModel {
     presence: ServerPresence,
-    journal: ServerChangeLog,
+    change_log: ServerChangeLog,
 }
 
 impl RouterModel {
@@ -59,11 +59,11 @@
         if let Some(id) = self.presence.id_of(&name) {
             self.presence.note_overwritten(&id);
         }
-        self.journal.record_departure(name);
+        self.change_log.record_departure(name);
     }
 
     fn record(&mut self, position: u64) {
-        self.journal.record(self.presence.catalog(), at(position), |_| false);
+        self.change_log.record(self.presence.catalog(), at(position), |_| false);
     }
 
     fn adopt(&mut self, span: ServerChangeSpan) {
@@ -77,7 +77,7 @@
     }
 
     fn position(&self) -> SourcePosition {
-        self.journal.position().unwrap()
+        self.change_log.position().unwrap()
     }
 }
 
@@ -92,10 +92,10 @@
     reader.remove("i-1");
     reader.put(serving("i-3"));
     reader.record(15);
-    let span = reader.journal.since(at(10)).unwrap();
-    let gone = ServerChange::Departed { name: "i-1".parse().unwrap(), terminating: false };
-    assert_eq!(span.changes, [gone, ServerChange::Present(Rc::new(serving("i-3")))]);
-    assert!(reader.journal.since(at(15)).unwrap().changes.is_empty());
+    let span = reader.change_log.since(at(10)).unwrap();
+    let departed = ServerChange::Departed { name: "i-1".parse().unwrap(), terminating: false };
+    assert_eq!(span.changes, [departed, ServerChange::Present(Rc::new(serving("i-3")))]);
+    assert!(reader.change_log.since(at(15)).unwrap().changes.is_empty());
 }
 
 /// The follower may have removed the server in the meantime, and an update may overtake its own read of the
@@ -116,9 +116,9 @@
     follower.record(13);
     reader.put(serving("i-1"));
     reader.record(14);
-    follower.adopt(reader.journal.since(follower.position()).unwrap());
+    follower.adopt(reader.change_log.since(follower.position()).unwrap());
     assert!(follower.presence.id_of(&"i-1".parse().unwrap()).is_some());
-    assert_eq!(follower.journal.digest(), reader.journal.digest());
+    assert_eq!(follower.change_log.digest(), reader.change_log.digest());
 }
 
 /// The reader saw the expiry and the return in one read, or the return alone.
@@ -137,7 +137,7 @@
     follower.record(12);
     reader.put(serving("i-1"));
     reader.record(14);
-    follower.adopt(reader.journal.since(follower.position()).unwrap());
+    follower.adopt(reader.change_log.since(follower.position()).unwrap());
     assert!(!follower.presence.awaits_renewals(), "the server is known to have returned");
 }
 
@@ -147,10 +147,10 @@
     reader.put(serving("i-1"));
     reader.record(10);
     assert!(
-        reader.journal.since(at(9)).is_none(),
+        reader.change_log.since(at(9)).is_none(),
         "a server may have departed before the first read"
     );
-    assert!(reader.journal.since(at(11)).is_none(), "the follower is ahead of the reader");
+    assert!(reader.change_log.since(at(11)).is_none(), "the follower is ahead of the reader");
     assert!(ServerChangeLog::default().since(at(0)).is_none());
 }
 
@@ -164,7 +164,7 @@
     reader.put(server("i-1", 2, ServerPhase::Serving));
     reader.record(3);
     let present = ServerChange::Present(Rc::new(server("i-1", 2, ServerPhase::Serving)));
-    assert_eq!(reader.journal.since(at(1)).unwrap().changes, [present]);
+    assert_eq!(reader.change_log.since(at(1)).unwrap().changes, [present]);
 }
 
 #[test]
@@ -174,12 +174,12 @@
     reader.put(serving("i-1"));
     reader.remove("i-1");
     reader.record(9);
-    let gone = ServerChange::Departed { name: "i-1".parse().unwrap(), terminating: false };
-    assert_eq!(reader.journal.since(at(5)).unwrap().changes, [gone]);
-    reader.journal.record_gap(at(20));
+    let departed = ServerChange::Departed { name: "i-1".parse().unwrap(), terminating: false };
+    assert_eq!(reader.change_log.since(at(5)).unwrap().changes, [departed]);
+    reader.change_log.record_gap(at(20));
     reader.record(20);
     assert!(
-        reader.journal.since(at(19)).is_none(),
+        reader.change_log.since(at(19)).is_none(),
         "servers that came and went before a full read are unknown"
     );
 }
@@ -194,7 +194,7 @@
     reader.put(serving("i-1"));
     reader.record(9);
     let present = ServerChange::Present(Rc::new(serving("i-1")));
-    assert_eq!(reader.journal.since(at(4)).unwrap().changes, [present]);
+    assert_eq!(reader.change_log.since(at(4)).unwrap().changes, [present]);
 }
 
 /// The source changes at random, and two readers read it at different times. A follower receives updates
@@ -221,8 +221,8 @@
                 }
                 3 => source.push((0, serving(&name), true)),
                 4 => {
-                    for (_, server, gone) in &source[read_up_to[which]..] {
-                        match gone {
+                    for (_, server, departed) in &source[read_up_to[which]..] {
+                        match departed {
                             true => readers[which].remove(&server.name.to_string()),
                             false => readers[which].put(server.clone()),
                         }
@@ -231,32 +231,32 @@
                     readers[which].record(source.len() as u64);
                 }
                 5 => {
-                    let update = readers[which].journal.since(follower.position());
+                    let update = readers[which].change_log.since(follower.position());
                     update.into_iter().for_each(|span| follower.adopt(span));
                 }
                 _ => {
                     let sender = if which == 0 { &readers[0] } else { &follower };
-                    let update = sender.journal.since(leaf.position());
+                    let update = sender.change_log.since(leaf.position());
                     update.into_iter().for_each(|span| leaf.adopt(span));
                 }
             }
         }
         for reader in &mut readers {
-            for (_, server, gone) in &source {
-                match gone {
+            for (_, server, departed) in &source {
+                match departed {
                     true => reader.remove(&server.name.to_string()),
                     false => reader.put(server.clone()),
                 }
             }
             reader.record(source.len() as u64);
         }
-        let span = readers[0].journal.since(follower.position()).unwrap();
+        let span = readers[0].change_log.since(follower.position()).unwrap();
         follower.adopt(span);
-        let span = follower.journal.since(leaf.position()).unwrap();
+        let span = follower.change_log.since(leaf.position()).unwrap();
         leaf.adopt(span);
-        assert_eq!(follower.journal.digest(), readers[0].journal.digest());
-        assert_eq!(leaf.journal.digest(), readers[0].journal.digest());
-        assert_eq!(follower.journal.digest(), readers[1].journal.digest());
+        assert_eq!(follower.change_log.digest(), readers[0].change_log.digest());
+        assert_eq!(leaf.change_log.digest(), readers[0].change_log.digest());
+        assert_eq!(follower.change_log.digest(), readers[1].change_log.digest());
     });
 }
 
--- a/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct Router {
     presence: ServerPresence,
-    journal: ServerChangeLog,
+    change_log: ServerChangeLog,
     view: SourceView,
     version: u64,
     confirmed: Option<u64>,
@@ -72,7 +72,7 @@
     fn new() -> Self {
         let mut simulation = Self::default();
         for router in &mut simulation.routers {
-            router.journal.record(router.presence.catalog(), at(0), |_| false);
+            router.change_log.record(router.presence.catalog(), at(0), |_| false);
             router.view.record_full_read(at(0));
         }
         simulation
@@ -132,14 +132,14 @@
         let sender = &self.routers[from];
         let Some(known) = sender.confirmed else { return };
         let after = self.routers[to].view.position().unwrap();
-        let position = sender.journal.position().unwrap();
-        let changes_sent = sender.journal.since(after);
+        let position = sender.change_log.position().unwrap();
+        let changes_sent = sender.change_log.since(after);
         let has_span = changes_sent.is_some();
         let empty = ServerChangeSpan {
             after,
             position,
             changes: Vec::new(),
-            digest: sender.journal.digest(),
+            digest: sender.change_log.digest(),
         };
         let version = sender.view.newest(ConfigVersion(sender.version)).0;
         let span = changes_sent.unwrap_or(empty);
@@ -213,7 +213,7 @@
             assert_eq!(last.as_ref().unwrap().phase == ServerPhase::Draining, draining);
             router.presence.adopt(last.unwrap());
         }
-        router.journal.record_gap(at(position));
+        router.change_log.record_gap(at(position));
         router.view.record_full_read(at(position));
         router.record();
         self.routers[index] = router;
@@ -263,12 +263,12 @@
         if let Some(id) = self.presence.id_of(&name) {
             self.presence.note_overwritten(&id);
         }
-        self.journal.record_departure(name);
+        self.change_log.record_departure(name);
     }
 
     fn record(&mut self) {
         let position = self.view.position().unwrap();
-        self.journal.record(self.presence.catalog(), position, |_| false);
+        self.change_log.record(self.presence.catalog(), position, |_| false);
     }
 
     fn known_servers(&self) -> BTreeMap<String, (String, bool)> {
