--- a/crates/papayamux-coordination/src/claims/claim_round.rs
+++ b/crates/papayamux-coordination/src/claims/claim_round.rs
@@ -1,4 +1,4 @@
-//! Counting the witnesses' answers to one attempt.
+//! Counts the witnesses' replies to the claim of one attempt.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -7,14 +7,14 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::refusal::RefusalReason;
 
-/// Whether an attempt may run.
+/// The outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Not decided yet.
+    /// The outcome is still open.
     Pending,
-    /// A majority of the witnesses in each fleet that counts has granted the key.
+    /// In every fleet that counts, a majority of the witnesses has granted the key.
     Won,
-    /// In some fleet no majority can be had any more.
+    /// In at least one fleet, a majority is no longer possible.
     Lost,
 }
 
@@ -25,31 +25,31 @@
     granted: HashSet<ServerId>,
     refused: HashSet<ServerId>,
     held: Option<HeldClaim>,
-    worst: Option<RefusalNotice>,
+    most_severe: Option<RefusalNotice>,
 }
 
 impl ClaimRound {
-    /// A round that asks the witnesses of each fleet that counts.
+    /// Creates a round over the witnesses of each fleet that counts.
     pub fn new(fleets: Vec<Vec<ServerId>>) -> Self {
         let (granted, refused) = (HashSet::new(), HashSet::new());
-        Self { fleets, granted, refused, held: None, worst: None }
+        Self { fleets, granted, refused, held: None, most_severe: None }
     }
 
-    /// All who are asked, each once.
-    pub fn asked(&self) -> BTreeSet<ServerId> {
+    /// Returns the witnesses of all fleets, without duplicates.
+    pub fn all_witnesses(&self) -> BTreeSet<ServerId> {
         self.fleets.iter().flatten().cloned().collect()
     }
 
-    /// Takes a witness's answer; `None` where there was none in time.
-    pub fn take(&mut self, witness: &ServerId, reply: Option<ClaimReply>) {
+    /// Records a witness's reply; `None` if none arrived on time.
+    pub fn record_reply(&mut self, witness: &ServerId, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Granted) => {
                 self.granted.insert(witness.clone());
             }
             Some(ClaimReply::Refused { notice, held }) => {
                 self.refused.insert(witness.clone());
-                self.note_held(held);
-                self.note_refusal(notice);
+                self.record_held(held);
+                self.record_refusal(notice);
             }
             None => {
                 self.refused.insert(witness.clone());
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether the attempt may run.
+    /// Returns the outcome so far.
     pub fn verdict(&self) -> ClaimVerdict {
         let verdicts: Vec<_> = self.fleets.iter().map(|fleet| self.fleet_verdict(fleet)).collect();
         if verdicts.is_empty() || verdicts.contains(&ClaimVerdict::Lost) {
@@ -69,16 +69,17 @@
         }
     }
 
-    /// The other attempt that a witness has granted the key to, with its place where known.
+    /// Returns another attempt to which a witness has granted the key, preferably one whose place is
+    /// known.
     pub fn held(&self) -> Option<&HeldClaim> {
         self.held.as_ref()
     }
 
-    /// What the caller should learn of the refusals: a reused key before all else, then the
-    /// longest wait.
+    /// Returns the refusal to report to the caller: a reused key takes precedence, then the longest
+    /// retry delay.
     pub fn refusal(&self) -> RefusalNotice {
         let reason = RefusalReason::NoMajority;
-        self.worst.clone().unwrap_or(RefusalNotice::new(reason, 1_000))
+        self.most_severe.clone().unwrap_or(RefusalNotice::new(reason, 1_000))
     }
 
     fn fleet_verdict(&self, fleet: &[ServerId]) -> ClaimVerdict {
@@ -94,7 +95,7 @@
         }
     }
 
-    fn note_held(&mut self, held: Option<HeldClaim>) {
+    fn record_held(&mut self, held: Option<HeldClaim>) {
         let Some(held) = held else { return };
         let known_place = self.held.as_ref().is_some_and(|known| known.place.is_some());
         if !known_place {
@@ -102,12 +103,12 @@
         }
     }
 
-    fn note_refusal(&mut self, notice: RefusalNotice) {
+    fn record_refusal(&mut self, notice: RefusalNotice) {
         let rank = |notice: &RefusalNotice| {
             (notice.reason == RefusalReason::KeyReused, notice.retry_after_ms)
         };
-        if self.worst.as_ref().is_none_or(|worst| rank(&notice) > rank(worst)) {
-            self.worst = Some(notice);
+        if self.most_severe.as_ref().is_none_or(|most_severe| rank(&notice) > rank(most_severe)) {
+            self.most_severe = Some(notice);
         }
     }
 }
--- /dev/null
+++ b/crates/papayamux-coordination/src/fleet_knowledge/role_selector.rs
@@ -0,0 +1,133 @@
+//! Selects whether a router reads the source for others or follows another router.
+
+use std::collections::HashMap;
+use std::net::IpAddr;
+use std::time::{Duration, Instant};
+
+use super::reader_order::{reading_interval, ReaderOrder};
+
+/// Number of read intervals that may pass without an update from the followed router before another one
+/// is followed. One read may fail. The follower's own read is due later, so that losing a reader causes
+/// hardly any extra calls to the source.
+const MAX_SILENT_INTERVALS: u32 = 2;
+/// Additional allowance for a slow answer of the source and for network delays.
+const UPDATE_DELAY: Duration = Duration::from_millis(100);
+/// Duration for which a router that sent no updates is skipped. During an outage of the source, each
+/// follower thereby queries about four routers, all of which notify it when the source has recovered.
+const SKIP_DURATION: Duration = Duration::from_secs(3);
+
+/// Role of a router towards the source.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SourceRole {
+    /// Reads the source at this interval, for itself and its followers.
+    Reader(Duration),
+    /// Receives updates from this router, and reads the source only if they fail to arrive.
+    Follower(IpAddr),
+}
+
+/// State of a router that determines its role.
+#[derive(Debug, Clone, Copy)]
+pub struct RoleView<'a> {
+    /// Known other routers.
+    pub known: &'a [IpAddr],
+    /// `true` if the router's own last read of the source failed, or left open which servers have departed.
+    pub has_uncertain_read: bool,
+    /// `true` if other routers follow this one.
+    pub has_followers: bool,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct FollowedRouter {
+    router: IpAddr,
+    last_update: Instant,
+}
+
+/// Selects the role of a router, and revises it as routers come and go.
+#[derive(Debug)]
+pub struct RoleSelector {
+    own: IpAddr,
+    solo_interval: Duration,
+    interval: Duration,
+    known: Vec<IpAddr>,
+    order: ReaderOrder,
+    skipped: HashMap<IpAddr, Instant>,
+    followed: Option<FollowedRouter>,
+    seeks_source: bool,
+}
+
+impl RoleSelector {
+    /// Creates the selector of the router at `own`, which reads at `solo_interval` if it reads only for
+    /// itself.
+    pub fn new(own: IpAddr, solo_interval: Duration) -> Self {
+        Self {
+            own,
+            solo_interval,
+            interval: solo_interval,
+            known: Vec::new(),
+            order: ReaderOrder::new([own]),
+            skipped: HashMap::new(),
+            followed: None,
+            seeks_source: true,
+        }
+    }
+
+    /// Returns the role selected last.
+    pub fn role(&self) -> SourceRole {
+        match self.followed {
+            Some(followed) => SourceRole::Follower(followed.router),
+            None => SourceRole::Reader(self.interval),
+        }
+    }
+
+    /// Returns whether this router is among those that poll an unavailable source frequently. They notify
+    /// the others of its recovery, as polling by all routers would overload it.
+    pub fn seeks_source(&self) -> bool {
+        self.seeks_source
+    }
+
+    /// Selects the role. Returns whether the router starts or stops reading, reads at less than half of
+    /// the previous interval, or follows a different router.
+    pub fn choose(&mut self, view: RoleView<'_>, now: Instant) -> bool {
+        let before = self.role();
+        let routers = view.known.len() + 1;
+        let shared_interval = reading_interval(routers, self.solo_interval);
+        self.skip_silent(shared_interval * MAX_SILENT_INTERVALS + UPDATE_DELAY, now);
+        self.skipped.retain(|_, until| now < *until);
+        if self.known != view.known {
+            self.known = view.known.to_vec();
+            self.order = ReaderOrder::new(view.known.iter().copied().chain([self.own]));
+        }
+        let candidates = self.order.without(|router| self.skipped.contains_key(router));
+        self.seeks_source = self.order.followed_by(self.own).is_none();
+        // Frequent reads benefit only the router itself if it has no followers.
+        let reads_for_others = self.seeks_source || view.has_followers;
+        self.interval = if reads_for_others { shared_interval } else { self.solo_interval };
+        let followed = match self.seeks_source && view.has_uncertain_read {
+            // A reader with an uncertain read follows the first other candidate, regardless of the order.
+            true => candidates.first_other(self.own),
+            false => candidates.followed_by(self.own),
+        };
+        if self.followed.map(|followed| followed.router) != followed {
+            self.followed = followed.map(|router| FollowedRouter { router, last_update: now });
+        }
+        match (before, self.role()) {
+            (SourceRole::Reader(before), SourceRole::Reader(pause)) => pause < before / 2,
+            (before, role) => before != role,
+        }
+    }
+
+    /// Records that `router` sent a newer confirmation than the known one.
+    pub fn record_newer(&mut self, router: IpAddr, now: Instant) {
+        if let Some(followed) = self.followed.as_mut().filter(|known| known.router == router) {
+            followed.last_update = now;
+        }
+    }
+
+    fn skip_silent(&mut self, max_silence: Duration, now: Instant) {
+        let silence =
+            |followed: &FollowedRouter| now.saturating_duration_since(followed.last_update);
+        if let Some(silent) = self.followed.take_if(|followed| silence(followed) >= max_silence) {
+            self.skipped.insert(silent.router, now + SKIP_DURATION);
+        }
+    }
+}
--- a/crates/papayamux-coordination/tests/claim_model/mod.rs
+++ b/crates/papayamux-coordination/tests/claim_model/mod.rs
@@ -1,5 +1,5 @@
-//! A model of routers, witnesses and executing agents around the real table and the real rule:
-//! messages wait until a schedule delivers or loses them, in any order and at any time.
+//! A model of routers, witnesses and executing agents around the real claim table and claim rounds.
+//! Messages stay pending until a schedule delivers or loses them, in any order and at any time.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -13,15 +13,16 @@
 use papayamux_state::ids::{Incarnation, RequestId, ServerId};
 use papayamux_state::refusal::RefusalReason;
 
-/// Retention, start deadline and the longest time between two processes that put the same
-/// declared fleet in force.
+/// Retention of claims.
 pub const RETENTION: Duration = Duration::from_millis(1_000);
-pub const START_WITHIN: Duration = Duration::from_millis(100);
-pub const MOST_LAG: Duration = Duration::from_millis(200);
+/// Maximum time from the start of an attempt to its run.
+pub const START_TIMEOUT: Duration = Duration::from_millis(100);
+/// Maximum time between two processes' putting the same declared fleet in force.
+pub const MAX_LAG: Duration = Duration::from_millis(200);
 
-const MOST_CLAIMS: usize = 1_000;
+const MAX_CLAIMS: usize = 1_000;
 
-/// A message on its way, or an agent that has taken a call and has yet to act.
+/// A message in flight, or a call that an agent has accepted but not executed yet.
 #[derive(Debug, Clone)]
 pub enum Pending {
     Claim { attempt: usize, witness: usize, ask: ClaimAsk },
@@ -35,7 +36,7 @@
 #[derive(Debug, Clone)]
 struct Witness {
     table: ClaimTable,
-    born: Duration,
+    started_at: Duration,
     view: usize,
 }
 
@@ -43,14 +44,14 @@
 struct Attempt {
     claim: ClaimId,
     round: ClaimRound,
-    asked: Vec<usize>,
+    all_witnesses: Vec<usize>,
     started: Duration,
     decided: bool,
 }
 
-/// Routers, witnesses and messages at one time.
+/// State of routers, witnesses and messages at one time.
 #[derive(Debug, Clone)]
-pub struct World {
+pub struct Simulation {
     origin: Instant,
     pub now: Duration,
     fleets: Vec<FleetView>,
@@ -81,15 +82,15 @@
     FleetView::new(declared.collect(), 3, RETENTION).unwrap()
 }
 
-impl World {
-    /// `routers` routers before witnesses that have lived for a retention; `fleets[0]` is in
-    /// force, `fleets[1]`, where given, may follow it.
+impl Simulation {
+    /// Creates `routers` routers, and witnesses that have been running for one retention. `fleets[0]` is in
+    /// force; `fleets[1]`, if given, may replace it.
     pub fn new(routers: usize, fleets: &[&[usize]]) -> Self {
         let fleets: Vec<_> = fleets.iter().map(|servers| fleet(servers)).collect();
         let now = RETENTION;
-        let mut table = ClaimTable::new(RETENTION, MOST_CLAIMS);
+        let mut table = ClaimTable::new(RETENTION, MAX_CLAIMS);
         table.declare_view(fleets[0].digest(), Duration::ZERO);
-        let witness = Witness { table, born: Duration::ZERO, view: 0 };
+        let witness = Witness { table, started_at: Duration::ZERO, view: 0 };
         Self {
             origin: Instant::now(),
             now,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A router begins an attempt at the key.
+    /// Starts an attempt of a router to claim the key.
     pub fn begin(&mut self, router: usize) {
         let at = self.origin + self.now;
         let number = self.attempts.len() as u64;
@@ -112,41 +113,47 @@
         let round = ClaimRound::new(self.routers[router].witnesses(key(), at));
         let views = self.routers[router].digests(at).unwrap();
         let fingerprint = CallFingerprint::new("POST", "/book", b"");
-        let asked: Vec<_> = round.asked().iter().map(index).collect();
+        let all_witnesses: Vec<_> = round.all_witnesses().iter().map(index).collect();
         let attempt = self.attempts.len();
-        for witness in asked.iter().copied() {
+        for witness in all_witnesses.iter().copied() {
             let ask = ClaimAsk { key: key(), fingerprint, claim, views: views.clone() };
             self.pending.push(Pending::Claim { attempt, witness, ask });
         }
-        self.attempts.push(Attempt { claim, round, asked, started: self.now, decided: false });
+        self.attempts.push(Attempt {
+            claim,
+            round,
+            all_witnesses,
+            started: self.now,
+            decided: false,
+        });
     }
 
-    /// A witness is replaced by one without memory, which knows the fleet in force.
+    /// Restarts a witness, which loses its claims and knows only the fleet in force.
     pub fn restart(&mut self, witness: usize) {
         let view = match self.changed {
             Some(_) => 1,
             None => 0,
         };
-        let mut table = ClaimTable::new(RETENTION, MOST_CLAIMS);
+        let mut table = ClaimTable::new(RETENTION, MAX_CLAIMS);
         table.declare_view(self.fleets[view].digest(), Duration::ZERO);
-        self.witnesses[witness] = Witness { table, born: self.now, view };
+        self.witnesses[witness] = Witness { table, started_at: self.now, view };
     }
 
-    /// A router is replaced by one that knows the fleet in force and no earlier one.
+    /// Restarts a router, which then knows the fleet in force and no earlier one.
     pub fn restart_router(&mut self, router: usize) {
         self.router_views[router] = usize::from(self.changed.is_some());
         let view = self.fleets[self.router_views[router]].clone();
         self.routers[router] = FleetWindow::new(view, RETENTION);
     }
 
-    /// The second fleet is declared.
+    /// Declares the second fleet.
     pub fn change_fleet(&mut self) {
         if self.fleets.len() > 1 && self.changed.is_none() {
             self.changed = Some(self.now);
         }
     }
 
-    /// A router puts the second fleet in force, where it is declared.
+    /// Has a router put the second fleet in force, if declared.
     pub fn learn_router(&mut self, router: usize) {
         if self.changed.is_some() && self.router_views[router] == 0 {
             self.router_views[router] = 1;
@@ -155,43 +162,45 @@
         }
     }
 
-    /// A witness puts the second fleet in force, where it is declared.
+    /// Has a witness put the second fleet in force, if declared.
     pub fn learn_witness(&mut self, witness: usize) {
         let witness = &mut self.witnesses[witness];
         if self.changed.is_some() && witness.view == 0 {
             witness.view = 1;
-            witness.table.declare_view(self.fleets[1].digest(), self.now - witness.born);
+            witness.table.declare_view(self.fleets[1].digest(), self.now - witness.started_at);
         }
     }
 
-    /// Time goes on. Nobody lags behind a declaration by more than [`MOST_LAG`].
+    /// Advances the time. No process lags behind a declaration by more than [`MAX_LAG`].
     pub fn advance(&mut self, by: Duration) {
         let target = self.now + by;
-        let due = self.changed.map(|changed| changed + MOST_LAG);
-        if let Some(due) = due.filter(|due| *due > self.now && *due <= target) {
-            self.now = due;
+        let lag_deadline = self.changed.map(|changed| changed + MAX_LAG);
+        if let Some(lag_deadline) =
+            lag_deadline.filter(|lag_deadline| *lag_deadline > self.now && *lag_deadline <= target)
+        {
+            self.now = lag_deadline;
             (0..self.routers.len()).for_each(|router| self.learn_router(router));
             (0..self.witnesses.len()).for_each(|witness| self.learn_witness(witness));
         }
         self.now = target;
     }
 
-    /// Loses a message.
+    /// Drops a message.
     pub fn lose(&mut self, message: usize) {
         self.pending.remove(message);
     }
 
-    /// Delivers a message. `refuses`: an agent that is asked to run refuses instead.
+    /// Delivers a message. With `refuses`, an agent refuses a call instead of executing it.
     pub fn deliver(&mut self, message: usize, refuses: bool) {
         match self.pending.remove(message) {
             Pending::Claim { attempt, witness, ask } => {
-                let (now, born) = (self.now, self.witnesses[witness].born);
-                let claimed = self.witnesses[witness].table.claim(&ask, now - born);
+                let (now, started_at) = (self.now, self.witnesses[witness].started_at);
+                let claimed = self.witnesses[witness].table.claim(&ask, now - started_at);
                 let reply = reply_to(claimed);
                 self.pending.push(Pending::Reply { attempt, witness, reply });
             }
             Pending::Reply { attempt, witness, reply } => {
-                self.attempts[attempt].round.take(&name(witness), Some(reply));
+                self.attempts[attempt].round.record_reply(&name(witness), Some(reply));
                 self.decide(attempt);
             }
             Pending::Release { attempt, witness } => {
@@ -210,8 +219,8 @@
         }
     }
 
-    /// Delivers a message; a claim together with its answer, and all releases of an attempt
-    /// together, so that a search of all orders stays within reach.
+    /// Delivers a message: a claim together with its reply, and all releases of an attempt together, so
+    /// that an exhaustive search stays feasible.
     pub fn deliver_at_once(&mut self, message: usize) {
         match self.pending[message] {
             Pending::Claim { .. } => {
@@ -228,8 +237,8 @@
         }
     }
 
-    /// Whether delivering this message is another step than delivering the one before it.
-    pub fn stands_alone(&self, message: usize) -> bool {
+    /// Returns whether delivering this message is a different step from delivering the previous one.
+    pub fn is_distinct_step(&self, message: usize) -> bool {
         let released = |pending: &Pending| match pending {
             Pending::Release { attempt, .. } => Some(*attempt),
             _ => None,
@@ -246,7 +255,7 @@
         entry.decided = true;
         match entry.round.verdict() {
             ClaimVerdict::Won => {
-                let deadline = entry.started + START_WITHIN;
+                let deadline = entry.started + START_TIMEOUT;
                 self.pending.push(Pending::Open { attempt, deadline });
             }
             _ => self.release(attempt),
@@ -254,19 +263,19 @@
     }
 
     fn release(&mut self, attempt: usize) {
-        for witness in self.attempts[attempt].asked.clone() {
+        for witness in self.attempts[attempt].all_witnesses.clone() {
             self.pending.push(Pending::Release { attempt, witness });
         }
     }
 
-    /// The shortest time between two runs.
+    /// Returns the shortest time between two runs.
     pub fn closest_runs(&self) -> Option<Duration> {
         let mut runs = self.runs.clone();
         runs.sort_unstable();
         runs.windows(2).map(|pair| pair[1] - pair[0]).min()
     }
 
-    /// Attempts that have a message on its way.
+    /// Returns the number of attempts with a message in flight.
     pub fn busy_attempts(&self) -> usize {
         let attempt_of = |pending: &Pending| match pending {
             Pending::Claim { attempt, .. }
--- a/crates/papayamux-coordination/tests/fleet_knowledge/main.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/main.rs
@@ -1,10 +1,11 @@
-//! A few routers read the source, the others follow them: who knows what, how soon, and how surely.
+//! Distribution of the source's state in the fleet: roles of routers, delay of updates, and consistency of
+//! the views.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
-mod beliefs;
 mod confirmations;
 mod evacuations;
 mod fleet;
 mod reader_order;
-mod source_duty;
+mod role_selector;
+mod server_changes;
 mod source_view;
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::fleet_knowledge::{
-    BeliefChange, BeliefDigest, BeliefJournal, BeliefSpan, DutyView, FollowerEntry, FollowerTable,
-    HeardQuestion, SourceDuty, SourceReaders, SourceRole, SourceView, StatedShift, StatedView,
-    ViewInForce,
+    FollowerEntry, FollowerTable, ReceivedQuery, ReportedOffset, ReportedView, RoleSelector,
+    RoleView, ServerChange, ServerChangeLog, ServerChangeSpan, ServerDigest, SourceReaders,
+    SourceRole, SourceView, ViewInForce,
 };
-use papayamux_coordination::peer_vouching::VouchQuestion;
+use papayamux_coordination::freshness_confirmation::FreshnessQuery;
 use papayamux_protocol::fleet_news::{FleetNews, FollowRequest, NewsSpan, ServerNews};
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::evacuation::EvacuationOrder;
@@ -28,8 +28,8 @@
 /// The known state of the source, and the router's role in reading and relaying it.
 pub(super) struct SourceKnowledge {
     view: Cell<SourceView>,
-    journal: RefCell<BeliefJournal>,
-    role_selection: RefCell<SourceDuty>,
+    journal: RefCell<ServerChangeLog>,
+    role_selection: RefCell<RoleSelector>,
     followers: RefCell<FollowerTable>,
     advanced: RefCell<ShutdownSignal>,
     differs_since: Cell<Option<Instant>>,
@@ -43,7 +43,7 @@
         Self {
             view: Cell::default(),
             journal: RefCell::default(),
-            role_selection: RefCell::new(SourceDuty::new(own, alone)),
+            role_selection: RefCell::new(RoleSelector::new(own, alone)),
             followers: RefCell::default(),
             advanced: RefCell::default(),
             differs_since: Cell::new(None),
@@ -61,14 +61,14 @@
 
     /// Records that everything was read, up to this position.
     pub(in crate::direct) fn record_full_read(&self, at: SourcePosition) {
-        self.knowledge.journal.borrow_mut().note_gap(at);
-        self.change_view(|view| view.note_whole(at));
+        self.knowledge.journal.borrow_mut().record_gap(at);
+        self.change_view(|view| view.record_full_read(at));
         self.journal_known_servers();
     }
 
     /// Returns whether the server changes of a read up to `at` are to be applied.
     pub(in crate::direct) fn accept_changes(&self, at: SourcePosition) -> bool {
-        self.change_view(|view| view.note_changes(at))
+        self.change_view(|view| view.record_changes(at))
     }
 
     /// Records that everything has to be read again.
@@ -85,7 +85,7 @@
 
     /// Journals that a server's entry was removed, for the followers of this router.
     pub(super) fn journal_departure(&self, name: &ServerName) {
-        self.knowledge.journal.borrow_mut().note_departure(name.clone());
+        self.knowledge.journal.borrow_mut().record_departure(name.clone());
     }
 
     /// Returns a version of the configuration announced by another router that is newer than the
@@ -116,9 +116,9 @@
         if self.settings.readers == SourceReaders::All {
             return;
         }
-        let view = DutyView {
+        let view = RoleView {
             known,
-            doubts_reads: !self.source_is_reachable() || self.awaits_renewals(),
+            has_uncertain_read: !self.source_is_reachable() || self.awaits_renewals(),
             has_followers: !self.knowledge.followers.borrow_mut().current(now).is_empty(),
         };
         if !self.knowledge.role_selection.borrow_mut().choose(view, now) {
@@ -153,12 +153,12 @@
         request: FollowRequest,
         now: Instant,
     ) -> Option<FleetNews> {
-        let asked = BootInstant(Duration::from_millis(request.asked_ms));
-        let question = VouchQuestion { life: request.life, asked };
-        let question = HeardQuestion { question, heard: boot_now() };
+        let sent_at = BootInstant(Duration::from_millis(request.asked_ms));
+        let query = FreshnessQuery { incarnation: request.life, sent_at };
+        let query = ReceivedQuery { query, received: boot_now() };
         let position = SourcePosition(request.position);
         let mut followers = self.knowledge.followers.borrow_mut();
-        if !followers.note(router, question, position, now) {
+        if !followers.record(router, query, position, now) {
             return None;
         }
         let entry = followers.current(now).into_iter().find(|(follower, _)| *follower == router);
@@ -177,28 +177,28 @@
     /// Applies an update of `sender` about the source.
     pub(in crate::direct) fn receive_update(&self, sender: IpAddr, life: u64, update: FleetNews) {
         let now = boot_now();
-        let question = VouchQuestion {
-            life: update.life,
-            asked: BootInstant(Duration::from_millis(update.asked_ms)),
+        let query = FreshnessQuery {
+            incarnation: update.life,
+            sent_at: BootInstant(Duration::from_millis(update.asked_ms)),
         };
-        if question.life != life || question.asked > now {
+        if query.incarnation != life || query.sent_at > now {
             return;
         }
-        let Some(known) = StatedShift(update.shift_ms).on_askers_clock(question, now) else {
+        let Some(known) = ReportedOffset(update.shift_ms).on_querier_clock(query, now) else {
             return;
         };
         let steady = Instant::now();
-        let stated = StatedView {
+        let stated = ReportedView {
             position: SourcePosition(update.position),
-            behind: update.span.as_ref().map(|span| SourcePosition(span.behind)),
+            after: update.span.as_ref().map(|span| SourcePosition(span.behind)),
             version: ConfigVersion(update.version),
             known,
         };
         let version = self.configuration_version();
         let in_force = ViewInForce { version, confirmed: self.confirmed_since() };
-        let verdict = self.change_view(|view| view.judge(stated, in_force));
+        let verdict = self.change_view(|view| view.evaluate_report(stated, in_force));
         if verdict.progresses {
-            self.knowledge.role_selection.borrow_mut().note_newer(sender, steady);
+            self.knowledge.role_selection.borrow_mut().record_newer(sender, steady);
         }
         if let Some(span) = update.span.filter(|_| verdict.takes_servers) {
             let grace = Duration::from_millis(u64::from(update.grace_ms));
@@ -233,7 +233,7 @@
         self.journal_known_servers();
         // Entries that expired in an outage are removed at slightly different times.
         match grace.is_zero() {
-            true => self.compare_known_servers(BeliefDigest(span.digest), now),
+            true => self.compare_known_servers(ServerDigest(span.digest), now),
             false => self.knowledge.differs_since.set(None),
         }
     }
@@ -242,7 +242,7 @@
     /// long as this router's own read interval. A departure that was missed then takes effect as
     /// soon as without other routers. No cause of such a difference is known; the check limits the
     /// effect of a fault in either router.
-    fn compare_known_servers(&self, reported: BeliefDigest, now: Instant) {
+    fn compare_known_servers(&self, reported: ServerDigest, now: Instant) {
         if self.knowledge.journal.borrow().digest() == reported {
             self.knowledge.differs_since.set(None);
             return;
@@ -262,7 +262,7 @@
         let Some(position) = self.source_position() else { return };
         let (presence, departures) = (self.presence.borrow(), self.departures.borrow());
         let mut journal = self.knowledge.journal.borrow_mut();
-        journal.note(presence.catalog(), position, |server| departures.lingers(server));
+        journal.record(presence.catalog(), position, |server| departures.lingers(server));
     }
 
     fn notify_followers(&self) {
@@ -274,12 +274,12 @@
         let journal = self.knowledge.journal.borrow();
         let position = journal.position()?;
         let span = journal.since(entry.position);
-        let question = entry.question.question;
+        let query = entry.query.query;
         let grace = self.presence.borrow().grace_left(Instant::now());
         Some(FleetNews {
-            life: question.life,
-            asked_ms: u64::try_from(question.asked.0.as_millis()).ok()?,
-            shift_ms: entry.question.shift_to(known).0,
+            life: query.incarnation,
+            asked_ms: u64::try_from(query.sent_at.0.as_millis()).ok()?,
+            shift_ms: entry.query.offset_to(known).0,
             position: position.0,
             version: self.knowledge.view.get().newest(self.configuration_version()).0,
             hops: self.knowledge.hops.get() + 1,
@@ -291,13 +291,15 @@
     }
 }
 
-fn update_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
+fn update_span(span: ServerChangeSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
     let changes = span.changes.into_iter().map(|change| match change {
-        BeliefChange::Present(server) => ServerNews::Present((*server).clone()),
-        BeliefChange::Gone { name, lingers } => ServerNews::Gone { name, lingers },
+        ServerChange::Present(server) => ServerNews::Present((*server).clone()),
+        ServerChange::Departed { name, terminating } => {
+            ServerNews::Gone { name, lingers: terminating }
+        }
     });
     NewsSpan {
-        behind: span.behind.0,
+        behind: span.after.0,
         changes: changes.collect(),
         digest: span.digest.0,
         evacuations,
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -10,11 +10,13 @@
 use bytes::Bytes;
 use monoio::net::udp::UdpSocket;
 use papayamux_coordination::cache_survey::{CacheListing, ListingNews, FRESH_FOR};
+use papayamux_coordination::freshness_confirmation::{
+    FreshnessQueries, FreshnessQuery, FreshnessReport,
+};
 use papayamux_coordination::part_flights::PromptReading;
 use papayamux_coordination::part_owners::SilentOwners;
-use papayamux_coordination::peer_vouching::{VouchQuestion, VouchQuestions, VouchStatement};
 use papayamux_coordination::placement::{HolderNote, RouterId, ServerLoad};
-use papayamux_coordination::router_peers::{PeerNews, RouterPeers};
+use papayamux_coordination::router_peers::{PeerUpdate, RouterPeers};
 use papayamux_protocol::router_report::{
     ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedQuestion,
     ReportedReading, RouterReport,
@@ -55,7 +57,7 @@
     socket: UdpSocket,
     address: SocketAddr,
     pub(super) peers: RefCell<RouterPeers>,
-    freshness_queries: RefCell<VouchQuestions<IpAddr>>,
+    freshness_queries: RefCell<FreshnessQueries<IpAddr>>,
     listings: RefCell<ListingNews>,
     pub(super) life: u64,
     pub(super) started: Instant,
@@ -150,14 +152,18 @@
         };
         let now = Instant::now();
         let news =
-            PeerNews { sequence: report.sequence, known: &report.known, fresh: report.fresh };
-        let newer = self.peers.borrow_mut().hear(sender, news, now);
+            PeerUpdate { sequence: report.sequence, known: &report.known, fresh: report.fresh };
+        let newer = self.peers.borrow_mut().record_update(sender, news, now);
         self.fleet.record_reported_routers(sender, &report.known, report.counted, now);
         if !newer {
             return;
         }
         if let Some(question) = report.question {
-            self.freshness_queries.borrow_mut().note(sender, parse_freshness_query(question), now);
+            self.freshness_queries.borrow_mut().record(
+                sender,
+                parse_freshness_query(question),
+                now,
+            );
         }
         if let Some(configuration) = report.configuration {
             self.receive_freshness_answers(sender, &configuration);
@@ -259,7 +265,7 @@
     }
 
     fn receive_freshness_answers(&self, sender: IpAddr, configuration: &ReportedConfiguration) {
-        let freshness_report = VouchStatement {
+        let freshness_report = FreshnessReport {
             version: ConfigVersion(configuration.version),
             age: Duration::from_millis(configuration.age_ms),
         };
@@ -342,10 +348,10 @@
         if open.is_empty() {
             return None;
         }
-        let VouchStatement { version, age } = self.fleet.freshness_report()?;
+        let FreshnessReport { version, age } = self.fleet.freshness_report()?;
         let answers = open.into_iter().map(|(router, question)| {
-            let asked_ms = whole_millis(question.asked.0);
-            (router, ReportedQuestion { life: question.life, asked_ms })
+            let asked_ms = whole_millis(question.sent_at.0);
+            (router, ReportedQuestion { life: question.incarnation, asked_ms })
         });
         Some(ReportedConfiguration {
             version: version.0,
@@ -369,9 +375,9 @@
     Some(ReportedReading { server: server.into(), prefixes: prefixes.clone(), cold, expected_ms })
 }
 
-fn parse_freshness_query(question: ReportedQuestion) -> VouchQuestion {
+fn parse_freshness_query(question: ReportedQuestion) -> FreshnessQuery {
     let asked = BootInstant(Duration::from_millis(question.asked_ms));
-    VouchQuestion { life: question.life, asked }
+    FreshnessQuery { incarnation: question.life, sent_at: asked }
 }
 
 fn whole_millis(span: Duration) -> u64 {
--- a/crates/papayamux-router/src/direct/source_follower.rs
+++ b/crates/papayamux-router/src/direct/source_follower.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use futures_util::future::{select, Either};
-use papayamux_coordination::source_pace::{PaceView, SourcePace, READ_WITHIN};
+use papayamux_coordination::source_polling::{PollSchedule, PollView, READ_TIMEOUT};
 use papayamux_state::service_config::ConfigurationSnapshot;
 use papayamux_state::source::{
     SourceChange, SourceChanges, SourceContents, SourceError, SourcePosition,
@@ -47,7 +47,7 @@
 
 /// Reads from the source indefinitely.
 pub async fn follow_source(fleet: Rc<Fleet>, source: Rc<dyn FleetSource>) {
-    let pace = SourcePace::new(fleet.settings().read_bounds());
+    let pace = PollSchedule::new(fleet.settings().read_bounds());
     let now = Instant::now();
     let mut follower =
         SourceFollower { fleet, source, pace, last_read: now, last_configuration_read: now };
@@ -62,7 +62,7 @@
 struct SourceFollower {
     fleet: Rc<Fleet>,
     source: Rc<dyn FleetSource>,
-    pace: SourcePace,
+    pace: PollSchedule,
     last_read: Instant,
     /// When the configuration alone was last read because another router had announced a newer
     /// version.
@@ -90,7 +90,7 @@
                 matches!(select(sleep, read_requested).await, Either::Right(_))
             };
             let last = self.last_read.max(self.last_configuration_read);
-            let may_read = last.elapsed() >= self.pace.asked_spacing();
+            let may_read = last.elapsed() >= self.pace.requested_read_spacing();
             if read_requested && may_read && !self.read_wanted_recent().await {
                 return;
             }
@@ -103,7 +103,7 @@
     async fn read_wanted_recent(&mut self) -> bool {
         let Some(wanted) = self.fleet.wanted_version() else { return false };
         let reading = self.source.read_configuration(ReadRecency::Recent);
-        let read = monoio::time::timeout(READ_WITHIN, reading).await;
+        let read = monoio::time::timeout(READ_TIMEOUT, reading).await;
         self.last_configuration_read = Instant::now();
         match read.unwrap_or_else(|_| Err(timeout_error())) {
             Ok(Some(configuration)) => {
@@ -139,15 +139,15 @@
 
     fn record_read_failure(&mut self, error: &SourceError) {
         self.fleet.metrics().source_reads.count("failed");
-        if self.pace.note_failure() {
+        if self.pace.record_failure() {
             log::warn!(error:% = error; "source lost");
         }
         self.fleet.record_source_lost();
         self.source.disconnect();
     }
 
-    fn view(&self) -> PaceView {
-        PaceView {
+    fn view(&self) -> PollView {
+        PollView {
             role: self.fleet.source_role(),
             seeks_source: self.fleet.seeks_source(),
             awaits_renewals: self.fleet.awaits_renewals(),
@@ -185,13 +185,13 @@
                 }
             }
         };
-        let result = monoio::time::timeout(READ_WITHIN, reading).await;
+        let result = monoio::time::timeout(READ_TIMEOUT, reading).await;
         self.last_read = Instant::now();
         let result = result.unwrap_or_else(|_| Err(timeout_error()));
         match result {
             Ok(read) => {
                 self.fleet.metrics().source_reads.count("answered");
-                let failed = self.pace.note_success();
+                let failed = self.pace.record_success();
                 if failed {
                     log::info!("source regained");
                 }
@@ -261,7 +261,7 @@
 }
 
 fn timeout_error() -> SourceError {
-    SourceError::Unavailable(format!("no answer within {READ_WITHIN:?}"))
+    SourceError::Unavailable(format!("no answer within {READ_TIMEOUT:?}"))
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
