--- a/crates/papayamux-coordination/src/admission.rs
+++ b/crates/papayamux-coordination/src/admission.rs
@@ -150,7 +150,7 @@
     /// Takes in what a router says of the mean load.
     pub fn hear_mean(self: &Rc<Self>, load: &GroupLoad, now: AgentClock) {
         self.clock.set(self.clock.get().max(now));
-        self.bound.hear(load, now);
+        self.bound.record_mean(load, now);
         self.grant_places();
     }
 
--- a/crates/papayamux-coordination/src/cache_survey.rs
+++ b/crates/papayamux-coordination/src/cache_survey.rs
@@ -14,23 +14,23 @@
 use papayamux_state::prompt::PromptPart;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::placement::FEWEST_TOKENS;
+use crate::placement::MIN_ANNOUNCED_TOKENS;
 
 /// Time from its start for which a router counts as fresh: until the others have told it of most
 /// parts, at some thirty a second each.
-pub const FRESH_FOR: Duration = Duration::from_secs(5);
+pub const FRESH_DURATION: Duration = Duration::from_secs(5);
 /// Pause between the first list of servers and the survey, in which other routers are heard: one
 /// round of reports and a half. Until then long parts go to their homes.
-pub const SURVEY_AFTER: Duration = Duration::from_millis(400);
+pub const SURVEY_DELAY: Duration = Duration::from_millis(400);
 /// Parts kept of one list, the largest first: an engine in use holds some ten long parts that prompts
 /// share, among parts of single chats.
-const MOST_PARTS: usize = 32;
+const MAX_PARTS: usize = 32;
 /// Engines that one router asks at most. A router that hears nobody asks for all of a small fleet; of
 /// a large one, what is left unknown goes to its homes.
-const MOST_ASKED: usize = 32;
+const MAX_SURVEYED_ENGINES: usize = 32;
 /// Time for which the others are told of a list: at four reports a second to twelve routers each, 420
 /// routers are reached.
-const TELL_FOR: Duration = Duration::from_secs(10);
+const ANNOUNCEMENT_DURATION: Duration = Duration::from_secs(10);
 /// Lists in one report, of up to 400 bytes each.
 const LISTINGS_PER_REPORT: usize = 2;
 
@@ -47,9 +47,9 @@
     /// What is worth knowing of a list.
     pub fn new(server: ServerId, listed: Vec<PromptPart>) -> Self {
         let mut parts = listed;
-        parts.retain(|part| part.tokens.get() >= FEWEST_TOKENS);
+        parts.retain(|part| part.tokens.get() >= MIN_ANNOUNCED_TOKENS);
         parts.sort_unstable_by_key(|part| (std::cmp::Reverse(part.tokens), part.id));
-        parts.truncate(MOST_PARTS);
+        parts.truncate(MAX_PARTS);
         Self { server, parts }
     }
 }
@@ -69,16 +69,16 @@
         };
         others.iter().all(|other| weight(other) < weight(&own))
     };
-    engines.into_iter().filter(belongs).take(MOST_ASKED).cloned().collect()
+    engines.into_iter().filter(belongs).take(MAX_SURVEYED_ENGINES).cloned().collect()
 }
 
 /// Lists that the others are still told of.
 #[derive(Debug, Default)]
-pub struct ListingNews {
+pub struct ListingUpdates {
     listings: VecDeque<(CacheListing, Instant)>,
 }
 
-impl ListingNews {
+impl ListingUpdates {
     /// Adds a list that was got at `now`.
     pub fn add(&mut self, listing: CacheListing, now: Instant) {
         if !listing.parts.is_empty() {
@@ -88,7 +88,8 @@
 
     /// What to tell next, in turn.
     pub fn next(&mut self, now: Instant) -> Vec<CacheListing> {
-        self.listings.retain(|(_, got)| now.saturating_duration_since(*got) < TELL_FOR);
+        self.listings
+            .retain(|(_, got)| now.saturating_duration_since(*got) < ANNOUNCEMENT_DURATION);
         let count = LISTINGS_PER_REPORT.min(self.listings.len());
         let next: Vec<_> =
             self.listings.iter().take(count).map(|(listing, _)| listing.clone()).collect();
--- a/crates/papayamux-coordination/src/cold_servers/cold_limit.rs
+++ b/crates/papayamux-coordination/src/cold_servers/cold_limit.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 /// Part of the limit that is shared out. The rest is for routers that don't know one another yet.
-const USED_PART: f64 = 0.9;
+const USED_FRACTION: f64 = 0.9;
 
 /// How far all routers together may go beyond the rate that a service declares for its cold servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -30,7 +30,7 @@
 impl ColdLimit {
     /// The whole requests that are shared out among the routers.
     pub fn shared_out(self) -> u32 {
-        (self.0 * USED_PART) as u32
+        (self.0 * USED_FRACTION) as u32
     }
 }
 
--- a/crates/papayamux-coordination/src/cold_servers/cold_share.rs
+++ b/crates/papayamux-coordination/src/cold_servers/cold_share.rs
@@ -2,7 +2,7 @@
 
 use papayamux_state::ids::ServerId;
 
-use super::{ColdLimit, RouterCensus};
+use super::{ColdLimit, KnownRouters};
 
 /// Requests in a second that a router which has just started sends to any one server: it may have missed that
 /// the server is cold.
@@ -21,24 +21,24 @@
 
 /// Requests that may be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SendRoom {
+pub enum SendQuota {
     /// As many as other bounds allow.
     Unbounded,
     /// So many.
     Bounded(u32),
 }
 
-impl SendRoom {
+impl SendQuota {
     /// Whether there is none.
     pub fn is_empty(self) -> bool {
         self == Self::Bounded(0)
     }
 
     /// `places`, or fewer where there is less room.
-    pub fn at_most(self, places: u32) -> u32 {
+    pub fn limit_slots(self, slots: u32) -> u32 {
         match self {
-            Self::Unbounded => places,
-            Self::Bounded(room) => places.min(room),
+            Self::Unbounded => slots,
+            Self::Bounded(quota) => slots.min(quota),
         }
     }
 }
@@ -48,22 +48,22 @@
 /// The load that this answers: a server, or all servers of a failure domain, start while the others are full,
 /// and every router would send them all that it has. What is shared out goes to the routers in turn, those
 /// first that come first in the server's own order; so the shares add up to it where all know the same routers.
-pub fn send_room(server: &ServerId, view: ColdView, census: &RouterCensus) -> SendRoom {
-    let share = match (view.is_cold, census.is_settled()) {
-        (false, true) => return SendRoom::Unbounded,
+pub fn send_quota(server: &ServerId, view: ColdView, known_routers: &KnownRouters) -> SendQuota {
+    let share = match (view.is_cold, known_routers.is_settled()) {
+        (false, true) => return SendQuota::Unbounded,
         (false, false) => UNSETTLED_SHARE,
         // Who doesn't know the others can't tell its share.
         (true, false) => 0,
-        (true, true) => own_share(server, view.limit, census),
+        (true, true) => own_share(server, view.limit, known_routers),
     };
-    SendRoom::Bounded(share.saturating_sub(view.used))
+    SendQuota::Bounded(share.saturating_sub(view.used))
 }
 
-fn own_share(server: &ServerId, limit: ColdLimit, census: &RouterCensus) -> u32 {
-    let (shared_out, routers) = (limit.shared_out(), census.count().max(1));
+fn own_share(server: &ServerId, limit: ColdLimit, known_routers: &KnownRouters) -> u32 {
+    let (shared_out, routers) = (limit.shared_out(), known_routers.count().max(1));
     let (each, rest) = (shared_out / routers, shared_out % routers);
     match rest {
         0 => each,
-        _ => each + u32::from(census.last_place_for(server) < rest),
+        _ => each + u32::from(known_routers.max_rank_for(server) < rest),
     }
 }
--- a/crates/papayamux-coordination/src/cold_servers/cold_book.rs
+++ b/crates/papayamux-coordination/src/cold_servers/cold_tracker.rs
@@ -6,7 +6,7 @@
 use papayamux_state::ids::ServerId;
 
 /// The span in which requests are counted: a second, and a little for timers that are late.
-const COUNTED_SPAN: Duration = Duration::from_millis(1_020);
+const COUNTING_WINDOW: Duration = Duration::from_millis(1_020);
 
 /// What became of a server while it was cold.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -49,19 +49,19 @@
 }
 
 fn is_recent(sent: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(sent) < COUNTED_SPAN
+    now.saturating_duration_since(sent) < COUNTING_WINDOW
 }
 
 /// What is known of all servers with a limit.
 #[derive(Debug, Clone, Default)]
-pub struct ColdBook {
+pub struct ColdTracker {
     servers: HashMap<ServerId, ServerSends>,
 }
 
-impl ColdBook {
+impl ColdTracker {
     /// Notes how much longer a server is cold, as its entry says; whether it became cold. An entry is read
     /// some time after it was written, so that the server is never taken for warm too early.
-    pub fn note_listed(&mut self, server: &ServerId, left: Duration, now: Instant) -> bool {
+    pub fn record_listed(&mut self, server: &ServerId, left: Duration, now: Instant) -> bool {
         match left.is_zero() {
             false => self.extend(server, now + left),
             true => {
@@ -76,7 +76,7 @@
     }
 
     /// Takes a server for cold until its next entry says more, for as long as starts take at the most.
-    pub fn presume(&mut self, server: &ServerId, longest: Duration, now: Instant) {
+    pub fn assume_cold(&mut self, server: &ServerId, longest: Duration, now: Instant) {
         if !longest.is_zero() {
             self.extend(server, now + longest);
         }
@@ -127,7 +127,7 @@
     }
 
     /// Notes that a request which had chosen a server is sent now.
-    pub fn note_sent(&mut self, server: &ServerId, now: Instant) {
+    pub fn record_sent(&mut self, server: &ServerId, now: Instant) {
         let sends = self.servers.entry(server.clone()).or_default();
         sends.reserved = sends.reserved.saturating_sub(1);
         while sends.sent.front().is_some_and(|sent| !is_recent(*sent, now)) {
@@ -140,7 +140,7 @@
     }
 
     /// Notes that a choice passed a server over for want of room.
-    pub fn note_passed_over(&mut self, server: &ServerId) {
+    pub fn record_passed_over(&mut self, server: &ServerId) {
         if let Some(cold) = self.servers.get_mut(server).and_then(|sends| sends.cold.as_mut()) {
             cold.passed_over += 1;
         }
--- a/crates/papayamux-coordination/src/cold_servers/mod.rs
+++ b/crates/papayamux-coordination/src/cold_servers/mod.rs
@@ -4,12 +4,12 @@
 //! for the sum over all routers, which can't ask one another before each request: each router has a share of
 //! it, on which all agree who know the same routers.
 
-mod cold_book;
 mod cold_limit;
 mod cold_share;
-mod router_census;
+mod cold_tracker;
+mod known_routers;
 
-pub use cold_book::{ColdBook, ColdSummary};
 pub use cold_limit::{ColdAllowance, ColdLimit};
-pub use cold_share::{send_room, ColdView, SendRoom};
-pub use router_census::RouterCensus;
+pub use cold_share::{send_quota, ColdView, SendQuota};
+pub use cold_tracker::{ColdSummary, ColdTracker};
+pub use known_routers::KnownRouters;
--- a/crates/papayamux-coordination/src/load_bound.rs
+++ b/crates/papayamux-coordination/src/load_bound.rs
@@ -11,9 +11,9 @@
 /// Age at which what a router said of the mean counts for 1/e.
 const MEAN_DECAY: Duration = Duration::from_millis(200);
 /// Weight below which a mean is no longer believed.
-const LEAST_WEIGHT: f64 = 0.01;
+const MIN_WEIGHT: f64 = 0.01;
 /// Groups of which an agent keeps the mean.
-const MOST_GROUPS: usize = 64;
+const MAX_GROUPS: usize = 64;
 
 /// What many routers say of a group's mean, each word counted by how many fresh reports it is
 /// made of and less the older it is.
@@ -22,18 +22,18 @@
     weighted: f64,
     weight: f64,
     servers: u32,
-    heard: AgentClock,
+    received_at: AgentClock,
 }
 
 impl MeanEstimate {
     fn decayed(self, now: AgentClock) -> Self {
-        let age_ms = now.0.saturating_sub(self.heard.0) as f64;
+        let age_ms = now.0.saturating_sub(self.received_at.0) as f64;
         let factor = (-age_ms / MEAN_DECAY.as_millis() as f64).exp();
         Self {
             weighted: self.weighted * factor,
             weight: self.weight * factor,
             servers: self.servers,
-            heard: self.heard.max(now),
+            received_at: self.received_at.max(now),
         }
     }
 }
@@ -52,15 +52,15 @@
     }
 
     /// Takes in what a router says of the mean.
-    pub fn hear(&self, load: &GroupLoad, now: AgentClock) {
+    pub fn record_mean(&self, load: &GroupLoad, now: AgentClock) {
         let mut estimates = self.estimates.borrow_mut();
-        if estimates.len() >= MOST_GROUPS && !estimates.contains_key(&load.group) {
-            estimates.retain(|_, estimate| estimate.decayed(now).weight > LEAST_WEIGHT);
-            if estimates.len() >= MOST_GROUPS {
+        if estimates.len() >= MAX_GROUPS && !estimates.contains_key(&load.group) {
+            estimates.retain(|_, estimate| estimate.decayed(now).weight > MIN_WEIGHT);
+            if estimates.len() >= MAX_GROUPS {
                 return;
             }
         }
-        let fresh = MeanEstimate { weighted: 0.0, weight: 0.0, servers: 0, heard: now };
+        let fresh = MeanEstimate { weighted: 0.0, weight: 0.0, servers: 0, received_at: now };
         let estimate = estimates.entry(load.group).or_insert(fresh);
         *estimate = estimate.decayed(now);
         estimate.weighted += load.mean * load.samples;
@@ -72,7 +72,7 @@
     /// the server is the only one: what it carries is the mean then, whatever an old report says.
     pub fn limit(&self, group: GroupId, now: AgentClock) -> Option<RequestCount> {
         let estimate = self.estimates.borrow().get(&group)?.decayed(now);
-        (estimate.weight > LEAST_WEIGHT && estimate.servers > 1)
+        (estimate.weight > MIN_WEIGHT && estimate.servers > 1)
             .then(|| self.factor.limit(estimate.weighted / estimate.weight, estimate.servers))
     }
 }
--- a/crates/papayamux-coordination/src/part_owners.rs
+++ b/crates/papayamux-coordination/src/part_owners.rs
@@ -22,17 +22,17 @@
 const LATE_DEVIATIONS: f64 = 4.0;
 /// Part of the time that the part takes to be read for which an answer is waited for at most. Where owners
 /// are in another region, short parts are not worth a question.
-const PART_OF_READING: f64 = 0.25;
+const MAX_WAIT_FRACTION: f64 = 0.25;
 /// Age of an unanswered question from which its owner counts as silent: longer than to another region.
-pub const SILENT_AFTER: Duration = Duration::from_millis(500);
+pub const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an owner that did not answer is not asked again: a part of the time after which a router
 /// that is gone is forgotten.
-const SILENT_FOR: Duration = Duration::from_secs(1);
+const SILENT_OWNER_BACKOFF: Duration = Duration::from_secs(1);
 /// Shared tokens from which the owner is told of a holder: less is read within a few steps of an engine.
-const WORTH_TELLING: u64 = 1_000;
+const MIN_ANNOUNCED_TOKENS: u64 = 1_000;
 /// Time from its start until a router takes what it was not told of for held by nobody: until then others
 /// may have told the owner of before.
-pub const OWNER_LEARNS_FOR: Duration = Duration::from_secs(10);
+pub const OWNER_LEARNING_DURATION: Duration = Duration::from_secs(10);
 
 /// The owner of a part among `routers`, by rendezvous hashing: one that comes or goes moves only its own
 /// parts.
@@ -45,8 +45,8 @@
 }
 
 /// Whether a part of so many tokens is worth telling its owner of, and asking for.
-pub fn is_worth_telling(shared_tokens: u64) -> bool {
-    shared_tokens >= WORTH_TELLING
+pub fn is_worth_announcing(shared_tokens: u64) -> bool {
+    shared_tokens >= MIN_ANNOUNCED_TOKENS
 }
 
 /// How long answers of owners take, as this router has seen.
@@ -67,10 +67,10 @@
 
     /// How long to wait for an answer where the part takes `reading` to be read; `None` where it isn't
     /// worth a question.
-    pub fn patience(&self, reading: Duration) -> Option<Duration> {
-        let most = reading.mul_f64(PART_OF_READING);
+    pub fn wait_budget(&self, prefill_time: Duration) -> Option<Duration> {
+        let max_wait = prefill_time.mul_f64(MAX_WAIT_FRACTION);
         let usual = Duration::from_secs_f64(self.0.mean_ms() / 1_000.0);
-        (usual <= most).then(|| self.0.longer_than_usual(LATE_DEVIATIONS).min(most))
+        (usual <= max_wait).then(|| self.0.longer_than_usual(LATE_DEVIATIONS).min(max_wait))
     }
 }
 
@@ -84,7 +84,7 @@
     /// Notes that an owner did not answer in time.
     pub fn note(&mut self, owner: IpAddr, now: Instant) {
         self.until.retain(|_, until| now < *until);
-        self.until.insert(owner, now + SILENT_FOR);
+        self.until.insert(owner, now + SILENT_OWNER_BACKOFF);
     }
 
     /// Whether an owner should be asked.
--- a/crates/papayamux-coordination/src/part_flights.rs
+++ b/crates/papayamux-coordination/src/part_prefills.rs
@@ -15,31 +15,31 @@
 use papayamux_state::quantities::TokenCount;
 
 /// Tokens below which a part isn't worth a wait: a few steps of an engine.
-const FEWEST_TOKENS: u64 = 256;
+const MIN_AWAITED_TOKENS: u64 = 256;
 /// Part of what is being read that a request must share with it to wait for it. Below this its own
 /// reading is so much shorter that an engine that reads both in turns answers it sooner.
-const LEAST_SHARE: f64 = 0.5;
+const MIN_SHARED_FRACTION: f64 = 0.5;
 /// How many times as long as expected a reading may take before nobody waits for it any more. Where an
 /// engine is slow, waiting is still shorter than reading beside it; where it has stopped, the request
 /// that reads leaves it and ends the wait.
-const OVERDUE: f64 = 2.0;
+const MAX_OVERRUN_FACTOR: f64 = 2.0;
 /// Part of what an engine has to read before a request's first event that must be the request's own for
 /// others to wait for it.
-const LEAST_PART_AHEAD: f64 = 0.5;
+const MIN_OWN_FRACTION: f64 = 0.5;
 /// Tokens of shared parts from which other routers are told of a reading at once: it takes tens of
 /// milliseconds and more, many times as long as the word travels.
-const WORTH_TELLING: u64 = 1_000;
+const MIN_ANNOUNCED_TOKENS: u64 = 1_000;
 /// How long a reading of another router is believed at most. Word of its end may be lost, or its router;
 /// longer ones are for engines so slow that a caller should not depend on a datagram.
-const LONGEST_ELSEWHERE: Duration = Duration::from_secs(3);
+const MAX_REMOTE_DURATION: Duration = Duration::from_secs(3);
 /// The reader of what is read for another router.
-const ELSEWHERE: u64 = 0;
+const REMOTE_READER: u64 = 0;
 /// Part of its caller's time for which a request waits at most, whatever is expected.
-const PART_OF_TIME: f64 = 0.5;
+const MAX_WAIT_FRACTION: f64 = 0.5;
 
 /// A request that reads a part for the first time at its engine.
 #[derive(Debug)]
-struct PartFlight {
+struct PartPrefill {
     reader: u64,
     /// Tokens of the whole prompt that its engine has to read.
     cold: TokenCount,
@@ -49,7 +49,7 @@
 
 /// What a request reads at its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PromptReading {
+pub struct PromptPrefill {
     /// Tokens of its prompt that the engine has to read.
     pub cold: TokenCount,
     /// When it was sent.
@@ -62,23 +62,23 @@
     pub waiting: u32,
 }
 
-impl PromptReading {
+impl PromptPrefill {
     /// Whether other routers should hear at once that these shared parts are being read.
-    pub fn is_worth_telling(&self, parts: &[(PartId, TokenCount)]) -> bool {
+    pub fn is_worth_announcing(&self, parts: &[(PartId, TokenCount)]) -> bool {
         let shared: TokenCount = parts.iter().map(|(_, tokens)| *tokens).sum();
-        shared.get() >= WORTH_TELLING && self.begins_soon()
+        shared.get() >= MIN_ANNOUNCED_TOKENS && self.begins_soon()
     }
 
     /// Whether others may wait for it. Behind others in an engine's queue it takes long to begin, and
     /// who waited outside would lose its own place there.
     fn begins_soon(&self) -> bool {
-        self.waiting == 0 && self.cold.get() as f64 >= self.ahead.get() as f64 * LEAST_PART_AHEAD
+        self.waiting == 0 && self.cold.get() as f64 >= self.ahead.get() as f64 * MIN_OWN_FRACTION
     }
 }
 
 /// Names one reading of parts, to end it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FlightTicket {
+pub struct PrefillTicket {
     server: ServerId,
     prefixes: Vec<PartId>,
     reader: u64,
@@ -86,94 +86,99 @@
 
 /// What one router's requests are reading, by engine.
 #[derive(Debug, Default)]
-pub struct PartFlights {
-    flights: HashMap<ServerId, HashMap<PartId, PartFlight>>,
+pub struct PartPrefills {
+    prefills: HashMap<ServerId, HashMap<PartId, PartPrefill>>,
     readers: u64,
 }
 
-impl PartFlights {
+impl PartPrefills {
     /// Notes that a request is sent to `server` which reads, among other things, those parts of
     /// `prefixes` that nobody reads there yet.
     pub fn begin(
         &mut self,
         server: &ServerId,
         prefixes: &[(PartId, TokenCount)],
-        reading: PromptReading,
-    ) -> FlightTicket {
-        let until = reading.begun + reading.expected.mul_f64(OVERDUE);
-        let cold = reading.cold;
+        prefill: PromptPrefill,
+    ) -> PrefillTicket {
+        let until = prefill.begun + prefill.expected.mul_f64(MAX_OVERRUN_FACTOR);
+        let cold = prefill.cold;
         self.readers += 1;
         let reader = self.readers;
-        let mut read = Vec::new();
-        let flights = self.flights.entry(server.clone()).or_default();
-        for (prefix, _) in prefixes.iter().filter(|_| reading.begins_soon()) {
-            let flight = flights.entry(*prefix).or_insert(PartFlight { reader, cold, until });
-            if flight.until <= reading.begun {
-                *flight = PartFlight { reader, cold, until };
+        let mut covered = Vec::new();
+        let prefills = self.prefills.entry(server.clone()).or_default();
+        for (prefix, _) in prefixes.iter().filter(|_| prefill.begins_soon()) {
+            let part_prefill =
+                prefills.entry(*prefix).or_insert(PartPrefill { reader, cold, until });
+            if part_prefill.until <= prefill.begun {
+                *part_prefill = PartPrefill { reader, cold, until };
             }
-            if flight.reader == reader {
-                read.push(*prefix);
+            if part_prefill.reader == reader {
+                covered.push(*prefix);
             }
         }
-        FlightTicket { server: server.clone(), prefixes: read, reader }
+        PrefillTicket { server: server.clone(), prefixes: covered, reader }
     }
 
     /// Notes what `server` has begun to read for another router. Word of its end may be lost.
-    pub fn note_elsewhere(
+    pub fn record_remote(
         &mut self,
         server: &ServerId,
         prefixes: &[(PartId, TokenCount)],
-        reading: PromptReading,
+        prefill: PromptPrefill,
     ) {
-        let until = reading.begun + reading.expected.min(LONGEST_ELSEWHERE);
-        let flights = self.flights.entry(server.clone()).or_default();
+        let until = prefill.begun + prefill.expected.min(MAX_REMOTE_DURATION);
+        let prefills = self.prefills.entry(server.clone()).or_default();
         for (prefix, _) in prefixes {
-            let flight = PartFlight { reader: ELSEWHERE, cold: reading.cold, until };
-            flights.entry(*prefix).or_insert(flight);
+            let part_prefill = PartPrefill { reader: REMOTE_READER, cold: prefill.cold, until };
+            prefills.entry(*prefix).or_insert(part_prefill);
         }
     }
 
     /// Notes that what `server` read for another router is read.
-    pub fn end_elsewhere(&mut self, server: &ServerId, prefixes: &[(PartId, TokenCount)]) {
-        let Some(flights) = self.flights.get_mut(server) else { return };
+    pub fn end_remote(&mut self, server: &ServerId, prefixes: &[(PartId, TokenCount)]) {
+        let Some(prefills) = self.prefills.get_mut(server) else { return };
         for (prefix, _) in prefixes {
-            if flights.get(prefix).is_some_and(|flight| flight.reader == ELSEWHERE) {
-                flights.remove(prefix);
+            if prefills.get(prefix).is_some_and(|part_prefill| part_prefill.reader == REMOTE_READER)
+            {
+                prefills.remove(prefix);
             }
         }
     }
 
     /// What `server` still reads for a part, where it is reading it: the tokens of that prompt, and the
     /// time until it is no longer waited for.
-    pub fn reading(
+    pub fn remaining(
         &self,
         server: &ServerId,
         prefix: PartId,
         now: Instant,
     ) -> Option<(TokenCount, Duration)> {
-        let flight = self.flights.get(server)?.get(&prefix)?;
-        let left = flight.until.saturating_duration_since(now);
-        (!left.is_zero()).then_some((flight.cold, left))
+        let part_prefill = self.prefills.get(server)?.get(&prefix)?;
+        let left = part_prefill.until.saturating_duration_since(now);
+        (!left.is_zero()).then_some((part_prefill.cold, left))
     }
 
     /// Forgets readings of other routers that are over.
     pub fn forget_old(&mut self, now: Instant) {
-        for flights in self.flights.values_mut() {
-            flights.retain(|_, flight| flight.reader != ELSEWHERE || flight.until > now);
+        for prefills in self.prefills.values_mut() {
+            prefills.retain(|_, part_prefill| {
+                part_prefill.reader != REMOTE_READER || part_prefill.until > now
+            });
         }
-        self.flights.retain(|_, flights| !flights.is_empty());
+        self.prefills.retain(|_, prefills| !prefills.is_empty());
     }
 
     /// Notes that a request's prompt was read, or that it won't be.
-    pub fn end(&mut self, ticket: &FlightTicket) {
-        let Some(flights) = self.flights.get_mut(&ticket.server) else { return };
+    pub fn end(&mut self, ticket: &PrefillTicket) {
+        let Some(prefills) = self.prefills.get_mut(&ticket.server) else { return };
         for prefix in &ticket.prefixes {
-            if flights.get(prefix).is_some_and(|flight| flight.reader == ticket.reader) {
-                flights.remove(prefix);
+            if prefills.get(prefix).is_some_and(|part_prefill| part_prefill.reader == ticket.reader)
+            {
+                prefills.remove(prefix);
             }
         }
-        if flights.is_empty() {
-            self.flights.remove(&ticket.server);
+        if prefills.is_empty() {
+            self.prefills.remove(&ticket.server);
         }
     }
 
@@ -185,20 +190,22 @@
         prefixes: &[(PartId, TokenCount)],
         now: Instant,
     ) -> Option<Instant> {
-        let flights = self.flights.get(server)?;
-        let read = prefixes.iter().filter_map(|(prefix, tokens)| {
-            let flight = flights.get(prefix).filter(|flight| flight.until > now)?;
-            Some((tokens.get(), flight))
+        let prefills = self.prefills.get(server)?;
+        let covered = prefixes.iter().filter_map(|(prefix, tokens)| {
+            let part_prefill =
+                prefills.get(prefix).filter(|part_prefill| part_prefill.until > now)?;
+            Some((tokens.get(), part_prefill))
         });
-        let read: Vec<_> = read.collect();
-        let saved: u64 = read.iter().map(|(tokens, _)| tokens).sum();
-        let longest = read.iter().map(|(_, flight)| flight.cold.get()).max()?;
-        let pays = saved >= FEWEST_TOKENS && saved as f64 >= longest as f64 * LEAST_SHARE;
-        read.iter().map(|(_, flight)| flight.until).max().filter(|_| pays)
+        let covered: Vec<_> = covered.collect();
+        let saved: u64 = covered.iter().map(|(tokens, _)| tokens).sum();
+        let longest = covered.iter().map(|(_, part_prefill)| part_prefill.cold.get()).max()?;
+        let pays =
+            saved >= MIN_AWAITED_TOKENS && saved as f64 >= longest as f64 * MIN_SHARED_FRACTION;
+        covered.iter().map(|(_, part_prefill)| part_prefill.until).max().filter(|_| pays)
     }
 }
 
 /// How long a request may wait for parts in all, by the time that its caller has left.
-pub fn flight_patience(left: Duration) -> Duration {
-    left.mul_f64(PART_OF_TIME)
+pub fn prefill_wait_budget(left: Duration) -> Duration {
+    left.mul_f64(MAX_WAIT_FRACTION)
 }
--- a/crates/papayamux-coordination/src/placement/candidate.rs
+++ b/crates/papayamux-coordination/src/placement/candidate.rs
@@ -19,7 +19,7 @@
     /// then too, but nobody counts on it.
     pub nobody_holds: bool,
     /// A number from 0 up to 1 drawn for the request, for policies that draw.
-    pub draw: f64,
+    pub sample: f64,
     /// Cached tokens that one engine can hand another in a millisecond, where it can.
     pub transfer_tokens_per_ms: Option<f64>,
 }
@@ -44,9 +44,9 @@
     /// Its place in the order of the prompt's group, 0 for the home; all routers have the same.
     pub rank: u32,
     /// The part of its answers that it fails beyond what the others fail, from 0 to 1.
-    pub failing: f64,
+    pub excess_failure_rate: f64,
     /// The chance that a message from it is held up on the way, beyond the usual.
-    pub held_up: f64,
+    pub excess_delay_rate: f64,
     /// How fast it is.
     pub speed: ServerSpeed,
     /// What speaks against it.
@@ -71,5 +71,5 @@
     /// Whether it is the home of the prompt's group.
     pub is_home: bool,
     /// Tokens of what it needn't read that it, or where it copies from, is only believed to hold.
-    pub guessed: TokenCount,
+    pub assumed: TokenCount,
 }
--- a/crates/papayamux-coordination/src/placement/load_ledger.rs
+++ b/crates/papayamux-coordination/src/placement/load_ledger.rs
@@ -38,13 +38,13 @@
     }
 
     /// The load that is expected where this is the `part` of it that is known.
-    fn of_part(self, part: f64) -> Self {
-        if part >= 1.0 {
+    fn extrapolated(self, fraction: f64) -> Self {
+        if fraction >= 1.0 {
             return self;
         }
         Self {
-            requests: (f64::from(self.requests) / part).round() as u32,
-            backlog: (self.backlog as f64 / part).round() as u64,
+            requests: (f64::from(self.requests) / fraction).round() as u32,
+            backlog: (self.backlog as f64 / fraction).round() as u64,
         }
     }
 
@@ -56,7 +56,7 @@
 
 #[derive(Debug)]
 struct RouterReport {
-    heard: Instant,
+    received_at: Instant,
     loads: Vec<(ServerId, ServerLoad)>,
 }
 
@@ -64,27 +64,28 @@
 #[derive(Debug, Clone, Copy)]
 struct ReportedBacklog {
     router: RouterId,
-    heard: Instant,
+    received_at: Instant,
     tokens: u64,
     /// Whether the router had said so of that server in its report before. A server that reads has read
     /// one prompt long before the next report; one that hangs does not, and nothing else tells the others.
-    stands: bool,
+    is_repeated: bool,
 }
 
 /// What is left of backlogs of one server, in the order in which they were heard of, as the server has read
 /// them one after the other since, but for those that stand.
-fn backlog_left(backlogs: &[ReportedBacklog], now: Instant, tokens_per_ms: f64) -> u64 {
+fn remaining_backlog(backlogs: &[ReportedBacklog], now: Instant, tokens_per_ms: f64) -> u64 {
     let read = |from: Instant, to: Instant| {
         (to.saturating_duration_since(from).as_secs_f64() * 1_000.0 * tokens_per_ms) as u64
     };
-    let standing = backlogs.iter().filter(|backlog| backlog.stands).map(|backlog| backlog.tokens);
+    let repeated =
+        backlogs.iter().filter(|backlog| backlog.is_repeated).map(|backlog| backlog.tokens);
     let (mut left, mut at) = (0u64, None);
-    for backlog in backlogs.iter().filter(|backlog| !backlog.stands) {
-        left = left.saturating_sub(at.map_or(0, |at| read(at, backlog.heard)));
+    for backlog in backlogs.iter().filter(|backlog| !backlog.is_repeated) {
+        left = left.saturating_sub(at.map_or(0, |at| read(at, backlog.received_at)));
         left = left.saturating_add(backlog.tokens);
-        at = Some(backlog.heard);
+        at = Some(backlog.received_at);
     }
-    left.saturating_sub(at.map_or(0, |at| read(at, now))).saturating_add(standing.sum())
+    left.saturating_sub(at.map_or(0, |at| read(at, now))).saturating_add(repeated.sum())
 }
 
 /// This router's own requests, exactly, and those of the others as they last reported.
@@ -94,14 +95,14 @@
     reports: HashMap<RouterId, RouterReport>,
     reported: HashMap<ServerId, u32>,
     backlogs: HashMap<ServerId, Vec<ReportedBacklog>>,
-    heard_part: HeardPart,
+    reported_fraction: ReportedFraction,
 }
 
 /// The part of the other routers of which a report is believed, from 0 to 1.
 #[derive(Debug, Clone, Copy)]
-struct HeardPart(f64);
+struct ReportedFraction(f64);
 
-impl Default for HeardPart {
+impl Default for ReportedFraction {
     fn default() -> Self {
         Self(1.0)
     }
@@ -129,33 +130,35 @@
     }
 
     /// Replaces what a router reported.
-    pub fn note_report(
+    pub fn record_report(
         &mut self,
         router: RouterId,
         loads: Vec<(ServerId, ServerLoad)>,
         now: Instant,
     ) {
-        let before = self.forget_report(router);
+        let before = self.remove_report(router);
         let had_backlog = |server: &ServerId| {
             before.iter().any(|(known, load)| known == server && load.backlog > 0)
         };
         for (server, load) in &loads {
             *self.reported.entry(server.clone()).or_default() += load.requests;
             if load.backlog > 0 {
-                let stands = had_backlog(server);
-                let backlog = ReportedBacklog { router, heard: now, tokens: load.backlog, stands };
+                let is_repeated = had_backlog(server);
+                let backlog =
+                    ReportedBacklog { router, received_at: now, tokens: load.backlog, is_repeated };
                 self.backlogs.entry(server.clone()).or_default().push(backlog);
             }
         }
-        self.reports.insert(router, RouterReport { heard: now, loads });
+        self.reports.insert(router, RouterReport { received_at: now, loads });
     }
 
     /// Forgets reports that are too old; returns the routers that sent them.
     pub fn expire(&mut self, now: Instant) -> Vec<RouterId> {
-        let old = self.reports.iter().filter(|(_, report)| now - report.heard > REPORT_EXPIRY);
+        let old =
+            self.reports.iter().filter(|(_, report)| now - report.received_at > REPORT_EXPIRY);
         let routers: Vec<_> = old.map(|(router, _)| *router).collect();
         for router in &routers {
-            self.forget_report(*router);
+            self.remove_report(*router);
         }
         routers
     }
@@ -167,9 +170,9 @@
 
     /// Notes how long it takes until each other router has reported once. Where that is longer than
     /// reports are believed, those that are believed stand for the others too.
-    pub fn note_cycle(&mut self, cycle: Duration) {
+    pub fn record_cycle(&mut self, cycle: Duration) {
         let believed = REPORT_EXPIRY.as_secs_f64() / cycle.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.heard_part = HeardPart(believed.min(1.0));
+        self.reported_fraction = ReportedFraction(believed.min(1.0));
     }
 
     /// The requests of all routers at `server`, which reads `tokens_per_ms`.
@@ -181,15 +184,15 @@
         let backlogs = self.backlogs.get(server).map(Vec::as_slice).unwrap_or_default();
         let reported = ServerLoad {
             requests: self.reported.get(server).copied().unwrap_or_default(),
-            backlog: backlog_left(backlogs, now, tokens_per_ms),
+            backlog: remaining_backlog(backlogs, now, tokens_per_ms),
         };
         let mut total = self.own.get(server).copied().unwrap_or_default();
-        total.add(reported.of_part(self.heard_part.0));
+        total.add(reported.extrapolated(self.reported_fraction.0));
         total
     }
 
     /// Forgets what a router reported; returns it.
-    fn forget_report(&mut self, router: RouterId) -> Vec<(ServerId, ServerLoad)> {
+    fn remove_report(&mut self, router: RouterId) -> Vec<(ServerId, ServerLoad)> {
         let Some(report) = self.reports.remove(&router) else { return Vec::new() };
         for (server, load) in &report.loads {
             if let Some(reported) = self.reported.get_mut(server) {
--- a/crates/papayamux-coordination/src/placement/mod.rs
+++ b/crates/papayamux-coordination/src/placement/mod.rs
@@ -6,10 +6,10 @@
 mod policy;
 mod recent_holders;
 
-pub(crate) use recent_holders::FEWEST_TOKENS;
+pub(crate) use recent_holders::MIN_ANNOUNCED_TOKENS;
 
 pub use candidate::{Placement, PlacementCandidate, PlacementRequest};
 pub use load_ledger::{LoadLedger, RouterId, ServerLoad};
 pub use placer::{place, PlacementTuning};
 pub use policy::{PlacementPolicy, PolicyError};
-pub use recent_holders::{HolderNote, RecentHolders};
+pub use recent_holders::{HolderUpdate, RecentHolders};
--- a/crates/papayamux-coordination/src/route_cost.rs
+++ b/crates/papayamux-coordination/src/route_cost.rs
@@ -9,8 +9,8 @@
 use papayamux_state::quantities::{RequestCount, TokenCount};
 
 /// Blocks of a prompt that a probe names at most.
-const PROBED_BLOCKS: usize = 6;
-const _: () = assert!(PROBED_BLOCKS <= MOST_CHECKPOINTS);
+const MAX_PROBED_BLOCKS: usize = 6;
+const _: () = assert!(MAX_PROBED_BLOCKS <= MOST_CHECKPOINTS);
 /// How much more a token that has to be computed counts than its own time: it also delays all
 /// prompts behind it, and takes the place of other blocks in the cache.
 const COLD_WEIGHT: f64 = 4.0;
@@ -33,13 +33,13 @@
     /// The checkpoints of a prompt with these block hashes and so many tokens.
     pub fn new(hashes: &[u64], tokens: TokenCount) -> Self {
         let total = hashes.len();
-        let mut blocks: Vec<usize> = (0..PROBED_BLOCKS as u32)
+        let mut blocks: Vec<usize> = (0..MAX_PROBED_BLOCKS as u32)
             .map(|step| total - (total >> step))
             .chain([total])
             .filter(|count| *count > 0)
             .collect();
         blocks.dedup();
-        if blocks.len() > PROBED_BLOCKS {
+        if blocks.len() > MAX_PROBED_BLOCKS {
             blocks.remove(0);
         }
         let hashes = blocks.iter().map(|count| short_hash(hashes[count - 1])).collect();
@@ -68,8 +68,8 @@
     }
     let cold = cold_cost(reply.prefill_rate, checkpoints.cold_tokens(reply.warm));
     let requests = (reply.load.running + reply.load.waiting).get();
-    let crowd = TIME_PER_REQUEST.saturating_mul(u32::try_from(requests).unwrap_or(u32::MAX));
-    Some(reply.load.backlog + cold + crowd)
+    let concurrency = TIME_PER_REQUEST.saturating_mul(u32::try_from(requests).unwrap_or(u32::MAX));
+    Some(reply.load.backlog + cold + concurrency)
 }
 
 fn cold_cost(rate: TokenCount, tokens: TokenCount) -> Duration {
--- a/crates/papayamux-coordination/src/server_profile/estimates.rs
+++ b/crates/papayamux-coordination/src/server_profile/estimates.rs
@@ -17,9 +17,9 @@
 /// while answers scatter evenly.
 const SHRINKAGE: f64 = 0.6;
 /// The first step of an estimate that begins at what its siblings showed.
-const SIBLING_STEP: f64 = 0.3;
+const NEW_SERVER_STEP: f64 = 0.3;
 /// Answers after which an estimate says more of its server than the service's does.
-const OWN_ANSWERS: u32 = 4;
+const MIN_OWN_SAMPLES: u32 = 4;
 
 /// The median of positive samples, by steps towards each of them: one that is far off moves it no
 /// further than one that is near.
@@ -38,8 +38,8 @@
     }
 
     /// An estimate of one of many alike, which begins at what is known of them.
-    pub fn like(other: Self) -> Self {
-        Self { step: other.step.max(SIBLING_STEP), samples: 0, ..other }
+    pub fn from_service(other: Self) -> Self {
+        Self { step: other.step.max(NEW_SERVER_STEP), samples: 0, ..other }
     }
 
     /// Takes in a sample. One that isn't positive says nothing.
@@ -72,7 +72,7 @@
 
     /// Whether it says more of its server than the service's estimate does.
     pub fn is_own(&self) -> bool {
-        self.samples >= OWN_ANSWERS
+        self.samples >= MIN_OWN_SAMPLES
     }
 }
 
--- a/crates/papayamux-coordination/src/server_profile/mod.rs
+++ b/crates/papayamux-coordination/src/server_profile/mod.rs
@@ -6,9 +6,9 @@
 //! counted as full, nobody was turned away and a tenth of all callers died at their deadline.
 
 mod estimates;
-mod profile_book;
+mod profile_tracker;
 mod server_speed;
 
 pub use estimates::{CallTime, LowEstimate, MedianEstimate, ShareEstimate};
-pub use profile_book::{FirstEvent, ProfileBook, StreamEnd};
+pub use profile_tracker::{FirstEvent, ProfileTracker, StreamEnd};
 pub use server_speed::ServerSpeed;
--- a/crates/papayamux-coordination/src/server_profile/profile_book.rs
+++ b/crates/papayamux-coordination/src/server_profile/profile_tracker.rs
@@ -11,7 +11,7 @@
 
 /// Priors, left within a dozen answers: what large models on current accelerators do, within a factor
 /// of two. Prompt tokens read in a millisecond.
-const READ_TOKENS_PER_MS: f64 = 40.0;
+const PREFILL_TOKENS_PER_MS: f64 = 40.0;
 /// Milliseconds to the first event beyond reading: a round trip and a step or two.
 const FIRST_EVENT_MS: f64 = 20.0;
 /// Milliseconds that it takes to begin a copy from another engine.
@@ -25,13 +25,13 @@
 
 /// Part of the tokens that engines are only believed to hold that they do hold: where nothing is known,
 /// either may be. Taken for held, what nobody has read yet would be no load.
-const HELD_GUESSES: f64 = 0.5;
+const ASSUMED_HIT_RATE: f64 = 0.5;
 
 /// Tokens from which the time to the first event shows how fast an engine reads; what is below shows
 /// what it takes besides.
-const LONG_READING: f64 = 800.0;
+const MIN_PREFILL_TOKENS: f64 = 800.0;
 /// Events from which a stream shows the time between two.
-const FEWEST_EVENTS: u64 = 3;
+const MIN_EVENTS: u64 = 3;
 
 /// A first event of an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -43,7 +43,7 @@
     /// How long the transfer takes of what was copied from another engine, where something was.
     pub transfer: Option<Duration>,
     /// Tokens that the server was only believed to hold.
-    pub guessed: TokenCount,
+    pub assumed: TokenCount,
 }
 
 /// A stream that has ended. One that breaks off shows the pace of its events too: where only whole ones
@@ -60,70 +60,70 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Estimates {
-    reading: MedianEstimate,
+    prefill_rate: MedianEstimate,
     first_event: MedianEstimate,
     /// The same of prompts that were copied in part, beyond the transfer.
     copied_first_event: MedianEstimate,
     event_gap: MedianEstimate,
     idle_gap: LowEstimate,
     event_tokens: MedianEstimate,
-    held_guesses: ShareEstimate,
+    assumed_hit_rate: ShareEstimate,
     call: CallTime,
 }
 
 impl Default for Estimates {
     fn default() -> Self {
         Self {
-            reading: MedianEstimate::new(READ_TOKENS_PER_MS),
+            prefill_rate: MedianEstimate::new(PREFILL_TOKENS_PER_MS),
             first_event: MedianEstimate::new(FIRST_EVENT_MS),
             copied_first_event: MedianEstimate::new(FIRST_EVENT_MS + COPY_MS),
             event_gap: MedianEstimate::new(EVENT_GAP_MS),
             idle_gap: LowEstimate::new(EVENT_GAP_MS),
             event_tokens: MedianEstimate::new(EVENT_TOKENS),
-            held_guesses: ShareEstimate::new(HELD_GUESSES),
+            assumed_hit_rate: ShareEstimate::new(ASSUMED_HIT_RATE),
             call: CallTime::new(CALL),
         }
     }
 }
 
 impl Estimates {
-    fn like(other: &Self) -> Self {
+    fn from_service(other: &Self) -> Self {
         Self {
-            reading: MedianEstimate::like(other.reading),
-            first_event: MedianEstimate::like(other.first_event),
-            event_gap: MedianEstimate::like(other.event_gap),
+            prefill_rate: MedianEstimate::from_service(other.prefill_rate),
+            first_event: MedianEstimate::from_service(other.first_event),
+            event_gap: MedianEstimate::from_service(other.event_gap),
             ..*other
         }
     }
 
-    fn note_first(&mut self, first: FirstEvent) {
+    fn record_first(&mut self, first: FirstEvent) {
         let tokens = first.tokens.get() as f64;
         let took_ms = first.took.as_secs_f64() * 1_000.0;
-        if first.guessed.get() > 0 {
-            self.note_guess(took_ms, tokens, first);
+        if first.assumed.get() > 0 {
+            self.record_assumption(took_ms, tokens, first);
             return;
         }
         if let Some(transfer) = first.transfer {
             let transfer_ms = transfer.as_secs_f64() * 1_000.0;
-            let rest = took_ms - transfer_ms - tokens / self.reading.value();
+            let rest = took_ms - transfer_ms - tokens / self.prefill_rate.value();
             self.copied_first_event.note(rest.max(1.0));
             return;
         }
-        if tokens >= LONG_READING {
-            self.reading.note(tokens / (took_ms - self.first_event.value()).max(1.0));
+        if tokens >= MIN_PREFILL_TOKENS {
+            self.prefill_rate.note(tokens / (took_ms - self.first_event.value()).max(1.0));
         } else {
-            self.first_event.note((took_ms - tokens / self.reading.value()).max(1.0));
+            self.first_event.note((took_ms - tokens / self.prefill_rate.value()).max(1.0));
         }
     }
 
     /// Learns from the time to a first event whether what was guessed to be held was held.
-    fn note_guess(&mut self, took_ms: f64, tokens: f64, first: FirstEvent) {
+    fn record_assumption(&mut self, took_ms: f64, tokens: f64, first: FirstEvent) {
         let transfer_ms = first.transfer.map_or(0.0, |transfer| transfer.as_secs_f64() * 1_000.0);
-        let known_ms = self.first_event.value() + transfer_ms + tokens / self.reading.value();
-        let guessed_ms = first.guessed.get() as f64 / self.reading.value();
+        let known_ms = self.first_event.value() + transfer_ms + tokens / self.prefill_rate.value();
+        let guessed_ms = first.assumed.get() as f64 / self.prefill_rate.value();
         // A short part takes no longer to read than answers scatter.
         if guessed_ms > self.first_event.value() {
-            self.held_guesses.note(took_ms < known_ms + guessed_ms / 2.0);
+            self.assumed_hit_rate.note(took_ms < known_ms + guessed_ms / 2.0);
         }
     }
 }
@@ -138,27 +138,27 @@
 impl ServiceProfile {
     fn server(&mut self, server: &ServerId) -> &mut Estimates {
         let all = &self.all;
-        self.servers.entry(server.clone()).or_insert_with(|| Estimates::like(all))
+        self.servers.entry(server.clone()).or_insert_with(|| Estimates::from_service(all))
     }
 }
 
 /// All that a router has learnt of how fast servers are.
 #[derive(Debug, Default)]
-pub struct ProfileBook {
+pub struct ProfileTracker {
     services: HashMap<ServiceId, ServiceProfile>,
 }
 
-impl ProfileBook {
+impl ProfileTracker {
     /// Notes a first event of a server that had a slot free.
-    pub fn note_first(&mut self, service: &ServiceId, server: &ServerId, first: FirstEvent) {
+    pub fn record_first(&mut self, service: &ServiceId, server: &ServerId, first: FirstEvent) {
         let profile = self.profile(service);
-        profile.server(server).note_first(first);
-        profile.all.note_first(first);
+        profile.server(server).record_first(first);
+        profile.all.record_first(first);
     }
 
     /// Notes a stream that has ended.
-    pub fn note_stream(&mut self, service: &ServiceId, server: &ServerId, end: StreamEnd) {
-        if end.events < FEWEST_EVENTS {
+    pub fn record_stream(&mut self, service: &ServiceId, server: &ServerId, end: StreamEnd) {
+        if end.events < MIN_EVENTS {
             return;
         }
         let profile = self.profile(service);
@@ -172,7 +172,7 @@
     }
 
     /// Notes a plain call that was answered.
-    pub fn note_call(&mut self, service: &ServiceId, took: Duration) {
+    pub fn record_call(&mut self, service: &ServiceId, took: Duration) {
         self.profile(service).all.call.note(took);
     }
 
@@ -216,14 +216,14 @@
     // Of one server alone, few first events show it, and their scatter is as large as what is looked for.
     let copy_ms = (all.copied_first_event.value() - all.first_event.value()).max(0.0);
     ServerSpeed {
-        read_tokens_per_ms: pick(|estimates| estimates.reading),
+        prefill_tokens_per_ms: pick(|estimates| estimates.prefill_rate),
         first_event_ms: pick(|estimates| estimates.first_event),
         copy_ms,
         event_gap_ms: pick(|estimates| estimates.event_gap),
         idle_gap_ms: all.idle_gap.value(),
         event_tokens: all.event_tokens.value(),
-        held_guesses: all.held_guesses.value(),
+        assumed_hit_rate: all.assumed_hit_rate.value(),
         call_ms: all.call.mean_ms(),
-        longest_call: all.call.longer_than_usual(CALL_DEVIATIONS),
+        max_call_time: all.call.longer_than_usual(CALL_DEVIATIONS),
     }
 }
--- a/crates/papayamux-coordination/src/server_profile/server_speed.rs
+++ b/crates/papayamux-coordination/src/server_profile/server_speed.rs
@@ -9,39 +9,39 @@
 /// batch of a dozen takes a tenth longer for one more. The time is that of an engine with little to do:
 /// by the time under load, which grows with the requests that it is to weigh, prompts would leave their
 /// caches under high load.
-const CROWD_PART: f64 = 0.09;
+const CONCURRENCY_DELAY_FRACTION: f64 = 0.09;
 /// The same for one that waits at the engine for a slot or for memory: until another one ends.
-const WAITING_PART: f64 = 0.45;
+const QUEUE_DELAY_FRACTION: f64 = 0.45;
 /// How long an engine may have prompts to read before it counts as full. With the wait in the line that
 /// stays below the objectives of interactive requests; less leaves an engine idle between two requests
 /// of routers that are some milliseconds away.
-const READ_AHEAD_MS: f64 = 200.0;
+const MAX_BACKLOG_MS: f64 = 200.0;
 /// Events that a sound engine may be late by. A step that reads a full chunk of another prompt takes
 /// several times as long as one that does not, and an event has a few steps.
-const LATE_EVENTS: f64 = 20.0;
+const MAX_LATE_EVENTS: f64 = 20.0;
 /// The same before nothing more is sent to it, which costs more than to leave one request.
-const LATE_EVENTS_OF_SERVER: f64 = 27.0;
+const MAX_LATE_EVENTS_OF_ENGINE: f64 = 27.0;
 /// How many times as long as expected a first event may take: the expectation knows of no queue.
-const LATE_FIRST_EVENT: f64 = 4.0;
+const MAX_FIRST_EVENT_FACTOR: f64 = 4.0;
 /// Deviations that a plain call may take longer than the mean: a few in a thousand take as long.
 pub(super) const CALL_DEVIATIONS: f64 = 8.0;
 
 /// The shortest silence after which an answer under way is given up. A lost packet is sent again after
 /// 200 ms, and again after 400 ms; both ends may pause for some tens of milliseconds. This can't be
 /// learnt from servers: it is the operating system's.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(450);
+const MIN_STREAM_SILENCE: Duration = Duration::from_millis(450);
 /// The same before a first event, which follows a new connection and a request.
-const SHORTEST_FIRST_SILENCE: Duration = Duration::from_millis(700);
+const MIN_FIRST_EVENT_SILENCE: Duration = Duration::from_millis(700);
 /// The same before nothing more is sent to an engine.
-const SHORTEST_ENGINE_SILENCE: Duration = Duration::from_millis(600);
+const MIN_ENGINE_SILENCE: Duration = Duration::from_millis(600);
 /// The same for a plain call: one lost packet, and a pause of the other end.
-const SHORTEST_CALL_SILENCE: Duration = Duration::from_millis(250);
+const MIN_CALL_SILENCE: Duration = Duration::from_millis(250);
 
 /// How fast a server is, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerSpeed {
     /// Prompt tokens that an engine reads in a millisecond, beside what else it does.
-    pub read_tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Milliseconds until an engine's first event beyond the reading of prompts.
     pub first_event_ms: f64,
     /// Milliseconds that an engine takes to begin a copy from another one.
@@ -53,32 +53,32 @@
     /// Tokens of one event.
     pub event_tokens: f64,
     /// Part of the tokens that engines are only believed to hold that they do hold.
-    pub held_guesses: f64,
+    pub assumed_hit_rate: f64,
     /// Milliseconds that a plain call takes.
     pub call_ms: f64,
     /// Longer than plain calls take.
-    pub longest_call: Duration,
+    pub max_call_time: Duration,
 }
 
 impl ServerSpeed {
     /// What one more request at an engine adds to the wait of the next, in milliseconds.
-    pub fn crowd_ms(&self) -> f64 {
-        self.idle_gap_ms * CROWD_PART
+    pub fn concurrency_delay_ms(&self) -> f64 {
+        self.idle_gap_ms * CONCURRENCY_DELAY_FRACTION
     }
 
     /// What one more request that waits at an engine adds to the wait of the next, in milliseconds.
-    pub fn waiting_ms(&self) -> f64 {
-        self.idle_gap_ms * WAITING_PART
+    pub fn queue_delay_ms(&self) -> f64 {
+        self.idle_gap_ms * QUEUE_DELAY_FRACTION
     }
 
     /// Prompt tokens that may wait at an engine before it counts as full.
-    pub fn read_ahead(&self) -> u64 {
-        (self.read_tokens_per_ms * READ_AHEAD_MS) as u64
+    pub fn max_backlog(&self) -> u64 {
+        (self.prefill_tokens_per_ms * MAX_BACKLOG_MS) as u64
     }
 
     /// How long until a first event where so many tokens are to be read before it.
-    pub fn time_to_first(&self, tokens: TokenCount) -> Duration {
-        self.reading_time(tokens) + millis(self.first_event_ms)
+    pub fn time_to_first_event(&self, tokens: TokenCount) -> Duration {
+        self.prefill_time(tokens) + millis(self.first_event_ms)
     }
 
     /// How long a plain call takes.
@@ -87,8 +87,8 @@
     }
 
     /// Tokens that are likely to be read of those that a server is only believed to hold.
-    pub fn missing(&self, guessed: TokenCount) -> TokenCount {
-        TokenCount::new((guessed.get() as f64 * (1.0 - self.held_guesses)) as u64)
+    pub fn missing(&self, assumed: TokenCount) -> TokenCount {
+        TokenCount::new((assumed.get() as f64 * (1.0 - self.assumed_hit_rate)) as u64)
     }
 
     /// How long it takes to begin a copy from another engine.
@@ -97,8 +97,8 @@
     }
 
     /// How long so many tokens take to read.
-    pub fn reading_time(&self, tokens: TokenCount) -> Duration {
-        millis(tokens.get() as f64 / self.read_tokens_per_ms)
+    pub fn prefill_time(&self, tokens: TokenCount) -> Duration {
+        millis(tokens.get() as f64 / self.prefill_tokens_per_ms)
     }
 
     /// Events that an answer of so many tokens has.
@@ -107,7 +107,7 @@
     }
 
     /// How long an answer of so many tokens takes from its first event to its last.
-    pub fn answering_time(&self, answer: TokenCount) -> Duration {
+    pub fn generation_time(&self, answer: TokenCount) -> Duration {
         millis(self.events(answer) * self.event_gap_ms)
     }
 
@@ -119,34 +119,36 @@
         if slots == 0 || before == 0 {
             return Duration::ZERO;
         }
-        let kept = self.answering_time(answer) + millis(self.first_event_ms);
+        let kept = self.generation_time(answer) + millis(self.first_event_ms);
         kept.mul_f64(f64::from(before) / f64::from(slots))
     }
 
     /// What a token of an answer costs an engine with so many slots, in prompt tokens read.
     pub fn answer_token_work(&self, slots: u32) -> f64 {
         let token_ms = self.event_gap_ms / self.event_tokens;
-        token_ms / f64::from(slots.max(1)) * self.read_tokens_per_ms
+        token_ms / f64::from(slots.max(1)) * self.prefill_tokens_per_ms
     }
 
     /// A silence of an engine in a stream that is no pause.
     pub fn stream_silence(&self) -> Duration {
-        millis(self.event_gap_ms * LATE_EVENTS).max(SHORTEST_SILENCE)
+        millis(self.event_gap_ms * MAX_LATE_EVENTS).max(MIN_STREAM_SILENCE)
     }
 
     /// A silence of an engine with requests under way after which nothing more is sent to it.
     pub fn engine_silence(&self) -> Duration {
-        millis(self.event_gap_ms * LATE_EVENTS_OF_SERVER).max(SHORTEST_ENGINE_SILENCE)
+        millis(self.event_gap_ms * MAX_LATE_EVENTS_OF_ENGINE).max(MIN_ENGINE_SILENCE)
     }
 
     /// A silence before a stream's first event, for which so many tokens are to be read.
-    pub fn first_silence(&self, tokens: TokenCount) -> Duration {
-        self.time_to_first(tokens).mul_f64(LATE_FIRST_EVENT).max(SHORTEST_FIRST_SILENCE)
+    pub fn first_event_silence(&self, tokens: TokenCount) -> Duration {
+        self.time_to_first_event(tokens)
+            .mul_f64(MAX_FIRST_EVENT_FACTOR)
+            .max(MIN_FIRST_EVENT_SILENCE)
     }
 
     /// A silence of a plain service that is no slow call.
     pub fn call_silence(&self) -> Duration {
-        self.longest_call.max(SHORTEST_CALL_SILENCE)
+        self.max_call_time.max(MIN_CALL_SILENCE)
     }
 }
 
--- a/crates/papayamux-coordination/src/server_places.rs
+++ b/crates/papayamux-coordination/src/server_slots.rs
@@ -30,7 +30,7 @@
 
 /// The places that are free at a server with `slots` slots, 0 where their number isn't known, given
 /// the requests that all routers have there and what it said last of those that wait.
-pub fn free_places(
+pub fn free_slots(
     work: ServerWork,
     slots: u32,
     load: ServerLoad,
@@ -40,7 +40,7 @@
     match (slots, work) {
         (0, _) => u32::MAX,
         (_, ServerWork::Engine)
-            if load.backlog >= speed.read_ahead() || waiting >= ENGINE_QUEUE =>
+            if load.backlog >= speed.max_backlog() || waiting >= ENGINE_QUEUE =>
         {
             0
         }
@@ -66,13 +66,15 @@
     /// Requests that wait at a server; 0 where nothing recent is known.
     pub fn waiting(&self, server: &ServerId, now: Instant) -> u32 {
         let known = self.servers.get(server);
-        let recent =
-            known.filter(|(_, noted)| now.saturating_duration_since(*noted) < REPORT_EXPIRY);
+        let recent = known
+            .filter(|(_, received_at)| now.saturating_duration_since(*received_at) < REPORT_EXPIRY);
         recent.map_or(0, |(waiting, _)| *waiting)
     }
 
     /// Forgets what is no longer believed.
     pub fn forget_old(&mut self, now: Instant) {
-        self.servers.retain(|_, (_, noted)| now.saturating_duration_since(*noted) < REPORT_EXPIRY);
+        self.servers.retain(|_, (_, received_at)| {
+            now.saturating_duration_since(*received_at) < REPORT_EXPIRY
+        });
     }
 }
--- a/crates/papayamux-coordination/tests/backend_servers/mod.rs
+++ b/crates/papayamux-coordination/tests/backend_servers/mod.rs
@@ -8,15 +8,15 @@
 
 /// Engines that read 60 tokens in a millisecond, and calls of 20 ms.
 pub const SPEED: ServerSpeed = ServerSpeed {
-    read_tokens_per_ms: 60.0,
+    prefill_tokens_per_ms: 60.0,
     first_event_ms: 20.0,
     copy_ms: 3.0,
     event_gap_ms: 22.0,
     idle_gap_ms: 22.0,
     event_tokens: 6.0,
-    held_guesses: 0.9,
+    assumed_hit_rate: 0.9,
     call_ms: 20.0,
-    longest_call: Duration::from_millis(100),
+    max_call_time: Duration::from_millis(100),
 };
 
 /// A server of the service "llm".
--- a/crates/papayamux-coordination/tests/cache_survey.rs
+++ b/crates/papayamux-coordination/tests/cache_survey.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::cache_survey::{survey_share, CacheListing, ListingNews};
+use papayamux_coordination::cache_survey::{survey_share, CacheListing, ListingUpdates};
 use papayamux_state::ids::ServerId;
 use papayamux_state::prompt::{PartId, PromptPart};
 use papayamux_state::quantities::TokenCount;
@@ -50,12 +50,12 @@
 }
 
 #[test]
-fn router_that_hears_nobody_does_not_ask_a_whole_large_fleet() {
+fn isolated_router_does_not_survey_a_whole_large_fleet() {
     assert_eq!(survey_share(router(1), &[], &engines(600)).len(), 32);
 }
 
 #[test]
-fn an_engine_is_asked_although_routers_do_not_hear_one_another() {
+fn isolated_router_surveys_all_engines_of_a_small_fleet() {
     let engines = engines(18);
     let alone = survey_share(router(1), &[], &engines);
     assert_eq!(alone.len(), 18);
@@ -72,18 +72,18 @@
 }
 
 #[test]
-fn each_list_is_told_several_times_and_not_for_ever() {
+fn each_listing_is_announced_several_times_until_it_expires() {
     let begun = Instant::now();
-    let mut news = ListingNews::default();
+    let mut updates = ListingUpdates::default();
     for index in 0..5 {
-        news.add(listing(&format!("i-{index}"), &[10_000]), begun);
+        updates.add(listing(&format!("i-{index}"), &[10_000]), begun);
     }
-    news.add(listing("i-empty", &[]), begun);
-    let mut told: BTreeMap<String, u32> = BTreeMap::new();
+    updates.add(listing("i-empty", &[]), begun);
+    let mut announced: BTreeMap<String, u32> = BTreeMap::new();
     for round in 0..200 {
-        for listing in news.next(begun + Duration::from_millis(250) * round) {
-            *told.entry(listing.server.to_string()).or_default() += 1;
+        for listing in updates.next(begun + Duration::from_millis(250) * round) {
+            *announced.entry(listing.server.to_string()).or_default() += 1;
         }
     }
-    insta::assert_debug_snapshot!(told);
+    insta::assert_debug_snapshot!(announced);
 }
--- a/crates/papayamux-coordination/tests/cold_servers.rs
+++ b/crates/papayamux-coordination/tests/cold_servers.rs
@@ -9,7 +9,7 @@
 
 use insta::assert_snapshot;
 use papayamux_coordination::cold_servers::{
-    send_room, ColdAllowance, ColdBook, ColdLimit, ColdView, RouterCensus, SendRoom,
+    send_quota, ColdAllowance, ColdLimit, ColdTracker, ColdView, KnownRouters, SendQuota,
 };
 use papayamux_state::ids::ServerId;
 
@@ -19,20 +19,20 @@
 const STEP: u64 = 10;
 const SECOND: u64 = 1_000;
 /// Requests a second that each router could send: more than all shares.
-const WISHED: u64 = 20;
+const REQUESTS_PER_SECOND: u64 = 20;
 /// Servers that start: two for three routers, as where a third of a fleet starts, and no more than this.
-const MOST_SERVERS: usize = 16;
+const MAX_SERVERS: usize = 16;
 /// Reports of a router: each 250 ms to 12 others, each with the names of 16 that it knows.
-const REPORT_EVERY: u64 = 250;
+const REPORT_INTERVAL: u64 = 250;
 const FANOUT: usize = 12;
 const SEEDS: usize = 3;
-const NAMED: usize = 16;
+const NAMED_PER_REPORT: usize = 16;
 
 /// How routers keep to the limit of a cold server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum LimitStrategy {
     /// Not at all, as if all servers were alike.
-    Standing,
+    NoLimit,
     /// Each by the part that it would have if all routers heard of sent alike, rounded down.
     EqualParts,
     /// Not at all while a warm server is there.
@@ -50,9 +50,9 @@
 }
 
 /// A generator of numbers, the same in each run.
-struct Draws(u64);
+struct RandomSequence(u64);
 
-impl Draws {
+impl RandomSequence {
     fn next(&mut self) -> u64 {
         self.0 =
             self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -69,17 +69,17 @@
 }
 
 struct Router {
-    census: RouterCensus,
-    book: ColdBook,
+    known_routers: KnownRouters,
+    tracker: ColdTracker,
     known: Vec<usize>,
     is_known: Vec<bool>,
     /// Requests that it could send a second, in parts of one.
-    wish: f64,
+    demand: f64,
 }
 
 /// What happens in a play.
 #[derive(Debug, Clone, Copy)]
-struct Trouble {
+struct Faults {
     /// Datagrams that are lost, of one.
     lost: f64,
     /// Whether half of the routers start again while servers are cold.
@@ -92,17 +92,17 @@
     starts: bool,
 }
 
-const CALM: Trouble =
-    Trouble { lost: 0.01, restarts: false, split: false, notice: 0, starts: false };
+const MINIMAL_FAULTS: Faults =
+    Faults { lost: 0.01, restarts: false, split: false, notice: 0, starts: false };
 
-struct Play {
+struct Simulation {
     begun: Instant,
     now: u64,
     routers: Vec<Router>,
     servers: Vec<ServerId>,
-    draws: Draws,
-    way: Way,
-    trouble: Trouble,
+    random: RandomSequence,
+    strategy: LimitStrategy,
+    faults: Faults,
     is_known: bool,
     /// Arrivals of each server in each step.
     arrivals: Vec<BTreeMap<u64, u32>>,
@@ -110,7 +110,7 @@
 
 /// What became of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Verdict {
+struct SimulationResult {
     /// The most that any server got in a second.
     most: u32,
     /// Requests a second that servers got in the mean while all wanted to send, of what is allowed.
@@ -133,26 +133,26 @@
     }
 }
 
-impl Play {
-    fn new(routers: usize, way: Way, trouble: Trouble) -> Self {
+impl Simulation {
+    fn new(routers: usize, strategy: LimitStrategy, faults: Faults) -> Self {
         let begun = Instant::now();
-        let servers = (routers * 2 / 3).clamp(2, MOST_SERVERS);
+        let servers = (routers * 2 / 3).clamp(2, MAX_SERVERS);
         let ids = (0..servers).map(|index| format!("i-{index}").parse().unwrap()).collect();
         let router = |index| Router {
-            census: RouterCensus::new(address(index), true, begun),
-            book: ColdBook::default(),
+            known_routers: KnownRouters::new(address(index), true, begun),
+            tracker: ColdTracker::default(),
             known: Vec::new(),
             is_known: vec![false; routers],
-            wish: 0.0,
+            demand: 0.0,
         };
         let mut routers: Vec<_> = (0..routers).map(router).collect();
         // All have known one another for a while.
         let all: Vec<_> = (0..routers.len()).map(address).collect();
         for (index, router) in routers.iter_mut().enumerate() {
             router.begin(index);
-            if !trouble.starts {
+            if !faults.starts {
                 (0..all.len()).for_each(|other| router.meet(other));
-                router.census.note(&all, begun);
+                router.known_routers.record(&all, begun);
             }
         }
         Self {
@@ -160,9 +160,9 @@
             now: 0,
             routers,
             servers: ids,
-            draws: Draws(17),
-            way,
-            trouble,
+            random: RandomSequence(17),
+            strategy,
+            faults,
             is_known: false,
             arrivals: vec![BTreeMap::new(); servers],
         }
@@ -174,19 +174,19 @@
 
     /// Whether a datagram gets through.
     fn passes(&mut self, from: usize, to: usize) -> bool {
-        let is_cut = self.trouble.split && (from % 2) != (to % 2) && self.now > 2 * SECOND;
-        !is_cut && self.draws.part() >= self.trouble.lost
+        let is_cut = self.faults.split && (from % 2) != (to % 2) && self.now > 2 * SECOND;
+        !is_cut && self.random.part() >= self.faults.lost
     }
 
     fn report(&mut self, from: usize) {
         let now = self.instant();
         let known = self.routers[from].known.len();
-        let (first, name) = (self.draws.below(known.max(1)), self.draws.below(known.max(1)));
+        let (first, name) = (self.random.below(known.max(1)), self.random.below(known.max(1)));
         let turn = |start: usize, count: usize, of: &[usize]| -> Vec<usize> {
             of.iter().cycle().skip(start).take(count.min(of.len())).copied().collect()
         };
         let targets = turn(first, FANOUT, &self.routers[from].known);
-        let named = turn(name, NAMED, &self.routers[from].known);
+        let named = turn(name, NAMED_PER_REPORT, &self.routers[from].known);
         for to in targets {
             if !self.passes(from, to) {
                 continue;
@@ -194,9 +194,9 @@
             let named: Vec<_> = named.iter().filter(|named| **named != to).copied().collect();
             let addresses: Vec<_> =
                 named.iter().chain([&from]).map(|index| address(*index)).collect();
-            let counted = self.routers[from].census.heard();
-            self.routers[to].census.note(&addresses, now);
-            self.routers[to].census.note_count(counted, now);
+            let counted = self.routers[from].known_routers.known_count();
+            self.routers[to].known_routers.record(&addresses, now);
+            self.routers[to].known_routers.record_count(counted, now);
             named.into_iter().chain([from]).for_each(|index| self.routers[to].meet(index));
         }
     }
@@ -204,8 +204,8 @@
     fn restart(&mut self, index: usize) {
         let now = self.instant();
         let router = &mut self.routers[index];
-        router.census = RouterCensus::new(address(index), true, now);
-        router.book = ColdBook::default();
+        router.known_routers = KnownRouters::new(address(index), true, now);
+        router.tracker = ColdTracker::default();
         router.begin(index);
         // It reads all entries at its start.
         if self.is_known {
@@ -216,34 +216,34 @@
     fn note_cold(&mut self, index: usize, millis: u64) {
         let now = self.instant();
         for server in &self.servers {
-            self.routers[index].book.note_listed(server, Duration::from_millis(millis), now);
+            self.routers[index].tracker.record_listed(server, Duration::from_millis(millis), now);
         }
     }
 
-    fn room(&self, router: usize, server: usize) -> bool {
+    fn has_quota(&self, router: usize, server: usize) -> bool {
         let (state, now) = (&self.routers[router], self.instant());
         let id = &self.servers[server];
         let view = ColdView {
             limit: ALLOWANCE.limit(PER_SECOND),
-            is_cold: state.book.is_cold(id, now),
-            used: state.book.used(id, now),
+            is_cold: state.tracker.is_cold(id, now),
+            used: state.tracker.used(id, now),
         };
-        let alone = RouterCensus::new(address(router), false, self.begun);
-        match self.way {
-            Way::Standing => true,
-            Way::WarmOnly => !view.is_cold,
-            Way::EqualParts => {
-                let part = view.limit.0 / f64::from(state.census.count());
+        let alone = KnownRouters::new(address(router), false, self.begun);
+        match self.strategy {
+            LimitStrategy::NoLimit => true,
+            LimitStrategy::WarmOnly => !view.is_cold,
+            LimitStrategy::EqualParts => {
+                let part = view.limit.0 / f64::from(state.known_routers.count());
                 !view.is_cold || f64::from(view.used) + 1.0 <= part
             }
-            Way::Shares => !send_room(id, view, &state.census).is_empty(),
-            Way::OwnOnly => {
+            LimitStrategy::Shares => !send_quota(id, view, &state.known_routers).is_empty(),
+            LimitStrategy::OwnOnly => {
                 let mut alone = alone;
                 alone.update(self.begun + Duration::from_secs(60));
-                !send_room(id, view, &alone).is_empty()
+                !send_quota(id, view, &alone).is_empty()
             }
-            Way::Unsettled => {
-                let share = ALLOWANCE.limit(PER_SECOND).shared_out() / state.census.count();
+            LimitStrategy::Unsettled => {
+                let share = ALLOWANCE.limit(PER_SECOND).shared_out() / state.known_routers.count();
                 !view.is_cold || view.used <= share
             }
         }
@@ -251,50 +251,50 @@
 
     /// Each router sends what it can to the servers that look emptiest: those that started.
     fn send(&mut self, index: usize) {
-        self.routers[index].wish += WISHED as f64 * STEP as f64 / SECOND as f64;
-        while self.routers[index].wish >= 1.0 {
-            self.routers[index].wish -= 1.0;
+        self.routers[index].demand += REQUESTS_PER_SECOND as f64 * STEP as f64 / SECOND as f64;
+        while self.routers[index].demand >= 1.0 {
+            self.routers[index].demand -= 1.0;
             let count = self.servers.len();
-            let first = self.draws.below(count);
+            let first = self.random.below(count);
             let open = (0..count)
                 .map(|step| (first + step) % count)
-                .find(|server| self.room(index, *server));
+                .find(|server| self.has_quota(index, *server));
             let Some(server) = open else { continue };
             let (id, now) = (self.servers[server].clone(), self.instant());
-            self.routers[index].book.reserve(&id);
-            self.routers[index].book.note_sent(&id, now);
+            self.routers[index].tracker.reserve(&id);
+            self.routers[index].tracker.record_sent(&id, now);
             *self.arrivals[server].entry(self.now).or_default() += 1;
         }
     }
 
-    fn run(mut self) -> Verdict {
-        let cold_from = if self.trouble.starts { 7 * SECOND } else { 3 * SECOND };
+    fn run(mut self) -> SimulationResult {
+        let cold_from = if self.faults.starts { 7 * SECOND } else { 3 * SECOND };
         let until = cold_from + 4 * SECOND;
         while self.now < until {
             self.now += STEP;
             let now = self.instant();
-            if !self.is_known && self.now >= cold_from + self.trouble.notice {
+            if !self.is_known && self.now >= cold_from + self.faults.notice {
                 self.is_known = true;
                 (0..self.routers.len()).for_each(|index| self.note_cold(index, 60 * SECOND));
             }
-            if self.trouble.restarts && self.now == cold_from + SECOND {
+            if self.faults.restarts && self.now == cold_from + SECOND {
                 (0..self.routers.len()).step_by(2).for_each(|index| self.restart(index));
             }
             for index in 0..self.routers.len() {
-                let place = (index as u64 * STEP) % REPORT_EVERY;
-                if self.now % REPORT_EVERY == place {
+                let place = (index as u64 * STEP) % REPORT_INTERVAL;
+                if self.now % REPORT_INTERVAL == place {
                     self.report(index);
-                    self.routers[index].census.update(now);
+                    self.routers[index].known_routers.update(now);
                 }
                 if self.now >= cold_from {
                     self.send(index);
                 }
             }
         }
-        self.verdict(cold_from + self.trouble.notice, until)
+        self.result(cold_from + self.faults.notice, until)
     }
 
-    fn verdict(&self, from: u64, until: u64) -> Verdict {
+    fn result(&self, from: u64, until: u64) -> SimulationResult {
         let in_second = |arrivals: &BTreeMap<u64, u32>| {
             let sums = arrivals.keys().filter(|start| **start >= from).map(|start| {
                 arrivals.range(start..&(start + SECOND)).map(|(_, count)| count).sum::<u32>()
@@ -309,15 +309,15 @@
             .sum();
         let seconds = (until - from) as f64 / SECOND as f64;
         let allowed = ALLOWANCE.limit(PER_SECOND).0 * seconds * self.servers.len() as f64;
-        Verdict {
+        SimulationResult {
             most: self.arrivals.iter().map(in_second).max().unwrap_or_default(),
             used: f64::from(total) / allowed,
         }
     }
 }
 
-fn play(routers: usize, way: Way, trouble: Trouble) -> Verdict {
-    Play::new(routers, way, trouble).run()
+fn simulate(routers: usize, strategy: LimitStrategy, faults: Faults) -> SimulationResult {
+    Simulation::new(routers, strategy, faults).run()
 }
 
 fn limit() -> u32 {
@@ -328,16 +328,16 @@
 
 #[test]
 fn no_server_gets_more_than_its_limit_whatever_happens_between_routers() {
-    let troubles = [
-        CALM,
-        Trouble { lost: 0.3, ..CALM },
-        Trouble { restarts: true, lost: 0.05, ..CALM },
-        Trouble { split: true, lost: 0.05, ..CALM },
+    let fault_sets = [
+        MINIMAL_FAULTS,
+        Faults { lost: 0.3, ..MINIMAL_FAULTS },
+        Faults { restarts: true, lost: 0.05, ..MINIMAL_FAULTS },
+        Faults { split: true, lost: 0.05, ..MINIMAL_FAULTS },
     ];
     for routers in SIZES {
-        for trouble in troubles {
-            let verdict = play(routers, Way::Shares, trouble);
-            assert!(verdict.most <= limit(), "{routers} routers, {trouble:?}: {verdict:?}");
+        for faults in fault_sets {
+            let result = simulate(routers, LimitStrategy::Shares, faults);
+            assert!(result.most <= limit(), "{routers} routers, {faults:?}: {result:?}");
         }
     }
 }
@@ -345,39 +345,51 @@
 /// The whole fleet has started seven seconds before, and its routers learn of one another by reports alone.
 #[test]
 fn no_server_gets_more_than_its_limit_from_a_fleet_that_has_just_started() {
-    let starts = Trouble { starts: true, ..CALM };
-    let verdicts = [6, 24, 300, 1_000].map(|routers| play(routers, Way::Shares, starts));
-    assert!(verdicts.iter().all(|verdict| verdict.most <= limit()), "{verdicts:?}");
+    let starts = Faults { starts: true, ..MINIMAL_FAULTS };
+    let results =
+        [6, 24, 300, 1_000].map(|routers| simulate(routers, LimitStrategy::Shares, starts));
+    assert!(results.iter().all(|result| result.most <= limit()), "{results:?}");
 }
 
 #[test]
 fn no_server_gets_more_than_its_limit_from_a_thousand_routers() {
-    let restarts = Trouble { restarts: true, lost: 0.05, ..CALM };
-    let verdict = play(1_000, Way::Shares, restarts);
-    assert!(verdict.most <= limit(), "{verdict:?}");
-    assert!(verdict.used >= 0.5, "half of the routers know too little: {verdict:?}");
-    for trouble in [Trouble { lost: 0.3, ..CALM }, Trouble { split: true, lost: 0.05, ..CALM }] {
-        let verdict = play(1_000, Way::Shares, trouble);
-        assert!(verdict.most <= limit(), "{trouble:?}: {verdict:?}");
+    let restarts = Faults { restarts: true, lost: 0.05, ..MINIMAL_FAULTS };
+    let result = simulate(1_000, LimitStrategy::Shares, restarts);
+    assert!(result.most <= limit(), "{result:?}");
+    assert!(result.used >= 0.5, "half of the routers know too little: {result:?}");
+    for faults in [
+        Faults { lost: 0.3, ..MINIMAL_FAULTS },
+        Faults { split: true, lost: 0.05, ..MINIMAL_FAULTS },
+    ] {
+        let result = simulate(1_000, LimitStrategy::Shares, faults);
+        assert!(result.most <= limit(), "{faults:?}: {result:?}");
     }
 }
 
 #[test]
 fn most_of_what_is_allowed_is_used_while_all_want_to_send() {
     for routers in SIZES {
-        let verdict = play(routers, Way::Shares, CALM);
-        assert!(verdict.used >= 0.8, "{routers} routers: {verdict:?}");
+        let result = simulate(routers, LimitStrategy::Shares, MINIMAL_FAULTS);
+        assert!(result.used >= 0.8, "{routers} routers: {result:?}");
     }
 }
 
 #[test]
-fn other_ways_break_the_limit_or_leave_most_of_it_unused() {
+fn other_strategies_exceed_the_limit_or_leave_most_of_it_unused() {
     let mut table = String::new();
-    for way in [Way::Standing, Way::EqualParts, Way::WarmOnly, Way::Shares] {
+    for strategy in [
+        LimitStrategy::NoLimit,
+        LimitStrategy::EqualParts,
+        LimitStrategy::WarmOnly,
+        LimitStrategy::Shares,
+    ] {
         for routers in SIZES {
-            let Verdict { most, used } = play(routers, way, CALM);
-            writeln!(table, "{way:?}, {routers} routers: at most {most} a second, {used:.2} used")
-                .unwrap();
+            let SimulationResult { most, used } = simulate(routers, strategy, MINIMAL_FAULTS);
+            writeln!(
+                table,
+                "{strategy:?}, {routers} routers: at most {most} a second, {used:.2} used"
+            )
+            .unwrap();
         }
     }
     assert_snapshot!(table);
@@ -385,10 +397,10 @@
 
 #[test]
 fn planted_faults_are_found() {
-    for way in [Way::OwnOnly, Way::Unsettled] {
-        let restarts = Trouble { restarts: true, ..CALM };
-        let most = SIZES.map(|routers| play(routers, way, restarts).most);
-        assert!(most.iter().any(|most| *most > limit()), "{way:?}: {most:?}");
+    for strategy in [LimitStrategy::OwnOnly, LimitStrategy::Unsettled] {
+        let restarts = Faults { restarts: true, ..MINIMAL_FAULTS };
+        let most = SIZES.map(|routers| simulate(routers, strategy, restarts).most);
+        assert!(most.iter().any(|most| *most > limit()), "{strategy:?}: {most:?}");
     }
 }
 
@@ -400,12 +412,12 @@
         let all: Vec<_> = (0..routers).map(address).collect();
         let view = ColdView { limit: ALLOWANCE.limit(PER_SECOND), is_cold: true, used: 0 };
         let shares = all.iter().map(|own| {
-            let mut census = RouterCensus::new(*own, routers > 1, begun);
-            census.note(&all, begun);
-            census.update(begun + Duration::from_secs(6));
-            match send_room(&server, view, &census) {
-                SendRoom::Bounded(room) => room,
-                SendRoom::Unbounded => u32::MAX,
+            let mut known_routers = KnownRouters::new(*own, routers > 1, begun);
+            known_routers.record(&all, begun);
+            known_routers.update(begun + Duration::from_secs(6));
+            match send_quota(&server, view, &known_routers) {
+                SendQuota::Bounded(has_quota) => has_quota,
+                SendQuota::Unbounded => u32::MAX,
             }
         });
         assert_eq!(shares.sum::<u32>(), view.limit.shared_out(), "{routers}");
@@ -424,57 +436,61 @@
 fn router_that_knows_too_little_sends_little() {
     let begun = Instant::now();
     let server: ServerId = "i-1".parse().unwrap();
-    let mut census = RouterCensus::new(address(1), false, begun);
+    let mut known_routers = KnownRouters::new(address(1), false, begun);
     let view = |is_cold| ColdView { limit: ColdLimit(21.5), is_cold, used: 0 };
-    assert_eq!(send_room(&server, view(true), &census), SendRoom::Bounded(0));
-    assert_eq!(send_room(&server, view(false), &census), SendRoom::Bounded(1));
-    census.update(begun + Duration::from_secs(3));
-    assert_eq!(send_room(&server, view(true), &census), SendRoom::Bounded(0), "it hears nobody");
-    census.update(begun + Duration::from_secs(6));
-    assert_eq!(send_room(&server, view(false), &census), SendRoom::Unbounded);
-    assert_eq!(send_room(&server, view(true), &census), SendRoom::Bounded(19));
+    assert_eq!(send_quota(&server, view(true), &known_routers), SendQuota::Bounded(0));
+    assert_eq!(send_quota(&server, view(false), &known_routers), SendQuota::Bounded(1));
+    known_routers.update(begun + Duration::from_secs(3));
+    assert_eq!(
+        send_quota(&server, view(true), &known_routers),
+        SendQuota::Bounded(0),
+        "it hears nobody"
+    );
+    known_routers.update(begun + Duration::from_secs(6));
+    assert_eq!(send_quota(&server, view(false), &known_routers), SendQuota::Unbounded);
+    assert_eq!(send_quota(&server, view(true), &known_routers), SendQuota::Bounded(19));
 }
 
 #[test]
 fn requests_that_have_chosen_a_server_count_before_they_are_sent() {
     let (server, begun): (ServerId, _) = ("i-1".parse().unwrap(), Instant::now());
     let at = |millis| begun + Duration::from_millis(millis);
-    let mut book = ColdBook::default();
-    assert!(book.note_listed(&server, Duration::from_secs(3), begun));
-    book.reserve(&server);
-    book.reserve(&server);
-    assert_eq!(book.used(&server, at(0)), 2);
-    book.note_sent(&server, at(900));
-    book.release(&server);
-    assert_eq!(book.used(&server, at(1_500)), 1);
-    assert_eq!(book.used(&server, at(2_000)), 0);
-    book.note_passed_over(&server);
-    assert!(book.is_cold(&server, at(2_999)) && !book.is_cold(&server, at(3_000)));
-    let warmed = book.take_warmed(at(3_000));
+    let mut tracker = ColdTracker::default();
+    assert!(tracker.record_listed(&server, Duration::from_secs(3), begun));
+    tracker.reserve(&server);
+    tracker.reserve(&server);
+    assert_eq!(tracker.used(&server, at(0)), 2);
+    tracker.record_sent(&server, at(900));
+    tracker.release(&server);
+    assert_eq!(tracker.used(&server, at(1_500)), 1);
+    assert_eq!(tracker.used(&server, at(2_000)), 0);
+    tracker.record_passed_over(&server);
+    assert!(tracker.is_cold(&server, at(2_999)) && !tracker.is_cold(&server, at(3_000)));
+    let warmed = tracker.take_warmed(at(3_000));
     assert_eq!((warmed[0].sent, warmed[0].passed_over), (1, 1));
-    assert!(book.take_warmed(at(3_100)).is_empty());
+    assert!(tracker.take_warmed(at(3_100)).is_empty());
 }
 
 #[test]
-fn entry_ends_what_was_presumed_and_a_presumption_outlasts_an_older_entry() {
+fn listed_entry_replaces_an_assumed_cold_state() {
     let (server, begun): (ServerId, _) = ("i-1".parse().unwrap(), Instant::now());
-    let mut book = ColdBook::default();
-    book.presume(&server, Duration::ZERO, begun);
-    assert!(!book.is_cold(&server, begun), "its service has no cold starts");
-    book.presume(&server, Duration::from_secs(3), begun);
-    assert!(book.is_cold(&server, begun + Duration::from_millis(2_900)));
-    assert!(!book.note_listed(&server, Duration::ZERO, begun + Duration::from_secs(1)));
-    assert!(!book.is_cold(&server, begun + Duration::from_secs(1)));
+    let mut tracker = ColdTracker::default();
+    tracker.assume_cold(&server, Duration::ZERO, begun);
+    assert!(!tracker.is_cold(&server, begun), "its service has no cold starts");
+    tracker.assume_cold(&server, Duration::from_secs(3), begun);
+    assert!(tracker.is_cold(&server, begun + Duration::from_millis(2_900)));
+    assert!(!tracker.record_listed(&server, Duration::ZERO, begun + Duration::from_secs(1)));
+    assert!(!tracker.is_cold(&server, begun + Duration::from_secs(1)));
 }
 
 #[test]
-fn router_that_expects_others_never_takes_itself_for_the_only_one() {
+fn router_that_expects_others_never_assumes_to_be_the_only_one() {
     let begun = Instant::now();
     let server: ServerId = "i-1".parse().unwrap();
-    let mut census = RouterCensus::new(address(1), true, begun);
-    census.update(begun + Duration::from_secs(60));
+    let mut known_routers = KnownRouters::new(address(1), true, begun);
+    known_routers.update(begun + Duration::from_secs(60));
     let view = ColdView { limit: ColdLimit(21.5), is_cold: true, used: 0 };
-    assert_eq!(send_room(&server, view, &census), SendRoom::Bounded(0));
+    assert_eq!(send_quota(&server, view, &known_routers), SendQuota::Bounded(0));
 }
 
 /// Three routers before one server that is cold, in every order of a few cuts, restarts and seconds.
@@ -487,27 +503,27 @@
 
     /// A rule that a run leaves out.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    enum Planted {
-        Nothing,
+    enum PlantedFault {
+        None,
         /// A share that counts the router itself only.
         OwnOnly,
         /// Routers that are not heard just now don't count.
-        HeardOnly,
+        ReachableOnly,
         /// What was sent before a restart of others is forgotten by all.
-        NoMemory,
+        NoSendHistory,
         /// Routers don't tell how many they count.
         NoCount,
     }
 
     #[derive(Clone)]
     struct Member {
-        census: RouterCensus,
-        book: ColdBook,
+        known_routers: KnownRouters,
+        tracker: ColdTracker,
         is_cut: bool,
     }
 
     #[derive(Clone)]
-    struct World {
+    struct Scenario {
         begun: Instant,
         now: u64,
         members: Vec<Member>,
@@ -517,7 +533,7 @@
     #[derive(Debug, Clone, Copy)]
     enum Action {
         /// All send what they have room for, and half a second passes.
-        Press,
+        ExhaustQuota,
         /// A second passes, in which all that are not cut off hear one another.
         Wait,
         /// Cuts a router off from the others, or ends that.
@@ -525,28 +541,28 @@
         Restart(usize),
     }
 
-    impl World {
+    impl Scenario {
         fn new() -> Self {
             let begun = Instant::now();
             let member = |index| Member {
-                census: RouterCensus::new(address(index), true, begun),
-                book: cold_book(begun),
+                known_routers: KnownRouters::new(address(index), true, begun),
+                tracker: cold_tracker(begun),
                 is_cut: false,
             };
             let members = (0..3).map(member).collect();
-            let mut world = Self { begun, now: 0, members, sent: Vec::new() };
-            (0..3).for_each(|_| world.act(Action::Wait, Planted::Nothing));
-            world
+            let mut scenario = Self { begun, now: 0, members, sent: Vec::new() };
+            (0..3).for_each(|_| scenario.act(Action::Wait, PlantedFault::None));
+            scenario
         }
 
         fn at(&self) -> Instant {
             self.begun + Duration::from_millis(self.now)
         }
 
-        fn act(&mut self, action: Action, planted: Planted) {
+        fn act(&mut self, action: Action, planted: PlantedFault) {
             match action {
-                Action::Press => {
-                    (0..3).for_each(|index| self.press(index, planted));
+                Action::ExhaustQuota => {
+                    (0..3).for_each(|index| self.exhaust_quota(index, planted));
                     self.now += SECOND / 2;
                 }
                 Action::Wait => self.wait(planted),
@@ -554,57 +570,65 @@
                 Action::Restart(index) => {
                     let now = self.at();
                     let member = &mut self.members[index];
-                    member.census = RouterCensus::new(address(index), true, now);
-                    member.book = cold_book(now);
-                    if planted == Planted::NoMemory {
-                        self.members.iter_mut().for_each(|member| member.book = cold_book(now));
+                    member.known_routers = KnownRouters::new(address(index), true, now);
+                    member.tracker = cold_tracker(now);
+                    if planted == PlantedFault::NoSendHistory {
+                        self.members
+                            .iter_mut()
+                            .for_each(|member| member.tracker = cold_tracker(now));
                     }
                 }
             }
         }
 
-        fn wait(&mut self, planted: Planted) {
+        fn wait(&mut self, planted: PlantedFault) {
             self.now += SECOND;
             let now = self.at();
-            let heard: Vec<_> = (0..3).filter(|index| !self.members[*index].is_cut).collect();
-            let counted = heard.iter().map(|index| self.members[*index].census.heard()).max();
-            let heard: Vec<_> = heard.into_iter().map(address).collect();
+            let reachable: Vec<_> = (0..3).filter(|index| !self.members[*index].is_cut).collect();
+            let counted = reachable
+                .iter()
+                .map(|index| self.members[*index].known_routers.known_count())
+                .max();
+            let reachable: Vec<_> = reachable.into_iter().map(address).collect();
             for (index, member) in self.members.iter_mut().enumerate() {
                 let own = [address(index)];
-                let heard = if member.is_cut { &own[..] } else { &heard[..] };
-                if planted == Planted::HeardOnly && member.census.is_settled() {
-                    member.census = RouterCensus::new(address(index), false, self.begun);
+                let reachable = if member.is_cut { &own[..] } else { &reachable[..] };
+                if planted == PlantedFault::ReachableOnly && member.known_routers.is_settled() {
+                    member.known_routers = KnownRouters::new(address(index), false, self.begun);
                 }
-                member.census.note(heard, now);
-                if !member.is_cut && planted != Planted::NoCount {
-                    member.census.note_count(counted.unwrap_or_default(), now);
+                member.known_routers.record(reachable, now);
+                if !member.is_cut && planted != PlantedFault::NoCount {
+                    member.known_routers.record_count(counted.unwrap_or_default(), now);
                 }
-                member.census.update(now);
+                member.known_routers.update(now);
             }
         }
 
-        fn press(&mut self, index: usize, planted: Planted) {
+        fn exhaust_quota(&mut self, index: usize, planted: PlantedFault) {
             let (now, server) = (self.at(), server());
-            let alone = RouterCensus::new(address(index), false, self.begun);
+            let alone = KnownRouters::new(address(index), false, self.begun);
             loop {
                 let member = &mut self.members[index];
-                let view =
-                    ColdView { limit: LIMIT, is_cold: true, used: member.book.used(&server, now) };
-                let mut census = member.census.clone();
-                if planted == Planted::OwnOnly {
-                    census = alone.clone();
-                    census.update(self.begun + Duration::from_secs(60));
+                let view = ColdView {
+                    limit: LIMIT,
+                    is_cold: true,
+                    used: member.tracker.used(&server, now),
+                };
+                let mut known_routers = member.known_routers.clone();
+                if planted == PlantedFault::OwnOnly {
+                    known_routers = alone.clone();
+                    known_routers.update(self.begun + Duration::from_secs(60));
                 }
-                if send_room(&server, view, &census).is_empty() {
+                if send_quota(&server, view, &known_routers).is_empty() {
                     return;
                 }
-                member.book.reserve(&server);
-                member.book.note_sent(&server, now);
+                member.tracker.reserve(&server);
+                member.tracker.record_sent(&server, now);
                 self.sent.push(self.now);
             }
         }
 
-        fn is_sound(&self) -> bool {
+        fn is_within_limit(&self) -> bool {
             let within = |start: u64| {
                 self.sent.iter().filter(|sent| (start..start + SECOND).contains(sent)).count()
             };
@@ -616,33 +640,39 @@
         "i-1".parse().unwrap()
     }
 
-    fn cold_book(now: Instant) -> ColdBook {
-        let mut book = ColdBook::default();
-        book.note_listed(&server(), Duration::from_secs(600), now);
-        book
+    fn cold_tracker(now: Instant) -> ColdTracker {
+        let mut tracker = ColdTracker::default();
+        tracker.record_listed(&server(), Duration::from_secs(600), now);
+        tracker
     }
 
-    fn all_are_sound(world: &World, depth: usize, planted: Planted) -> bool {
+    fn holds_in_every_order(scenario: &Scenario, depth: usize, planted: PlantedFault) -> bool {
         let cuts = (0..3).map(Action::Cut);
         // Where all that know of a router start again while it is cut off, nobody can know of it.
-        let further = [Action::Press, Action::Wait, Action::Restart(0)];
+        let further = [Action::ExhaustQuota, Action::Wait, Action::Restart(0)];
         let actions = further.into_iter().chain(cuts);
         actions.into_iter().all(|action| {
-            let mut after = world.clone();
+            let mut after = scenario.clone();
             after.act(action, planted);
-            after.is_sound() && (depth == 1 || all_are_sound(&after, depth - 1, planted))
+            after.is_within_limit()
+                && (depth == 1 || holds_in_every_order(&after, depth - 1, planted))
         })
     }
 
     #[test]
     fn limit_holds_in_every_order() {
-        assert!(all_are_sound(&World::new(), DEPTH, Planted::Nothing));
+        assert!(holds_in_every_order(&Scenario::new(), DEPTH, PlantedFault::None));
     }
 
     #[test]
     fn planted_faults_are_found_in_some_order() {
-        for planted in [Planted::OwnOnly, Planted::HeardOnly, Planted::NoMemory, Planted::NoCount] {
-            assert!(!all_are_sound(&World::new(), DEPTH, planted), "{planted:?}");
+        for planted in [
+            PlantedFault::OwnOnly,
+            PlantedFault::ReachableOnly,
+            PlantedFault::NoSendHistory,
+            PlantedFault::NoCount,
+        ] {
+            assert!(!holds_in_every_order(&Scenario::new(), DEPTH, planted), "{planted:?}");
         }
     }
 }
@@ -655,10 +685,10 @@
     const COLD: usize = 15;
     const SERVERS: usize = 44;
     /// Requests a second of each router, of all routers, and what one warm server runs.
-    const WISHED: u64 = 20;
+    const REQUESTS_PER_SECOND: u64 = 20;
     const CAPACITY: u32 = 12;
     /// How long the servers are cold.
-    const COLD_FOR: u64 = 3 * SECOND;
+    const COLD_DURATION: u64 = 3 * SECOND;
 
     /// What became of the requests of one second.
     #[derive(Debug, Default, Clone, Copy)]
@@ -669,7 +699,7 @@
     }
 
     /// Five seconds from the return on; who finds no place is told at once.
-    fn play(way: Way) -> Vec<SecondTally> {
+    fn simulate(strategy: LimitStrategy) -> Vec<SecondTally> {
         let begun = Instant::now();
         let all: Vec<_> = (0..ROUTERS).map(address).collect();
         let ids: Vec<ServerId> =
@@ -679,40 +709,40 @@
         let mut routers: Vec<_> = all
             .iter()
             .map(|own| {
-                let mut census = RouterCensus::new(*own, true, begun);
-                census.note(&all, begun);
-                census.update(after(settled));
-                (census, ColdBook::default())
+                let mut known_routers = KnownRouters::new(*own, true, begun);
+                known_routers.record(&all, begun);
+                known_routers.update(after(settled));
+                (known_routers, ColdTracker::default())
             })
             .collect();
-        for (_, book) in &mut routers {
+        for (_, tracker) in &mut routers {
             for id in &ids[..COLD] {
-                book.note_listed(id, Duration::from_millis(COLD_FOR), after(settled));
+                tracker.record_listed(id, Duration::from_millis(COLD_DURATION), after(settled));
             }
         }
-        let mut draws = Draws(5);
+        let mut random = RandomSequence(5);
         let mut tallies = vec![SecondTally::default(); 5];
         let mut arrivals = vec![[0u32; 5]; SERVERS];
-        for step in 0..5 * WISHED {
-            let millis = step * SECOND / WISHED;
+        for step in 0..5 * REQUESTS_PER_SECOND {
+            let millis = step * SECOND / REQUESTS_PER_SECOND;
             let (now, second) = (after(settled + millis), (millis / SECOND) as usize);
-            for (census, book) in &mut routers {
-                let first = draws.below(SERVERS);
+            for (known_routers, tracker) in &mut routers {
+                let first = random.below(SERVERS);
                 // Those that came back look emptiest.
                 let back = (0..COLD).map(|step| (first + step) % COLD);
                 let others =
                     (0..SERVERS - COLD).map(|step| COLD + (first + step) % (SERVERS - COLD));
                 let open = back.chain(others).find(|server| {
                     let id = &ids[*server];
-                    let is_cold = book.is_cold(id, now);
+                    let is_cold = tracker.is_cold(id, now);
                     let view = ColdView {
                         limit: ALLOWANCE.limit(PER_SECOND),
                         is_cold,
-                        used: book.used(id, now),
+                        used: tracker.used(id, now),
                     };
-                    let has_room = match way {
-                        Way::WarmOnly => !is_cold,
-                        Way::Shares => !send_room(id, view, census).is_empty(),
+                    let has_room = match strategy {
+                        LimitStrategy::WarmOnly => !is_cold,
+                        LimitStrategy::Shares => !send_quota(id, view, known_routers).is_empty(),
                         _ => true,
                     };
                     // What is cold looks empty to all, and runs what it bears at the most.
@@ -722,8 +752,8 @@
                     tallies[second].refused += 1;
                     continue;
                 };
-                book.reserve(&ids[server]);
-                book.note_sent(&ids[server], now);
+                tracker.reserve(&ids[server]);
+                tracker.record_sent(&ids[server], now);
                 arrivals[server][second] += 1;
                 tallies[second].served += 1;
             }
@@ -736,16 +766,16 @@
     }
 
     #[test]
-    fn nobody_is_refused_who_could_be_served_and_no_server_gets_too_much() {
+    fn shares_serve_all_requests_within_the_limit_of_each_cold_server() {
         let mut table = String::new();
-        for way in [Way::Standing, Way::WarmOnly, Way::Shares] {
-            for (second, tally) in play(way).iter().enumerate() {
+        for strategy in [LimitStrategy::NoLimit, LimitStrategy::WarmOnly, LimitStrategy::Shares] {
+            for (second, tally) in simulate(strategy).iter().enumerate() {
                 let SecondTally { served, refused, busiest_cold } = tally;
-                writeln!(table, "{way:?}, second {second}: {served} served, {refused} told at once, at most {busiest_cold} at a server that came back").unwrap();
+                writeln!(table, "{strategy:?}, second {second}: {served} served, {refused} told at once, at most {busiest_cold} at a server that came back").unwrap();
             }
         }
         assert_snapshot!(table);
-        for tally in &play(Way::Shares)[..3] {
+        for tally in &simulate(LimitStrategy::Shares)[..3] {
             assert_eq!(tally.refused, 0);
             assert!(tally.busiest_cold <= limit());
         }
--- a/crates/papayamux-coordination/tests/constants.rs
+++ b/crates/papayamux-coordination/tests/constants.rs
@@ -8,9 +8,9 @@
 /// Decisions that a request on the direct path passes through, beside those in folders.
 const FILES: [&str; 14] = [
     "link_delays.rs",
-    "part_flights.rs",
+    "part_prefills.rs",
     "return_time.rs",
-    "server_places.rs",
+    "server_slots.rs",
     "server_liveness.rs",
     "server_record.rs",
     "usual_deadline.rs",
--- a/crates/papayamux-coordination/tests/engine_kinds.rs
+++ b/crates/papayamux-coordination/tests/engine_kinds.rs
@@ -19,7 +19,7 @@
 const HEAVY: f64 = 600.0;
 const LENGTH: Duration = Duration::from_secs(20);
 /// What the baselines may be ahead by: one seed is played.
-const SCATTER: f64 = 0.03;
+const TOLERANCE: f64 = 0.03;
 
 /// Our way, and the ways that it is measured against.
 const POLICIES: [(&str, PlacementPolicy, bool); 4] = [
@@ -29,14 +29,14 @@
     ("least-wait", PlacementPolicy::LeastWait, true),
 ];
 
-fn play(engines: EngineKind, rate: f64, policy: PlacementPolicy, has_line: bool) -> ReplayResult {
+fn run(engines: EngineKind, rate: f64, policy: PlacementPolicy, has_line: bool) -> ReplayResult {
     replay(ReplayLoad { engines, policy, rate, length: LENGTH, seed: 5, has_line })
 }
 
 /// Each way's result for one kind of engines.
-fn play_all(engines: EngineKind, rate: f64) -> Vec<(&'static str, ReplayResult)> {
-    let play = |(name, policy, line)| (name, play(engines, rate, policy, line));
-    POLICIES.into_iter().map(play).collect()
+fn run_all_policies(engines: EngineKind, rate: f64) -> Vec<(&'static str, ReplayResult)> {
+    let run = |(name, policy, line)| (name, run(engines, rate, policy, line));
+    POLICIES.into_iter().map(run).collect()
 }
 
 #[test]
@@ -44,14 +44,17 @@
     let mut table = String::new();
     for (kind, engines) in engine_kinds() {
         for rate in [EASY, HEAVY] {
-            let results = play_all(engines, rate);
+            let results = run_all_policies(engines, rate);
             for (name, result) in &results {
                 writeln!(table, "{kind}, {rate}/s, {name}: {result}").unwrap();
             }
             let ours = &results[0].1;
             for (name, other) in &results[1..] {
                 let (ours, other) = (ours.on_time(), other.on_time());
-                assert!(ours >= other - SCATTER, "{kind}, {rate}/s, {name}: {other:.2} {ours:.2}");
+                assert!(
+                    ours >= other - TOLERANCE,
+                    "{kind}, {rate}/s, {name}: {other:.2} {ours:.2}"
+                );
             }
         }
     }
@@ -61,18 +64,18 @@
 #[test]
 fn an_easy_load_is_served_on_time_by_all_engines_that_can() {
     for (kind, engines) in engine_kinds().into_iter().filter(|(kind, _)| !kind.contains("slower")) {
-        let result = play(engines, EASY, PlacementPolicy::Warm, true);
+        let result = run(engines, EASY, PlacementPolicy::Warm, true);
         assert!(result.on_time() > 0.97, "{kind}: {result}");
     }
 }
 
 #[test]
-fn who_can_not_be_served_is_told_at_once_and_hardly_any_die() {
+fn requests_beyond_capacity_are_refused_quickly_and_hardly_any_expire() {
     for (kind, engines) in engine_kinds() {
-        let result = play(engines, HEAVY, PlacementPolicy::Warm, true);
-        let unserved = result.turned_away() + result.died();
-        assert!(result.died() <= unserved / 10.0, "{kind}: {result}");
-        assert!(result.told_within_ms() <= 50, "{kind}: {result}");
+        let result = run(engines, HEAVY, PlacementPolicy::Warm, true);
+        let unserved = result.turned_away() + result.expired();
+        assert!(result.expired() <= unserved / 10.0, "{kind}: {result}");
+        assert!(result.refused_within_ms() <= 50, "{kind}: {result}");
     }
 }
 
@@ -81,7 +84,7 @@
     for kind in ["usual", "4 slots", "all parts cached", "one at a third"] {
         let kinds = engine_kinds();
         let (_, engines) = kinds.iter().find(|(name, _)| *name == kind).unwrap();
-        let result = play(*engines, HEAVY, PlacementPolicy::Warm, true);
+        let result = run(*engines, HEAVY, PlacementPolicy::Warm, true);
         assert!(result.late() < result.on_time() / 6.0, "{kind}: {result}");
     }
 }
@@ -89,7 +92,7 @@
 #[test]
 fn estimates_come_near_within_dozens_of_answers() {
     for (kind, engines) in engine_kinds().into_iter().filter(|(kind, _)| !kind.contains("slower")) {
-        let result = play(engines, EASY, PlacementPolicy::Warm, true);
+        let result = run(engines, EASY, PlacementPolicy::Warm, true);
         let errors = [(20, 10), (100, 40), (500, 100)];
         let errors = errors.map(|(until, count)| result.error_before(until, count));
         for (error, bound) in errors.into_iter().zip([0.8, 0.35, 0.35]) {
--- a/crates/papayamux-coordination/tests/fleet_replay/engine.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/engine.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct EngineKind {
     pub slots: u32,
-    pub read_tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Milliseconds between two events while nothing is read.
     pub event_gap_ms: f64,
     /// Shared parts that a cache holds.
@@ -21,7 +21,7 @@
 impl EngineKind {
     pub const USUAL: Self = Self {
         slots: 16,
-        read_tokens_per_ms: 40.0,
+        prefill_tokens_per_ms: 40.0,
         event_gap_ms: 20.0,
         cached_parts: 12,
         transfer_tokens_per_ms: 500.0,
@@ -32,7 +32,7 @@
 
 /// Part of its speed with which an engine generates while it reads: a step that reads a chunk takes some
 /// times as long.
-const SPEED_WHILE_READING: f64 = 0.3;
+const SPEED_DURING_PREFILL: f64 = 0.3;
 /// Time to the first event beyond reading.
 const FIRST_EVENT_MS: f64 = 15.0;
 /// Time to begin a copy.
@@ -55,7 +55,7 @@
 struct Running {
     work: EngineWork,
     /// Milliseconds of reading left.
-    reading_ms: f64,
+    prefill_ms: f64,
     /// Milliseconds until the first event after reading.
     first_ms: f64,
     events_left: f64,
@@ -77,7 +77,7 @@
     waiting: VecDeque<EngineWork>,
     cache: VecDeque<u64>,
     /// Tokens of shared parts that were read.
-    pub read: f64,
+    pub prefilled_tokens: f64,
 }
 
 impl Engine {
@@ -88,7 +88,7 @@
             running: Vec::new(),
             waiting: VecDeque::new(),
             cache: VecDeque::new(),
-            read: 0.0,
+            prefilled_tokens: 0.0,
         }
     }
 
@@ -125,9 +125,9 @@
     fn fill_slots(&mut self) {
         while self.running.len() < self.kind.slots as usize {
             let Some(work) = self.waiting.pop_front() else { return };
-            let reading = work.own_tokens / self.kind.read_tokens_per_ms;
+            let reading = work.own_tokens / self.kind.prefill_tokens_per_ms;
             self.running.push(Running {
-                reading_ms: reading * self.slower,
+                prefill_ms: reading * self.slower,
                 first_ms: FIRST_EVENT_MS * self.slower,
                 events_left: work.events,
                 has_begun: false,
@@ -139,13 +139,13 @@
     /// Lets a millisecond pass.
     pub fn tick(&mut self) -> Vec<EngineEvent> {
         let mut happened = Vec::new();
-        let next = self.running.iter().position(|running| running.reading_ms > 0.0);
+        let next = self.running.iter().position(|running| running.prefill_ms > 0.0);
         if let Some(next) = next {
-            self.read_on(next);
+            self.advance_prefill(next);
         }
-        let speed = if next.is_some() { SPEED_WHILE_READING } else { 1.0 };
+        let speed = if next.is_some() { SPEED_DURING_PREFILL } else { 1.0 };
         for running in &mut self.running {
-            if running.reading_ms > 0.0 {
+            if running.prefill_ms > 0.0 {
                 continue;
             }
             if !running.has_begun {
@@ -166,18 +166,18 @@
         happened
     }
 
-    fn read_on(&mut self, next: usize) {
+    fn advance_prefill(&mut self, next: usize) {
         let running = &mut self.running[next];
         let work = &mut running.work;
         if work.part_tokens > 0.0 {
             // Its turn has come: only now it shows whether the part is there.
             let known = self.cache.contains(&work.part);
-            running.reading_ms += match (known, work.is_copied) {
+            running.prefill_ms += match (known, work.is_copied) {
                 (true, _) => 0.0,
                 (false, true) => COPY_MS + work.part_tokens / self.kind.transfer_tokens_per_ms,
                 (false, false) => {
-                    self.read += work.part_tokens;
-                    work.part_tokens / self.kind.read_tokens_per_ms * self.slower
+                    self.prefilled_tokens += work.part_tokens;
+                    work.part_tokens / self.kind.prefill_tokens_per_ms * self.slower
                 }
             };
             work.part_tokens = 0.0;
@@ -187,6 +187,6 @@
                 self.cache.pop_front();
             }
         }
-        running.reading_ms -= 1.0;
+        running.prefill_ms -= 1.0;
     }
 }
--- a/crates/papayamux-coordination/tests/fleet_replay/mod.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/mod.rs
@@ -14,8 +14,8 @@
 };
 use papayamux_coordination::return_time::return_time;
 use papayamux_coordination::server_evidence::ServerStanding;
-use papayamux_coordination::server_places::{free_places, ServerWork};
-use papayamux_coordination::server_profile::{FirstEvent, ProfileBook, StreamEnd};
+use papayamux_coordination::server_profile::{FirstEvent, ProfileTracker, StreamEnd};
+use papayamux_coordination::server_slots::{free_slots, ServerWork};
 use papayamux_coordination::service_line::{
     request_work, CallerTime, FlowKey, LineArrival, LineRequest, ServiceLine,
 };
@@ -34,7 +34,7 @@
 pub const OBJECTIVE: Duration = Duration::from_millis(500);
 const DEADLINE: Duration = Duration::from_secs(4);
 /// How often the line is looked through.
-const WATCH_EVERY_MS: u64 = 50;
+const QUEUE_CHECK_INTERVAL_MS: u64 = 50;
 
 /// The load of a replay.
 #[derive(Debug, Clone, Copy)]
@@ -57,7 +57,7 @@
     /// Told that it did not run, so long after it was asked for the last time.
     TurnedAway(Duration),
     /// Its deadline passed in the line or at an engine.
-    Died,
+    Expired,
 }
 
 /// What came out.
@@ -67,7 +67,7 @@
     /// How far each expected time to a first event was off, as a part of the real one.
     errors: Vec<f64>,
     /// Tokens of shared parts that engines read.
-    pub read: f64,
+    pub prefilled_tokens: f64,
 }
 
 impl ReplayResult {
@@ -88,12 +88,12 @@
         self.part(|outcome| matches!(outcome, Outcome::TurnedAway(_)))
     }
 
-    pub fn died(&self) -> f64 {
-        self.part(|outcome| *outcome == Outcome::Died)
+    pub fn expired(&self) -> f64 {
+        self.part(|outcome| *outcome == Outcome::Expired)
     }
 
     /// The time within which nine in ten of those that were turned away were told so, in ms.
-    pub fn told_within_ms(&self) -> u128 {
+    pub fn refused_within_ms(&self) -> u128 {
         let told = self.outcomes.iter().filter_map(|outcome| match outcome {
             Outcome::TurnedAway(after) => Some(after.as_millis()),
             _ => None,
@@ -121,9 +121,9 @@
             self.on_time(),
             self.late(),
             self.turned_away(),
-            self.told_within_ms(),
-            self.died(),
-            self.read / 1_000.0,
+            self.refused_within_ms(),
+            self.expired(),
+            self.prefilled_tokens / 1_000.0,
             self.error_before(20, 10),
             self.error_before(100, 40),
             self.error_before(500, 100),
@@ -136,7 +136,7 @@
     part: u64,
     first_asked: Instant,
     asked: Instant,
-    tries: u32,
+    attempts: u32,
     placed: Option<Placed>,
     outcome: Option<Outcome>,
 }
@@ -150,7 +150,7 @@
     ahead: TokenCount,
     expected: Duration,
     missing: TokenCount,
-    guessed: TokenCount,
+    assumed: TokenCount,
     transfer: Option<Duration>,
     first: Option<Instant>,
 }
@@ -166,9 +166,9 @@
     requests: Vec<Request>,
     line: ServiceLine<usize>,
     ledger: LoadLedger,
-    profiles: ProfileBook,
+    profiles: ProfileTracker,
     warm: Vec<WarmParts>,
-    returning: Vec<(Instant, usize)>,
+    retries: Vec<(Instant, usize)>,
     result: ReplayResult,
 }
 
@@ -188,17 +188,17 @@
         requests: Vec::new(),
         line: ServiceLine::default(),
         ledger: LoadLedger::default(),
-        profiles: ProfileBook::default(),
+        profiles: ProfileTracker::default(),
         warm: (0..ENGINES).map(|_| WarmParts::new(TokenCount::new(capacity))).collect(),
-        returning: Vec::new(),
+        retries: Vec::new(),
         result: ReplayResult::default(),
     };
-    replay.play();
+    replay.run();
     replay.result
 }
 
 impl Replay {
-    fn play(&mut self) {
+    fn run(&mut self) {
         let mut next = Duration::ZERO;
         let end = self.load.length + DEADLINE * 2;
         let middle = self.load.length.as_millis() as u64 / 2;
@@ -211,43 +211,53 @@
             while next <= Duration::from_millis(tick) && next < self.load.length {
                 let pause = -self.random.random_range(f64::EPSILON..1.0).ln() / self.load.rate;
                 next += Duration::from_secs_f64(pause);
-                self.ask_first();
+                self.submit_first();
             }
             self.tick(tick);
         }
-        self.result.read = self.engines.iter().map(|engine| engine.read).sum();
-        self.result.outcomes =
-            self.requests.iter().map(|request| request.outcome.unwrap_or(Outcome::Died)).collect();
+        self.result.prefilled_tokens =
+            self.engines.iter().map(|engine| engine.prefilled_tokens).sum();
+        self.result.outcomes = self
+            .requests
+            .iter()
+            .map(|request| request.outcome.unwrap_or(Outcome::Expired))
+            .collect();
     }
 
     fn tick(&mut self, tick: u64) {
         let now = self.now;
-        let due: Vec<_> = self.returning.extract_if(.., |(at, _)| *at <= now).collect();
-        due.into_iter().for_each(|(_, request)| self.ask(request));
+        let due: Vec<_> = self.retries.extract_if(.., |(at, _)| *at <= now).collect();
+        due.into_iter().for_each(|(_, request)| self.submit(request));
         for engine in 0..ENGINES {
             for event in self.engines[engine].tick() {
                 match event {
-                    EngineEvent::FirstEvent(request) => self.note_first(request),
-                    EngineEvent::Ended(request) => self.note_end(request, true),
+                    EngineEvent::FirstEvent(request) => self.record_first(request),
+                    EngineEvent::Ended(request) => self.record_end(request, true),
                 }
             }
         }
-        if tick.is_multiple_of(WATCH_EVERY_MS) {
+        if tick.is_multiple_of(QUEUE_CHECK_INTERVAL_MS) {
             for (request, _) in self.line.take_overdue(now) {
                 self.turn_away(request);
             }
-            self.give_up();
+            self.expire_requests();
             self.call();
         }
     }
 
-    fn ask_first(&mut self) {
+    fn submit_first(&mut self) {
         let part = self.random.random_range(0..PARTS);
         let now = self.now;
-        let request =
-            Request { part, first_asked: now, asked: now, tries: 0, placed: None, outcome: None };
+        let request = Request {
+            part,
+            first_asked: now,
+            asked: now,
+            attempts: 0,
+            placed: None,
+            outcome: None,
+        };
         self.requests.push(request);
-        self.ask(self.requests.len() - 1);
+        self.submit(self.requests.len() - 1);
     }
 
     fn work(&self) -> TokenCount {
@@ -257,12 +267,12 @@
         request_work(TokenCount::new(OWN_TOKENS), answer, token_work)
     }
 
-    fn ask(&mut self, index: usize) {
+    fn submit(&mut self, index: usize) {
         let now = self.now;
         let work = self.work();
         let request = &mut self.requests[index];
         request.asked = now;
-        request.tries += 1;
+        request.attempts += 1;
         let first_asked = request.first_asked;
         let left = (first_asked + DEADLINE).saturating_duration_since(now);
         if !self.load.has_line {
@@ -278,7 +288,7 @@
                 asked_before: now - first_asked,
                 objective: OBJECTIVE,
                 left,
-                serving: speed.time_to_first(TokenCount::new(OWN_TOKENS)),
+                serving: speed.time_to_first_event(TokenCount::new(OWN_TOKENS)),
             },
         };
         let places = self.places();
@@ -289,16 +299,16 @@
         }
     }
 
-    fn read_speed(&self, engine: usize) -> f64 {
-        self.profiles.speed(&self.service, &self.ids[engine]).read_tokens_per_ms
+    fn prefill_rate(&self, engine: usize) -> f64 {
+        self.profiles.speed(&self.service, &self.ids[engine]).prefill_tokens_per_ms
     }
 
     fn places(&self) -> u32 {
         let places = (0..ENGINES).map(|engine| {
             let speed = self.profiles.speed(&self.service, &self.ids[engine]);
-            let load = self.ledger.total(&self.ids[engine], self.now, self.read_speed(engine));
+            let load = self.ledger.total(&self.ids[engine], self.now, self.prefill_rate(engine));
             let waiting = self.engines[engine].waiting();
-            free_places(ServerWork::Engine, self.load.engines.slots, load, waiting, &speed)
+            free_slots(ServerWork::Engine, self.load.engines.slots, load, waiting, &speed)
         });
         places.sum()
     }
@@ -315,15 +325,15 @@
     }
 
     fn turn_away(&mut self, index: usize) {
-        let draw = self.random.random_range(0.0..1.0);
+        let sample = self.random.random_range(0.0..1.0);
         let now = self.now;
         let request = &mut self.requests[index];
         let left = (request.first_asked + DEADLINE).saturating_duration_since(now);
-        if request.tries > 1 {
+        if request.attempts > 1 {
             request.outcome = Some(Outcome::TurnedAway(now - request.asked));
             return;
         }
-        self.returning.push((now + return_time(left, draw), index));
+        self.retries.push((now + return_time(left, sample), index));
     }
 
     fn chain(&self, index: usize) -> PromptChain {
@@ -341,7 +351,7 @@
             answer: TokenCount::new(EVENTS * EVENT_TOKENS),
             shared: chain.shared_tokens(),
             nobody_holds: false,
-            draw: self.random.random_range(0.0..1.0),
+            sample: self.random.random_range(0.0..1.0),
             transfer_tokens_per_ms: Some(self.load.engines.transfer_tokens_per_ms),
         };
         let tuning = PlacementTuning { policy: self.load.policy, ..PlacementTuning::default() };
@@ -351,12 +361,12 @@
         let request = &self.requests[index];
         let left = (request.first_asked + DEADLINE).saturating_duration_since(self.now);
         let backlog = candidates[engine].load.backlog;
-        let missing = speed.missing(placement.guessed);
+        let missing = speed.missing(placement.assumed);
         let cold = placement.cold + missing;
         let answer = TokenCount::new(EVENTS * EVENT_TOKENS);
         let requests = candidates[engine].load.requests;
         let slot_wait = speed.slot_wait(self.load.engines.slots, requests, answer);
-        let first = slot_wait + speed.time_to_first(cold + TokenCount::new(backlog));
+        let first = slot_wait + speed.time_to_first_event(cold + TokenCount::new(backlog));
         if self.load.has_line && backlog > 0 && first > left {
             self.turn_away(index);
             return;
@@ -368,7 +378,7 @@
         let copying = transfer.map_or(Duration::ZERO, |transfer| transfer + speed.copy_time());
         self.ledger.begin(&self.ids[engine], load);
         let ahead = TokenCount::new(
-            self.ledger.total(&self.ids[engine], self.now, self.read_speed(engine)).backlog,
+            self.ledger.total(&self.ids[engine], self.now, self.prefill_rate(engine)).backlog,
         );
         self.warm[engine].note_use(&chain);
         let work = self.work();
@@ -388,9 +398,9 @@
             work,
             load,
             ahead,
-            expected: speed.time_to_first(ahead) + copying + slot_wait,
+            expected: speed.time_to_first_event(ahead) + copying + slot_wait,
             missing,
-            guessed: placement.guessed,
+            assumed: placement.assumed,
             transfer,
             first: None,
         });
@@ -400,21 +410,21 @@
         PlacementCandidate {
             accepts: true,
             serves: true,
-            load: self.ledger.total(&self.ids[engine], self.now, self.read_speed(engine)),
+            load: self.ledger.total(&self.ids[engine], self.now, self.prefill_rate(engine)),
             waiting: self.engines[engine].waiting(),
             slots: self.load.engines.slots,
             warm: self.warm[engine].warm_tokens(chain),
             nearly_full: self.warm[engine].is_nearly_full(),
             rank: ((part + engine as u64) % ENGINES as u64) as u32,
-            failing: 0.0,
-            held_up: 0.0,
+            excess_failure_rate: 0.0,
+            excess_delay_rate: 0.0,
             speed: self.profiles.speed(&self.service, &self.ids[engine]),
             standing: ServerStanding::Good,
             round_trip_ms: 1.0,
         }
     }
 
-    fn note_first(&mut self, index: usize) {
+    fn record_first(&mut self, index: usize) {
         let now = self.now;
         let Some(placed) = &mut self.requests[index].placed else { return };
         placed.first = Some(now);
@@ -429,13 +439,13 @@
                 tokens: placed.ahead.saturating_sub(placed.missing),
                 took,
                 transfer: placed.transfer,
-                guessed: placed.guessed,
+                assumed: placed.assumed,
             };
-            self.profiles.note_first(&self.service, id, first);
+            self.profiles.record_first(&self.service, id, first);
         }
     }
 
-    fn note_end(&mut self, index: usize, is_whole: bool) {
+    fn record_end(&mut self, index: usize, is_whole: bool) {
         let Some(placed) = self.requests[index].placed.take() else { return };
         let id = &self.ids[placed.engine];
         self.ledger.end(id, placed.load);
@@ -446,19 +456,19 @@
             let events =
                 if is_whole { EVENTS + 1 } else { 1 + self.engines[placed.engine].events(index) };
             let end = StreamEnd { events, lasted, expected: is_whole.then_some(answer) };
-            self.profiles.note_stream(&self.service, id, end);
+            self.profiles.record_stream(&self.service, id, end);
         }
         let request = &mut self.requests[index];
         request.outcome = Some(match (is_whole, placed.first) {
             (true, Some(first)) if first - request.first_asked <= OBJECTIVE => Outcome::OnTime,
             (true, _) => Outcome::Late,
-            (false, _) => Outcome::Died,
+            (false, _) => Outcome::Expired,
         });
         self.call();
     }
 
     /// Ends the requests whose callers have left.
-    fn give_up(&mut self) {
+    fn expire_requests(&mut self) {
         let now = self.now;
         let over: Vec<_> = (0..self.requests.len())
             .filter(|index| {
@@ -468,11 +478,11 @@
             .collect();
         for index in over {
             if let Some(engine) = self.requests[index].placed.map(|placed| placed.engine) {
-                self.note_end(index, false);
+                self.record_end(index, false);
                 self.engines[engine].stop(index);
             }
             self.line.leave(&index);
-            self.requests[index].outcome.get_or_insert(Outcome::Died);
+            self.requests[index].outcome.get_or_insert(Outcome::Expired);
         }
     }
 }
@@ -489,19 +499,19 @@
         (
             "eight times slower",
             EngineKind {
-                read_tokens_per_ms: usual.read_tokens_per_ms / 8.0,
+                prefill_tokens_per_ms: usual.prefill_tokens_per_ms / 8.0,
                 event_gap_ms: usual.event_gap_ms * 8.0,
                 ..usual
             },
         ),
         (
             "reading eight times slower",
-            EngineKind { read_tokens_per_ms: usual.read_tokens_per_ms / 8.0, ..usual },
+            EngineKind { prefill_tokens_per_ms: usual.prefill_tokens_per_ms / 8.0, ..usual },
         ),
         (
             "eight times faster",
             EngineKind {
-                read_tokens_per_ms: usual.read_tokens_per_ms * 8.0,
+                prefill_tokens_per_ms: usual.prefill_tokens_per_ms * 8.0,
                 event_gap_ms: usual.event_gap_ms / 8.0,
                 ..usual
             },
--- a/crates/papayamux-coordination/tests/part_owners.rs
+++ b/crates/papayamux-coordination/tests/part_owners.rs
@@ -9,7 +9,7 @@
 
 use backend_servers::SPEED;
 use papayamux_coordination::part_owners::{
-    is_worth_telling, part_owner, AnswerTimes, SilentOwners,
+    is_worth_announcing, part_owner, AnswerTimes, SilentOwners,
 };
 use papayamux_coordination::placement::{
     place, PlacementCandidate, PlacementRequest, PlacementTuning, ServerLoad,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn silent_owner_is_not_asked_for_a_while() {
+fn silent_owner_is_not_queried_during_its_backoff() {
     let (mut silent, now) = (SilentOwners::default(), Instant::now());
     assert!(silent.allow(address(1), now));
     silent.note(address(1), now);
@@ -67,26 +67,26 @@
 }
 
 #[test]
-fn short_parts_are_not_worth_a_word() {
-    assert!(!is_worth_telling(999));
-    assert!(is_worth_telling(1_000));
+fn short_parts_are_not_announced() {
+    assert!(!is_worth_announcing(999));
+    assert!(is_worth_announcing(1_000));
 }
 
 #[test]
 fn answers_are_waited_for_as_long_as_they_take_and_never_for_long() {
     let millis = Duration::from_millis;
     let mut times = AnswerTimes::default();
-    assert!(times.patience(millis(160)).is_some_and(|patience| patience < millis(10)));
+    assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
     // Owners of another region answer after 42 ms; the first answers come too late and teach that.
     (0..20).for_each(|_| times.note(millis(42)));
-    assert!(times.patience(millis(400)).is_some_and(|patience| patience > millis(42)));
-    assert_eq!(times.patience(millis(160)), None, "reading the part takes hardly longer");
+    assert!(times.wait_budget(millis(400)).is_some_and(|wait_budget| wait_budget > millis(42)));
+    assert_eq!(times.wait_budget(millis(160)), None, "reading the part takes hardly longer");
     for reading in [200, 1_000, 10_000].map(millis) {
-        assert!(times.patience(reading).is_some_and(|patience| patience <= reading / 4));
+        assert!(times.wait_budget(reading).is_some_and(|wait_budget| wait_budget <= reading / 4));
     }
     // Back near, a few dozen answers bring it back to where it began.
     (0..48).for_each(|_| times.note(millis(1)));
-    assert!(times.patience(millis(160)).is_some_and(|patience| patience < millis(10)));
+    assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
 }
 
 const ENGINES: usize = 24;
@@ -109,13 +109,13 @@
 }
 
 /// Shared tokens read again in one replay though a sound engine held them.
-fn read_again(routers: usize, knowledge: Knowledge) -> u64 {
+fn recomputed_tokens(routers: usize, knowledge: Knowledge) -> u64 {
     let mut random = StdRng::seed_from_u64(1);
     let fleet = fleet(routers);
-    let (Knowledge::Reports(late) | Knowledge::Owners(late)) = knowledge;
+    let (Knowledge::Reports(delay) | Knowledge::Owners(delay)) = knowledge;
     // Each placement: the part, its engine, the router that knows at once, and when the others do.
     let mut placed: HashMap<u64, Vec<(usize, usize, u64)>> = HashMap::new();
-    let mut again = 0;
+    let mut recomputed = 0;
     for request in 0..REQUESTS {
         let now = request * 1_000 / RATE;
         let part = random.random_range(0..PARTS);
@@ -148,8 +148,8 @@
                     warm: TokenCount::new(if known.contains(&engine) { PART_TOKENS } else { 0 }),
                     nearly_full: false,
                     rank: rank(engine),
-                    failing: 0.0,
-                    held_up: 0.0,
+                    excess_failure_rate: 0.0,
+                    excess_delay_rate: 0.0,
                     speed: SPEED,
                     standing,
                     round_trip_ms: 1.0,
@@ -161,7 +161,7 @@
             answer: TokenCount::new(300),
             shared: TokenCount::new(PART_TOKENS),
             nobody_holds: asked && known.is_empty(),
-            draw: 0.5,
+            sample: 0.5,
             transfer_tokens_per_ms: Some(500.0),
         };
         let placement = place(prompt, &candidates, PlacementTuning::default()).unwrap();
@@ -171,22 +171,22 @@
         let there = holders.iter().any(|(holder, ..)| is_sound(*holder));
         if !holds(placement.server) {
             if !is_copied && there {
-                again += PART_TOKENS;
+                recomputed += PART_TOKENS;
             }
-            holders.push((placement.server, router, now + late.as_millis() as u64));
+            holders.push((placement.server, router, now + delay.as_millis() as u64));
         }
     }
-    again
+    recomputed
 }
 
 /// Where the routers of a large fleet hear one another late, prompts are sent in the belief that their
 /// home holds the part, or copied from there.
 #[test]
-fn asking_owners_saves_most_of_what_late_reports_have_read_again() {
-    for (routers, late) in [(68, 3), (300, 10)] {
-        let late = Duration::from_secs(late);
-        let reports = read_again(routers, Knowledge::Reports(late));
-        let owners = read_again(routers, Knowledge::Owners(late));
+fn querying_owners_avoids_most_recomputation_that_delayed_reports_cause() {
+    for (routers, delay) in [(68, 3), (300, 10)] {
+        let delay = Duration::from_secs(delay);
+        let reports = recomputed_tokens(routers, Knowledge::Reports(delay));
+        let owners = recomputed_tokens(routers, Knowledge::Owners(delay));
         assert!(owners * 4 <= reports, "{routers}: {owners} for {reports}");
     }
 }
--- a/crates/papayamux-coordination/tests/placement.rs
+++ b/crates/papayamux-coordination/tests/placement.rs
@@ -28,8 +28,8 @@
         warm: tokens(0),
         nearly_full: false,
         rank: 1,
-        failing: 0.0,
-        held_up: 0.0,
+        excess_failure_rate: 0.0,
+        excess_delay_rate: 0.0,
         speed: SPEED,
         standing: ServerStanding::Good,
         round_trip_ms: 0.0,
@@ -46,19 +46,19 @@
     answer: TokenCount::new(360),
     shared: TokenCount::new(10_500),
     nobody_holds: false,
-    draw: 0.5,
+    sample: 0.5,
     transfer_tokens_per_ms: Some(500.0),
 };
 
 /// Tokens that a server reads in a millisecond.
-const READING: f64 = 50.0;
+const PREFILL_RATE: f64 = 50.0;
 
 fn placed(request: PlacementRequest, candidates: &[PlacementCandidate]) -> usize {
     place(request, candidates, PlacementTuning::default()).unwrap().server
 }
 
 #[test]
-fn loads_of_routers_that_are_not_heard_in_time_are_made_up_for() {
+fn loads_of_routers_with_expired_reports_are_extrapolated() {
     let now = Instant::now();
     let server: ServerId = "i-1".parse().unwrap();
     let load = |requests| ServerLoad { requests, backlog: 1_000 * u64::from(requests) };
@@ -66,18 +66,18 @@
     ledger.begin(&server, load(2));
     for index in 1..=5 {
         let router = RouterId(std::net::Ipv4Addr::new(10, 0, 0, index).into());
-        ledger.note_report(router, vec![(server.clone(), load(3))], now);
+        ledger.record_report(router, vec![(server.clone(), load(3))], now);
     }
     // All others report once in a second, so that all are known.
-    ledger.note_cycle(std::time::Duration::from_secs(1));
-    assert_eq!(ledger.total(&server, now, READING), load(17));
+    ledger.record_cycle(std::time::Duration::from_secs(1));
+    assert_eq!(ledger.total(&server, now, PREFILL_RATE), load(17));
     // They take ten seconds, and reports are believed for a quarter of that.
-    ledger.note_cycle(std::time::Duration::from_secs(10));
-    assert_eq!(ledger.total(&server, now, READING), load(62));
+    ledger.record_cycle(std::time::Duration::from_secs(10));
+    assert_eq!(ledger.total(&server, now, PREFILL_RATE), load(62));
 }
 
 #[test]
-fn home_that_is_only_believed_to_hold_a_prompt_copies_the_beginning_that_another_holds() {
+fn home_that_is_only_assumed_to_hold_a_prompt_copies_the_prefix_that_another_holds() {
     let home = PlacementCandidate { rank: 0, ..candidate(0) };
     let other = PlacementCandidate { warm: tokens(512), ..candidate(0) };
     let placement = place(LONG, &[home, other], PlacementTuning::default()).unwrap();
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn nothing_is_taken_from_a_server_that_is_silent() {
+fn nothing_is_copied_from_an_ejected_server() {
     let silent =
         PlacementCandidate { warm: tokens(10_500), standing: ServerStanding::Held, ..candidate(1) };
     let placement = place(LONG, &[silent, candidate(5)], PlacementTuning::default()).unwrap();
@@ -157,30 +157,30 @@
 
 #[test]
 fn failing_server_gets_no_plain_calls_while_others_have_room() {
-    let failing = PlacementCandidate { failing: 0.3, ..candidate(0) };
+    let excess_failure_rate = PlacementCandidate { excess_failure_rate: 0.3, ..candidate(0) };
     let request = PlacementRequest::default();
-    assert_eq!(placed(request, &[failing, candidate(5), candidate(6)]), 1);
+    assert_eq!(placed(request, &[excess_failure_rate, candidate(5), candidate(6)]), 1);
 }
 
 #[test]
-fn where_all_are_held_one_is_asked_all_the_same() {
+fn ejected_server_is_used_when_all_servers_are_ejected() {
     let held = PlacementCandidate { standing: ServerStanding::Held, ..candidate(1) };
     assert_eq!(placed(PlacementRequest::default(), &[held, held]), 0);
     assert!(place(PlacementRequest::default(), &[], PlacementTuning::default()).is_none());
 }
 
 #[test]
-fn backlog_that_another_router_reported_is_read_on_since() {
+fn backlog_reported_by_another_router_shrinks_at_the_prefill_rate() {
     let begun = Instant::now();
     let server: ServerId = "i-1".parse().unwrap();
     let router = RouterId("10.0.0.2".parse().unwrap());
     let mut ledger = LoadLedger::default();
     ledger.begin(&server, ServerLoad { requests: 1, backlog: 700 });
-    let told = ServerLoad { requests: 2, backlog: 10_000 };
-    ledger.note_report(router, vec![(server.clone(), told)], begun);
+    let reported = ServerLoad { requests: 2, backlog: 10_000 };
+    ledger.record_report(router, vec![(server.clone(), reported)], begun);
     let after = |ledger: &LoadLedger, millis| {
         let now = begun + std::time::Duration::from_millis(millis);
-        ledger.total(&server, now, READING)
+        ledger.total(&server, now, PREFILL_RATE)
     };
     assert_eq!(after(&ledger, 0), ServerLoad { requests: 3, backlog: 10_700 });
     assert_eq!(after(&ledger, 120), ServerLoad { requests: 3, backlog: 4_700 });
@@ -188,7 +188,7 @@
     // A server reads what several routers sent one after the other.
     let other = RouterId("10.0.0.3".parse().unwrap());
     let later = begun + std::time::Duration::from_millis(100);
-    ledger.note_report(other, vec![(server.clone(), told)], later);
+    ledger.record_report(other, vec![(server.clone(), reported)], later);
     assert_eq!(after(&ledger, 100).backlog, 700 + 5_000 + 10_000);
     assert_eq!(after(&ledger, 300).backlog, 700 + 5_000);
     assert_eq!(after(&ledger, 400).backlog, 700);
@@ -197,20 +197,20 @@
 /// Engines that hang while they look healthy: on a day with seven of them 102 of 4,600 letters failed where all
 /// backlogs were taken as read, and 77 where those that are reported twice stand (one run each).
 #[test]
-fn backlog_that_a_router_reports_twice_stands() {
+fn backlog_reported_twice_by_a_router_does_not_shrink() {
     let begun = Instant::now();
     let server: ServerId = "i-1".parse().unwrap();
     let router = RouterId("10.0.0.2".parse().unwrap());
     let hanging = ServerLoad { requests: 1, backlog: 10_000 };
     let mut ledger = LoadLedger::default();
-    ledger.note_report(router, vec![(server.clone(), hanging)], begun);
+    ledger.record_report(router, vec![(server.clone(), hanging)], begun);
     let later = begun + std::time::Duration::from_secs(1);
-    assert_eq!(ledger.total(&server, later, READING).backlog, 0);
-    ledger.note_report(router, vec![(server.clone(), hanging)], later);
+    assert_eq!(ledger.total(&server, later, PREFILL_RATE).backlog, 0);
+    ledger.record_report(router, vec![(server.clone(), hanging)], later);
     let much_later = later + std::time::Duration::from_secs(1);
-    assert_eq!(ledger.total(&server, much_later, READING).backlog, 10_000);
-    ledger.note_report(router, vec![(server.clone(), ServerLoad::default())], much_later);
-    assert_eq!(ledger.total(&server, much_later, READING).backlog, 0);
+    assert_eq!(ledger.total(&server, much_later, PREFILL_RATE).backlog, 10_000);
+    ledger.record_report(router, vec![(server.clone(), ServerLoad::default())], much_later);
+    assert_eq!(ledger.total(&server, much_later, PREFILL_RATE).backlog, 0);
 }
 
 #[test]
@@ -219,7 +219,7 @@
     let asked = PlacementRequest { nobody_holds: true, ..LONG };
     let placement = place(asked, &[candidate(1), home], PlacementTuning::default()).unwrap();
     assert_eq!((placement.server, placement.fetch_from), (1, None));
-    assert_eq!((placement.cold, placement.guessed), (LONG.prompt, TokenCount::default()));
+    assert_eq!((placement.cold, placement.assumed), (LONG.prompt, TokenCount::default()));
     // Where the home is far too busy it is read elsewhere, and not copied from the home.
     let busy = PlacementCandidate { load: ServerLoad { requests: 40, backlog: 200_000 }, ..home };
     let others = [candidate(1), candidate(1), candidate(1), busy];
@@ -236,13 +236,13 @@
     let load = |requests| ServerLoad { requests, backlog: 10 };
     let mut ledger = LoadLedger::default();
     ledger.begin(&server, load(1));
-    ledger.note_report(router, vec![(server.clone(), load(4))], begun);
-    ledger.note_report(router, vec![(server.clone(), load(2))], begun);
-    assert_eq!(ledger.total(&server, begun, READING), ServerLoad { requests: 3, backlog: 20 });
+    ledger.record_report(router, vec![(server.clone(), load(4))], begun);
+    ledger.record_report(router, vec![(server.clone(), load(2))], begun);
+    assert_eq!(ledger.total(&server, begun, PREFILL_RATE), ServerLoad { requests: 3, backlog: 20 });
     ledger.expire(begun + std::time::Duration::from_secs(3));
-    assert_eq!(ledger.total(&server, begun, READING), load(1));
+    assert_eq!(ledger.total(&server, begun, PREFILL_RATE), load(1));
     ledger.end(&server, load(1));
-    assert_eq!(ledger.total(&server, begun, READING), ServerLoad::default());
+    assert_eq!(ledger.total(&server, begun, PREFILL_RATE), ServerLoad::default());
 }
 
 #[test]
@@ -257,8 +257,8 @@
 fn baselines_choose_without_regard_to_warmth() {
     let warm = PlacementCandidate { warm: tokens(10_500), rank: 0, ..candidate(4) };
     let candidates = [candidate(1), warm, candidate(9)];
-    let placed = |policy, draw| {
-        let request = PlacementRequest { draw, ..LONG };
+    let placed = |policy, sample| {
+        let request = PlacementRequest { sample, ..LONG };
         let tuning = PlacementTuning { policy, ..PlacementTuning::default() };
         place(request, &candidates, tuning).unwrap().server
     };
@@ -280,12 +280,17 @@
 
 #[test]
 fn long_answers_leave_a_lossy_link_and_short_ones_stay_where_their_prompt_is() {
-    let home = PlacementCandidate { rank: 0, warm: tokens(10_500), held_up: 0.03, ..candidate(5) };
+    let home = PlacementCandidate {
+        rank: 0,
+        warm: tokens(10_500),
+        excess_delay_rate: 0.03,
+        ..candidate(5)
+    };
     let near = candidate(5);
     assert_eq!(placed(LONG, &[home, near]), 1);
     let short = PlacementRequest { answer: tokens(24), ..LONG };
     assert_eq!(placed(short, &[home, near]), 0);
-    let sound = PlacementCandidate { held_up: 0.0, ..home };
+    let sound = PlacementCandidate { excess_delay_rate: 0.0, ..home };
     assert_eq!(placed(LONG, &[sound, near]), 0);
 }
 
@@ -295,7 +300,7 @@
     let spare = PlacementCandidate { nearly_full: false, ..engine(10) };
     let nearly_full = PlacementCandidate { nearly_full: true, ..engine(10) };
     let others = [engine(120), engine(120), engine(120)];
-    let with = |one| [vec![home, one], others.to_vec()].concat();
+    let with = |candidate| [vec![home, candidate], others.to_vec()].concat();
     assert_eq!(placed(LONG, &with(spare)), 1);
     assert_eq!(placed(LONG, &with(nearly_full)), 0);
     let idle = PlacementCandidate { nearly_full: true, ..engine(0) };
@@ -308,17 +313,17 @@
 }
 
 #[test]
-fn part_that_nobody_is_known_to_hold_is_asked_of_its_home_also_where_others_have_less_to_do() {
+fn part_without_a_known_holder_goes_to_its_home_even_if_others_have_less_load() {
     let home = PlacementCandidate { rank: 0, ..engine(40) };
     let less = [engine(25), engine(25), engine(25)];
     let unknown = [vec![home], less.to_vec()].concat();
     let placement = place(LONG, &unknown, PlacementTuning::default()).unwrap();
-    assert_eq!((placement.server, placement.guessed > tokens(0)), (0, true));
+    assert_eq!((placement.server, placement.assumed > tokens(0)), (0, true));
     // One that is known to hold it is left for a great difference in load, with a copy.
     let known = PlacementCandidate { warm: tokens(10_500), ..engine(140) };
     let others = [known, engine(20), engine(130), engine(130)];
     let placement = place(LONG, &others, PlacementTuning::default()).unwrap();
-    let copied = (placement.server, placement.fetch_from, placement.guessed);
+    let copied = (placement.server, placement.fetch_from, placement.assumed);
     assert_eq!(copied, (1, Some(0), tokens(0)));
 }
 
--- a/crates/papayamux-coordination/tests/server_profile.rs
+++ b/crates/papayamux-coordination/tests/server_profile.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use papayamux_coordination::placement::ServerLoad;
-use papayamux_coordination::server_places::{free_places, ServerWork};
-use papayamux_coordination::server_profile::{FirstEvent, ProfileBook, StreamEnd};
+use papayamux_coordination::server_profile::{FirstEvent, ProfileTracker, StreamEnd};
+use papayamux_coordination::server_slots::{free_slots, ServerWork};
 use papayamux_state::ids::{ServerId, ServiceId};
 use papayamux_state::quantities::TokenCount;
 use rand::rngs::StdRng;
@@ -14,14 +14,14 @@
 /// An engine that reads so many tokens in a millisecond and sends events of so many tokens.
 #[derive(Clone, Copy)]
 struct Engine {
-    read_tokens_per_ms: f64,
+    prefill_tokens_per_ms: f64,
     first_event_ms: f64,
     event_gap_ms: f64,
     event_tokens: f64,
 }
 
 const USUAL: Engine = Engine {
-    read_tokens_per_ms: 40.0,
+    prefill_tokens_per_ms: 40.0,
     first_event_ms: 20.0,
     event_gap_ms: 22.0,
     event_tokens: 5.0,
@@ -60,25 +60,25 @@
         }
     }
 
-    fn give(&mut self, book: &mut ProfileBook, name: &str, count: usize) {
+    fn record_answers(&mut self, tracker: &mut ProfileTracker, name: &str, count: usize) {
         for number in 0..count {
             // One prompt in three lacks a long part, the others only what is their own.
             let tokens = if number % 3 == 0 { 6_000 } else { 300 };
-            let reading = f64::from(tokens) / self.engine.read_tokens_per_ms;
+            let reading = f64::from(tokens) / self.engine.prefill_tokens_per_ms;
             let took = millis((reading + self.engine.first_event_ms) * self.scatter());
             let tokens = TokenCount::new(u64::from(tokens as u32));
-            let guessed = TokenCount::default();
-            let first = FirstEvent { tokens, took, transfer: None, guessed };
-            book.note_first(&service(), &server(name), first);
+            let assumed = TokenCount::default();
+            let first = FirstEvent { tokens, took, transfer: None, assumed };
+            tracker.record_first(&service(), &server(name), first);
             let lasted = millis(self.engine.event_gap_ms * 19.0 * self.scatter());
             let expected = TokenCount::new((20.0 * self.engine.event_tokens) as u64);
             let end = StreamEnd { events: 20, lasted, expected: Some(expected) };
-            book.note_stream(&service(), &server(name), end);
+            tracker.record_stream(&service(), &server(name), end);
         }
     }
 }
 
-fn off(estimate: f64, real: f64) -> f64 {
+fn relative_error(estimate: f64, real: f64) -> f64 {
     (estimate / real - 1.0).abs()
 }
 
@@ -86,22 +86,22 @@
 fn engines_eight_times_slower_and_faster_are_learnt_within_dozens_of_answers() {
     for factor in [0.125, 0.5, 1.0, 2.0, 8.0] {
         let engine = Engine {
-            read_tokens_per_ms: USUAL.read_tokens_per_ms * factor,
+            prefill_tokens_per_ms: USUAL.prefill_tokens_per_ms * factor,
             first_event_ms: USUAL.first_event_ms / factor,
             event_gap_ms: USUAL.event_gap_ms / factor,
             ..USUAL
         };
-        let mut book = ProfileBook::default();
+        let mut tracker = ProfileTracker::default();
         let mut answers = Answers::of(engine);
         let mut errors = Vec::new();
         let mut given = 0;
         for count in [20, 100, 500] {
-            answers.give(&mut book, "i-1", count - given);
+            answers.record_answers(&mut tracker, "i-1", count - given);
             given = count;
-            let speed = book.service_speed(&service());
+            let speed = tracker.service_speed(&service());
             errors.push((
-                off(speed.read_tokens_per_ms, engine.read_tokens_per_ms),
-                off(speed.event_gap_ms, engine.event_gap_ms),
+                relative_error(speed.prefill_tokens_per_ms, engine.prefill_tokens_per_ms),
+                relative_error(speed.event_gap_ms, engine.event_gap_ms),
             ));
         }
         let bounds = [0.6, 0.3, 0.25];
@@ -113,47 +113,52 @@
 
 #[test]
 fn change_of_speed_in_mid_day_is_followed() {
-    let mut book = ProfileBook::default();
-    Answers::of(USUAL).give(&mut book, "i-1", 500);
-    let slow = Engine { read_tokens_per_ms: 5.0, event_gap_ms: 176.0, ..USUAL };
-    Answers::of(slow).give(&mut book, "i-1", 60);
-    let speed = book.service_speed(&service());
-    assert!(off(speed.read_tokens_per_ms, 5.0) < 0.4, "{speed:?}");
-    assert!(off(speed.event_gap_ms, 176.0) < 0.4, "{speed:?}");
+    let mut tracker = ProfileTracker::default();
+    Answers::of(USUAL).record_answers(&mut tracker, "i-1", 500);
+    let slow = Engine { prefill_tokens_per_ms: 5.0, event_gap_ms: 176.0, ..USUAL };
+    Answers::of(slow).record_answers(&mut tracker, "i-1", 60);
+    let speed = tracker.service_speed(&service());
+    assert!(relative_error(speed.prefill_tokens_per_ms, 5.0) < 0.4, "{speed:?}");
+    assert!(relative_error(speed.event_gap_ms, 176.0) < 0.4, "{speed:?}");
 }
 
 #[test]
 fn one_server_at_a_third_of_its_services_speed_is_told_from_the_others() {
-    let mut book = ProfileBook::default();
-    let slow = Engine { read_tokens_per_ms: USUAL.read_tokens_per_ms / 3.0, ..USUAL };
+    let mut tracker = ProfileTracker::default();
+    let slow = Engine { prefill_tokens_per_ms: USUAL.prefill_tokens_per_ms / 3.0, ..USUAL };
     let names = ["i-1", "i-2", "i-3", "i-4"];
     let mut servers =
         names.map(|name| (name, Answers::of(if name == "i-4" { slow } else { USUAL })));
     for _ in 0..30 {
         for (name, answers) in &mut servers {
-            answers.give(&mut book, name, 3);
+            answers.record_answers(&mut tracker, name, 3);
         }
     }
-    let reads =
-        |book: &ProfileBook, name: &str| book.speed(&service(), &server(name)).read_tokens_per_ms;
-    let (slow, usual) = (reads(&book, "i-4"), reads(&book, "i-1"));
+    let reads = |tracker: &ProfileTracker, name: &str| {
+        tracker.speed(&service(), &server(name)).prefill_tokens_per_ms
+    };
+    let (slow, usual) = (reads(&tracker, "i-4"), reads(&tracker, "i-1"));
     assert!(slow < usual * 0.5, "{slow} {usual}");
     // One that has shown nothing yet is taken for one of its service.
-    let new = reads(&book, "i-5");
-    assert!(off(new, USUAL.read_tokens_per_ms) < 0.4, "{new}");
-    book.forget(&server("i-4"));
-    assert!(off(reads(&book, "i-4"), new) < 0.01);
+    let new = reads(&tracker, "i-5");
+    assert!(relative_error(new, USUAL.prefill_tokens_per_ms) < 0.4, "{new}");
+    tracker.forget(&server("i-4"));
+    assert!(relative_error(reads(&tracker, "i-4"), new) < 0.01);
 }
 
 #[test]
 fn engine_is_full_by_the_time_that_it_reads_and_not_by_tokens() {
     let load = ServerLoad { requests: 3, backlog: 4_000 };
     let places = |factor: f64| {
-        let mut book = ProfileBook::default();
-        let read_tokens_per_ms = USUAL.read_tokens_per_ms * factor;
-        Answers::of(Engine { read_tokens_per_ms, ..USUAL }).give(&mut book, "i-1", 100);
-        let speed = book.speed(&service(), &server("i-1"));
-        free_places(ServerWork::Engine, 64, load, 0, &speed)
+        let mut tracker = ProfileTracker::default();
+        let prefill_tokens_per_ms = USUAL.prefill_tokens_per_ms * factor;
+        Answers::of(Engine { prefill_tokens_per_ms, ..USUAL }).record_answers(
+            &mut tracker,
+            "i-1",
+            100,
+        );
+        let speed = tracker.speed(&service(), &server("i-1"));
+        free_slots(ServerWork::Engine, 64, load, 0, &speed)
     };
     // The same 4,000 tokens take 0.1 s, 0.8 s and 12 ms.
     assert_eq!((places(1.0), places(0.125), places(8.0)), (61, 0, 61));
@@ -162,12 +167,12 @@
 #[test]
 fn calls_of_5_and_of_300_ms_have_silences_of_their_own() {
     let silence = |mean: f64| {
-        let mut book = ProfileBook::default();
+        let mut tracker = ProfileTracker::default();
         let mut random = StdRng::seed_from_u64(3);
         for _ in 0..50 {
-            book.note_call(&service(), millis(mean * random.random_range(0.5..1.5)));
+            tracker.record_call(&service(), millis(mean * random.random_range(0.5..1.5)));
         }
-        book.service_speed(&service()).call_silence()
+        tracker.service_speed(&service()).call_silence()
     };
     // A lost packet alone takes 200 ms; slow calls are no silence.
     assert_eq!(silence(5.0), Duration::from_millis(250));
@@ -177,89 +182,90 @@
 
 #[test]
 fn streams_of_slow_engines_are_not_silent_between_their_events() {
-    let mut book = ProfileBook::default();
+    let mut tracker = ProfileTracker::default();
     let slow = Engine { event_gap_ms: 176.0, ..USUAL };
-    Answers::of(slow).give(&mut book, "i-1", 40);
-    let speed = book.speed(&service(), &server("i-1"));
+    Answers::of(slow).record_answers(&mut tracker, "i-1", 40);
+    let speed = tracker.speed(&service(), &server("i-1"));
     assert!(speed.stream_silence() > Duration::from_secs(2), "{:?}", speed.stream_silence());
-    assert!(speed.first_silence(TokenCount::new(20_000)) > Duration::from_secs(1));
+    assert!(speed.first_event_silence(TokenCount::new(20_000)) > Duration::from_secs(1));
 }
 
 #[test]
-fn nonsense_changes_nothing() {
-    let mut book = ProfileBook::default();
-    Answers::of(USUAL).give(&mut book, "i-1", 100);
-    let before = book.speed(&service(), &server("i-1"));
+fn invalid_samples_are_ignored() {
+    let mut tracker = ProfileTracker::default();
+    Answers::of(USUAL).record_answers(&mut tracker, "i-1", 100);
+    let before = tracker.speed(&service(), &server("i-1"));
     let nothing =
         StreamEnd { events: 0, lasted: Duration::ZERO, expected: Some(TokenCount::new(0)) };
-    book.note_stream(&service(), &server("i-1"), nothing);
+    tracker.record_stream(&service(), &server("i-1"), nothing);
     let at_once =
         StreamEnd { events: 9, lasted: Duration::ZERO, expected: Some(TokenCount::new(0)) };
-    book.note_stream(&service(), &server("i-1"), at_once);
-    assert_eq!(book.speed(&service(), &server("i-1")), before);
+    tracker.record_stream(&service(), &server("i-1"), at_once);
+    assert_eq!(tracker.speed(&service(), &server("i-1")), before);
 }
 
 /// Gives first events of prompts of which 4,000 tokens were guessed to be held, each read or not.
-fn give_guesses(book: &mut ProfileBook, are_held: impl Iterator<Item = bool>) {
+fn record_assumptions(tracker: &mut ProfileTracker, are_held: impl Iterator<Item = bool>) {
     for is_held in are_held {
         let read = if is_held { 300.0 } else { 4_300.0 };
-        let took = millis(read / USUAL.read_tokens_per_ms + USUAL.first_event_ms);
-        let (tokens, guessed) = (TokenCount::new(300), TokenCount::new(4_000));
-        let first = FirstEvent { tokens, took, transfer: None, guessed };
-        book.note_first(&service(), &server("i-1"), first);
+        let took = millis(read / USUAL.prefill_tokens_per_ms + USUAL.first_event_ms);
+        let (tokens, assumed) = (TokenCount::new(300), TokenCount::new(4_000));
+        let first = FirstEvent { tokens, took, transfer: None, assumed };
+        tracker.record_first(&service(), &server("i-1"), first);
     }
 }
 
 #[test]
-fn share_of_right_guesses_is_learnt_and_followed() {
-    let mut book = ProfileBook::default();
-    let missing =
-        |book: &ProfileBook| book.service_speed(&service()).missing(TokenCount::new(1_000)).get();
-    assert_eq!(missing(&book), 500);
+fn assumed_hit_rate_follows_a_change() {
+    let mut tracker = ProfileTracker::default();
+    let missing = |tracker: &ProfileTracker| {
+        tracker.service_speed(&service()).missing(TokenCount::new(1_000)).get()
+    };
+    assert_eq!(missing(&tracker), 500);
     // All caches are empty.
-    give_guesses(&mut book, [false; 20].into_iter());
-    assert!(missing(&book) > 900, "{}", missing(&book));
+    record_assumptions(&mut tracker, [false; 20].into_iter());
+    assert!(missing(&tracker) > 900, "{}", missing(&tracker));
     // Most have been filled since, by other routers too.
-    give_guesses(&mut book, (0..40).map(|number| number % 10 != 0));
-    assert!(missing(&book) < 200, "{}", missing(&book));
+    record_assumptions(&mut tracker, (0..40).map(|number| number % 10 != 0));
+    assert!(missing(&tracker) < 200, "{}", missing(&tracker));
 }
 
 #[test]
 fn set_up_of_copies_is_learnt_from_first_events() {
     for set_up in [2.0, 40.0] {
-        let mut book = ProfileBook::default();
-        Answers::of(USUAL).give(&mut book, "i-1", 60);
+        let mut tracker = ProfileTracker::default();
+        Answers::of(USUAL).record_answers(&mut tracker, "i-1", 60);
         for number in 0..30 {
             let transfer = millis(8.0);
             let held_up = if number % 10 == 9 { 200.0 } else { 0.0 };
             let took = transfer + millis(USUAL.first_event_ms + set_up + held_up);
-            let (tokens, guessed) = (TokenCount::new(0), TokenCount::default());
-            let first = FirstEvent { tokens, took, transfer: Some(transfer), guessed };
-            book.note_first(&service(), &server("i-1"), first);
+            let (tokens, assumed) = (TokenCount::new(0), TokenCount::default());
+            let first = FirstEvent { tokens, took, transfer: Some(transfer), assumed };
+            tracker.record_first(&service(), &server("i-1"), first);
         }
-        let learnt = book.service_speed(&service()).copy_ms;
+        let learnt = tracker.service_speed(&service()).copy_ms;
         assert!((learnt - set_up).abs() < 4.0, "{set_up}: {learnt}");
     }
 }
 
 #[test]
 fn an_engine_too_slow_to_end_its_streams_is_seen_to_be_slow() {
-    let mut book = ProfileBook::default();
-    Answers::of(USUAL).give(&mut book, "i-1", 60);
+    let mut tracker = ProfileTracker::default();
+    Answers::of(USUAL).record_answers(&mut tracker, "i-1", 60);
     for _ in 0..20 {
         // Cut off at their deadlines, after nine events in four seconds.
         let end = StreamEnd { events: 9, lasted: Duration::from_secs(4), expected: None };
-        book.note_stream(&service(), &server("i-1"), end);
+        tracker.record_stream(&service(), &server("i-1"), end);
     }
-    let gap = book.speed(&service(), &server("i-1")).event_gap_ms;
+    let gap = tracker.speed(&service(), &server("i-1")).event_gap_ms;
     assert!(gap > 300.0, "{gap}");
 }
 
 #[test]
 fn wait_for_a_slot_shows_where_an_engine_has_none_free() {
-    let mut book = ProfileBook::default();
-    Answers::of(USUAL).give(&mut book, "i-1", 60);
-    let speed = book.speed(&service(), &server("i-1"));
+    let mut tracker = ProfileTracker::default();
+    Answers::of(USUAL).record_answers(&mut tracker, "i-1", 60);
+    let speed = tracker.speed(&service(), &server("i-1"));
     let answer = TokenCount::new(100);
     assert_eq!(speed.slot_wait(8, 7, answer), Duration::ZERO);
     // A hundred tokens in twenty events take 0.44 s; each eighth part of that frees a slot.
--- a/crates/papayamux-coordination/tests/server_places.rs
+++ b/crates/papayamux-coordination/tests/server_slots.rs
@@ -7,7 +7,7 @@
 
 use backend_servers::SPEED;
 use papayamux_coordination::placement::ServerLoad;
-use papayamux_coordination::server_places::{free_places, QueueReports, ServerWork};
+use papayamux_coordination::server_slots::{free_slots, QueueReports, ServerWork};
 use papayamux_state::backend::ReportedQueue;
 
 fn load(requests: u32, backlog: u64) -> ServerLoad {
@@ -16,7 +16,7 @@
 
 #[test]
 fn an_engine_is_full_by_slots_by_prompts_or_by_its_own_report() {
-    let engine = |load, waiting| free_places(ServerWork::Engine, 64, load, waiting, &SPEED);
+    let engine = |load, waiting| free_slots(ServerWork::Engine, 64, load, waiting, &SPEED);
     assert_eq!(engine(load(60, 3_000), 0), 4);
     assert_eq!(engine(load(70, 0), 0), 0);
     assert_eq!(engine(load(10, 50_000), 0), 0, "its prompts take most of a second to read");
@@ -26,17 +26,17 @@
 
 #[test]
 fn a_plain_server_is_kept_busy_with_a_second_request_for_each_slot() {
-    let plain = |requests| free_places(ServerWork::Plain, 6, load(requests, 0), 0, &SPEED);
+    let plain = |requests| free_slots(ServerWork::Plain, 6, load(requests, 0), 0, &SPEED);
     assert_eq!((plain(0), plain(11), plain(12), plain(40)), (12, 1, 0, 0));
 }
 
 #[test]
-fn servers_that_do_not_tell_their_slots_are_never_full() {
-    assert_eq!(free_places(ServerWork::Plain, 0, load(500, 0), 0, &SPEED), u32::MAX);
+fn servers_that_report_no_slots_are_never_full() {
+    assert_eq!(free_slots(ServerWork::Plain, 0, load(500, 0), 0, &SPEED), u32::MAX);
 }
 
 #[test]
-fn an_old_report_is_not_believed() {
+fn expired_report_is_ignored() {
     let now = Instant::now();
     let server = "i-1".parse().unwrap();
     let mut reports = QueueReports::default();
--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::link_delays::{EventRhythm, EventTiming};
-use papayamux_coordination::part_flights::flight_patience;
+use papayamux_coordination::part_prefills::prefill_wait_budget;
 use papayamux_coordination::placement::ServerLoad;
 use papayamux_coordination::server_evidence::EvidenceKind;
 use papayamux_coordination::server_profile::{FirstEvent, StreamEnd};
@@ -74,7 +74,7 @@
     pub(super) async fn wait_for_parts(&mut self, plan: &CallPlan) {
         let prefixes = plan.call.prompt.shared_prefixes();
         if !prefixes.is_empty() {
-            let patience = flight_patience(plan.left());
+            let patience = prefill_wait_budget(plan.left());
             let waited = self.fleet.wait_for_parts(&self.server.id, &prefixes, patience).await;
             if let Some(waited) = waited {
                 self.fleet.metrics().note_part_wait(plan.kind(), waited);
@@ -166,7 +166,7 @@
         if is_clear && !self.queued.get() {
             let took = now.saturating_duration_since(self.sent);
             let tokens = self.ahead.saturating_sub(self.chosen.missing);
-            let first = FirstEvent { tokens, took, transfer, guessed: placement.guessed };
+            let first = FirstEvent { tokens, took, transfer, assumed: placement.assumed };
             self.fleet.note_first_event(&self.server, first);
         }
     }
@@ -177,13 +177,13 @@
         if let (Some(first), Some(last)) = (self.first_event.take(), self.last_event) {
             let lasted = last.saturating_duration_since(first);
             let end = StreamEnd { events: self.events, lasted, expected };
-            self.fleet.note_stream(&self.server, end);
+            self.fleet.record_stream(&self.server, end);
         }
     }
 
     /// Learns from a plain call that was answered.
     pub(super) fn note_call_end(&self) {
-        self.fleet.note_call(&self.server, self.sent.elapsed());
+        self.fleet.record_call(&self.server, self.sent.elapsed());
     }
 
     fn prompt_was_read(&mut self) {
--- a/crates/papayamux-router/src/direct/attempt.rs
+++ b/crates/papayamux-router/src/direct/attempt.rs
@@ -108,7 +108,7 @@
         (false, _) => None,
         (true, false) => Some(speed.call_silence()),
         (true, true) if active.has_begun() => Some(speed.stream_silence()),
-        (true, true) => Some(speed.first_silence(active.ahead()).max(plan.route.objective)),
+        (true, true) => Some(speed.first_event_silence(active.ahead()).max(plan.route.objective)),
     }
 }
 
--- a/crates/papayamux-router/src/direct/cache_survey.rs
+++ b/crates/papayamux-router/src/direct/cache_survey.rs
@@ -5,7 +5,7 @@
 
 use bytes::BytesMut;
 use http::StatusCode;
-use papayamux_coordination::cache_survey::{survey_share, CacheListing, SURVEY_AFTER};
+use papayamux_coordination::cache_survey::{survey_share, CacheListing, SURVEY_DELAY};
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_state::backend::BackendServer;
 use papayamux_state::prompt::PromptPart;
@@ -55,7 +55,7 @@
     while fleet.server_count() == 0 {
         monoio::time::sleep(START_CHECK).await;
     }
-    monoio::time::sleep(SURVEY_AFTER).await;
+    monoio::time::sleep(SURVEY_DELAY).await;
     let Some(others) = peers.fresh_routers() else {
         log::info!("other routers know the caches");
         return;
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -6,7 +6,8 @@
 use papayamux_coordination::cache_survey::CacheListing;
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_coordination::placement::{
-    place, HolderNote, Placement, PlacementCandidate, PlacementRequest, PlacementTuning, ServerLoad,
+    place, HolderUpdate, Placement, PlacementCandidate, PlacementRequest, PlacementTuning,
+    ServerLoad,
 };
 use papayamux_coordination::server_evidence::ServerStanding;
 use papayamux_coordination::server_profile::ServerSpeed;
@@ -83,7 +84,7 @@
                 false => TokenCount::default(),
             },
             nobody_holds,
-            draw: rand::random(),
+            sample: rand::random(),
             transfer_tokens_per_ms: self
                 .engine_profile(service)
                 .filter(|_| self.uses(Mechanism::Copies))
@@ -106,14 +107,14 @@
             transfer.map_or(Duration::ZERO, |transfer| transfer + chosen.speed.copy_time());
         let requests = chosen.load.requests;
         let slot_wait = chosen.speed.slot_wait(chosen.slots, requests, request.answer);
-        let missing = chosen.speed.missing(placement.guessed);
+        let missing = chosen.speed.missing(placement.assumed);
         let cold = placement.cold + missing;
         Some(ChosenServer {
             server,
             transfer,
             missing,
             load: ServerLoad { requests: 1, backlog: cold.get() },
-            expected: chosen.speed.time_to_first(backlog + cold) + copying + slot_wait,
+            expected: chosen.speed.time_to_first_event(backlog + cold) + copying + slot_wait,
             is_reading: chosen.load.backlog > 0,
             fetch_from: placement.fetch_from.map(|index| servers[index].clone()),
             placement,
@@ -152,23 +153,23 @@
             true => ServerStanding::Held,
             false => self.evidence.borrow().standing(&server.id, now),
         };
-        let room = self.send_room(server, now);
+        let room = self.send_quota(server, now);
         let takes = self.takes_requests(server);
         if takes && room.is_empty() {
-            self.note_passed_over(server);
+            self.record_passed_over(server);
         }
         PlacementCandidate {
             accepts: takes && !room.is_empty() && !self.rests(server, now),
             serves: server.phase == ServerPhase::Serving,
-            load: self.ledger.borrow().total(&server.id, now, speed.read_tokens_per_ms),
+            load: self.ledger.borrow().total(&server.id, now, speed.prefill_tokens_per_ms),
             waiting: self.queue_reports.borrow().waiting(&server.id, now),
             slots: server.slots,
             warm: cache.map(|cache| cache.warm_tokens(prompt)).unwrap_or_default(),
             nearly_full: cache.is_some_and(WarmParts::is_nearly_full)
                 && self.uses(Mechanism::EvictionCost),
             rank,
-            failing: self.excess_failures(server, now),
-            held_up: self.link_excess(server, now),
+            excess_failure_rate: self.excess_failures(server, now),
+            excess_delay_rate: self.link_excess(server, now),
             speed,
             standing,
             round_trip_ms: self.round_trips.borrow().usual_ms(&server.domain),
@@ -238,7 +239,7 @@
 
     /// The requests of all routers at a server.
     pub(in crate::direct) fn load_at(&self, server: &BackendServer, now: Instant) -> ServerLoad {
-        let speed = self.speed(server).read_tokens_per_ms;
+        let speed = self.speed(server).prefill_tokens_per_ms;
         self.ledger.borrow().total(&server.id, now, speed)
     }
 
@@ -273,8 +274,8 @@
     }
 
     /// What this router knows of who holds which shared part, for the other routers.
-    pub fn next_holder_notes(&self, now: Instant) -> Vec<HolderNote> {
-        let notes = self.holders.borrow_mut().next_notes(now);
+    pub fn next_holder_notes(&self, now: Instant) -> Vec<HolderUpdate> {
+        let notes = self.holders.borrow_mut().next_updates(now);
         if self.uses(Mechanism::HoldersTold) {
             notes
         } else {
@@ -283,7 +284,7 @@
     }
 
     /// Takes in what another router knows of a server's cache.
-    pub fn note_holder(&self, note: &HolderNote) {
+    pub fn note_holder(&self, note: &HolderUpdate) {
         let Some(server) = self.presence.borrow().catalog().get(&note.server).cloned() else {
             return;
         };
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -3,7 +3,9 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::cold_servers::{send_room, ColdLimit, ColdSummary, ColdView, SendRoom};
+use papayamux_coordination::cold_servers::{
+    send_quota, ColdLimit, ColdSummary, ColdView, SendQuota,
+};
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_state::backend::BackendServer;
 use papayamux_state::ids::{FailureDomain, ServerId, ServiceId};
@@ -13,12 +15,12 @@
 
 impl Fleet {
     /// Requests that this router may send a server now by what the server bears.
-    pub(in crate::direct) fn send_room(&self, server: &BackendServer, now: Instant) -> SendRoom {
-        let Some(limit) = self.cold_limit(&server.service) else { return SendRoom::Unbounded };
+    pub(in crate::direct) fn send_quota(&self, server: &BackendServer, now: Instant) -> SendQuota {
+        let Some(limit) = self.cold_limit(&server.service) else { return SendQuota::Unbounded };
         let book = self.cold_book.borrow();
         let is_cold = book.is_cold(&server.id, now);
         let view = ColdView { limit, is_cold, used: book.used(&server.id, now) };
-        send_room(&server.id, view, &self.census.borrow())
+        send_quota(&server.id, view, &self.census.borrow())
     }
 
     /// Whether a server is cold and bears only few requests.
@@ -52,7 +54,7 @@
         let used = self.cold_book.borrow().used(&server.id, now).saturating_sub(1);
         let Some(limit) = self.cold_limit(&server.service) else { return is_listed };
         let view = ColdView { limit, is_cold: self.is_cold(server, now), used };
-        is_listed && !send_room(&server.id, view, &self.census.borrow()).is_empty()
+        is_listed && !send_quota(&server.id, view, &self.census.borrow()).is_empty()
     }
 
     /// What a server of a service bears while it is cold; `None` where nothing bounds it.
@@ -71,7 +73,7 @@
     /// Notes how much longer a server is cold, as its entry says.
     pub(super) fn note_coldness(&self, id: &ServerId, left: Duration, now: Instant) {
         let is_listed = self.presence.borrow().catalog().get(id).is_some();
-        if is_listed && self.cold_book.borrow_mut().note_listed(id, left, now) {
+        if is_listed && self.cold_book.borrow_mut().record_listed(id, left, now) {
             log::info!(server:% = id, left_ms = left.as_millis() as u64; "server is cold");
         }
     }
@@ -83,7 +85,7 @@
         let servers = presence.catalog().iter().filter(|server| server.domain == *domain);
         for server in servers {
             let Some(start) = self.cold_start(&server.service) else { continue };
-            self.cold_book.borrow_mut().presume(&server.id, start.lasts, now);
+            self.cold_book.borrow_mut().assume_cold(&server.id, start.lasts, now);
         }
     }
 
@@ -102,7 +104,7 @@
         if self.is_cold(server, now) {
             self.metrics.cold_requests.count("sent");
         }
-        self.cold_book.borrow_mut().note_sent(&server.id, now);
+        self.cold_book.borrow_mut().record_sent(&server.id, now);
     }
 
     /// Takes back what [`Self::reserve_send`] counted.
@@ -111,9 +113,9 @@
     }
 
     /// Notes that a choice passed over a server that has no room.
-    pub(super) fn note_passed_over(&self, server: &BackendServer) {
+    pub(super) fn record_passed_over(&self, server: &BackendServer) {
         self.metrics.cold_requests.count("passed_over");
-        self.cold_book.borrow_mut().note_passed_over(&server.id);
+        self.cold_book.borrow_mut().record_passed_over(&server.id);
     }
 
     /// Notes that a router is there, those that it hears, and how many it counts.
@@ -125,13 +127,13 @@
         now: Instant,
     ) {
         let mut census = self.census.borrow_mut();
-        census.note(known.iter().chain([&sender]), now);
-        census.note_count(counted, now);
+        census.record(known.iter().chain([&sender]), now);
+        census.record_count(counted, now);
     }
 
     /// How many routers this one has heard of, for the others.
     pub(in crate::direct) fn counted_routers(&self) -> u32 {
-        self.census.borrow().heard()
+        self.census.borrow().known_count()
     }
 
     /// Counts the routers anew, among which cold servers' limits and the slack for repeats are shared out.
--- a/crates/papayamux-router/src/direct/fleet/fleet_state.rs
+++ b/crates/papayamux-router/src/direct/fleet/fleet_state.rs
@@ -5,24 +5,24 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use papayamux_coordination::cold_servers::{ColdBook, RouterCensus};
+use papayamux_coordination::cold_servers::{ColdTracker, KnownRouters};
 use papayamux_coordination::crash_quarantine::CrashQuarantine;
 use papayamux_coordination::domain_evacuations::DomainEvacuations;
 use papayamux_coordination::key_freshness::KeyFreshness;
 use papayamux_coordination::link_delays::LinkDelays;
 use papayamux_coordination::log_limit::LogLimit;
 use papayamux_coordination::mechanism::Mechanism;
-use papayamux_coordination::part_flights::PartFlights;
+use papayamux_coordination::part_prefills::PartPrefills;
 use papayamux_coordination::placement::{LoadLedger, RecentHolders};
 use papayamux_coordination::recent_departures::RecentDepartures;
 use papayamux_coordination::round_trips::RoundTrips;
 use papayamux_coordination::server_evidence::EvidenceBook;
 use papayamux_coordination::server_liveness::LivenessBook;
 use papayamux_coordination::server_notices::NoticeBook;
-use papayamux_coordination::server_places::QueueReports;
 use papayamux_coordination::server_presence::ServerPresence;
-use papayamux_coordination::server_profile::ProfileBook;
+use papayamux_coordination::server_profile::ProfileTracker;
 use papayamux_coordination::server_record::AnswerRecord;
+use papayamux_coordination::server_slots::QueueReports;
 use papayamux_coordination::service_line::ServiceLine;
 use papayamux_coordination::service_retry_budget::ServiceRetryBudget;
 use papayamux_coordination::usual_deadline::UsualDeadline;
@@ -53,15 +53,15 @@
     pub(super) presence: RefCell<ServerPresence>,
     pub(super) departures: RefCell<RecentDepartures>,
     pub(super) evacuations: RefCell<DomainEvacuations>,
-    pub(super) cold_book: RefCell<ColdBook>,
-    pub(super) census: RefCell<RouterCensus>,
+    pub(super) cold_book: RefCell<ColdTracker>,
+    pub(super) census: RefCell<KnownRouters>,
     pub(super) ledger: RefCell<LoadLedger>,
     pub(super) evidence: RefCell<EvidenceBook>,
     pub(super) notices: RefCell<NoticeBook>,
     pub(super) liveness: RefCell<HashMap<ServiceId, LivenessBook>>,
     pub(super) budget: RefCell<ServiceRetryBudget>,
     pub(super) records: RefCell<HashMap<ServiceId, AnswerRecord>>,
-    pub(super) profiles: RefCell<ProfileBook>,
+    pub(super) profiles: RefCell<ProfileTracker>,
     pub(super) warm: RefCell<HashMap<ServerId, WarmParts>>,
     pub(super) holders: RefCell<RecentHolders>,
     pub(super) lines: RefCell<HashMap<ServiceId, ServiceLine<Rc<Turn>>>>,
@@ -71,7 +71,7 @@
     pub(super) deadlines: RefCell<HashMap<RouteId, UsualDeadline>>,
     pub(super) in_flight: Cell<usize>,
     pub(super) fault_lines: RefCell<LogLimit>,
-    pub(super) flights: RefCell<PartFlights>,
+    pub(super) flights: RefCell<PartPrefills>,
     pub(super) part_read: RefCell<ShutdownSignal>,
     pub(super) readings: RefCell<Vec<StartedReading>>,
     pub(super) reading_begun: RefCell<ShutdownSignal>,
@@ -102,7 +102,7 @@
             round_trips: RefCell::new(RoundTrips::new(settings.domain.clone())),
             knowledge: SourceKnowledge::new(settings.address, settings.read_bounds().interval()),
             departures: RefCell::new(RecentDepartures::new(settings.departure_bounds())),
-            census: RefCell::new(RouterCensus::new(
+            census: RefCell::new(KnownRouters::new(
                 settings.address,
                 settings.expects_others,
                 Instant::now(),
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -5,9 +5,9 @@
 
 use futures_channel::oneshot;
 use papayamux_coordination::mechanism::Mechanism;
-use papayamux_coordination::part_flights::PromptReading;
-use papayamux_coordination::part_owners::{is_worth_telling, AnswerTimes};
-use papayamux_coordination::placement::HolderNote;
+use papayamux_coordination::part_owners::{is_worth_announcing, AnswerTimes};
+use papayamux_coordination::part_prefills::PromptPrefill;
+use papayamux_coordination::placement::HolderUpdate;
 use papayamux_coordination::server_evidence::ServerStanding;
 use papayamux_protocol::part_inquiry::{PartAnswer, PartHolder};
 use papayamux_state::ids::{ServerId, ServerKey, ServiceId};
@@ -50,17 +50,17 @@
         let prefixes = prompt.shared_prefixes();
         let Some((part, _)) = prefixes.last().copied() else { return false };
         let asks = self.uses(Mechanism::PartOwners)
-            && is_worth_telling(shared.get())
+            && is_worth_announcing(shared.get())
             && !self.knows_holder(service, part);
-        let reading = self.profiles.borrow().service_speed(service).reading_time(shared);
-        let patience = self.mail.answers.borrow().patience(reading).filter(|_| asks);
-        let Some(patience) = patience else { return false };
+        let reading = self.profiles.borrow().service_speed(service).prefill_time(shared);
+        let wait_budget = self.mail.answers.borrow().wait_budget(reading).filter(|_| asks);
+        let Some(wait_budget) = wait_budget else { return false };
         let asked = Instant::now();
         let (reply, answer) = oneshot::channel();
         self.mail.inquiries.borrow_mut().push(PartInquiry { part, reply });
         self.mail.waiting.take().give();
         // Without an answer the home is believed to hold the part, as if nobody had been asked.
-        let Ok(Ok(answer)) = monoio::time::timeout(patience, answer).await else {
+        let Ok(Ok(answer)) = monoio::time::timeout(wait_budget, answer).await else {
             self.metrics.part_inquiries.count("unanswered");
             return false;
         };
@@ -104,7 +104,7 @@
         let now = Instant::now();
         let (warm, flights) = (self.warm.borrow(), self.flights.borrow());
         let holding = warm.iter().filter(|(_, cache)| cache.holds(part)).map(|(server, _)| {
-            let (cold, left) = flights.reading(server, part, now).unwrap_or_default();
+            let (cold, left) = flights.remaining(server, part, now).unwrap_or_default();
             let reading_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             PartHolder { server: ServerKey::from(server), cold, reading_ms }
         });
@@ -138,10 +138,10 @@
 
     fn take_holder(&self, server: ServerId, prefixes: &[(PartId, TokenCount)], holder: PartHolder) {
         if holder.reading_ms == 0 {
-            self.note_holder(&HolderNote { server, prefixes: prefixes.to_vec() });
+            self.note_holder(&HolderUpdate { server, prefixes: prefixes.to_vec() });
             return;
         }
-        let reading = PromptReading {
+        let reading = PromptPrefill {
             cold: holder.cold,
             begun: Instant::now(),
             expected: Duration::from_millis(u64::from(holder.reading_ms)),
--- a/crates/papayamux-router/src/direct/fleet/part_waits.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_waits.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::mechanism::Mechanism;
-use papayamux_coordination::part_flights::{FlightTicket, PromptReading};
-use papayamux_coordination::part_owners::is_worth_telling;
-use papayamux_coordination::placement::HolderNote;
+use papayamux_coordination::part_owners::is_worth_announcing;
+use papayamux_coordination::part_prefills::{PrefillTicket, PromptPrefill};
+use papayamux_coordination::placement::HolderUpdate;
 use papayamux_state::ids::ServerId;
 use papayamux_state::prompt::PartId;
 use papayamux_state::quantities::TokenCount;
@@ -20,19 +20,19 @@
     /// The shared prefixes of the prompt, with their tokens.
     pub prefixes: Vec<(PartId, TokenCount)>,
     /// What it reads; nothing where that has ended.
-    pub reading: Option<PromptReading>,
+    pub reading: Option<PromptPrefill>,
 }
 
 /// A reading of this router.
 pub(in crate::direct) struct OwnReading {
-    ticket: FlightTicket,
+    ticket: PrefillTicket,
     /// What the others were told.
     told: Option<StartedReading>,
 }
 
 /// Whether the owner of a chain's last part should know who holds it.
 fn is_worth_noting(prefixes: &[(PartId, TokenCount)]) -> bool {
-    is_worth_telling(prefixes.iter().map(|(_, tokens)| tokens.get()).sum())
+    is_worth_announcing(prefixes.iter().map(|(_, tokens)| tokens.get()).sum())
 }
 
 impl Fleet {
@@ -78,18 +78,18 @@
         });
         let lacking: Vec<_> = lacking.copied().collect();
         // Where the server is only believed to hold a part, it may have to read it.
-        let guessed = match chosen.fetch_from {
-            None => chosen.placement.guessed,
+        let assumed = match chosen.fetch_from {
+            None => chosen.placement.assumed,
             Some(_) => TokenCount::default(),
         };
-        let cold = chosen.placement.cold + guessed;
+        let cold = chosen.placement.cold + assumed;
         let speed = self.speed(&chosen.server);
-        let expected = chosen.expected + speed.reading_time(guessed);
+        let expected = chosen.expected + speed.prefill_time(assumed);
         let now = Instant::now();
         let server = &chosen.server.id;
         let ahead = TokenCount::new(self.load_at(&chosen.server, now).backlog);
         let waiting = self.queue_reports.borrow().waiting(server, now);
-        let reading = PromptReading { cold, begun: now, expected, ahead, waiting };
+        let reading = PromptPrefill { cold, begun: now, expected, ahead, waiting };
         if !lacking.is_empty() && is_worth_noting(prefixes) {
             let reading = Some(reading);
             self.tell_owner(StartedReading {
@@ -98,7 +98,7 @@
                 reading,
             });
         }
-        let is_told = self.uses(Mechanism::ReadingsTold) && reading.is_worth_telling(&lacking);
+        let is_told = self.uses(Mechanism::ReadingsTold) && reading.is_worth_announcing(&lacking);
         let told = is_told.then(|| {
             // The whole chain is told, so that its parts are known as what follows what.
             let prefixes = prefixes.to_vec();
@@ -129,12 +129,12 @@
         let StartedReading { server, prefixes, reading } = started;
         match reading {
             Some(reading) => {
-                let note = HolderNote { server: server.clone(), prefixes: prefixes.clone() };
+                let note = HolderUpdate { server: server.clone(), prefixes: prefixes.clone() };
                 self.note_holder(&note);
-                self.flights.borrow_mut().note_elsewhere(server, prefixes, *reading);
+                self.flights.borrow_mut().record_remote(server, prefixes, *reading);
             }
             None => {
-                self.flights.borrow_mut().end_elsewhere(server, prefixes);
+                self.flights.borrow_mut().end_remote(server, prefixes);
                 self.part_read.take().give();
             }
         }
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -125,21 +125,21 @@
     /// Notes the first event of an answer.
     pub(in crate::direct) fn note_first_event(&self, server: &BackendServer, first: FirstEvent) {
         if self.uses(Mechanism::LearntProfile) {
-            self.profiles.borrow_mut().note_first(&server.service, &server.id, first);
+            self.profiles.borrow_mut().record_first(&server.service, &server.id, first);
         }
     }
 
     /// Notes a stream that has ended as it should.
-    pub(in crate::direct) fn note_stream(&self, server: &BackendServer, end: StreamEnd) {
+    pub(in crate::direct) fn record_stream(&self, server: &BackendServer, end: StreamEnd) {
         if self.uses(Mechanism::LearntProfile) {
-            self.profiles.borrow_mut().note_stream(&server.service, &server.id, end);
+            self.profiles.borrow_mut().record_stream(&server.service, &server.id, end);
         }
     }
 
     /// Notes how long a plain call took that was answered.
-    pub(in crate::direct) fn note_call(&self, server: &BackendServer, took: Duration) {
+    pub(in crate::direct) fn record_call(&self, server: &BackendServer, took: Duration) {
         if self.uses(Mechanism::LearntProfile) {
-            self.profiles.borrow_mut().note_call(&server.service, took);
+            self.profiles.borrow_mut().record_call(&server.service, took);
         }
     }
 
@@ -158,7 +158,7 @@
     ) -> Duration {
         let speed = self.profiles.borrow().service_speed(service);
         match self.engine_profile(service) {
-            Some(_) => speed.time_to_first(tokens),
+            Some(_) => speed.time_to_first_event(tokens),
             None => speed.call_time(),
         }
     }
--- a/crates/papayamux-router/src/direct/fleet/turns.rs
+++ b/crates/papayamux-router/src/direct/fleet/turns.rs
@@ -6,7 +6,7 @@
 
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_coordination::server_evidence::ServerStanding;
-use papayamux_coordination::server_places::{free_places, ServerWork};
+use papayamux_coordination::server_slots::{free_slots, ServerWork};
 use papayamux_coordination::service_line::{LineArrival, LineRefusal, LineRequest};
 use papayamux_state::backend::BackendServer;
 use papayamux_state::ids::{RouteId, ServiceId};
@@ -76,7 +76,7 @@
         let now = Instant::now();
         let turn = Rc::new(Turn::default());
         let arrival = {
-            let places = self.free_places(service, now);
+            let places = self.free_slots(service, now);
             let mut lines = self.lines.borrow_mut();
             let line = lines.entry(service.clone()).or_default();
             line.arrive(request, turn.clone(), places)
@@ -110,7 +110,7 @@
     pub(super) fn call_waiting(&self, service: &ServiceId) {
         let mut lines = self.lines.borrow_mut();
         let Some(line) = lines.get_mut(service).filter(|line| !line.is_empty()) else { return };
-        let places = self.free_places(service, Instant::now());
+        let places = self.free_slots(service, Instant::now());
         // Other routers see the same places: each takes its part, and looks again soon.
         let routers = u32::try_from(self.ledger.borrow().reporting() + 1).unwrap_or(u32::MAX);
         for turn in line.call(places, places.div_ceil(routers)) {
@@ -135,7 +135,7 @@
 
     /// Requests that the servers of a service can take now without a long wait of their own, as
     /// far as is known. A service with nobody to count at has no bound here.
-    fn free_places(&self, service: &ServiceId, now: Instant) -> u32 {
+    fn free_slots(&self, service: &ServiceId, now: Instant) -> u32 {
         let presence = self.presence.borrow();
         let serving = presence.catalog().of_service(service);
         let serving = serving.filter(|server| self.takes_requests(server));
@@ -163,7 +163,7 @@
         };
         let load = self.load_at(server, now);
         let waiting = self.queue_reports.borrow().waiting(&server.id, now);
-        let places = free_places(work, server.slots, load, waiting, &self.speed(server));
-        self.send_room(server, now).at_most(places)
+        let places = free_slots(work, server.slots, load, waiting, &self.speed(server));
+        self.send_quota(server, now).limit_slots(places)
     }
 }
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -9,11 +9,11 @@
 
 use bytes::Bytes;
 use monoio::net::udp::UdpSocket;
-use papayamux_coordination::cache_survey::{CacheListing, ListingNews, FRESH_FOR};
-use papayamux_coordination::part_flights::PromptReading;
+use papayamux_coordination::cache_survey::{CacheListing, ListingUpdates, FRESH_DURATION};
 use papayamux_coordination::part_owners::SilentOwners;
+use papayamux_coordination::part_prefills::PromptPrefill;
 use papayamux_coordination::peer_vouching::{VouchQuestion, VouchQuestions, VouchStatement};
-use papayamux_coordination::placement::{HolderNote, RouterId, ServerLoad};
+use papayamux_coordination::placement::{HolderUpdate, RouterId, ServerLoad};
 use papayamux_coordination::router_peers::{PeerNews, RouterPeers};
 use papayamux_protocol::router_report::{
     ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedQuestion,
@@ -54,7 +54,7 @@
     address: SocketAddr,
     pub(super) peers: RefCell<RouterPeers>,
     questions: RefCell<VouchQuestions<IpAddr>>,
-    listings: RefCell<ListingNews>,
+    listings: RefCell<ListingUpdates>,
     pub(super) life: u64,
     pub(super) started: Instant,
     sequence: Cell<u64>,
@@ -161,7 +161,7 @@
         }
         for ReportedHolder { server, prefixes } in report.holders {
             if let Some(server) = self.fleet.server_by_key(server) {
-                self.fleet.note_holder(&HolderNote { server, prefixes });
+                self.fleet.note_holder(&HolderUpdate { server, prefixes });
             }
         }
         for ReportedListing { server, parts } in report.listings {
@@ -194,7 +194,7 @@
         });
         let mut ledger = self.fleet.ledger().borrow_mut();
         let before = ledger.reporting();
-        ledger.note_report(RouterId(sender), loads.collect(), now);
+        ledger.record_report(RouterId(sender), loads.collect(), now);
         let routers = u32::try_from(ledger.reporting() + 1).unwrap_or(u32::MAX);
         if ledger.reporting() > before {
             log::info!(peer:% = sender, routers = routers; "router heard");
@@ -205,7 +205,7 @@
         let ReportedReading { server, prefixes, cold, expected_ms } = reported;
         let Some(server) = self.fleet.server_by_key(server) else { return };
         let expected = Duration::from_millis(u64::from(expected_ms));
-        let reading = PromptReading { cold, begun: now, expected, ahead: cold, waiting: 0 };
+        let reading = PromptPrefill { cold, begun: now, expected, ahead: cold, waiting: 0 };
         let reading = (expected_ms > 0).then_some(reading);
         self.fleet.note_reading(&StartedReading { server, prefixes, reading });
     }
@@ -234,7 +234,7 @@
         self.sequence.set(self.sequence.get() + 1);
         let report = RouterReport {
             sequence: self.sequence.get(),
-            fresh: self.started.elapsed() < FRESH_FOR,
+            fresh: self.started.elapsed() < FRESH_DURATION,
             is_partial: true,
             ..report
         };
@@ -279,7 +279,7 @@
             let pause = REPORT_EVERY.max(needed);
             // The others report at about the same pace.
             let rounds = u32::try_from(self.peers.borrow().rounds()).unwrap_or(u32::MAX);
-            self.fleet.ledger().borrow_mut().note_cycle(pause * rounds);
+            self.fleet.ledger().borrow_mut().record_cycle(pause * rounds);
             monoio::time::sleep(pause).await;
         }
     }
@@ -298,7 +298,7 @@
         });
         let notes = self.fleet.next_holder_notes(now);
         let holders = notes.into_iter().map(|note| {
-            let HolderNote { server, prefixes } = note;
+            let HolderUpdate { server, prefixes } = note;
             ReportedHolder { server: (&server).into(), prefixes }
         });
         let listings = self.listings.borrow_mut().next(now).into_iter();
@@ -313,7 +313,7 @@
             holders: holders.collect(),
             listings: listings.collect(),
             leaving: self.leaving.get(),
-            fresh: now.saturating_duration_since(self.started) < FRESH_FOR,
+            fresh: now.saturating_duration_since(self.started) < FRESH_DURATION,
             question,
             configuration: self.next_answers(now),
             readings: Vec::new(),
--- a/crates/papayamux-router/src/direct/peers/owner_mail.rs
+++ b/crates/papayamux-router/src/direct/peers/owner_mail.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use futures_channel::oneshot;
-use papayamux_coordination::part_owners::{part_owner, OWNER_LEARNS_FOR, SILENT_AFTER};
+use papayamux_coordination::part_owners::{part_owner, OWNER_LEARNING_DURATION, OWNER_TIMEOUT};
 use papayamux_protocol::part_inquiry::{PartAnswer, PartQuestion};
 use papayamux_protocol::router_report::RouterReport;
 use papayamux_state::prompt::PartId;
@@ -80,7 +80,7 @@
         let mut open = self.open_questions.borrow_mut();
         // What is answered late still tells how long answers take; what isn't answered at all, who is gone.
         open.retain(|_, question| {
-            let is_lost = now.saturating_duration_since(question.asked) >= SILENT_AFTER;
+            let is_lost = now.saturating_duration_since(question.asked) >= OWNER_TIMEOUT;
             if is_lost {
                 self.silent_owners.borrow_mut().note(question.owner, now);
             }
@@ -100,7 +100,7 @@
     }
 
     fn part_answer(&self, number: u64, part: PartId) -> PartAnswer {
-        let is_sure = self.started.elapsed() >= OWNER_LEARNS_FOR;
+        let is_sure = self.started.elapsed() >= OWNER_LEARNING_DURATION;
         PartAnswer { number, holders: self.fleet.holders_of(part), is_sure }
     }
 
