--- a/crates/papayamux-coordination/src/cold_servers/cold_tracker.rs
+++ b/crates/papayamux-coordination/src/cold_servers/cold_tracker.rs
@@ -76,9 +76,9 @@
     }
 
     /// Takes a server for cold until its next entry says more, for as long as starts take at the most.
-    pub fn assume_cold(&mut self, server: &ServerId, longest: Duration, now: Instant) {
-        if !longest.is_zero() {
-            self.extend(server, now + longest);
+    pub fn assume_cold(&mut self, server: &ServerId, max_duration: Duration, now: Instant) {
+        if !max_duration.is_zero() {
+            self.extend(server, now + max_duration);
         }
     }
 
--- a/crates/papayamux-coordination/src/placement/load_ledger.rs
+++ b/crates/papayamux-coordination/src/placement/load_ledger.rs
@@ -74,18 +74,19 @@
 /// What is left of backlogs of one server, in the order in which they were heard of, as the server has read
 /// them one after the other since, but for those that stand.
 fn remaining_backlog(backlogs: &[ReportedBacklog], now: Instant, tokens_per_ms: f64) -> u64 {
-    let read = |from: Instant, to: Instant| {
+    let prefilled_between = |from: Instant, to: Instant| {
         (to.saturating_duration_since(from).as_secs_f64() * 1_000.0 * tokens_per_ms) as u64
     };
     let repeated =
         backlogs.iter().filter(|backlog| backlog.is_repeated).map(|backlog| backlog.tokens);
     let (mut left, mut at) = (0u64, None);
     for backlog in backlogs.iter().filter(|backlog| !backlog.is_repeated) {
-        left = left.saturating_sub(at.map_or(0, |at| read(at, backlog.received_at)));
+        left = left.saturating_sub(at.map_or(0, |at| prefilled_between(at, backlog.received_at)));
         left = left.saturating_add(backlog.tokens);
         at = Some(backlog.received_at);
     }
-    left.saturating_sub(at.map_or(0, |at| read(at, now))).saturating_add(repeated.sum())
+    left.saturating_sub(at.map_or(0, |at| prefilled_between(at, now)))
+        .saturating_add(repeated.sum())
 }
 
 /// This router's own requests, exactly, and those of the others as they last reported.
@@ -171,8 +172,8 @@
     /// Notes how long it takes until each other router has reported once. Where that is longer than
     /// reports are believed, those that are believed stand for the others too.
     pub fn record_cycle(&mut self, cycle: Duration) {
-        let believed = REPORT_EXPIRY.as_secs_f64() / cycle.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.reported_fraction = ReportedFraction(believed.min(1.0));
+        let reported = REPORT_EXPIRY.as_secs_f64() / cycle.as_secs_f64().max(f64::MIN_POSITIVE);
+        self.reported_fraction = ReportedFraction(reported.min(1.0));
     }
 
     /// The requests of all routers at `server`, which reads `tokens_per_ms`.
--- a/crates/papayamux-coordination/src/placement/placer.rs
+++ b/crates/papayamux-coordination/src/placement/placer.rs
@@ -215,7 +215,7 @@
     };
     let cold = request.prompt.saturating_sub(held).get() as f64 - fetched;
     let backlog = candidate.load.backlog as f64;
-    let read = (cold + backlog) / speed.prefill_tokens_per_ms;
+    let prefill = (cold + backlog) / speed.prefill_tokens_per_ms;
     let slot_wait = speed.slot_wait(candidate.slots, candidate.load.requests, request.answer);
     let waiting = f64::from(candidate.waiting) * speed.queue_delay_ms();
     let concurrency_cost = f64::from(candidate.load.requests) * speed.concurrency_delay_ms()
@@ -228,5 +228,5 @@
         0.0
     };
     let disturbance = cold / speed.prefill_tokens_per_ms * (COLD_WEIGHT - 1.0);
-    risk + eviction + read + disturbance + transfer + concurrency_cost
+    risk + eviction + prefill + disturbance + transfer + concurrency_cost
 }
--- a/crates/papayamux-coordination/src/server_profile/profile_tracker.rs
+++ b/crates/papayamux-coordination/src/server_profile/profile_tracker.rs
@@ -120,10 +120,10 @@
     fn record_assumption(&mut self, took_ms: f64, tokens: f64, first: FirstEvent) {
         let transfer_ms = first.transfer.map_or(0.0, |transfer| transfer.as_secs_f64() * 1_000.0);
         let known_ms = self.first_event.value() + transfer_ms + tokens / self.prefill_rate.value();
-        let guessed_ms = first.assumed.get() as f64 / self.prefill_rate.value();
+        let assumed_ms = first.assumed.get() as f64 / self.prefill_rate.value();
         // A short part takes no longer to read than answers scatter.
-        if guessed_ms > self.first_event.value() {
-            self.assumed_hit_rate.note(took_ms < known_ms + guessed_ms / 2.0);
+        if assumed_ms > self.first_event.value() {
+            self.assumed_hit_rate.note(took_ms < known_ms + assumed_ms / 2.0);
         }
     }
 }
--- a/crates/papayamux-coordination/tests/cold_servers.rs
+++ b/crates/papayamux-coordination/tests/cold_servers.rs
@@ -740,13 +740,13 @@
                         is_cold,
                         used: tracker.used(id, now),
                     };
-                    let has_room = match strategy {
+                    let has_quota = match strategy {
                         LimitStrategy::WarmOnly => !is_cold,
                         LimitStrategy::Shares => !send_quota(id, view, known_routers).is_empty(),
                         _ => true,
                     };
                     // What is cold looks empty to all, and runs what it bears at the most.
-                    has_room && (is_cold || arrivals[*server][second] < CAPACITY)
+                    has_quota && (is_cold || arrivals[*server][second] < CAPACITY)
                 });
                 let Some(server) = open else {
                     tallies[second].refused += 1;
--- a/crates/papayamux-coordination/tests/server_profile.rs
+++ b/crates/papayamux-coordination/tests/server_profile.rs
@@ -134,22 +134,22 @@
             answers.record_answers(&mut tracker, name, 3);
         }
     }
-    let reads = |tracker: &ProfileTracker, name: &str| {
+    let prefill_rate = |tracker: &ProfileTracker, name: &str| {
         tracker.speed(&service(), &server(name)).prefill_tokens_per_ms
     };
-    let (slow, usual) = (reads(&tracker, "i-4"), reads(&tracker, "i-1"));
+    let (slow, usual) = (prefill_rate(&tracker, "i-4"), prefill_rate(&tracker, "i-1"));
     assert!(slow < usual * 0.5, "{slow} {usual}");
     // One that has shown nothing yet is taken for one of its service.
-    let new = reads(&tracker, "i-5");
+    let new = prefill_rate(&tracker, "i-5");
     assert!(relative_error(new, USUAL.prefill_tokens_per_ms) < 0.4, "{new}");
     tracker.forget(&server("i-4"));
-    assert!(relative_error(reads(&tracker, "i-4"), new) < 0.01);
+    assert!(relative_error(prefill_rate(&tracker, "i-4"), new) < 0.01);
 }
 
 #[test]
 fn engine_is_full_by_the_time_that_it_reads_and_not_by_tokens() {
     let load = ServerLoad { requests: 3, backlog: 4_000 };
-    let places = |factor: f64| {
+    let slots = |factor: f64| {
         let mut tracker = ProfileTracker::default();
         let prefill_tokens_per_ms = USUAL.prefill_tokens_per_ms * factor;
         Answers::of(Engine { prefill_tokens_per_ms, ..USUAL }).record_answers(
@@ -161,7 +161,7 @@
         free_slots(ServerWork::Engine, 64, load, 0, &speed)
     };
     // The same 4,000 tokens take 0.1 s, 0.8 s and 12 ms.
-    assert_eq!((places(1.0), places(0.125), places(8.0)), (61, 0, 61));
+    assert_eq!((slots(1.0), slots(0.125), slots(8.0)), (61, 0, 61));
 }
 
 #[test]
