--- a/crates/papayamux-coordination/src/cache_survey.rs
+++ b/crates/papayamux-coordination/src/cache_survey.rs
@@ -1,10 +1,11 @@
-//! Finds out what engines' caches hold after all routers were lost at once.
+//! Discovery of the contents of engines' caches after all routers have restarted at once.
 //!
-//! What routers know of caches is in their memory. One that restarts is told by the others within a
-//! second or two. Where all have restarted, nobody knows, and long parts of prompts that some engine
-//! still holds would be read again at their homes. Then each router asks a few engines for a list of
-//! their caches and tells the others. A list delays the engine's work and grows with its cache, so
-//! that each engine is asked once or twice and not by every router.
+//! Routers keep their knowledge of caches in memory. A single restarted router receives it from the
+//! others within a second or two. If all of them have restarted, it is lost, and long prompt parts
+//! that some engine still holds would be prefilled again at their homes. Each router then requests
+//! listings of the caches of a few engines and sends them to the other routers. A listing delays
+//! the engine's work and its size grows with the cache, so each engine is asked only once or twice,
+//! and not by every router.
 
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -16,35 +17,35 @@
 
 use crate::placement::MIN_ANNOUNCED_TOKENS;
 
-/// Time from its start for which a router counts as fresh: until the others have told it of most
-/// parts, at some thirty a second each.
+/// Age up to which a router counts as fresh: by then it has received most parts from the others, at
+/// some thirty a second from each.
 pub const FRESH_DURATION: Duration = Duration::from_secs(5);
-/// Pause between the first list of servers and the survey, in which other routers are heard: one
-/// round of reports and a half. Until then long parts go to their homes.
+/// Delay between the first list of servers and the survey, in which other routers are discovered:
+/// one and a half rounds of reports. Until then long parts go to their homes.
 pub const SURVEY_DELAY: Duration = Duration::from_millis(400);
-/// Parts kept of one list, the largest first: an engine in use holds some ten long parts that prompts
-/// share, among parts of single chats.
+/// Maximum number of parts kept of one listing, the largest first: an engine in use holds some ten
+/// long parts that prompts share, among parts of single chats.
 const MAX_PARTS: usize = 32;
-/// Engines that one router asks at most. A router that hears nobody asks for all of a small fleet; of
-/// a large one, what is left unknown goes to its homes.
+/// Maximum number of engines that one router surveys. An isolated router surveys all engines of a
+/// small fleet. In a large one, the parts of engines it did not survey go to their homes.
 const MAX_SURVEYED_ENGINES: usize = 32;
-/// Time for which the others are told of a list: at four reports a second to twelve routers each, 420
-/// routers are reached.
+/// Time for which a listing is announced: at four reports a second to twelve routers each, it
+/// reaches 420 routers.
 const ANNOUNCEMENT_DURATION: Duration = Duration::from_secs(10);
-/// Lists in one report, of up to 400 bytes each.
+/// Number of listings in one report, of up to 400 bytes each.
 const LISTINGS_PER_REPORT: usize = 2;
 
-/// What an engine listed of its cache.
+/// The parts that an engine listed as cached.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheListing {
     /// The engine.
     pub server: ServerId,
-    /// The parts worth knowing, the largest first.
+    /// The parts large enough to announce, the largest first.
     pub parts: Vec<PromptPart>,
 }
 
 impl CacheListing {
-    /// What is worth knowing of a list.
+    /// Creates a listing, keeping only the largest parts.
     pub fn new(server: ServerId, listed: Vec<PromptPart>) -> Self {
         let mut parts = listed;
         parts.retain(|part| part.tokens.get() >= MIN_ANNOUNCED_TOKENS);
@@ -54,8 +55,8 @@
     }
 }
 
-/// The engines that the router at `own` asks, where `others` ask theirs: each engine belongs to one
-/// router by rendezvous hashing, so that no word between routers is needed.
+/// Returns the engines that the router at `own` surveys while the `others` survey theirs.
+/// Rendezvous hashing assigns each engine to one router, so that routers need not coordinate.
 pub fn survey_share<'a>(
     own: IpAddr,
     others: &[IpAddr],
@@ -72,21 +73,21 @@
     engines.into_iter().filter(belongs).take(MAX_SURVEYED_ENGINES).cloned().collect()
 }
 
-/// Lists that the others are still told of.
+/// Listings that are still announced to the other routers.
 #[derive(Debug, Default)]
 pub struct ListingUpdates {
     listings: VecDeque<(CacheListing, Instant)>,
 }
 
 impl ListingUpdates {
-    /// Adds a list that was got at `now`.
+    /// Adds a listing that was received at `now`.
     pub fn add(&mut self, listing: CacheListing, now: Instant) {
         if !listing.parts.is_empty() {
             self.listings.push_back((listing, now));
         }
     }
 
-    /// What to tell next, in turn.
+    /// Returns the next listings to announce, in rotation.
     pub fn next(&mut self, now: Instant) -> Vec<CacheListing> {
         self.listings
             .retain(|(_, got)| now.saturating_duration_since(*got) < ANNOUNCEMENT_DURATION);
--- a/crates/papayamux-coordination/src/cold_servers/cold_limit.rs
+++ b/crates/papayamux-coordination/src/cold_servers/cold_limit.rs
@@ -1,34 +1,36 @@
-//! How many requests a cold server may get.
+//! The limit on the requests that a cold server may get.
 
 use std::fmt;
 use std::num::ParseFloatError;
 use std::str::FromStr;
 
-/// Part of the limit that is shared out. The rest is for routers that don't know one another yet.
+/// Fraction of the limit that is shared among the routers. The rest is kept for routers that don't
+/// know one another yet.
 const USED_FRACTION: f64 = 0.9;
 
-/// How far all routers together may go beyond the rate that a service declares for its cold servers.
+/// How far the requests of all routers together may exceed the rate that a service declares for its
+/// cold servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdAllowance {
     /// Multiple of the declared rate.
     pub overshoot: f64,
-    /// Requests in a second beside that.
+    /// Requests per second allowed in addition.
     pub slack: f64,
 }
 
 impl ColdAllowance {
-    /// The limit of a server that bears `per_second` requests while it is cold.
+    /// Returns the limit of a server that bears `per_second` requests while it is cold.
     pub fn limit(self, per_second: f64) -> ColdLimit {
         ColdLimit(per_second.max(0.0) * self.overshoot.max(0.0) + self.slack.max(0.0))
     }
 }
 
-/// Requests that one cold server may get in any second, from all routers together.
+/// Maximum number of requests that one cold server may get in any second from all routers together.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct ColdLimit(pub f64);
 
 impl ColdLimit {
-    /// The whole requests that are shared out among the routers.
+    /// Returns the number of whole requests that are shared among the routers.
     pub fn shared_out(self) -> u32 {
         (self.0 * USED_FRACTION) as u32
     }
--- a/crates/papayamux-coordination/src/cold_servers/cold_share.rs
+++ b/crates/papayamux-coordination/src/cold_servers/cold_share.rs
@@ -1,40 +1,40 @@
-//! How many requests this router may send a server now.
+//! The number of requests that this router may currently send to a server.
 
 use papayamux_state::ids::ServerId;
 
 use super::{ColdLimit, KnownRouters};
 
-/// Requests in a second that a router which has just started sends to any one server: it may have missed that
-/// the server is cold.
+/// Requests per second that a newly started router sends to any one server, since it may not know
+/// yet that the server is cold.
 const UNSETTLED_SHARE: u32 = 1;
 
-/// What is known of a server.
+/// What this router knows about a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdView {
-    /// What it bears while it is cold.
+    /// Limit while the server is cold.
     pub limit: ColdLimit,
-    /// Whether it is cold.
+    /// `true` if the server is cold.
     pub is_cold: bool,
-    /// Requests of this router that count against its share.
+    /// Number of requests that count against this router's share.
     pub used: u32,
 }
 
-/// Requests that may be sent now.
+/// Number of requests that may be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendQuota {
-    /// As many as other bounds allow.
+    /// No limit besides those that apply to any server.
     Unbounded,
-    /// So many.
+    /// At most this many.
     Bounded(u32),
 }
 
 impl SendQuota {
-    /// Whether there is none.
+    /// Returns whether no request may be sent.
     pub fn is_empty(self) -> bool {
         self == Self::Bounded(0)
     }
 
-    /// `places`, or fewer where there is less room.
+    /// Returns `slots`, capped by the quota.
     pub fn limit_slots(self, slots: u32) -> u32 {
         match self {
             Self::Unbounded => slots,
@@ -43,16 +43,17 @@
     }
 }
 
-/// The room that this router has at a server.
+/// Returns the quota of this router at a server.
 ///
-/// The load that this answers: a server, or all servers of a failure domain, start while the others are full,
-/// and every router would send them all that it has. What is shared out goes to the routers in turn, those
-/// first that come first in the server's own order; so the shares add up to it where all know the same routers.
+/// It limits the load on a server, or on all servers of a failure domain, that start while the
+/// others are full: otherwise every router would send them all of its requests. The requests of the
+/// limit are dealt out one by one to the routers in the server's own order of routers, so that the
+/// shares of all routers that know the same routers add up to the limit.
 pub fn send_quota(server: &ServerId, view: ColdView, known_routers: &KnownRouters) -> SendQuota {
     let share = match (view.is_cold, known_routers.is_settled()) {
         (false, true) => return SendQuota::Unbounded,
         (false, false) => UNSETTLED_SHARE,
-        // Who doesn't know the others can't tell its share.
+        // A router that doesn't know the others can't determine its share.
         (true, false) => 0,
         (true, true) => own_share(server, view.limit, known_routers),
     };
--- a/crates/papayamux-coordination/src/cold_servers/cold_tracker.rs
+++ b/crates/papayamux-coordination/src/cold_servers/cold_tracker.rs
@@ -1,21 +1,21 @@
-//! Which servers are cold, and what this router has sent them lately.
+//! The servers that are cold, and the requests that this router has recently sent to them.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use papayamux_state::ids::ServerId;
 
-/// The span in which requests are counted: a second, and a little for timers that are late.
+/// Window in which requests are counted: a second, plus a margin for late timers.
 const COUNTING_WINDOW: Duration = Duration::from_millis(1_020);
 
-/// What became of a server while it was cold.
+/// What a router sent to a server while it was cold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ColdSummary {
     /// The server.
     pub server: ServerId,
-    /// Requests that this router sent it.
+    /// Number of requests that this router sent to it.
     pub sent: u32,
-    /// Choices that passed it over for want of room.
+    /// Number of placement decisions that passed it over because its quota was used up.
     pub passed_over: u32,
 }
 
@@ -26,11 +26,11 @@
     passed_over: u32,
 }
 
-/// Requests of this router at one server.
+/// Requests that this router sends to one server.
 #[derive(Debug, Clone, Default)]
 struct ServerSends {
     cold: Option<ColdSpan>,
-    /// Requests that have chosen the server and were not sent yet.
+    /// Number of requests placed on the server that are not sent yet.
     reserved: u32,
     sent: VecDeque<Instant>,
 }
@@ -52,15 +52,16 @@
     now.saturating_duration_since(sent) < COUNTING_WINDOW
 }
 
-/// What is known of all servers with a limit.
+/// The cold state and the recent requests of all servers with a limit.
 #[derive(Debug, Clone, Default)]
 pub struct ColdTracker {
     servers: HashMap<ServerId, ServerSends>,
 }
 
 impl ColdTracker {
-    /// Notes how much longer a server is cold, as its entry says; whether it became cold. An entry is read
-    /// some time after it was written, so that the server is never taken for warm too early.
+    /// Sets the remaining cold time of a server from its entry, and returns whether the server
+    /// became cold. An entry is read some time after it was written, so that the cold time never
+    /// ends too early.
     pub fn record_listed(&mut self, server: &ServerId, left: Duration, now: Instant) -> bool {
         match left.is_zero() {
             false => self.extend(server, now + left),
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Takes a server for cold until its next entry says more, for as long as starts take at the most.
+    /// Assumes that a server is cold until its next entry, for at most the duration of a cold
+    /// start.
     pub fn assume_cold(&mut self, server: &ServerId, max_duration: Duration, now: Instant) {
         if !max_duration.is_zero() {
             self.extend(server, now + max_duration);
@@ -96,37 +98,37 @@
         }
     }
 
-    /// Whether a server is cold.
+    /// Returns whether a server is cold.
     pub fn is_cold(&self, server: &ServerId, now: Instant) -> bool {
         let cold = self.servers.get(server).and_then(|sends| sends.cold);
         cold.is_some_and(|cold| now < cold.until)
     }
 
-    /// Servers that are cold.
+    /// Returns the number of cold servers.
     pub fn cold_count(&self, now: Instant) -> usize {
         let colds = self.servers.values().filter_map(|sends| sends.cold);
         colds.filter(|cold| now < cold.until).count()
     }
 
-    /// Requests of this router that count against its share: those of the last second, and those that are
-    /// about to be sent.
+    /// Returns the number of requests that count against this router's share: those sent within the
+    /// last second, and those about to be sent.
     pub fn used(&self, server: &ServerId, now: Instant) -> u32 {
         self.servers.get(server).map_or(0, |sends| sends.recent(now).saturating_add(sends.reserved))
     }
 
-    /// Notes that a request has chosen a server.
+    /// Records that a request is placed on a server.
     pub fn reserve(&mut self, server: &ServerId) {
         self.servers.entry(server.clone()).or_default().reserved += 1;
     }
 
-    /// Notes that a request which had chosen a server goes elsewhere.
+    /// Records that a request placed on a server goes to another one.
     pub fn release(&mut self, server: &ServerId) {
         if let Some(sends) = self.servers.get_mut(server) {
             sends.reserved = sends.reserved.saturating_sub(1);
         }
     }
 
-    /// Notes that a request which had chosen a server is sent now.
+    /// Records that a request placed on a server is sent.
     pub fn record_sent(&mut self, server: &ServerId, now: Instant) {
         let sends = self.servers.entry(server.clone()).or_default();
         sends.reserved = sends.reserved.saturating_sub(1);
@@ -139,14 +141,15 @@
         }
     }
 
-    /// Notes that a choice passed a server over for want of room.
+    /// Records that a placement decision passed over a server because its quota was used up.
     pub fn record_passed_over(&mut self, server: &ServerId) {
         if let Some(cold) = self.servers.get_mut(server).and_then(|sends| sends.cold.as_mut()) {
             cold.passed_over += 1;
         }
     }
 
-    /// Takes the servers that are no longer cold, and forgets those of which nothing matters.
+    /// Removes and returns the servers that are no longer cold, and drops state that is no longer
+    /// needed.
     pub fn take_warmed(&mut self, now: Instant) -> Vec<ColdSummary> {
         let mut warmed = Vec::new();
         for (server, sends) in &mut self.servers {
--- a/crates/papayamux-coordination/src/cold_servers/known_routers.rs
+++ b/crates/papayamux-coordination/src/cold_servers/known_routers.rs
@@ -1,4 +1,4 @@
-//! The routers among which a bound on all of them is shared out.
+//! The routers among which a fleet-wide limit is shared.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -8,21 +8,22 @@
 use papayamux_state::ids::ServerId;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How long a router counts that was heard of. One that can't be heard for a while may still send, and keeps
-/// its share; the shares of those that have ended go unused for as long.
+/// Time for which a router is counted after the last contact. A router that is cut off may still
+/// send requests and keeps its share; the share of a router that has stopped goes unused for as
+/// long.
 const ROUTER_TTL: Duration = Duration::from_secs(300);
-/// Age at which a router may have heard of all others: several rounds of reports.
+/// Age, several rounds of reports, at which a router may have received the addresses of all others.
 const SETTLING_AGE: Duration = Duration::from_secs(2);
-/// Time without a newcomer after which a router that hears others has heard of all.
+/// Time without a new router after which a router in contact with others knows all of them.
 const QUIET_DURATION: Duration = Duration::from_secs(1);
-/// Age at which a router that hears nobody takes itself for the only one.
+/// Age at which a router without contact to others assumes that it is the only one.
 const ALONE_SETTLING_AGE: Duration = Duration::from_secs(5);
-/// Routers counted: twice the largest fleet that is designed for.
+/// Maximum number of routers counted: twice the largest fleet designed for.
 const MAX_ROUTERS: usize = 1_024;
-/// Places kept: more servers than the largest fleet has.
+/// Maximum number of cached ranks: more than the largest fleet has servers.
 const MAX_CACHED_RANKS: usize = 4_096;
 
-/// All routers that were heard of lately, this one included.
+/// All routers with recent contact, directly or through reports of others, including this one.
 #[derive(Debug, Clone)]
 pub struct KnownRouters {
     own: IpAddr,
@@ -31,15 +32,15 @@
     newcomer_at: Instant,
     is_settled: bool,
     expects_others: bool,
-    /// How many routers another one counted, and when it said so.
+    /// Number of routers known to another router, and when it was reported.
     reported_count: Option<(u32, Instant)>,
-    /// This router's place for each server that was asked for since the routers changed last.
+    /// This router's rank for each server queried since the set of routers last changed.
     ranks: RefCell<HashMap<ServerId, u32>>,
 }
 
 impl KnownRouters {
-    /// The router at `own`, which knows of no other yet. Where it `expects_others`, it never takes itself for the
-    /// only one: it may be cut off from them.
+    /// Creates the set of the router at `own`, which knows no other router yet. A router that
+    /// `expects_others` never assumes that it is the only one, since it may be cut off from them.
     pub fn new(own: IpAddr, expects_others: bool, now: Instant) -> Self {
         let last_contact = BTreeMap::from([(own, now)]);
         Self {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Notes that these routers are there.
+    /// Records contact with `routers`.
     pub fn record<'a>(&mut self, routers: impl IntoIterator<Item = &'a IpAddr>, now: Instant) {
         for router in routers {
             let is_full = self.last_contact.len() >= MAX_ROUTERS;
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Forgets routers that were not heard of for long, and finds out whether all are known. Later newcomers
-    /// change a share by one request at the most.
+    /// Removes routers without recent contact, and determines whether all routers are known. A
+    /// router that appears later changes a share by at most one request.
     pub fn update(&mut self, now: Instant) {
         let (own, before) = (self.own, self.last_contact.len());
         self.last_contact.retain(|router, last_contact| {
@@ -92,13 +93,13 @@
         };
     }
 
-    /// Whether this router may count on knowing all others.
+    /// Returns whether this router can assume that it knows all others.
     pub fn is_settled(&self) -> bool {
         self.is_settled
     }
 
-    /// Notes how many routers another one has heard of. One that has started again so learns that there are
-    /// routers which are cut off and which it can't hear of.
+    /// Records the number of routers known to another router. A restarted router thus learns that
+    /// there are routers which are cut off and from which it receives nothing.
     pub fn record_count(&mut self, counted: u32, now: Instant) {
         let is_newer = self.reported_count.is_none_or(|(known, _)| counted >= known);
         if is_newer && counted as usize <= MAX_ROUTERS {
@@ -106,23 +107,23 @@
         }
     }
 
-    /// Routers that this one has heard of, itself among them.
+    /// Returns the number of routers that this one knows, including itself.
     pub fn known_count(&self) -> u32 {
         u32::try_from(self.last_contact.len()).unwrap_or(u32::MAX)
     }
 
-    /// Routers that are there, those that only others have heard of among them.
+    /// Returns the number of routers, including those that only other routers know.
     pub fn count(&self) -> u32 {
         self.reported_count.map_or(0, |(counted, _)| counted).max(self.known_count())
     }
 
-    /// The last place that this router may have among all routers for one server.
+    /// Returns the highest rank that this router may have among all routers for a server.
     pub fn max_rank_for(&self, server: &ServerId) -> u32 {
         self.rank_for(server).saturating_add(self.count() - self.known_count())
     }
 
-    /// This router's place among those heard of, by rendezvous hashing. Each request asks for it once for each
-    /// cold server, so that it is kept.
+    /// Returns this router's rank among the known routers for a server, by rendezvous hashing. The
+    /// rank is cached because each request needs it for each cold server.
     fn rank_for(&self, server: &ServerId) -> u32 {
         if let Some(rank) = self.ranks.borrow().get(server) {
             return *rank;
--- a/crates/papayamux-coordination/src/cold_servers/mod.rs
+++ b/crates/papayamux-coordination/src/cold_servers/mod.rs
@@ -1,8 +1,9 @@
-//! Servers that have started lately and bear few requests a second, whoever sends them.
+//! Rate limits for servers that have started recently and bear only a few requests a second.
 //!
-//! To each router a server that has just started looks like the emptiest one. The bound on its requests holds
-//! for the sum over all routers, which can't ask one another before each request: each router has a share of
-//! it, on which all agree who know the same routers.
+//! To each router, a server that has just started looks like the least loaded one. The limit
+//! applies to the requests of all routers together, which can't coordinate before each request.
+//! Each router therefore gets a share of it, and all routers that know the same routers agree on
+//! the shares.
 
 mod cold_limit;
 mod cold_share;
--- a/crates/papayamux-coordination/src/load_bound.rs
+++ b/crates/papayamux-coordination/src/load_bound.rs
@@ -1,4 +1,5 @@
-//! The load bound: how many requests an agent admits before others have to take their share.
+//! The load bound: the number of requests that an agent admits before other agents have to take
+//! their share.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -8,15 +9,15 @@
 use papayamux_state::load::{GroupId, GroupLoad, LoadFactor};
 use papayamux_state::quantities::RequestCount;
 
-/// Age at which what a router said of the mean counts for 1/e.
+/// Age at which the weight of a reported mean has decayed to 1/e.
 const MEAN_DECAY: Duration = Duration::from_millis(200);
-/// Weight below which a mean is no longer believed.
+/// Weight below which a mean has expired.
 const MIN_WEIGHT: f64 = 0.01;
-/// Groups of which an agent keeps the mean.
+/// Maximum number of groups whose means an agent keeps.
 const MAX_GROUPS: usize = 64;
 
-/// What many routers say of a group's mean, each word counted by how many fresh reports it is
-/// made of and less the older it is.
+/// Weighted average of a group's mean as reported by many routers. The weight of a report is the
+/// number of fresh load reports it is made of, and decays with age.
 #[derive(Debug, Clone, Copy)]
 struct MeanEstimate {
     weighted: f64,
@@ -38,7 +39,7 @@
     }
 }
 
-/// An agent's knowledge of the mean loads of the groups it belongs to.
+/// The mean loads of the groups that an agent belongs to.
 #[derive(Debug)]
 pub struct LoadBound {
     factor: LoadFactor,
@@ -46,12 +47,12 @@
 }
 
 impl LoadBound {
-    /// A bound of `factor` times the mean.
+    /// Creates a bound of `factor` times the mean.
     pub fn new(factor: LoadFactor) -> Self {
         Self { factor, estimates: RefCell::default() }
     }
 
-    /// Takes in what a router says of the mean.
+    /// Adds a mean reported by a router.
     pub fn record_mean(&self, load: &GroupLoad, now: AgentClock) {
         let mut estimates = self.estimates.borrow_mut();
         if estimates.len() >= MAX_GROUPS && !estimates.contains_key(&load.group) {
@@ -68,8 +69,9 @@
         estimate.servers = load.servers;
     }
 
-    /// The most requests that may run for a group; `None` where its mean is not known, or where
-    /// the server is the only one: what it carries is the mean then, whatever an old report says.
+    /// Returns the maximum number of running requests for a group. Returns `None` if its mean is
+    /// not known, or if the server is the only one: its own load is the mean then, whatever an old
+    /// report says.
     pub fn limit(&self, group: GroupId, now: AgentClock) -> Option<RequestCount> {
         let estimate = self.estimates.borrow().get(&group)?.decayed(now);
         (estimate.weight > MIN_WEIGHT && estimate.servers > 1)
--- a/crates/papayamux-coordination/src/mechanism.rs
+++ b/crates/papayamux-coordination/src/mechanism.rs
@@ -1,6 +1,7 @@
-//! The mechanisms that decisions rest on, each of which an experiment can switch off.
+//! Mechanisms of the decisions, each of which an experiment can disable.
 //!
-//! What a mechanism is worth shows only where all the others work without it. Production runs them all.
+//! The contribution of a mechanism can only be measured while all others work without it.
+//! Production enables all of them.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,58 +9,60 @@
 
 use thiserror::Error;
 
-/// A part of the decisions that the rest can do without.
+/// A part of the decisions that the others don't depend on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// An engine takes what it lacks of a prompt from another engine.
+    /// An engine copies missing prompt tokens from another engine.
     Copies,
-    /// The home of a group of prompts is believed to hold their shared part.
+    /// The home of a group of prompts is assumed to hold their shared part.
     HomeBelief,
-    /// Routers tell each other which engines hold which parts.
+    /// Routers notify one another of the engines that hold a part.
     HoldersTold,
-    /// Engines are asked for lists of their caches after a loss of all routers.
+    /// Engines are asked for listings of their caches after all routers were lost.
     CacheSurvey,
-    /// An engine that has left is still taken as a source while it finishes its work.
+    /// A departed engine is still used as a source of copies while it is terminating.
     DepartedSources,
-    /// Requests wait for a place, or are turned away.
+    /// Requests wait in a queue for a slot, or are refused.
     Line,
-    /// Organisations get equal shares of the places.
+    /// Organisations get equal shares of the slots.
     FairShares,
-    /// Requests of an urgent rank get larger shares.
+    /// Requests with an urgent priority get larger shares.
     Urgency,
-    /// Callers that come back are known by their shorter deadlines.
+    /// Callers that return are recognised by their shorter deadlines.
     UsualDeadline,
-    /// A request whose first event would come too late is turned away.
+    /// A request is refused if its first event would come too late.
     EarlyRefusal,
-    /// Servers with failed connections or broken answers are avoided for a while.
+    /// Servers with failed connections or broken answers are ejected for a while.
     Evidence,
-    /// Servers that fail more answers than others get fewer requests.
+    /// Servers with a higher failure rate than others get fewer requests.
     AnswerRecords,
     /// Requests leave servers that are silent for longer than usual.
     Liveness,
-    /// Servers behind links that hold messages up get fewer requests.
+    /// Servers behind links that delay messages get fewer requests.
     LinkDelays,
-    /// Routers that can't reach the source ask the others if the configuration is still the newest.
+    /// Routers that can't reach the source ask other routers to confirm that the configuration is
+    /// current.
     PeerVouching,
-    /// No server gets more requests than a multiple of the mean.
+    /// The requests of a server are bounded by a multiple of the mean.
     LoadBound,
-    /// Copies to engines with nearly full caches count what they evict.
+    /// The cost of a copy to an engine with a nearly full cache includes that of the evicted
+    /// tokens.
     EvictionCost,
-    /// How fast servers are is learnt from their answers.
+    /// The speed of servers is estimated from their answers.
     LearntProfile,
-    /// Requests wait while their engine reads the same part for another one.
+    /// Requests wait while their engine prefills the same part for another request.
     PartWaits,
-    /// Routers tell each other at once which parts engines begin to read.
+    /// Routers notify one another at once of parts that engines begin to prefill.
     ReadingsTold,
-    /// The router that owns a part is told who holds it, and asked by those who know of nobody.
+    /// The owner of a part is notified of its holders, and queried by routers that know no holder.
     PartOwners,
-    /// Requests under which servers end are kept from the others.
+    /// Requests under which servers crash are quarantined.
     CrashQuarantine,
-    /// Servers that have just started get no more than their limit from all routers together.
+    /// Servers that have just started get at most their limit from all routers together.
     ColdShares,
 }
 
-/// Every mechanism with the name that settings use.
+/// All mechanisms with their names in settings.
 const NAMES: [(Mechanism, &str); 23] = [
     (Mechanism::Copies, "copies"),
     (Mechanism::HomeBelief, "home-belief"),
@@ -87,7 +90,7 @@
 ];
 
 impl Mechanism {
-    /// Every mechanism.
+    /// Returns all mechanisms.
     pub fn all() -> impl Iterator<Item = Self> {
         NAMES.into_iter().map(|(mechanism, _)| mechanism)
     }
@@ -104,7 +107,7 @@
     }
 }
 
-/// Why a text names no mechanism.
+/// The error of parsing a [`Mechanism`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{name:?} is no mechanism; known are {}", known_names())]
 pub struct MechanismError {
@@ -125,17 +128,17 @@
     }
 }
 
-/// The mechanisms that an experiment has switched off; none in production.
+/// The mechanisms disabled by an experiment; none in production.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DisabledMechanisms(BTreeSet<Mechanism>);
 
 impl DisabledMechanisms {
-    /// Whether a mechanism is in use.
+    /// Returns whether a mechanism is enabled.
     pub fn allow(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
 
-    /// Whether all are in use.
+    /// Returns whether all mechanisms are enabled.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/papayamux-coordination/src/part_owners.rs
+++ b/crates/papayamux-coordination/src/part_owners.rs
@@ -1,10 +1,11 @@
-//! Which router is asked who holds a shared part of prompts.
+//! Owners of shared prompt parts: the routers that know which server holds a part.
 //!
-//! Routers can't tell all others of every part that they place: that grows with the fleet. Where one did
-//! not know of a holder, it sent the prompt to the part's home in the belief that it was there, or had it
-//! copied from there. So each part has an owner among the routers, the same for all who know the same
-//! routers. Who has a part placed at a server that was not known to hold it tells the owner; who knows of no
-//! holder asks it. Both cost one small datagram, however many routers there are.
+//! Notifying all other routers of every placed part would cost more with each router of the fleet.
+//! A router that did not know of a holder sent the prompt to the part's home, or had it copied from
+//! there, assuming that the home held it. Each part therefore has one owner among the routers, and
+//! all routers that know the same routers agree on it. A router that has a part placed on a server
+//! not known to hold it notifies the owner, and a router that knows no holder queries the owner.
+//! Either takes one small datagram, whatever the number of routers.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -15,27 +16,30 @@
 
 use crate::server_profile::CallTime;
 
-/// Prior of the time that an owner's answer takes, left with the first answers: a round trip to another
-/// failure domain.
+/// Prior of the answer time of an owner, a round trip to another failure domain; it has no effect
+/// after the first answers.
 const ANSWER_PRIOR: Duration = Duration::from_millis(2);
-/// Deviations by which an answer may be later than usual, as in the retransmission timer of TCP (RFC 6298).
+/// Number of deviations by which an answer may be later than usual, as in the retransmission timer
+/// of TCP (RFC 6298).
 const LATE_DEVIATIONS: f64 = 4.0;
-/// Part of the time that the part takes to be read for which an answer is waited for at most. Where owners
-/// are in another region, short parts are not worth a question.
+/// Maximum wait for an answer as a fraction of the part's prefill time. Short parts are not worth a
+/// query if the owner is in another region.
 const MAX_WAIT_FRACTION: f64 = 0.25;
-/// Age of an unanswered question from which its owner counts as silent: longer than to another region.
+/// Age of an unanswered query at which its owner counts as silent. It exceeds the round trip to
+/// another region.
 pub const OWNER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an owner that did not answer is not asked again: a part of the time after which a router
-/// that is gone is forgotten.
+/// Time for which a silent owner is not queried again: a fraction of the time after which a stopped
+/// router is removed.
 const SILENT_OWNER_BACKOFF: Duration = Duration::from_secs(1);
-/// Shared tokens from which the owner is told of a holder: less is read within a few steps of an engine.
+/// Minimum number of shared tokens for which the owner is notified of a holder; fewer are prefilled
+/// within a few steps of an engine.
 const MIN_ANNOUNCED_TOKENS: u64 = 1_000;
-/// Time from its start until a router takes what it was not told of for held by nobody: until then others
-/// may have told the owner of before.
+/// Age until which a router does not assume that a part it was not notified of has no holder. Until
+/// then, holders may be known only to its previous owner.
 pub const OWNER_LEARNING_DURATION: Duration = Duration::from_secs(10);
 
-/// The owner of a part among `routers`, by rendezvous hashing: one that comes or goes moves only its own
-/// parts.
+/// Returns the owner of a part among `routers` by rendezvous hashing: a router that joins or
+/// departs only moves the parts that it owns.
 pub fn part_owner(part: PartId, routers: impl IntoIterator<Item = IpAddr>) -> Option<IpAddr> {
     let weight = |router: &IpAddr| match router {
         IpAddr::V4(address) => xxh3_64_with_seed(&address.octets(), part.0),
@@ -44,12 +48,12 @@
     routers.into_iter().max_by_key(|router| (weight(router), *router))
 }
 
-/// Whether a part of so many tokens is worth telling its owner of, and asking for.
+/// Returns whether a part is large enough to notify its owner of it and to query it.
 pub fn is_worth_announcing(shared_tokens: u64) -> bool {
     shared_tokens >= MIN_ANNOUNCED_TOKENS
 }
 
-/// How long answers of owners take, as this router has seen.
+/// Answer times of owners, as observed by this router.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerTimes(CallTime);
 
@@ -60,13 +64,13 @@
 }
 
 impl AnswerTimes {
-    /// Takes in how long an answer took, also one that came too late.
+    /// Adds the time of an answer, including answers that came too late.
     pub fn note(&mut self, took: Duration) {
         self.0.note(took);
     }
 
-    /// How long to wait for an answer where the part takes `reading` to be read; `None` where it isn't
-    /// worth a question.
+    /// Returns the time to wait for an answer about a part with the given prefill time; `None` if
+    /// the part is not worth a query.
     pub fn wait_budget(&self, prefill_time: Duration) -> Option<Duration> {
         let max_wait = prefill_time.mul_f64(MAX_WAIT_FRACTION);
         let usual = Duration::from_secs_f64(self.0.mean_ms() / 1_000.0);
@@ -74,20 +78,20 @@
     }
 }
 
-/// Owners that did not answer lately.
+/// Owners that have recently not answered.
 #[derive(Debug, Default)]
 pub struct SilentOwners {
     until: HashMap<IpAddr, Instant>,
 }
 
 impl SilentOwners {
-    /// Notes that an owner did not answer in time.
+    /// Records that an owner did not answer on time.
     pub fn note(&mut self, owner: IpAddr, now: Instant) {
         self.until.retain(|_, until| now < *until);
         self.until.insert(owner, now + SILENT_OWNER_BACKOFF);
     }
 
-    /// Whether an owner should be asked.
+    /// Returns whether an owner may be queried.
     pub fn allow(&self, owner: IpAddr, now: Instant) -> bool {
         self.until.get(&owner).is_none_or(|until| now >= *until)
     }
--- a/crates/papayamux-coordination/src/part_prefills.rs
+++ b/crates/papayamux-coordination/src/part_prefills.rs
@@ -1,11 +1,11 @@
-//! Shared parts of prompts that engines are reading at the moment.
+//! Prefills of shared prompt parts that are in progress.
 //!
-//! The load that this answers: several prompts with the same long part that arrive while no engine
-//! holds it, as after a start, when a document becomes popular or when its engine was lost. An engine
-//! caches a part when it has read it. What is sent to it meanwhile reads the same part beside it:
-//! both get their first token later than if the second had waited for the first, and so does whatever
-//! else runs there. A request therefore waits until the part is read, if that saves enough of its own
-//! reading.
+//! Several prompts with the same long part may arrive while no engine holds it: after a start, when
+//! a document becomes popular, or after its engine was lost. An engine caches a part only once it
+//! is prefilled, and a second prompt sent to it meanwhile prefills the same part again. Both then
+//! get their first token later than if the second one had waited, and all other requests on the
+//! engine are delayed too. A request therefore waits for such a prefill if that saves enough of its
+//! own.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,69 +14,73 @@
 use papayamux_state::prompt::PartId;
 use papayamux_state::quantities::TokenCount;
 
-/// Tokens below which a part isn't worth a wait: a few steps of an engine.
+/// Minimum number of tokens that a wait must save: a few steps of an engine.
 const MIN_AWAITED_TOKENS: u64 = 256;
-/// Part of what is being read that a request must share with it to wait for it. Below this its own
-/// reading is so much shorter that an engine that reads both in turns answers it sooner.
+/// Minimum fraction of a prefill that a request must share in order to wait for it. With less in
+/// common, its own prefill is so much shorter that an engine interleaving both answers it sooner.
 const MIN_SHARED_FRACTION: f64 = 0.5;
-/// How many times as long as expected a reading may take before nobody waits for it any more. Where an
-/// engine is slow, waiting is still shorter than reading beside it; where it has stopped, the request
-/// that reads leaves it and ends the wait.
+/// Multiple of the expected time after which a prefill is no longer waited for. On a slow engine,
+/// waiting is still shorter than prefilling concurrently. If the engine has stopped, the request
+/// under prefill leaves it, which ends the wait.
 const MAX_OVERRUN_FACTOR: f64 = 2.0;
-/// Part of what an engine has to read before a request's first event that must be the request's own for
-/// others to wait for it.
+/// Minimum fraction, of all tokens that an engine prefills before a request's first event, that
+/// must belong to the request itself for others to wait for it.
 const MIN_OWN_FRACTION: f64 = 0.5;
-/// Tokens of shared parts from which other routers are told of a reading at once: it takes tens of
-/// milliseconds and more, many times as long as the word travels.
+/// Minimum size of shared parts whose prefill is announced to other routers at once. It takes tens
+/// of milliseconds or more, many times the delay of the message.
 const MIN_ANNOUNCED_TOKENS: u64 = 1_000;
-/// How long a reading of another router is believed at most. Word of its end may be lost, or its router;
-/// longer ones are for engines so slow that a caller should not depend on a datagram.
+/// Maximum time for which a prefill of another router is waited for. The message about its end may
+/// be lost, or its router may fail. Longer prefills occur on engines so slow that a caller should
+/// not depend on a datagram.
 const MAX_REMOTE_DURATION: Duration = Duration::from_secs(3);
-/// The reader of what is read for another router.
+/// Reader number of all prefills for other routers.
 const REMOTE_READER: u64 = 0;
-/// Part of its caller's time for which a request waits at most, whatever is expected.
+/// Maximum fraction of its caller's remaining time for which a request waits.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 
-/// A request that reads a part for the first time at its engine.
+/// A request that is the first to prefill a part on its engine.
 #[derive(Debug)]
 struct PartPrefill {
     reader: u64,
-    /// Tokens of the whole prompt that its engine has to read.
+    /// Number of tokens of the whole prompt that the engine has to prefill.
     cold: TokenCount,
-    /// When it is no longer waited for.
+    /// Time from which it is no longer waited for.
     until: Instant,
 }
 
-/// What a request reads at its engine.
+/// The prefill of a request's prompt on its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPrefill {
-    /// Tokens of its prompt that the engine has to read.
+    /// Number of prompt tokens that the engine has to prefill.
     pub cold: TokenCount,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub begun: Instant,
-    /// How long until its first event.
+    /// Expected time to the first event.
     pub expected: Duration,
-    /// Tokens that the engine has to read in all before that.
+    /// Number of tokens that the engine has to prefill before the first event, including those of
+    /// other requests.
     pub ahead: TokenCount,
-    /// Requests that wait at the engine, by its own report.
+    /// Number of requests that wait at the engine, as it last reported.
     pub waiting: u32,
 }
 
 impl PromptPrefill {
-    /// Whether other routers should hear at once that these shared parts are being read.
+    /// Returns whether the prefill of these shared parts should be announced to other routers at
+    /// once.
     pub fn is_worth_announcing(&self, parts: &[(PartId, TokenCount)]) -> bool {
         let shared: TokenCount = parts.iter().map(|(_, tokens)| *tokens).sum();
         shared.get() >= MIN_ANNOUNCED_TOKENS && self.begins_soon()
     }
 
-    /// Whether others may wait for it. Behind others in an engine's queue it takes long to begin, and
-    /// who waited outside would lose its own place there.
+    /// Returns whether other requests may wait for it. A prefill queued behind others at the engine
+    /// begins late, and a request that waited for it outside would lose its own position in that
+    /// queue.
     fn begins_soon(&self) -> bool {
         self.waiting == 0 && self.cold.get() as f64 >= self.ahead.get() as f64 * MIN_OWN_FRACTION
     }
 }
 
-/// Names one reading of parts, to end it.
+/// Identifies the parts that a request prefills, in order to end them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrefillTicket {
     server: ServerId,
@@ -84,7 +88,7 @@
     reader: u64,
 }
 
-/// What one router's requests are reading, by engine.
+/// The prefills in progress for one router's requests, by engine.
 #[derive(Debug, Default)]
 pub struct PartPrefills {
     prefills: HashMap<ServerId, HashMap<PartId, PartPrefill>>,
@@ -92,8 +96,8 @@
 }
 
 impl PartPrefills {
-    /// Notes that a request is sent to `server` which reads, among other things, those parts of
-    /// `prefixes` that nobody reads there yet.
+    /// Records that a request is sent to `server`, where it prefills those parts of `prefixes` that
+    /// no other request is prefilling there.
     pub fn begin(
         &mut self,
         server: &ServerId,
@@ -119,7 +123,8 @@
         PrefillTicket { server: server.clone(), prefixes: covered, reader }
     }
 
-    /// Notes what `server` has begun to read for another router. Word of its end may be lost.
+    /// Records that `server` has begun a prefill for another router. The message about its end may
+    /// be lost.
     pub fn record_remote(
         &mut self,
         server: &ServerId,
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Notes that what `server` read for another router is read.
+    /// Records the end of a prefill on `server` for another router.
     pub fn end_remote(&mut self, server: &ServerId, prefixes: &[(PartId, TokenCount)]) {
         let Some(prefills) = self.prefills.get_mut(server) else { return };
         for (prefix, _) in prefixes {
@@ -145,8 +150,8 @@
         }
     }
 
-    /// What `server` still reads for a part, where it is reading it: the tokens of that prompt, and the
-    /// time until it is no longer waited for.
+    /// Returns the number of tokens of the prompt whose prefill on `server` includes the part, and
+    /// the time until it is no longer waited for; `None` if there is no such prefill.
     pub fn remaining(
         &self,
         server: &ServerId,
@@ -158,7 +163,7 @@
         (!left.is_zero()).then_some((part_prefill.cold, left))
     }
 
-    /// Forgets readings of other routers that are over.
+    /// Removes prefills of other routers that are over.
     pub fn forget_old(&mut self, now: Instant) {
         for prefills in self.prefills.values_mut() {
             prefills.retain(|_, part_prefill| {
@@ -168,7 +173,7 @@
         self.prefills.retain(|_, prefills| !prefills.is_empty());
     }
 
-    /// Notes that a request's prompt was read, or that it won't be.
+    /// Records that the prefill of a request is complete, or that it will not take place.
     pub fn end(&mut self, ticket: &PrefillTicket) {
         let Some(prefills) = self.prefills.get_mut(&ticket.server) else { return };
         for prefix in &ticket.prefixes {
@@ -182,8 +187,8 @@
         }
     }
 
-    /// Until when a request with these shared prefixes should wait at most for what `server` is
-    /// reading; `None` where it should be sent.
+    /// Returns the time until which a request with these shared prefixes should wait at most for
+    /// prefills on `server`; `None` if it should be sent now.
     pub fn wait_until(
         &self,
         server: &ServerId,
@@ -205,7 +210,8 @@
     }
 }
 
-/// How long a request may wait for parts in all, by the time that its caller has left.
+/// Returns the total time that a request may wait for prefills, given the time that its caller has
+/// `left`.
 pub fn prefill_wait_budget(left: Duration) -> Duration {
     left.mul_f64(MAX_WAIT_FRACTION)
 }
--- a/crates/papayamux-coordination/src/placement/candidate.rs
+++ b/crates/papayamux-coordination/src/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! What placement knows of a request and of a server.
+//! Inputs and result of a placement decision.
 
 use papayamux_state::quantities::TokenCount;
 
@@ -6,70 +6,75 @@
 use crate::server_evidence::ServerStanding;
 use crate::server_profile::ServerSpeed;
 
-/// A request that needs a server.
+/// A request to be placed on a server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PlacementRequest {
-    /// Tokens of its prompt; zero for a request to a plain service.
+    /// Number of prompt tokens; zero for a request to a plain service.
     pub prompt: TokenCount,
-    /// Tokens that its answer is expected to have; zero for a request to a plain service.
+    /// Expected number of answer tokens; zero for a request to a plain service.
     pub answer: TokenCount,
-    /// Tokens up to the end of the part by which prompts are grouped.
+    /// Number of tokens up to the end of the part by which prompts are grouped.
     pub shared: TokenCount,
-    /// Whether no server holds the shared part, as the router that would know has said. Its home is asked
-    /// then too, but nobody counts on it.
+    /// `true` if the router that owns the shared part reported that no server holds it. The home is
+    /// still preferred then, but its cache is not assumed to hold the part.
     pub nobody_holds: bool,
-    /// A number from 0 up to 1 drawn for the request, for policies that draw.
+    /// Random number in `[0, 1)`, for policies that choose at random.
     pub sample: f64,
-    /// Cached tokens that one engine can hand another in a millisecond, where it can.
+    /// Cached tokens that an engine can transfer to another one per millisecond; `None` if engines
+    /// can't copy from one another.
     pub transfer_tokens_per_ms: Option<f64>,
 }
 
-/// A server that may get it.
+/// A server that a request may be placed on.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementCandidate {
-    /// Whether it takes requests. A server that is draining may still hand on what it holds.
+    /// `true` if it accepts requests. A draining server does not, but can still serve as a source
+    /// of copies.
     pub accepts: bool,
-    /// Whether it serves, though it may take nothing now: it counts in the mean load.
+    /// `true` if it is in service and counts in the mean load, even if it accepts no requests at
+    /// the moment.
     pub serves: bool,
-    /// Requests and prompt tokens that all routers have there, as far as is known.
+    /// Known load that all routers together have placed on it.
     pub load: ServerLoad,
-    /// Requests that wait there for a slot or for memory, by its own report.
+    /// Number of requests that wait at the server for a slot or for memory, as it last reported.
     pub waiting: u32,
-    /// Requests that it runs at once; 0 where it isn't known.
+    /// Number of requests that it runs at once; 0 if unknown.
     pub slots: u32,
-    /// Tokens of the prompt that this router knows it to hold.
+    /// Number of prompt tokens that this router knows the server to hold in its cache.
     pub warm: TokenCount,
-    /// Whether its cache is nearly full.
+    /// `true` if its cache is nearly full.
     pub nearly_full: bool,
-    /// Its place in the order of the prompt's group, 0 for the home; all routers have the same.
+    /// Its rank in the order of servers for the prompt's group, 0 for the home; the same on all
+    /// routers.
     pub rank: u32,
-    /// The part of its answers that it fails beyond what the others fail, from 0 to 1.
+    /// Fraction of its answers that fail beyond the failure rate of the other servers, from 0 to 1.
     pub excess_failure_rate: f64,
-    /// The chance that a message from it is held up on the way, beyond the usual.
+    /// Probability that a message from it is delayed by its link, beyond the usual rate.
     pub excess_delay_rate: f64,
-    /// How fast it is.
+    /// Its estimated speed.
     pub speed: ServerSpeed,
-    /// What speaks against it.
+    /// Its standing by failure evidence.
     pub standing: ServerStanding,
-    /// The usual round trip to its failure domain, in milliseconds.
+    /// Usual round-trip time to its failure domain, in milliseconds.
     pub round_trip_ms: f64,
 }
 
-/// Where a request goes.
+/// The result of a placement decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Placement {
-    /// The index of the server.
+    /// Index of the chosen server.
     pub server: usize,
-    /// The index of a server from which it should take what it lacks of the prompt.
+    /// Index of the server to copy the missing part of the prompt from.
     pub fetch_from: Option<usize>,
-    /// Tokens that it has to read for itself.
+    /// Number of prompt tokens that the chosen server has to prefill itself.
     pub cold: TokenCount,
-    /// Tokens of the prompt that this router knows it to hold.
+    /// Number of prompt tokens that this router knows the chosen server to hold.
     pub held: TokenCount,
-    /// The most tokens of the prompt that this router knows any server to hold.
+    /// Maximum number of prompt tokens that this router knows any server to hold.
     pub known: TokenCount,
-    /// Whether it is the home of the prompt's group.
+    /// `true` if the chosen server is the home of the prompt's group.
     pub is_home: bool,
-    /// Tokens of what it needn't read that it, or where it copies from, is only believed to hold.
+    /// Number of prompt tokens counted as cached that the chosen server, or the source of the copy,
+    /// is only assumed to hold.
     pub assumed: TokenCount,
 }
--- a/crates/papayamux-coordination/src/placement/load_ledger.rs
+++ b/crates/papayamux-coordination/src/placement/load_ledger.rs
@@ -1,4 +1,4 @@
-//! The requests that routers have at each server.
+//! The load that routers have placed on each server.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,12 +7,11 @@
 
 use papayamux_state::ids::ServerId;
 
-/// Age at which what a router said of its requests is no longer believed. Reports come several
-/// times in a second; a router that is silent for this long is cut off or gone, and its requests
-/// end soon.
+/// Age at which a router's load report expires. Reports come several times a second: a router that
+/// is silent for this long is cut off or has stopped, and its requests end soon.
 const REPORT_EXPIRY: Duration = Duration::from_millis(2_500);
 
-/// A router, by its address between routers.
+/// A router, identified by its address for traffic between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterId(pub IpAddr);
 
@@ -22,12 +21,12 @@
     }
 }
 
-/// Requests at a server.
+/// Load on a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that were sent and have not ended.
+    /// Number of requests sent that have not completed.
     pub requests: u32,
-    /// Prompt tokens, not expected to be cached, of requests without a first event.
+    /// Number of prompt tokens, not expected to be cached, of requests without a first event.
     pub backlog: u64,
 }
 
@@ -37,7 +36,7 @@
         self.backlog += other.backlog;
     }
 
-    /// The load that is expected where this is the `part` of it that is known.
+    /// Estimates the whole load, given that this is the load of a `fraction` of the routers.
     fn extrapolated(self, fraction: f64) -> Self {
         if fraction >= 1.0 {
             return self;
@@ -60,19 +59,20 @@
     loads: Vec<(ServerId, ServerLoad)>,
 }
 
-/// Prompt tokens that a router said at some time to wait at a server.
+/// Prompt tokens that a router reported as waiting at a server.
 #[derive(Debug, Clone, Copy)]
 struct ReportedBacklog {
     router: RouterId,
     received_at: Instant,
     tokens: u64,
-    /// Whether the router had said so of that server in its report before. A server that reads has read
-    /// one prompt long before the next report; one that hangs does not, and nothing else tells the others.
+    /// `true` if the router's previous report also had a backlog for this server. A working server
+    /// prefills a prompt long before the next report; a backlog that persists is the only sign by
+    /// which other routers can tell that a server hangs.
     is_repeated: bool,
 }
 
-/// What is left of backlogs of one server, in the order in which they were heard of, as the server has read
-/// them one after the other since, but for those that stand.
+/// Returns what remains of the backlogs of one server, ordered by time of receipt, assuming that
+/// the server has since prefilled them one after the other. Repeated backlogs are counted in full.
 fn remaining_backlog(backlogs: &[ReportedBacklog], now: Instant, tokens_per_ms: f64) -> u64 {
     let prefilled_between = |from: Instant, to: Instant| {
         (to.saturating_duration_since(from).as_secs_f64() * 1_000.0 * tokens_per_ms) as u64
@@ -89,7 +89,8 @@
         .saturating_add(repeated.sum())
 }
 
-/// This router's own requests, exactly, and those of the others as they last reported.
+/// The load of this router's own requests, counted exactly, and that of other routers by their last
+/// reports.
 #[derive(Debug, Default)]
 pub struct LoadLedger {
     own: HashMap<ServerId, ServerLoad>,
@@ -99,7 +100,7 @@
     reported_fraction: ReportedFraction,
 }
 
-/// The part of the other routers of which a report is believed, from 0 to 1.
+/// Fraction of the other routers that have an unexpired report, from 0 to 1.
 #[derive(Debug, Clone, Copy)]
 struct ReportedFraction(f64);
 
@@ -110,12 +111,12 @@
 }
 
 impl LoadLedger {
-    /// Counts a request that is sent to `server`.
+    /// Adds the load of a request that is sent to `server`.
     pub fn begin(&mut self, server: &ServerId, load: ServerLoad) {
         self.own.entry(server.clone()).or_default().add(load);
     }
 
-    /// Takes back what [`Self::begin`] counted, or a part of it.
+    /// Subtracts load added by [`Self::begin`], in whole or in part.
     pub fn end(&mut self, server: &ServerId, load: ServerLoad) {
         if let Some(own) = self.own.get_mut(server) {
             own.subtract(load);
@@ -125,12 +126,12 @@
         }
     }
 
-    /// This router's requests, for the other routers.
+    /// Returns the load of this router's own requests, to be reported to the other routers.
     pub fn own(&self) -> impl Iterator<Item = (&ServerId, ServerLoad)> {
         self.own.iter().map(|(server, load)| (server, *load))
     }
 
-    /// Replaces what a router reported.
+    /// Replaces the last report of a router.
     pub fn record_report(
         &mut self,
         router: RouterId,
@@ -153,7 +154,7 @@
         self.reports.insert(router, RouterReport { received_at: now, loads });
     }
 
-    /// Forgets reports that are too old; returns the routers that sent them.
+    /// Removes expired reports and returns the routers that sent them.
     pub fn expire(&mut self, now: Instant) -> Vec<RouterId> {
         let old =
             self.reports.iter().filter(|(_, report)| now - report.received_at > REPORT_EXPIRY);
@@ -164,23 +165,24 @@
         routers
     }
 
-    /// Routers whose reports are believed.
+    /// Returns the number of routers with an unexpired report.
     pub fn reporting(&self) -> usize {
         self.reports.len()
     }
 
-    /// Notes how long it takes until each other router has reported once. Where that is longer than
-    /// reports are believed, those that are believed stand for the others too.
+    /// Records the time within which every other router reports once. If it exceeds the expiry of
+    /// reports, the load of the routers with unexpired reports is extrapolated to all routers.
     pub fn record_cycle(&mut self, cycle: Duration) {
         let reported = REPORT_EXPIRY.as_secs_f64() / cycle.as_secs_f64().max(f64::MIN_POSITIVE);
         self.reported_fraction = ReportedFraction(reported.min(1.0));
     }
 
-    /// The requests of all routers at `server`, which reads `tokens_per_ms`.
+    /// Returns the load of all routers on `server`, which prefills `tokens_per_ms`.
     ///
-    /// What others said to wait there is taken as read on since: a prompt of ten thousand tokens is read
-    /// in 0.16 s, while many routers hear each other once in seconds. Where such a backlog was believed
-    /// until the next report, prompts were sent to other engines for its sake.
+    /// Reported backlogs shrink at the server's prefill rate after they are received: a prompt of
+    /// 10,000 tokens is prefilled in 0.16 s, while in a large fleet two routers hear from each
+    /// other only every few seconds. Counting such a backlog in full until the next report moved
+    /// prompts to other engines needlessly.
     pub fn total(&self, server: &ServerId, now: Instant, tokens_per_ms: f64) -> ServerLoad {
         let backlogs = self.backlogs.get(server).map(Vec::as_slice).unwrap_or_default();
         let reported = ServerLoad {
@@ -192,7 +194,7 @@
         total
     }
 
-    /// Forgets what a router reported; returns it.
+    /// Removes a router's report and returns its loads.
     fn remove_report(&mut self, router: RouterId) -> Vec<(ServerId, ServerLoad)> {
         let Some(report) = self.reports.remove(&router) else { return Vec::new() };
         for (server, load) in &report.loads {
--- a/crates/papayamux-coordination/src/placement/mod.rs
+++ b/crates/papayamux-coordination/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which backend server gets a request.
+//! Placement of requests: the choice of the backend server that gets a request.
 
 mod candidate;
 mod load_ledger;
--- a/crates/papayamux-coordination/src/placement/placer.rs
+++ b/crates/papayamux-coordination/src/placement/placer.rs
@@ -1,16 +1,16 @@
-//! The choice itself: the least expected time to the first token, within a bound on load.
+//! The placement decision: the lowest expected time to the first token, within a bound on load.
 
 use papayamux_state::quantities::TokenCount;
 
 use super::{Placement, PlacementCandidate, PlacementPolicy, PlacementRequest};
 use crate::server_evidence::ServerStanding;
 
-/// Figures that placement weighs with.
+/// Settings of placement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementTuning {
-    /// The bound on a server's requests, as a multiple of the mean.
+    /// Bound on the requests of a server, as a multiple of the mean.
     pub load_factor: f64,
-    /// How servers for prompts are chosen.
+    /// Policy that chooses servers for prompts.
     pub policy: PlacementPolicy,
 }
 
@@ -20,28 +20,29 @@
     }
 }
 
-/// How much more a token that has to be read counts than its own time: it also delays the tokens
-/// of all requests beside it, and takes the place of other parts in the cache.
+/// Weight of a token that has to be prefilled, relative to its own prefill time: it also delays the
+/// tokens of all concurrent requests and evicts other parts from the cache.
 const COLD_WEIGHT: f64 = 4.0;
-/// How much more a transfer counts than its own time: what is copied takes the place of other parts in
-/// a second cache, and copies that follow small differences in load push each other out.
+/// Weight of a transfer, relative to its own time: the copy evicts other parts from a second cache,
+/// and copies made for small differences in load evict one another.
 const COPY_WEIGHT: f64 = 8.0;
-/// What an answer that is late for its link costs: less than one that fails, and more than to take a
-/// long prompt over from another engine.
+/// Cost of an answer delayed by its link: less than that of a failed answer, and more than moving a
+/// long prompt to another engine.
 const LATE_ANSWER_COST_MS: f64 = 250.0;
-/// Messages of a plain call, each of which may be held up: connection, request and answer.
+/// Messages of a plain call that the link may delay: connection, request and answer.
 const MESSAGES_PER_PLAIN_CALL: f64 = 3.0;
-/// What an answer that fails for certain costs: more than any wait that still is on time.
+/// Cost of an answer that is certain to fail: more than any wait that is still on time.
 const FAILURE_COST_MS: f64 = 1_500.0;
-/// How far a home is believed to hold its group's part when this router has not placed it there:
-/// the other routers have, unless the home is new.
+/// Fraction of its group's part that a home is assumed to hold if this router has not placed the
+/// part there. Other routers have placed it there, unless the home is new.
 const HOME_CACHED_FRACTION: f64 = 0.95;
-/// Part of the load bound that is used: other routers' newest requests are not known yet.
+/// Fraction of the load bound that is used, because the newest requests of other routers are not
+/// known yet.
 const USED_BOUND_FRACTION: f64 = 0.8;
-/// Requests above the mean that never count as uneven.
+/// Number of requests above the mean that are tolerated on any server.
 const BOUND_SLACK: f64 = 2.0;
 
-/// Where a request goes; `None` where there is no server.
+/// Chooses the server for a request; `None` if no server accepts requests.
 pub fn place(
     request: PlacementRequest,
     candidates: &[PlacementCandidate],
@@ -62,15 +63,17 @@
         });
     }
     let source = warmest(candidates, |candidate| assumed_tokens(request, candidate));
-    // A home that is only believed to hold the prompt may lack even its beginning, which other
-    // engines are known to hold. To ask in vain costs milliseconds, to read it again slows others.
+    // A home that is only assumed to hold the prompt may lack even the prefix that other engines
+    // are known to hold. A failed copy costs milliseconds, while prefilling the prefix again delays
+    // other requests.
     let known_source = warmest(candidates, |candidate| candidate.warm);
-    // What nobody is known to hold is asked of its home, which then holds it, if it did not before.
-    // Read elsewhere, it would be looked for at the home again by the next router that doesn't know.
+    // A part without a known holder goes to its home, which holds it afterwards. If it were
+    // prefilled elsewhere, the next router without that knowledge would again expect it at the
+    // home.
     let elsewhere = known_source.map(|(_, tokens)| tokens);
     let server = cheapest(request, &usable, bound, elsewhere)?;
     let known = candidates[server].warm;
-    // What nobody holds can't be copied, and has to be read where it goes.
+    // A part that no server holds can't be copied and has to be prefilled by the chosen server.
     let source = source.filter(|_| !request.nobody_holds);
     let mut sources = [source, known_source].into_iter().flatten();
     let fetch = sources.find(|(index, tokens)| {
@@ -95,8 +98,8 @@
 
 type IndexedCandidate<'a> = (usize, &'a PlacementCandidate);
 
-/// The candidates that take requests and against which nothing speaks; where something speaks
-/// against all of them, all that take requests.
+/// Returns the candidates that accept requests and are not ejected. If all of them are ejected,
+/// returns all that accept requests.
 fn usable_candidates(candidates: &[PlacementCandidate]) -> Vec<IndexedCandidate<'_>> {
     let mut usable: Vec<_> =
         candidates.iter().enumerate().filter(|(_, candidate)| candidate.accepts).collect();
@@ -106,9 +109,9 @@
     usable
 }
 
-/// Requests at which a server is no longer chosen while others have fewer. The mean is that of all servers
-/// that are sound: where some may take nothing, as in an evacuated failure domain, the others bear more, and
-/// those among them that have least have to bear it.
+/// Returns the number of requests from which a server is passed over while others have fewer. The
+/// mean includes all sound servers: if some of them accept nothing, as in an evacuated failure
+/// domain, the others carry more, and the least loaded of them take the excess.
 fn load_bound(candidates: &[PlacementCandidate], factor: f64) -> f64 {
     let sound = |candidate: &&PlacementCandidate| {
         candidate.serves && candidate.standing != ServerStanding::Held
@@ -119,7 +122,7 @@
     factor * USED_BOUND_FRACTION * mean + BOUND_SLACK
 }
 
-/// The server with the least cost, those within the load bound first.
+/// Returns the server with the lowest cost, preferring servers within the load bound.
 fn cheapest(
     request: PlacementRequest,
     usable: &[IndexedCandidate<'_>],
@@ -135,7 +138,7 @@
     least.map(|(index, ..)| index)
 }
 
-/// The choice of a policy that ours is measured against.
+/// Chooses a server by one of the policies that serve as baselines for comparison.
 fn baseline(
     request: PlacementRequest,
     usable: &[IndexedCandidate<'_>],
@@ -146,7 +149,7 @@
     let chosen = match policy {
         PlacementPolicy::Random => sampled(request.sample),
         PlacementPolicy::TwoChoices => {
-            // The digits of the draw behind its first three serve as the second draw.
+            // The second random number is made of the digits after the first three.
             let pair = [sampled(request.sample), sampled((request.sample * 1_000.0).fract())];
             pair.into_iter().flatten().min_by_key(|(_, candidate)| candidate.load.requests)
         }
@@ -167,7 +170,8 @@
     chosen.map(|(index, _)| index)
 }
 
-/// The server that holds most of the prompt by the count of `held`, and how much.
+/// Returns the sound server that holds most of the prompt according to `held`, and the number of
+/// tokens it holds.
 fn warmest(
     candidates: &[PlacementCandidate],
     held: impl Fn(&PlacementCandidate) -> TokenCount,
@@ -180,7 +184,7 @@
     held.max_by_key(|(_, tokens)| *tokens).filter(|(_, tokens)| tokens.get() > 0)
 }
 
-/// Tokens of the prompt that a server is believed to hold.
+/// Returns the number of prompt tokens that a server is known or assumed to hold.
 fn assumed_tokens(request: PlacementRequest, candidate: &PlacementCandidate) -> TokenCount {
     let at_home = match candidate.rank {
         0 => TokenCount::new((request.shared.get() as f64 * HOME_CACHED_FRACTION) as u64),
@@ -189,8 +193,8 @@
     candidate.warm.max(at_home)
 }
 
-/// The expected time to the first token at a server, with what the request costs others there,
-/// in milliseconds.
+/// Returns the expected time to the first token at a server plus the cost that the request imposes
+/// on other requests there, in milliseconds.
 fn cost_ms(
     request: PlacementRequest,
     candidate: &PlacementCandidate,
@@ -220,8 +224,8 @@
     let waiting = f64::from(candidate.waiting) * speed.queue_delay_ms();
     let concurrency_cost = f64::from(candidate.load.requests) * speed.concurrency_delay_ms()
         + waiting.max(slot_wait.as_secs_f64() * 1_000.0);
-    // What a nearly full cache takes in evicts as much, which will be read again and delays others like any
-    // reading.
+    // Tokens copied into a nearly full cache evict as many others, which have to be prefilled again
+    // and delay other requests like any prefill.
     let eviction = if candidate.nearly_full {
         lacking / speed.prefill_tokens_per_ms * COLD_WEIGHT
     } else {
--- a/crates/papayamux-coordination/src/placement/policy.rs
+++ b/crates/papayamux-coordination/src/placement/policy.rs
@@ -1,27 +1,27 @@
-//! How a server is chosen for a prompt: our way, and the baselines that it is measured against.
+//! Policies that choose a server for a prompt: the default, and baselines for comparison.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// A way to choose.
+/// A policy for choosing a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PlacementPolicy {
-    /// The least expected time to the first token, by what servers hold of the prompt.
+    /// The lowest expected time to the first token, taking cached prompt tokens into account.
     #[default]
     Warm,
-    /// The least expected time, without regard to what servers hold.
+    /// The lowest expected time to the first token, ignoring caches.
     LeastWait,
-    /// The less loaded of two servers that are drawn.
+    /// The less loaded of two randomly chosen servers.
     TwoChoices,
-    /// The first server in the group's order that is within the load bound.
+    /// The first server in the order of the prompt's group that is within the load bound.
     BoundedHash,
-    /// Any server.
+    /// A random server.
     Random,
 }
 
-/// Every way.
+/// All policies.
 const POLICIES: [PlacementPolicy; 5] = [
     PlacementPolicy::Warm,
     PlacementPolicy::LeastWait,
@@ -30,9 +30,11 @@
     PlacementPolicy::Random,
 ];
 
-/// Why a text is not a policy.
+/// The error of parsing a [`PlacementPolicy`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{0:?} is no policy; use warm, least-wait, two-choices, bounded-hash or random")]
+#[error(
+    "{0:?} is not a placement policy; use warm, least-wait, two-choices, bounded-hash or random"
+)]
 pub struct PolicyError(String);
 
 impl fmt::Display for PlacementPolicy {
--- a/crates/papayamux-coordination/src/placement/recent_holders.rs
+++ b/crates/papayamux-coordination/src/placement/recent_holders.rs
@@ -1,7 +1,7 @@
-//! Which server was last given which shared part, to be told to the other routers.
+//! The servers that were last given each shared part, to be announced to the other routers.
 //!
-//! All routers begin with the same home for a part. Where a part has moved since, because of load
-//! or because its server left, a router that doesn't know would have it read once more.
+//! All routers start with the same home for a part. Once a part has moved, because of load or
+//! because its server departed, a router that is not notified would have it prefilled again.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,26 +10,26 @@
 use papayamux_state::prompt::{PartId, PromptChain};
 use papayamux_state::quantities::TokenCount;
 
-/// Time after its last use for which a part is told of: what is not used for longer is soon
-/// replaced in the cache.
+/// Time after its last use during which a part is announced: a part unused for longer is soon
+/// evicted from the cache.
 const ANNOUNCEMENT_WINDOW: Duration = Duration::from_secs(10);
-/// New holders that one report tells of. At four reports a second a few hundred parts are told within
-/// some seconds, in some 30 bytes each.
+/// Maximum number of new holders in one report. At four reports a second, a few hundred parts are
+/// announced within seconds, at some 30 bytes each.
 const NEW_HOLDERS_PER_REPORT: usize = 8;
-/// Holders that were told before and are told again, for datagrams that were lost and for routers that
-/// have started since: a hundred parts in some ten seconds.
+/// Maximum number of holders that are announced again in one report, for lost datagrams and for
+/// routers that have started since. A hundred parts are repeated within some ten seconds.
 const REPEATED_HOLDERS_PER_REPORT: usize = 2;
-/// Parts kept.
+/// Maximum number of parts kept.
 const MAX_PARTS: usize = 2_048;
-/// Tokens below which a part is not worth telling: reading it takes a few milliseconds.
+/// Minimum size of a part that is announced; a smaller one is prefilled within a few milliseconds.
 pub(crate) const MIN_ANNOUNCED_TOKENS: u64 = 256;
 
-/// A server that holds a shared part with all that comes before it.
+/// A server that holds a shared part and everything before it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderUpdate {
-    /// The server.
+    /// The server that holds the part.
     pub server: ServerId,
-    /// The prefixes, the longest last.
+    /// The prefixes up to the part, the longest last.
     pub prefixes: Vec<(PartId, TokenCount)>,
 }
 
@@ -40,14 +40,14 @@
     announced_at: Option<Instant>,
 }
 
-/// The holders of parts that this router used lately.
+/// The holders of parts that this router used recently.
 #[derive(Debug, Default)]
 pub struct RecentHolders {
     parts: HashMap<PartId, RecentHolder>,
 }
 
 impl RecentHolders {
-    /// Notes that `server` was given `chain`.
+    /// Records that `server` was given `chain`.
     pub fn note_use(&mut self, server: &ServerId, chain: &PromptChain, now: Instant) {
         let prefixes = chain.shared_prefixes();
         let Some((part, _)) = prefixes.last().copied() else { return };
@@ -67,12 +67,13 @@
         self.parts.insert(part, RecentHolder { update, used: now, announced_at: None });
     }
 
-    /// Forgets what a server held that is gone or holds nothing any more.
+    /// Removes the parts of a server that has departed or has lost its cache.
     pub fn forget_server(&mut self, server: &ServerId) {
         self.parts.retain(|_, holder| holder.update.server != *server);
     }
 
-    /// What to tell next: what is new first, then what was told longest ago.
+    /// Returns the next holders to announce: first those not yet announced, then the least recently
+    /// announced.
     pub fn next_updates(&mut self, now: Instant) -> Vec<HolderUpdate> {
         let recent = |holder: &&mut RecentHolder| now - holder.used < ANNOUNCEMENT_WINDOW;
         let mut holders: Vec<_> = self.parts.values_mut().filter(recent).collect();
--- a/crates/papayamux-coordination/src/prefill_backlog.rs
+++ b/crates/papayamux-coordination/src/prefill_backlog.rs
@@ -1,4 +1,4 @@
-//! How long an engine still has to compute prompts that it was given before.
+//! The time that an engine needs for the prompts it was already given.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use papayamux_protocol::link::AgentClock;
 use papayamux_state::quantities::TokenCount;
 
-/// The backlog of one engine, by its rate and by what its agent gave it; the engine's own report
-/// comes too late for that.
+/// Backlog of one engine, computed from its prefill rate and the prompts that its agent gave it.
+/// The engine's own report would arrive too late.
 #[derive(Debug)]
 pub struct PrefillBacklog {
     tokens_per_second: f64,
@@ -15,18 +15,18 @@
 }
 
 impl PrefillBacklog {
-    /// A backlog of an engine that computes so many prompt tokens a second.
+    /// Creates the backlog of an engine that prefills `tokens_per_second`.
     pub fn new(tokens_per_second: TokenCount) -> Self {
         let tokens_per_second = tokens_per_second.get().max(1) as f64;
         Self { tokens_per_second, busy_until_ms: Cell::new(0.0) }
     }
 
-    /// Prompt tokens that the engine computes in a second.
+    /// Returns the number of prompt tokens that the engine prefills per second.
     pub fn rate(&self) -> TokenCount {
         TokenCount::new(self.tokens_per_second as u64)
     }
 
-    /// How long the engine needs for a prompt of which so many tokens are not cached.
+    /// Returns the prefill time of a prompt of which `tokens` are not cached.
     pub fn time_for(&self, tokens: TokenCount) -> Duration {
         Duration::from_secs_f64(tokens.get() as f64 / self.tokens_per_second)
     }
@@ -37,7 +37,7 @@
         self.busy_until_ms.set(start + self.time_for(tokens).as_secs_f64() * 1_000.0);
     }
 
-    /// How long the engine still computes at `now`.
+    /// Returns the time for which the engine is still busy at `now`.
     pub fn left(&self, now: AgentClock) -> Duration {
         let left_ms = (self.busy_until_ms.get() - now.0 as f64).max(0.0);
         Duration::from_secs_f64(left_ms / 1_000.0)
--- a/crates/papayamux-coordination/src/route_cost.rs
+++ b/crates/papayamux-coordination/src/route_cost.rs
@@ -8,20 +8,20 @@
 use papayamux_state::cache_index::short_hash;
 use papayamux_state::quantities::{RequestCount, TokenCount};
 
-/// Blocks of a prompt that a probe names at most.
+/// Maximum number of blocks of a prompt that a probe names.
 const MAX_PROBED_BLOCKS: usize = 6;
 const _: () = assert!(MAX_PROBED_BLOCKS <= MOST_CHECKPOINTS);
-/// How much more a token that has to be computed counts than its own time: it also delays all
-/// prompts behind it, and takes the place of other blocks in the cache.
+/// Weight of a token that has to be prefilled, relative to its own prefill time: it also delays all
+/// prompts queued behind it and evicts other blocks from the cache.
 const COLD_WEIGHT: f64 = 4.0;
-/// What each request at a server adds to the time of a further one there: every step takes a
-/// little longer, and the server comes nearer to its bound.
+/// Time that each request on a server adds to that of another one there: every step takes a little
+/// longer, and the server comes closer to its bound.
 const TIME_PER_REQUEST: Duration = Duration::from_micros(500);
 
-/// Some blocks of a prompt, by which an agent can tell about how much of it is cached.
+/// Selected blocks of a prompt, by which an agent can estimate how much of it is cached.
 ///
-/// The last block is always among them, and the others lie the closer together the nearer they
-/// are to the end, because a chat that returns has grown by its last turn only.
+/// The last block is always included. The closer the blocks are to the end, the closer they are to
+/// one another, because a chat that returns has grown only by its last turn.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptCheckpoints {
     tokens: u64,
@@ -30,7 +30,7 @@
 }
 
 impl PromptCheckpoints {
-    /// The checkpoints of a prompt with these block hashes and so many tokens.
+    /// Creates the checkpoints of a prompt of `tokens` tokens with these block hashes.
     pub fn new(hashes: &[u64], tokens: TokenCount) -> Self {
         let total = hashes.len();
         let mut blocks: Vec<usize> = (0..MAX_PROBED_BLOCKS as u32)
@@ -46,12 +46,13 @@
         Self { tokens: tokens.get(), blocks, hashes }
     }
 
-    /// The hashes that a probe carries.
+    /// Returns the hashes that a probe carries.
     pub fn hashes(&self) -> &[u32] {
         &self.hashes
     }
 
-    /// Tokens that a server has to compute which holds the first `warm` checkpoints.
+    /// Returns the number of tokens that a server has to prefill if it holds the first `warm`
+    /// checkpoints.
     pub fn cold_tokens(&self, warm: u32) -> TokenCount {
         let index = (warm as usize).min(self.blocks.len());
         let warm_blocks = index.checked_sub(1).and_then(|last| self.blocks.get(last));
@@ -60,8 +61,8 @@
     }
 }
 
-/// The expected time to the first token at a server that answered a probe, with what the request
-/// costs others there; `None` where the server takes none.
+/// Returns the expected time to the first token at a server that answered a probe plus the cost
+/// that the request imposes on other requests there; `None` if the server accepts no requests.
 pub fn route_cost(reply: &ProbeReply, checkpoints: &PromptCheckpoints) -> Option<Duration> {
     if reply.load.limit == RequestCount::default() {
         return None;
--- a/crates/papayamux-coordination/src/server_profile/estimates.rs
+++ b/crates/papayamux-coordination/src/server_profile/estimates.rs
@@ -1,28 +1,28 @@
-//! Estimates that start from a prior, soon leave it, and follow a change.
+//! Estimators that start from a prior, leave it after a few samples, and follow changes.
 //!
-//! Libraries for quantiles of streams keep what they were given for good, or a window of it for each
-//! server; these take a few bytes each and a few operations for each answer.
+//! Libraries for streaming quantiles keep all samples, or a window of them for each server. These
+//! estimators take a few bytes and a few operations per sample.
 
 use std::time::Duration;
 
-/// The step of an estimate that knows nothing, in units of the natural logarithm: the second answer
-/// may be off the prior by a factor of e.
+/// Step of a new estimate, in units of the natural logarithm: the second sample may differ from the
+/// prior by a factor of e.
 const FIRST_STEP: f64 = 1.0;
-/// The step of an estimate that has settled: it then varies by a few per cent.
+/// Step of a settled estimate, which then varies by a few per cent.
 const LAST_STEP: f64 = 0.03;
-/// How the step grows while answers lie on the same side: a tenfold change is followed within about a
-/// dozen answers.
+/// Growth of the step while samples lie on the same side: a tenfold change is followed within about
+/// a dozen samples.
 const GROWTH: f64 = 1.3;
-/// How the step shrinks where an answer lies on the other side. Together with the growth it shrinks
-/// while answers scatter evenly.
+/// Reduction of the step when a sample lies on the other side. Combined with [`GROWTH`], the step
+/// shrinks while samples scatter evenly.
 const SHRINKAGE: f64 = 0.6;
-/// The first step of an estimate that begins at what its siblings showed.
+/// First step of an estimate that starts from the estimate of its service.
 const NEW_SERVER_STEP: f64 = 0.3;
-/// Answers after which an estimate says more of its server than the service's does.
+/// Number of samples from which a server's own estimate is used instead of that of its service.
 const MIN_OWN_SAMPLES: u32 = 4;
 
-/// The median of positive samples, by steps towards each of them: one that is far off moves it no
-/// further than one that is near.
+/// Running median of positive samples. It moves towards each sample by a bounded step, so that an
+/// outlier has no more effect than any other sample.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MedianEstimate {
     log: f64,
@@ -32,17 +32,17 @@
 }
 
 impl MedianEstimate {
-    /// An estimate that begins at a positive `prior`.
+    /// Creates an estimate that starts from a positive `prior`.
     pub fn new(prior: f64) -> Self {
         Self { log: prior.ln(), step: FIRST_STEP, rose: false, samples: 0 }
     }
 
-    /// An estimate of one of many alike, which begins at what is known of them.
+    /// Creates the estimate of a server, starting from the estimate of its service.
     pub fn from_service(other: Self) -> Self {
         Self { step: other.step.max(NEW_SERVER_STEP), samples: 0, ..other }
     }
 
-    /// Takes in a sample. One that isn't positive says nothing.
+    /// Adds a sample; ignores samples that are not positive.
     pub fn note(&mut self, sample: f64) {
         if !(sample.is_finite() && sample > 0.0) {
             return;
@@ -50,7 +50,8 @@
         let error = sample.ln() - self.log;
         let rises = error > 0.0;
         if self.samples > 0 {
-            // An answer within a step's reach shows that the estimate has arrived, whatever its side.
+            // A sample within one step shows that the estimate has converged, whichever side it
+            // lies on.
             let lags = rises == self.rose && error.abs() > self.step;
             let change = if lags { GROWTH } else { SHRINKAGE };
             self.step = (self.step * change).clamp(LAST_STEP, FIRST_STEP);
@@ -60,54 +61,54 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The estimate.
+    /// Returns the estimate.
     pub fn value(&self) -> f64 {
         self.log.exp()
     }
 
-    /// Samples so far.
+    /// Returns the number of samples.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 
-    /// Whether it says more of its server than the service's estimate does.
+    /// Returns whether there are enough samples to use this instead of the service's estimate.
     pub fn is_own(&self) -> bool {
         self.samples >= MIN_OWN_SAMPLES
     }
 }
 
-/// Weight of the newest sample in a share: a change is followed within a dozen answers.
+/// Weight of the newest sample in a share: a change is followed within a dozen samples.
 const SHARE_WEIGHT: f64 = 0.1;
 
-/// The share of samples that are so, as a mean that fades.
+/// Exponential moving average of the share of samples that are true.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareEstimate(f64);
 
 impl ShareEstimate {
-    /// An estimate that begins at a `prior` from 0 to 1.
+    /// Creates an estimate that starts from a `prior` from 0 to 1.
     pub fn new(prior: f64) -> Self {
         Self(prior)
     }
 
-    /// Takes in whether one is so.
+    /// Adds a sample.
     pub fn note(&mut self, is_so: bool) {
         let sample = if is_so { 1.0 } else { 0.0 };
         self.0 += (sample - self.0) * SHARE_WEIGHT;
     }
 
-    /// The estimate, from 0 to 1.
+    /// Returns the estimate, from 0 to 1.
     pub fn value(&self) -> f64 {
         self.0
     }
 }
 
-/// How far a low estimate moves down for a sample below it, in units of the natural logarithm, once it
-/// has settled.
+/// Step of a settled low estimate for a sample below it, in units of the natural logarithm.
 const STEP_DOWN: f64 = 0.08;
-/// The same upwards: four samples above weigh as much as one below, which settles at the lowest fifth.
+/// Step of a settled low estimate for a sample above it. Four samples above balance one below, so
+/// that the estimate settles at the 20th percentile.
 const STEP_UP: f64 = 0.02;
 
-/// The lowest fifth of positive samples: what takes that long when little else goes on.
+/// Running 20th percentile of positive samples: the time that something takes under little load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LowEstimate {
     log: f64,
@@ -115,12 +116,12 @@
 }
 
 impl LowEstimate {
-    /// An estimate that begins at a positive `prior`.
+    /// Creates an estimate that starts from a positive `prior`.
     pub fn new(prior: f64) -> Self {
         Self { log: prior.ln(), samples: 0 }
     }
 
-    /// Takes in a sample. One that isn't positive says nothing.
+    /// Adds a sample; ignores samples that are not positive.
     pub fn note(&mut self, sample: f64) {
         if !(sample.is_finite() && sample > 0.0) {
             return;
@@ -131,7 +132,7 @@
         self.log += error.clamp(-first.max(STEP_DOWN), first.max(STEP_UP));
     }
 
-    /// The estimate.
+    /// Returns the estimate.
     pub fn value(&self) -> f64 {
         self.log.exp()
     }
@@ -139,12 +140,12 @@
 
 /// Weight of a new sample in the mean, as in the retransmission timer of TCP (RFC 6298).
 const MEAN_WEIGHT: f64 = 0.125;
-/// Weight of a new sample in the deviation, of the same origin.
+/// Weight of a new sample in the deviation, also as in RFC 6298.
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Samples of which the first ones count evenly, so that the prior is left at once.
+/// Number of initial samples that are weighted evenly, so that the prior has no lasting effect.
 const EVEN_SAMPLES: u32 = 8;
 
-/// How long calls take, and how far they scatter.
+/// Mean and mean deviation of the time that calls take.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallTime {
     mean_ms: f64,
@@ -153,13 +154,13 @@
 }
 
 impl CallTime {
-    /// Begins at a prior, with a deviation of half of it.
+    /// Creates an estimate that starts from a prior, with half of it as the deviation.
     pub fn new(prior: Duration) -> Self {
         let mean_ms = prior.as_secs_f64() * 1_000.0;
         Self { mean_ms, deviation_ms: mean_ms / 2.0, samples: 0 }
     }
 
-    /// Takes in the time that a call took.
+    /// Adds the time of a call.
     pub fn note(&mut self, took: Duration) {
         let sample = took.as_secs_f64() * 1_000.0;
         self.samples = self.samples.saturating_add(1);
@@ -178,12 +179,12 @@
         self.mean_ms += (sample - self.mean_ms) * mean;
     }
 
-    /// The mean in milliseconds.
+    /// Returns the mean in milliseconds.
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms
     }
 
-    /// Longer than calls take: the mean and so many deviations.
+    /// Returns the mean plus `deviations` times the mean deviation.
     pub fn longer_than_usual(&self, deviations: f64) -> Duration {
         let span = self.mean_ms + deviations * self.deviation_ms;
         Duration::try_from_secs_f64(span / 1_000.0).unwrap_or(Duration::MAX)
--- a/crates/papayamux-coordination/src/server_profile/mod.rs
+++ b/crates/papayamux-coordination/src/server_profile/mod.rs
@@ -1,9 +1,9 @@
-//! What servers are like, learnt from what their answers show.
+//! Profiles of servers, estimated from their answers.
 //!
-//! How fast an engine reads, how often it sends events and how long a plain call takes differ between
-//! fleets by factors, and within one between servers and hours. Decisions that rest on figures of one
-//! fleet fail on another: where engines read eight times more slowly than was taken for granted, none
-//! counted as full, nobody was turned away and a tenth of all callers died at their deadline.
+//! Prefill rates, the rate of events and the time of plain calls differ by factors between fleets,
+//! and within a fleet between servers and over time. Decisions with constants from one fleet fail
+//! on another: on engines that prefilled eight times more slowly than assumed, no engine counted as
+//! full, no request was refused, and a tenth of all callers ran into their deadlines.
 
 mod estimates;
 mod profile_tracker;
--- a/crates/papayamux-coordination/src/server_profile/profile_tracker.rs
+++ b/crates/papayamux-coordination/src/server_profile/profile_tracker.rs
@@ -1,4 +1,4 @@
-//! The profiles of all servers that a router asks.
+//! Profiles of all servers that a router sends requests to.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,52 +9,54 @@
 use super::server_speed::CALL_DEVIATIONS;
 use super::{CallTime, LowEstimate, MedianEstimate, ServerSpeed, ShareEstimate};
 
-/// Priors, left within a dozen answers: what large models on current accelerators do, within a factor
-/// of two. Prompt tokens read in a millisecond.
+/// Prior of the prefill rate in tokens per millisecond. Priors fit large models on current
+/// accelerators within a factor of two, and have no effect after a dozen answers.
 const PREFILL_TOKENS_PER_MS: f64 = 40.0;
-/// Milliseconds to the first event beyond reading: a round trip and a step or two.
+/// Prior of the time to the first event beyond the prefill, in milliseconds: a round trip and a
+/// step or two.
 const FIRST_EVENT_MS: f64 = 20.0;
-/// Milliseconds that it takes to begin a copy from another engine.
+/// Prior of the time to begin a copy from another engine, in milliseconds.
 const COPY_MS: f64 = 3.0;
-/// Milliseconds between two events.
+/// Prior of the time between two events, in milliseconds.
 const EVENT_GAP_MS: f64 = 22.0;
-/// Tokens of an event.
+/// Prior of the number of tokens in an event.
 const EVENT_TOKENS: f64 = 5.0;
-/// How long a plain call takes.
+/// Prior of the time of a plain call.
 const CALL: Duration = Duration::from_millis(20);
 
-/// Part of the tokens that engines are only believed to hold that they do hold: where nothing is known,
-/// either may be. Taken for held, what nobody has read yet would be no load.
+/// Prior of the fraction of assumed cached tokens that engines do hold. It is even, because
+/// assuming that all of them are cached would leave a prefill that no engine has computed yet out
+/// of the load.
 const ASSUMED_HIT_RATE: f64 = 0.5;
 
-/// Tokens from which the time to the first event shows how fast an engine reads; what is below shows
-/// what it takes besides.
+/// Number of tokens from which the time to the first event is a sample of the prefill rate. The
+/// time for fewer tokens is a sample of the delay beyond the prefill.
 const MIN_PREFILL_TOKENS: f64 = 800.0;
-/// Events from which a stream shows the time between two.
+/// Minimum number of events for a stream to be a sample of the time between events.
 const MIN_EVENTS: u64 = 3;
 
-/// A first event of an answer.
+/// The first event of an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FirstEvent {
-    /// Tokens that were to be read before it, those of other requests among them.
+    /// Number of tokens to prefill before it, including those of other requests.
     pub tokens: TokenCount,
-    /// How long it took.
+    /// Time from sending the request to the event.
     pub took: Duration,
-    /// How long the transfer takes of what was copied from another engine, where something was.
+    /// Transfer time of the tokens copied from another engine, if any.
     pub transfer: Option<Duration>,
-    /// Tokens that the server was only believed to hold.
+    /// Number of tokens that the server was only assumed to hold.
     pub assumed: TokenCount,
 }
 
-/// A stream that has ended. One that breaks off shows the pace of its events too: where only whole ones
-/// counted, an engine too slow to end any would look as fast as ever.
+/// The end of a stream. Incomplete streams are samples of the event rate too: otherwise an engine
+/// too slow to complete any stream would seem as fast as before.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StreamEnd {
-    /// Its events.
+    /// Number of events.
     pub events: u64,
-    /// The time from its first event to its last.
+    /// Time from the first event to the last.
     pub lasted: Duration,
-    /// Tokens that its answer was expected to have, where it ended as it should.
+    /// Expected number of answer tokens, if the stream was complete.
     pub expected: Option<TokenCount>,
 }
 
@@ -62,7 +64,7 @@
 struct Estimates {
     prefill_rate: MedianEstimate,
     first_event: MedianEstimate,
-    /// The same of prompts that were copied in part, beyond the transfer.
+    /// Time to the first event beyond the transfer, for partly copied prompts.
     copied_first_event: MedianEstimate,
     event_gap: MedianEstimate,
     idle_gap: LowEstimate,
@@ -116,19 +118,19 @@
         }
     }
 
-    /// Learns from the time to a first event whether what was guessed to be held was held.
+    /// Infers from the time to a first event whether the tokens assumed to be cached were cached.
     fn record_assumption(&mut self, took_ms: f64, tokens: f64, first: FirstEvent) {
         let transfer_ms = first.transfer.map_or(0.0, |transfer| transfer.as_secs_f64() * 1_000.0);
         let known_ms = self.first_event.value() + transfer_ms + tokens / self.prefill_rate.value();
         let assumed_ms = first.assumed.get() as f64 / self.prefill_rate.value();
-        // A short part takes no longer to read than answers scatter.
+        // The prefill time of a short part is lost in the variation between answers.
         if assumed_ms > self.first_event.value() {
             self.assumed_hit_rate.note(took_ms < known_ms + assumed_ms / 2.0);
         }
     }
 }
 
-/// What is known of one service and of its servers.
+/// Estimates for a service and for each of its servers.
 #[derive(Debug, Default)]
 struct ServiceProfile {
     all: Estimates,
@@ -142,21 +144,21 @@
     }
 }
 
-/// All that a router has learnt of how fast servers are.
+/// Speed estimates for all servers of a router.
 #[derive(Debug, Default)]
 pub struct ProfileTracker {
     services: HashMap<ServiceId, ServiceProfile>,
 }
 
 impl ProfileTracker {
-    /// Notes a first event of a server that had a slot free.
+    /// Records the first event of an answer from a server that had a free slot.
     pub fn record_first(&mut self, service: &ServiceId, server: &ServerId, first: FirstEvent) {
         let profile = self.profile(service);
         profile.server(server).record_first(first);
         profile.all.record_first(first);
     }
 
-    /// Notes a stream that has ended.
+    /// Records the end of a stream.
     pub fn record_stream(&mut self, service: &ServiceId, server: &ServerId, end: StreamEnd) {
         if end.events < MIN_EVENTS {
             return;
@@ -171,19 +173,20 @@
         }
     }
 
-    /// Notes a plain call that was answered.
+    /// Records a successful plain call.
     pub fn record_call(&mut self, service: &ServiceId, took: Duration) {
         self.profile(service).all.call.note(took);
     }
 
-    /// Forgets a server that is gone or has started again.
+    /// Removes a server that has departed or restarted.
     pub fn forget(&mut self, server: &ServerId) {
         for profile in self.services.values_mut() {
             profile.servers.remove(server);
         }
     }
 
-    /// How fast a server is. What it hasn't shown itself is taken from its service.
+    /// Returns the speed of a server. Where the server has too few samples, that of its service is
+    /// used.
     pub fn speed(&self, service: &ServiceId, server: &ServerId) -> ServerSpeed {
         let Some(profile) = self.services.get(service) else {
             return speed(&Estimates::default(), None);
@@ -191,7 +194,7 @@
         speed(&profile.all, profile.servers.get(server))
     }
 
-    /// How fast the servers of a service are.
+    /// Returns the speed of the servers of a service.
     pub fn service_speed(&self, service: &ServiceId) -> ServerSpeed {
         match self.services.get(service) {
             Some(profile) => speed(&profile.all, None),
@@ -200,7 +203,8 @@
     }
 
     fn profile(&mut self, service: &ServiceId) -> &mut ServiceProfile {
-        // Two steps, so that the name is only copied for a new service.
+        // The lookup precedes the insertion so that the identifier is cloned only for a new
+        // service.
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), ServiceProfile::default());
         }
@@ -213,7 +217,8 @@
         let own = own.map(part).filter(MedianEstimate::is_own);
         own.unwrap_or_else(|| part(all)).value()
     };
-    // Of one server alone, few first events show it, and their scatter is as large as what is looked for.
+    // This is estimated for the whole service: a single server has few samples of it, and they vary
+    // by as much as the value itself.
     let copy_ms = (all.copied_first_event.value() - all.first_event.value()).max(0.0);
     ServerSpeed {
         prefill_tokens_per_ms: pick(|estimates| estimates.prefill_rate),
--- a/crates/papayamux-coordination/src/server_slots.rs
+++ b/crates/papayamux-coordination/src/server_slots.rs
@@ -1,4 +1,4 @@
-//! How many more requests a server can take without a long wait of their own.
+//! The number of further requests that a server can take without making them wait long.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,27 +9,28 @@
 use crate::placement::ServerLoad;
 use crate::server_profile::ServerSpeed;
 
-/// Requests for each slot of a plain server: one runs and one waits there, so that the server is
-/// never idle between an answer and the next request.
+/// Requests per slot of a plain server. One runs and one waits at the server, so that it is never
+/// idle between an answer and the next request.
 const PLAIN_REQUESTS_PER_SLOT: u32 = 2;
-/// Requests that may wait at an engine, by its own report, before it counts as full, although it has
-/// slots: its cache's memory is taken. A few wait while others' prompts are read.
+/// Number of waiting requests, as reported by an engine, from which it counts as full although it
+/// has free slots: its cache memory is used up. A few requests wait whenever prompts of others are
+/// prefilled.
 const ENGINE_QUEUE: u32 = 4;
-/// Age up to which a server's report of its queue is believed. Full servers answer many times in that
-/// time; one that no longer answers is not kept full by an old report.
+/// Age at which a server's queue report expires. A full server answers many times within it, and an
+/// old report does not keep a server full that no longer answers.
 const REPORT_EXPIRY: Duration = Duration::from_millis(400);
 
-/// How a server takes requests.
+/// The way in which a server processes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerWork {
-    /// It runs calls of some milliseconds, each in a slot.
+    /// Calls of some milliseconds, each in a slot.
     Plain,
-    /// It reads prompts and generates, all slots together.
+    /// Prefill and generation, with all slots processed together.
     Engine,
 }
 
-/// The places that are free at a server with `slots` slots, 0 where their number isn't known, given
-/// the requests that all routers have there and what it said last of those that wait.
+/// Returns the number of free slots on a server with `slots` slots (0 if unknown), given the load
+/// of all routers there and the number of waiting requests that it last reported.
 pub fn free_slots(
     work: ServerWork,
     slots: u32,
@@ -51,19 +52,19 @@
     }
 }
 
-/// What servers said last of the requests that wait there.
+/// The numbers of waiting requests that servers last reported.
 #[derive(Debug, Default)]
 pub struct QueueReports {
     servers: HashMap<ServerId, (u32, Instant)>,
 }
 
 impl QueueReports {
-    /// Notes what a server said.
+    /// Records the report of a server.
     pub fn note(&mut self, server: &ServerId, queue: ReportedQueue, now: Instant) {
         self.servers.insert(server.clone(), (queue.waiting, now));
     }
 
-    /// Requests that wait at a server; 0 where nothing recent is known.
+    /// Returns the number of requests that wait at a server; 0 if no recent report is known.
     pub fn waiting(&self, server: &ServerId, now: Instant) -> u32 {
         let known = self.servers.get(server);
         let recent = known
@@ -71,7 +72,7 @@
         recent.map_or(0, |(waiting, _)| *waiting)
     }
 
-    /// Forgets what is no longer believed.
+    /// Removes expired reports.
     pub fn forget_old(&mut self, now: Instant) {
         self.servers.retain(|_, (_, received_at)| {
             now.saturating_duration_since(*received_at) < REPORT_EXPIRY
