--- a/crates/papayamux-coordination/tests/backend_servers/mod.rs
+++ b/crates/papayamux-coordination/tests/backend_servers/mod.rs
@@ -6,7 +6,7 @@
 use papayamux_coordination::server_profile::ServerSpeed;
 use papayamux_state::backend::{BackendServer, ServerPhase};
 
-/// Engines that read 60 tokens in a millisecond, and calls of 20 ms.
+/// Speed of engines that prefill 60 tokens per millisecond, and of services with calls of 20 ms.
 pub const SPEED: ServerSpeed = ServerSpeed {
     prefill_tokens_per_ms: 60.0,
     first_event_ms: 20.0,
@@ -19,7 +19,7 @@
     max_call_time: Duration::from_millis(100),
 };
 
-/// A server of the service "llm".
+/// Returns a server of the service "llm".
 pub fn server(id: &str, phase: ServerPhase) -> BackendServer {
     BackendServer {
         id: id.parse().unwrap(),
--- a/crates/papayamux-coordination/tests/cache_survey.rs
+++ b/crates/papayamux-coordination/tests/cache_survey.rs
@@ -1,4 +1,5 @@
-//! After a loss of all routers, each engine is asked by one of them, and all are told.
+//! After the loss of all routers, each engine is surveyed by one router, which sends the listing to
+//! the others.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/papayamux-coordination/tests/cold_servers.rs
+++ b/crates/papayamux-coordination/tests/cold_servers.rs
@@ -1,5 +1,5 @@
-//! Servers that start under load, before fleets of routers that can't ask one another: what they get at most in
-//! any second, and what is left unused.
+//! Simulations of servers that start under load, with fleets of routers that can't coordinate: the
+//! maximum number of requests that a server gets in any second, and the unused part of the limit.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::collections::BTreeMap;
@@ -18,30 +18,35 @@
 /// One step of simulated time, in milliseconds.
 const STEP: u64 = 10;
 const SECOND: u64 = 1_000;
-/// Requests a second that each router could send: more than all shares.
+/// Requests per second that each router could send: more than all shares together.
 const REQUESTS_PER_SECOND: u64 = 20;
-/// Servers that start: two for three routers, as where a third of a fleet starts, and no more than this.
+/// Maximum number of servers that start. Below it, two servers start for every three routers, as
+/// when a third of a fleet starts.
 const MAX_SERVERS: usize = 16;
-/// Reports of a router: each 250 ms to 12 others, each with the names of 16 that it knows.
+/// Interval between two reports of a router, in milliseconds.
 const REPORT_INTERVAL: u64 = 250;
+/// Number of routers that each report is sent to.
 const FANOUT: usize = 12;
+/// Number of routers that a router knows at its start.
 const SEEDS: usize = 3;
+/// Number of known routers whose addresses a report carries.
 const NAMED_PER_REPORT: usize = 16;
 
-/// How routers keep to the limit of a cold server.
+/// How routers apply the limit of a cold server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LimitStrategy {
-    /// Not at all, as if all servers were alike.
+    /// No limit: cold servers are treated like all others.
     NoLimit,
-    /// Each by the part that it would have if all routers heard of sent alike, rounded down.
+    /// Each router gets an equal part of the limit, rounded down.
     EqualParts,
-    /// Not at all while a warm server is there.
+    /// Cold servers get no requests, only warm ones.
     WarmOnly,
-    /// By whole requests that go round among the routers, as the product does.
+    /// Whole requests of the limit are dealt out to the routers in turn, as in production.
     Shares,
-    /// The same by a router that counts itself alone: a fault.
+    /// Fault: as `Shares`, but each router counts only itself.
     OwnOnly,
-    /// The same by a router that counts from its first moment on: a fault.
+    /// Fault: as `Shares`, but a router counts from its start on, without waiting until it is
+    /// settled.
     Unsettled,
 }
 
@@ -49,7 +54,7 @@
     IpAddr::V4(Ipv4Addr::from(0x0a02_0000 + index as u32 * 13))
 }
 
-/// A generator of numbers, the same in each run.
+/// A random number generator with the same sequence in each run.
 struct RandomSequence(u64);
 
 impl RandomSequence {
@@ -73,22 +78,22 @@
     tracker: ColdTracker,
     known: Vec<usize>,
     is_known: Vec<bool>,
-    /// Requests that it could send a second, in parts of one.
+    /// Number of requests that the router could send now.
     demand: f64,
 }
 
-/// What happens in a play.
+/// The faults injected in a simulation.
 #[derive(Debug, Clone, Copy)]
 struct Faults {
-    /// Datagrams that are lost, of one.
+    /// Fraction of datagrams that are lost.
     lost: f64,
-    /// Whether half of the routers start again while servers are cold.
+    /// `true` if half of the routers restart while servers are cold.
     restarts: bool,
-    /// Whether half of the routers hear only one another.
+    /// `true` if each half of the routers receives only messages of its own half.
     split: bool,
-    /// When routers come to know that the servers are cold, after it began.
+    /// Delay until routers learn that the servers are cold, in milliseconds.
     notice: u64,
-    /// Whether all routers have just started and know nobody but their seeds.
+    /// `true` if all routers have just started and know only their seeds.
     starts: bool,
 }
 
@@ -104,21 +109,22 @@
     strategy: LimitStrategy,
     faults: Faults,
     is_known: bool,
-    /// Arrivals of each server in each step.
+    /// Number of requests that each server receives in each step.
     arrivals: Vec<BTreeMap<u64, u32>>,
 }
 
-/// What became of it.
+/// The result of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct SimulationResult {
-    /// The most that any server got in a second.
+    /// Maximum number of requests that any server received in a second.
     most: u32,
-    /// Requests a second that servers got in the mean while all wanted to send, of what is allowed.
+    /// Fraction of the allowed requests that servers received while all routers had requests to
+    /// send.
     used: f64,
 }
 
 impl Router {
-    /// Knows three seeds, as at its start.
+    /// Resets to the three seeds that a router knows at its start.
     fn begin(&mut self, own: usize) {
         self.known.clear();
         self.is_known.fill(false);
@@ -146,7 +152,7 @@
             demand: 0.0,
         };
         let mut routers: Vec<_> = (0..routers).map(router).collect();
-        // All have known one another for a while.
+        // All routers have known one another for a while.
         let all: Vec<_> = (0..routers.len()).map(address).collect();
         for (index, router) in routers.iter_mut().enumerate() {
             router.begin(index);
@@ -172,7 +178,7 @@
         self.begun + Duration::from_millis(self.now)
     }
 
-    /// Whether a datagram gets through.
+    /// Returns whether a datagram arrives.
     fn passes(&mut self, from: usize, to: usize) -> bool {
         let is_cut = self.faults.split && (from % 2) != (to % 2) && self.now > 2 * SECOND;
         !is_cut && self.random.part() >= self.faults.lost
@@ -207,7 +213,7 @@
         router.known_routers = KnownRouters::new(address(index), true, now);
         router.tracker = ColdTracker::default();
         router.begin(index);
-        // It reads all entries at its start.
+        // A router reads all entries at its start.
         if self.is_known {
             self.note_cold(index, 60 * SECOND);
         }
@@ -249,7 +255,7 @@
         }
     }
 
-    /// Each router sends what it can to the servers that look emptiest: those that started.
+    /// Sends as much as possible to the servers that look least loaded: those that have started.
     fn send(&mut self, index: usize) {
         self.routers[index].demand += REQUESTS_PER_SECOND as f64 * STEP as f64 / SECOND as f64;
         while self.routers[index].demand >= 1.0 {
@@ -342,7 +348,8 @@
     }
 }
 
-/// The whole fleet has started seven seconds before, and its routers learn of one another by reports alone.
+/// The whole fleet has started seven seconds before, and its routers learn of one another only by
+/// reports.
 #[test]
 fn no_server_gets_more_than_its_limit_from_a_fleet_that_has_just_started() {
     let starts = Faults { starts: true, ..MINIMAL_FAULTS };
@@ -356,7 +363,7 @@
     let restarts = Faults { restarts: true, lost: 0.05, ..MINIMAL_FAULTS };
     let result = simulate(1_000, LimitStrategy::Shares, restarts);
     assert!(result.most <= limit(), "{result:?}");
-    assert!(result.used >= 0.5, "half of the routers know too little: {result:?}");
+    assert!(result.used >= 0.5, "half of the routers are not settled: {result:?}");
     for faults in [
         Faults { lost: 0.3, ..MINIMAL_FAULTS },
         Faults { split: true, lost: 0.05, ..MINIMAL_FAULTS },
@@ -444,7 +451,7 @@
     assert_eq!(
         send_quota(&server, view(true), &known_routers),
         SendQuota::Bounded(0),
-        "it hears nobody"
+        "it has no contact to others"
     );
     known_routers.update(begun + Duration::from_secs(6));
     assert_eq!(send_quota(&server, view(false), &known_routers), SendQuota::Unbounded);
@@ -493,25 +500,25 @@
     assert_eq!(send_quota(&server, view, &known_routers), SendQuota::Bounded(0));
 }
 
-/// Three routers before one server that is cold, in every order of a few cuts, restarts and seconds.
+/// Three routers and one cold server, in every order of a few partitions, restarts and seconds.
 mod orders {
     use super::*;
 
     const DEPTH: usize = 6;
-    /// Five of these requests in a second are shared out.
+    /// Five requests per second of this limit are shared among the routers.
     const LIMIT: ColdLimit = ColdLimit(5.6);
 
     /// A rule that a run leaves out.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     enum PlantedFault {
         None,
-        /// A share that counts the router itself only.
+        /// The share is computed as if the router were the only one.
         OwnOnly,
-        /// Routers that are not heard just now don't count.
+        /// Routers that are unreachable at the moment don't count.
         ReachableOnly,
-        /// What was sent before a restart of others is forgotten by all.
+        /// A restart makes all routers forget the requests that they have sent.
         NoSendHistory,
-        /// Routers don't tell how many they count.
+        /// Routers don't report how many routers they know.
         NoCount,
     }
 
@@ -532,11 +539,12 @@
 
     #[derive(Debug, Clone, Copy)]
     enum Action {
-        /// All send what they have room for, and half a second passes.
+        /// All routers use up their quota, and half a second passes.
         ExhaustQuota,
-        /// A second passes, in which all that are not cut off hear one another.
+        /// A second passes, in which all routers that are not cut off receive reports from one
+        /// another.
         Wait,
-        /// Cuts a router off from the others, or ends that.
+        /// Cuts a router off from the others, or reconnects it.
         Cut(usize),
         Restart(usize),
     }
@@ -648,7 +656,8 @@
 
     fn holds_in_every_order(scenario: &Scenario, depth: usize, planted: PlantedFault) -> bool {
         let cuts = (0..3).map(Action::Cut);
-        // Where all that know of a router start again while it is cut off, nobody can know of it.
+        // Only one router restarts: if all routers that know of one restarted while it is cut off,
+        // none could know of it.
         let further = [Action::ExhaustQuota, Action::Wait, Action::Restart(0)];
         let actions = further.into_iter().chain(cuts);
         actions.into_iter().all(|action| {
@@ -677,20 +686,22 @@
     }
 }
 
-/// A failure domain of fifteen servers comes back cold beside twenty-nine that are nearly full.
+/// A failure domain of fifteen servers comes back cold while the other twenty-nine servers are
+/// nearly full.
 mod returning_domain {
     use super::*;
 
     const ROUTERS: usize = 24;
     const COLD: usize = 15;
     const SERVERS: usize = 44;
-    /// Requests a second of each router, of all routers, and what one warm server runs.
+    /// Requests per second of each router.
     const REQUESTS_PER_SECOND: u64 = 20;
+    /// Requests per second that one warm server runs.
     const CAPACITY: u32 = 12;
-    /// How long the servers are cold.
+    /// Time for which the servers are cold, in milliseconds.
     const COLD_DURATION: u64 = 3 * SECOND;
 
-    /// What became of the requests of one second.
+    /// The outcomes of the requests of one second.
     #[derive(Debug, Default, Clone, Copy)]
     struct SecondTally {
         served: u32,
@@ -698,7 +709,8 @@
         busiest_cold: u32,
     }
 
-    /// Five seconds from the return on; who finds no place is told at once.
+    /// Simulates five seconds from the return on. A request that finds no server is refused at
+    /// once.
     fn simulate(strategy: LimitStrategy) -> Vec<SecondTally> {
         let begun = Instant::now();
         let all: Vec<_> = (0..ROUTERS).map(address).collect();
@@ -728,7 +740,7 @@
             let (now, second) = (after(settled + millis), (millis / SECOND) as usize);
             for (known_routers, tracker) in &mut routers {
                 let first = random.below(SERVERS);
-                // Those that came back look emptiest.
+                // The servers that came back look least loaded.
                 let back = (0..COLD).map(|step| (first + step) % COLD);
                 let others =
                     (0..SERVERS - COLD).map(|step| COLD + (first + step) % (SERVERS - COLD));
@@ -745,7 +757,8 @@
                         LimitStrategy::Shares => !send_quota(id, view, known_routers).is_empty(),
                         _ => true,
                     };
-                    // What is cold looks empty to all, and runs what it bears at the most.
+                    // A cold server looks idle to all routers. Only its quota limits it, not the
+                    // capacity of a warm server.
                     has_quota && (is_cold || arrivals[*server][second] < CAPACITY)
                 });
                 let Some(server) = open else {
@@ -771,7 +784,7 @@
         for strategy in [LimitStrategy::NoLimit, LimitStrategy::WarmOnly, LimitStrategy::Shares] {
             for (second, tally) in simulate(strategy).iter().enumerate() {
                 let SecondTally { served, refused, busiest_cold } = tally;
-                writeln!(table, "{strategy:?}, second {second}: {served} served, {refused} told at once, at most {busiest_cold} at a server that came back").unwrap();
+                writeln!(table, "{strategy:?}, second {second}: {served} served, {refused} refused, at most {busiest_cold} at a server that came back").unwrap();
             }
         }
         assert_snapshot!(table);
--- a/crates/papayamux-coordination/tests/constants.rs
+++ b/crates/papayamux-coordination/tests/constants.rs
@@ -1,11 +1,12 @@
-//! The figures that decisions of the direct path don't learn: few, and each with its reason.
+//! Constants of decisions on the direct path that are not learnt at run time. Each needs a comment
+//! with its reason.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::path::{Path, PathBuf};
 
 use insta::assert_snapshot;
 
-/// Decisions that a request on the direct path passes through, beside those in folders.
+/// Files with decisions on the direct path, besides those in folders.
 const FILES: [&str; 14] = [
     "link_delays.rs",
     "part_prefills.rs",
@@ -22,7 +23,7 @@
     "server_notices.rs",
     "service_retry_budget.rs",
 ];
-/// Folders of such decisions.
+/// Folders with decisions on the direct path.
 const FOLDERS: [&str; 5] =
     ["placement", "server_profile", "service_line", "fleet_knowledge", "cold_servers"];
 
@@ -37,7 +38,7 @@
     paths
 }
 
-/// The constants of a file, each with whether a comment explains it.
+/// Returns the constants of a file, each with whether it has a doc comment.
 fn constants(text: &str) -> Vec<(String, bool)> {
     let lines: Vec<_> = text.lines().collect();
     let declared = lines.iter().enumerate().filter(|(_, line)| {
@@ -66,6 +67,7 @@
             list.push_str(&format!("{name}: {constant}\n"));
         }
     }
-    // A new figure shows in this list. One that servers show anyway belongs into their profile.
+    // Every new constant appears in this list. A value that servers show anyway belongs in their
+    // profile.
     assert_snapshot!(list);
 }
--- a/crates/papayamux-coordination/tests/engine_kinds.rs
+++ b/crates/papayamux-coordination/tests/engine_kinds.rs
@@ -1,8 +1,8 @@
-//! Fleets whose engines differ by factors, each under an easy load and under some times what its usual
-//! engines can serve: who is served, who is told at once, and how far estimates are off.
+//! Fleets whose engines differ by factors, each at a low load and at a multiple of what the usual
+//! engines can serve: served and refused requests, and the errors of estimates.
 //!
-//! The load that this answers: a deployment that nobody has measured. Each trait differs alone, and the
-//! same decisions, which know none of them, must keep ahead of the baselines.
+//! This covers deployments for which no measurements exist. Each kind differs from the usual one in
+//! one property, and decisions without knowledge of it must not fall behind the baselines.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 mod fleet_replay;
@@ -13,18 +13,19 @@
 use fleet_replay::{engine_kinds, replay, EngineKind, ReplayLoad, ReplayResult};
 use papayamux_coordination::placement::PlacementPolicy;
 
-/// Requests a second that the usual engines serve with ease.
+/// Requests per second that are a low load for the usual engines.
 const EASY: f64 = 60.0;
-/// Twice what they can serve.
+/// Requests per second that are twice the capacity of the usual engines.
 const HEAVY: f64 = 600.0;
 const LENGTH: Duration = Duration::from_secs(20);
-/// What the baselines may be ahead by: one seed is played.
+/// Tolerated lead of the baselines, since only one seed is simulated.
 const TOLERANCE: f64 = 0.03;
 
-/// Our way, and the ways that it is measured against.
+/// The default policy and the baselines that it is compared with, each with whether requests are
+/// queued.
 const POLICIES: [(&str, PlacementPolicy, bool); 4] = [
     ("warm", PlacementPolicy::Warm, true),
-    ("warm, no line", PlacementPolicy::Warm, false),
+    ("warm, no queue", PlacementPolicy::Warm, false),
     ("bounded-hash", PlacementPolicy::BoundedHash, true),
     ("least-wait", PlacementPolicy::LeastWait, true),
 ];
@@ -33,7 +34,7 @@
     replay(ReplayLoad { engines, policy, rate, length: LENGTH, seed: 5, has_line })
 }
 
-/// Each way's result for one kind of engines.
+/// Returns the result of each policy for one kind of engine.
 fn run_all_policies(engines: EngineKind, rate: f64) -> Vec<(&'static str, ReplayResult)> {
     let run = |(name, policy, line)| (name, run(engines, rate, policy, line));
     POLICIES.into_iter().map(run).collect()
--- a/crates/papayamux-coordination/tests/fleet_replay/engine.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/engine.rs
@@ -1,20 +1,21 @@
-//! An engine in simulated time: it reads prompts one after the other and generates beside that.
+//! An engine in simulated time, which prefills prompts one after the other and generates
+//! concurrently.
 
 use std::collections::VecDeque;
 
-/// What engines of a fleet are like.
+/// Properties of the engines of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineKind {
     pub slots: u32,
     pub prefill_tokens_per_ms: f64,
-    /// Milliseconds between two events while nothing is read.
+    /// Milliseconds between two events while no prompt is prefilled.
     pub event_gap_ms: f64,
-    /// Shared parts that a cache holds.
+    /// Number of shared parts that fit into the cache.
     pub cached_parts: usize,
     pub transfer_tokens_per_ms: f64,
-    /// How many times as long the first engine takes for everything.
+    /// Slowdown factor of the first engine.
     pub first_is_slower: f64,
-    /// How many times as long all take from the middle on.
+    /// Slowdown factor of all engines from the middle of the run on.
     pub slower_from_middle: f64,
 }
 
@@ -30,39 +31,39 @@
     };
 }
 
-/// Part of its speed with which an engine generates while it reads: a step that reads a chunk takes some
-/// times as long.
+/// Fraction of its speed at which an engine generates during a prefill: a step that prefills a
+/// chunk takes several times as long.
 const SPEED_DURING_PREFILL: f64 = 0.3;
-/// Time to the first event beyond reading.
+/// Time to the first event beyond the prefill.
 const FIRST_EVENT_MS: f64 = 15.0;
 /// Time to begin a copy.
 const COPY_MS: f64 = 3.0;
 
-/// A request at an engine.
+/// A request on an engine.
 #[derive(Debug, Clone)]
 pub struct EngineWork {
     pub request: usize,
     pub part: u64,
-    /// The part's tokens are read unless the cache or a copy has them.
+    /// Tokens of the shared part, which are prefilled unless they are cached or copied.
     pub part_tokens: f64,
     pub own_tokens: f64,
     pub events: f64,
-    /// Whether the engine that it should copy the part from holds it.
+    /// `true` if the engine from which the part should be copied holds it.
     pub is_copied: bool,
 }
 
 #[derive(Debug)]
 struct Running {
     work: EngineWork,
-    /// Milliseconds of reading left.
+    /// Remaining prefill time in milliseconds.
     prefill_ms: f64,
-    /// Milliseconds until the first event after reading.
+    /// Remaining time from the prefill to the first event, in milliseconds.
     first_ms: f64,
     events_left: f64,
     has_begun: bool,
 }
 
-/// What happened at an engine.
+/// An event on an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EngineEvent {
     FirstEvent(usize),
@@ -76,7 +77,7 @@
     running: Vec<Running>,
     waiting: VecDeque<EngineWork>,
     cache: VecDeque<u64>,
-    /// Tokens of shared parts that were read.
+    /// Number of tokens of shared parts that were prefilled.
     pub prefilled_tokens: f64,
 }
 
@@ -104,7 +105,7 @@
         self.waiting.len() as u32
     }
 
-    /// Events of a request's answer so far.
+    /// Returns the number of events of a request's answer so far.
     pub fn events(&self, request: usize) -> u64 {
         let running = self.running.iter().find(|running| running.work.request == request);
         running.map_or(0, |running| (running.work.events - running.events_left) as u64)
@@ -115,7 +116,7 @@
         self.fill_slots();
     }
 
-    /// Stops a request whose caller has left.
+    /// Stops a request whose caller has disconnected.
     pub fn stop(&mut self, request: usize) {
         self.running.retain(|running| running.work.request != request);
         self.waiting.retain(|work| work.request != request);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Lets a millisecond pass.
+    /// Advances the time by a millisecond.
     pub fn tick(&mut self) -> Vec<EngineEvent> {
         let mut happened = Vec::new();
         let next = self.running.iter().position(|running| running.prefill_ms > 0.0);
@@ -170,7 +171,7 @@
         let running = &mut self.running[next];
         let work = &mut running.work;
         if work.part_tokens > 0.0 {
-            // Its turn has come: only now it shows whether the part is there.
+            // Only at the start of its prefill does it show whether the part is cached.
             let known = self.cache.contains(&work.part);
             running.prefill_ms += match (known, work.is_copied) {
                 (true, _) => 0.0,
--- a/crates/papayamux-coordination/tests/fleet_replay/mod.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/mod.rs
@@ -1,4 +1,4 @@
-//! One router's decisions before engines in simulated time.
+//! The decisions of one router, with engines in simulated time.
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
 mod engine;
@@ -33,7 +33,7 @@
 const EVENT_TOKENS: u64 = 4;
 pub const OBJECTIVE: Duration = Duration::from_millis(500);
 const DEADLINE: Duration = Duration::from_secs(4);
-/// How often the line is looked through.
+/// Interval at which the queue is checked.
 const QUEUE_CHECK_INTERVAL_MS: u64 = 50;
 
 /// The load of a replay.
@@ -41,32 +41,33 @@
 pub struct ReplayLoad {
     pub engines: EngineKind,
     pub policy: PlacementPolicy,
-    /// Requests a second, and for how long they come.
+    /// Requests per second.
     pub rate: f64,
+    /// Time during which requests arrive.
     pub length: Duration,
     pub seed: u64,
-    /// Whether requests wait for places and may be turned away.
+    /// `true` if requests wait in a queue for slots and may be refused.
     pub has_line: bool,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Outcome {
     OnTime,
     Late,
-    /// Told that it did not run, so long after it was asked for the last time.
+    /// It was refused, this long after its last attempt was sent.
     TurnedAway(Duration),
-    /// Its deadline passed in the line or at an engine.
+    /// Its deadline passed in the queue or on an engine.
     Expired,
 }
 
-/// What came out.
+/// The result of a replay.
 #[derive(Debug, Default)]
 pub struct ReplayResult {
     outcomes: Vec<Outcome>,
-    /// How far each expected time to a first event was off, as a part of the real one.
+    /// Relative errors of the expected times to the first event.
     errors: Vec<f64>,
-    /// Tokens of shared parts that engines read.
+    /// Number of tokens of shared parts that engines prefilled.
     pub prefilled_tokens: f64,
 }
 
@@ -92,7 +93,7 @@
         self.part(|outcome| *outcome == Outcome::Expired)
     }
 
-    /// The time within which nine in ten of those that were turned away were told so, in ms.
+    /// Returns the time within which nine in ten refused requests were refused, in milliseconds.
     pub fn refused_within_ms(&self) -> u128 {
         let told = self.outcomes.iter().filter_map(|outcome| match outcome {
             Outcome::TurnedAway(after) => Some(after.as_millis()),
@@ -103,7 +104,7 @@
         told.get(told.len() * 9 / 10).copied().unwrap_or_default()
     }
 
-    /// The median error of the `count` estimates before the `until`th answer.
+    /// Returns the median error of the `count` estimates before the `until`th answer.
     pub fn error_before(&self, until: usize, count: usize) -> f64 {
         let until = until.min(self.errors.len());
         let mut errors = self.errors[until.saturating_sub(count)..until].to_vec();
@@ -116,8 +117,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "on time {:.2}, late {:.2}, turned away {:.2} (told within {} ms), died {:.2}; \
-             {:.0} thousand shared tokens read; estimates off by {:.2}, {:.2}, {:.2}",
+            "on time {:.2}, late {:.2}, refused {:.2} (within {} ms), expired {:.2}; \
+             {:.0} thousand shared tokens prefilled; estimates off by {:.2}, {:.2}, {:.2}",
             self.on_time(),
             self.late(),
             self.turned_away(),
@@ -172,7 +173,7 @@
     result: ReplayResult,
 }
 
-/// Plays a load.
+/// Replays a load.
 pub fn replay(load: ReplayLoad) -> ReplayResult {
     let start = Instant::now();
     let slower = |index| if index == 0 { load.engines.first_is_slower } else { 1.0 };
@@ -467,7 +468,7 @@
         self.call();
     }
 
-    /// Ends the requests whose callers have left.
+    /// Ends the requests whose callers have disconnected.
     fn expire_requests(&mut self) {
         let now = self.now;
         let over: Vec<_> = (0..self.requests.len())
@@ -491,7 +492,8 @@
     Duration::from_secs_f64(span / 1_000.0)
 }
 
-/// Engines by name: the usual ones, and others that differ in one trait.
+/// Returns the kinds of engines by name: the usual one, and others that differ from it in one
+/// property.
 pub fn engine_kinds() -> Vec<(&'static str, EngineKind)> {
     let usual = EngineKind::USUAL;
     vec![
@@ -505,7 +507,7 @@
             },
         ),
         (
-            "reading eight times slower",
+            "prefill eight times slower",
             EngineKind { prefill_tokens_per_ms: usual.prefill_tokens_per_ms / 8.0, ..usual },
         ),
         (
--- a/crates/papayamux-coordination/tests/mechanisms.rs
+++ b/crates/papayamux-coordination/tests/mechanisms.rs
@@ -1,4 +1,4 @@
-//! The names by which experiments switch mechanisms off.
+//! Names by which experiments disable mechanisms.
 
 use papayamux_coordination::mechanism::{DisabledMechanisms, Mechanism};
 
@@ -29,6 +29,9 @@
 fn the_page_of_settings_names_each_mechanism() {
     let page = include_str!("../../../docs/operators/settings.md");
     for mechanism in Mechanism::all() {
-        assert!(page.contains(&format!("`{mechanism}`")), "{mechanism} is not on the page");
+        assert!(
+            page.contains(&format!("`{mechanism}`")),
+            "{mechanism} is missing from the settings page"
+        );
     }
 }
--- a/crates/papayamux-coordination/tests/part_owners.rs
+++ b/crates/papayamux-coordination/tests/part_owners.rs
@@ -1,4 +1,4 @@
-//! Owners of shared parts: who they are, and what they are worth where routers hear one another late.
+//! Owners of shared parts: their assignment, and the prefills they avoid when reports are delayed.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 mod backend_servers;
@@ -77,14 +77,15 @@
     let millis = Duration::from_millis;
     let mut times = AnswerTimes::default();
     assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
-    // Owners of another region answer after 42 ms; the first answers come too late and teach that.
+    // Owners in another region answer after 42 ms. The first answers come too late, but are still
+    // recorded.
     (0..20).for_each(|_| times.note(millis(42)));
     assert!(times.wait_budget(millis(400)).is_some_and(|wait_budget| wait_budget > millis(42)));
-    assert_eq!(times.wait_budget(millis(160)), None, "reading the part takes hardly longer");
+    assert_eq!(times.wait_budget(millis(160)), None, "the prefill of the part takes hardly longer");
     for reading in [200, 1_000, 10_000].map(millis) {
         assert!(times.wait_budget(reading).is_some_and(|wait_budget| wait_budget <= reading / 4));
     }
-    // Back near, a few dozen answers bring it back to where it began.
+    // Once owners are near again, a few dozen answers restore the initial wait.
     (0..48).for_each(|_| times.note(millis(1)));
     assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
 }
@@ -93,27 +94,30 @@
 const PARTS: u64 = 200;
 const PART_TOKENS: u64 = 10_000;
 const OWN_TOKENS: u64 = 1_000;
-/// Requests of a replay, and the part of them whose home has something against it at that moment.
+/// Number of requests in a simulation.
 const REQUESTS: u64 = 4_000;
+/// Fraction of requests for which the home of the part is ejected.
 const HOME_AWAY: f64 = 0.15;
-/// Requests a second.
+/// Requests per second.
 const RATE: u64 = 200;
 
-/// How routers know what others have placed.
+/// How routers learn what others have placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Knowledge {
-    /// By reports that reach each router so late.
+    /// Through reports that arrive after a delay.
     Reports(Duration),
-    /// The same, and by asking owners.
+    /// Through the same reports, and by querying owners.
     Owners(Duration),
 }
 
-/// Shared tokens read again in one replay though a sound engine held them.
+/// Returns the number of shared tokens prefilled again in one simulation although a sound engine
+/// held them.
 fn recomputed_tokens(routers: usize, knowledge: Knowledge) -> u64 {
     let mut random = StdRng::seed_from_u64(1);
     let fleet = fleet(routers);
     let (Knowledge::Reports(delay) | Knowledge::Owners(delay)) = knowledge;
-    // Each placement: the part, its engine, the router that knows at once, and when the others do.
+    // For each part its placements: the engine, the router that placed it, and when others learn of
+    // it.
     let mut placed: HashMap<u64, Vec<(usize, usize, u64)>> = HashMap::new();
     let mut recomputed = 0;
     for request in 0..REQUESTS {
@@ -167,7 +171,7 @@
         let placement = place(prompt, &candidates, PlacementTuning::default()).unwrap();
         let holds = |engine: usize| holders.iter().any(|(holder, ..)| *holder == engine);
         let is_copied = placement.fetch_from.is_some_and(holds);
-        // A holder that something speaks against is of no use to anybody.
+        // An ejected holder can't be used.
         let there = holders.iter().any(|(holder, ..)| is_sound(*holder));
         if !holds(placement.server) {
             if !is_copied && there {
@@ -179,8 +183,8 @@
     recomputed
 }
 
-/// Where the routers of a large fleet hear one another late, prompts are sent in the belief that their
-/// home holds the part, or copied from there.
+/// In a large fleet, reports arrive late, and prompts are placed on or copied from a home that is
+/// wrongly assumed to hold the part.
 #[test]
 fn querying_owners_avoids_most_recomputation_that_delayed_reports_cause() {
     for (routers, delay) in [(68, 3), (300, 10)] {
--- a/crates/papayamux-coordination/tests/part_prefills.rs
+++ b/crates/papayamux-coordination/tests/part_prefills.rs
@@ -1,4 +1,5 @@
-//! Prompts with the same long part that arrive while no engine holds it, replayed.
+//! Waits for prefills in progress, when prompts with the same long part arrive and no engine holds
+//! it.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -8,7 +9,7 @@
 use papayamux_state::prompt::{PartId, PromptChain};
 use papayamux_state::quantities::TokenCount;
 
-/// How long an engine takes for the long part.
+/// Time that an engine needs for the long part.
 const PREFILL_TIME: Duration = Duration::from_millis(200);
 
 fn prefixes(chain: &str) -> Vec<(PartId, TokenCount)> {
@@ -32,7 +33,7 @@
     let mut readers = 0;
     let mut waiting = 0;
     let mut open = None;
-    // Twenty prompts with one part arrive in the time that one engine takes to read it.
+    // Twenty prompts with the same part arrive while an engine prefills it.
     for number in 0..20 {
         let now = begun + Duration::from_millis(10 * number);
         if prefills.wait_until(&engine("i-1"), &shared, now).is_some() {
@@ -43,7 +44,7 @@
         open = Some(prefills.begin(&engine("i-1"), &shared, prefill(9_180, now)));
     }
     assert_eq!((readers, waiting), (1, 19));
-    // Once it is read nobody waits any more.
+    // No request waits once the prefill is complete.
     prefills.end(&open.unwrap());
     assert_eq!(prefills.wait_until(&engine("i-1"), &shared, begun + PREFILL_TIME), None);
 }
@@ -57,7 +58,7 @@
     assert!(prefills.wait_until(&engine("i-1"), &same, now).is_some());
     assert!(prefills.wait_until(&engine("i-2"), &same, now).is_none());
     assert!(prefills.wait_until(&engine("i-1"), &prefixes("e5:800,f6:900,d4:30"), now).is_none());
-    // What it has in common is short beside what it would wait for.
+    // The common part is short compared with the prefill in progress.
     assert!(prefills.wait_until(&engine("i-1"), &prefixes("a1:2500,f6:900,d4:30"), now).is_none());
 }
 
@@ -89,7 +90,7 @@
     let first = prefills.begin(&engine("i-1"), &shared, prefill(9_180, now));
     prefills.end(&first);
     let second = prefills.begin(&engine("i-1"), &shared, prefill(9_180, now));
-    // The end of the one that was lost, told again, does not end the other.
+    // Ending the first prefill again does not end the second one.
     prefills.end(&first);
     assert!(prefills.wait_until(&engine("i-1"), &shared, now).is_some());
     prefills.end(&second);
@@ -118,11 +119,12 @@
     prefills.record_remote(&engine("i-1"), &shared, prefill(9_180, now));
     let until = prefills.wait_until(&engine("i-1"), &shared, now).unwrap();
     assert_eq!(until, now + PREFILL_TIME);
-    // Where its end isn't heard: after that time the next request reads, and others wait for that.
+    // If the message about its end is lost, the next request after that time prefills the part, and
+    // others wait for it.
     assert!(prefills.wait_until(&engine("i-1"), &shared, until).is_none());
     let ticket = prefills.begin(&engine("i-1"), &shared, prefill(9_180, until));
     assert!(prefills.wait_until(&engine("i-1"), &shared, until).is_some());
-    // Word of another one, or that the old ones are forgotten, doesn't end it.
+    // Neither another remote prefill nor the removal of expired ones ends it.
     prefills.record_remote(&engine("i-1"), &shared, prefill(9_180, until));
     prefills.forget_old(until + PREFILL_TIME * 10);
     assert!(prefills.wait_until(&engine("i-1"), &shared, until).is_some());
@@ -138,7 +140,7 @@
     prefills.record_remote(&engine("i-1"), &shared, prefill(9_180, now));
     prefills.end_remote(&engine("i-1"), &shared);
     assert!(prefills.wait_until(&engine("i-1"), &shared, now).is_none());
-    // It doesn't end this router's own.
+    // It doesn't end a prefill of this router.
     prefills.begin(&engine("i-1"), &shared, prefill(9_180, now));
     prefills.end_remote(&engine("i-1"), &shared);
     assert!(prefills.wait_until(&engine("i-1"), &shared, now).is_some());
--- a/crates/papayamux-coordination/tests/placement.rs
+++ b/crates/papayamux-coordination/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go, replayed against the decision alone.
+//! Placement decisions for given loads and caches.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 mod backend_servers;
@@ -36,7 +36,7 @@
     }
 }
 
-/// An engine with more slots than any of these loads takes.
+/// An engine with more slots than any load in these tests uses.
 fn engine(requests: u32) -> PlacementCandidate {
     PlacementCandidate { slots: 256, ..candidate(requests) }
 }
@@ -50,7 +50,7 @@
     transfer_tokens_per_ms: Some(500.0),
 };
 
-/// Tokens that a server reads in a millisecond.
+/// Tokens that a server prefills per millisecond.
 const PREFILL_RATE: f64 = 50.0;
 
 fn placed(request: PlacementRequest, candidates: &[PlacementCandidate]) -> usize {
@@ -68,10 +68,10 @@
         let router = RouterId(std::net::Ipv4Addr::new(10, 0, 0, index).into());
         ledger.record_report(router, vec![(server.clone(), load(3))], now);
     }
-    // All others report once in a second, so that all are known.
+    // All other routers report once a second, so that every report is known.
     ledger.record_cycle(std::time::Duration::from_secs(1));
     assert_eq!(ledger.total(&server, now, PREFILL_RATE), load(17));
-    // They take ten seconds, and reports are believed for a quarter of that.
+    // A cycle takes ten seconds, a quarter of which a report is valid.
     ledger.record_cycle(std::time::Duration::from_secs(10));
     assert_eq!(ledger.total(&server, now, PREFILL_RATE), load(62));
 }
@@ -129,8 +129,8 @@
 
 #[test]
 fn one_group_with_a_quarter_of_the_traffic_stays_within_the_load_bound() {
-    // 12 servers; a quarter of the requests share one long part, the others have parts of their
-    // own; requests last for 40 arrivals.
+    // Of the requests to 12 servers, a quarter share one long part and the others have parts of
+    // their own. A request runs for 40 arrivals.
     let mut running: Vec<(usize, usize)> = Vec::new();
     let mut holders = vec![vec![false; 13]; 12];
     for arrival in 0..2_000usize {
@@ -185,7 +185,7 @@
     assert_eq!(after(&ledger, 0), ServerLoad { requests: 3, backlog: 10_700 });
     assert_eq!(after(&ledger, 120), ServerLoad { requests: 3, backlog: 4_700 });
     assert_eq!(after(&ledger, 2_000), ServerLoad { requests: 3, backlog: 700 });
-    // A server reads what several routers sent one after the other.
+    // A server prefills the prompts of several routers one after the other.
     let other = RouterId("10.0.0.3".parse().unwrap());
     let later = begun + std::time::Duration::from_millis(100);
     ledger.record_report(other, vec![(server.clone(), reported)], later);
@@ -194,8 +194,9 @@
     assert_eq!(after(&ledger, 400).backlog, 700);
 }
 
-/// Engines that hang while they look healthy: on a day with seven of them 102 of 4,600 letters failed where all
-/// backlogs were taken as read, and 77 where those that are reported twice stand (one run each).
+/// A hanging engine may still look healthy. On a day with seven of them, 102 of 4,600 requests
+/// failed when every reported backlog was assumed to shrink, and 77 when backlogs reported twice
+/// were counted in full (one run each).
 #[test]
 fn backlog_reported_twice_by_a_router_does_not_shrink() {
     let begun = Instant::now();
@@ -220,7 +221,7 @@
     let placement = place(asked, &[candidate(1), home], PlacementTuning::default()).unwrap();
     assert_eq!((placement.server, placement.fetch_from), (1, None));
     assert_eq!((placement.cold, placement.assumed), (LONG.prompt, TokenCount::default()));
-    // Where the home is far too busy it is read elsewhere, and not copied from the home.
+    // If the home is overloaded, the part is prefilled elsewhere, and not copied from the home.
     let busy = PlacementCandidate { load: ServerLoad { requests: 40, backlog: 200_000 }, ..home };
     let others = [candidate(1), candidate(1), candidate(1), busy];
     let placement = place(asked, &others, PlacementTuning::default()).unwrap();
@@ -265,7 +266,7 @@
     assert_eq!(placed(PlacementPolicy::LeastWait, 0.5), 0);
     assert_eq!(placed(PlacementPolicy::BoundedHash, 0.5), 1);
     assert_eq!(placed(PlacementPolicy::Random, 0.9), 2);
-    // Two are drawn: the last and, by the later digits, the first.
+    // The samples select the last server and, by the later digits, the first.
     assert_eq!(placed(PlacementPolicy::TwoChoices, 0.9001), 0);
 }
 
@@ -305,7 +306,7 @@
     assert_eq!(placed(LONG, &with(nearly_full)), 0);
     let idle = PlacementCandidate { nearly_full: true, ..engine(0) };
     let busy = PlacementCandidate { nearly_full: true, ..engine(130) };
-    // What it would evict is read again, which delays others as any reading does.
+    // What it would evict is prefilled again, which delays other requests like any prefill.
     for (waiting, server) in [(0, 0), (30, 0), (80, 1)] {
         let crowded = PlacementCandidate { waiting, ..home };
         assert_eq!(placed(LONG, &[crowded, idle, busy]), server);
@@ -319,7 +320,7 @@
     let unknown = [vec![home], less.to_vec()].concat();
     let placement = place(LONG, &unknown, PlacementTuning::default()).unwrap();
     assert_eq!((placement.server, placement.assumed > tokens(0)), (0, true));
-    // One that is known to hold it is left for a great difference in load, with a copy.
+    // A known holder is left only for a large difference in load, and its part is copied.
     let known = PlacementCandidate { warm: tokens(10_500), ..engine(140) };
     let others = [known, engine(20), engine(130), engine(130)];
     let placement = place(LONG, &others, PlacementTuning::default()).unwrap();
@@ -329,8 +330,8 @@
 
 #[test]
 fn prompt_leaves_a_home_without_a_free_slot_for_a_copy() {
-    // Twelve requests where eight run, each for more than a second: its turn comes after longer than
-    // another engine takes to copy the part.
+    // There are twelve requests on eight slots, each running for more than a second: the wait for a
+    // slot is longer than a copy of the part to another engine.
     let home = PlacementCandidate { rank: 0, warm: tokens(10_500), ..candidate(12) };
     let placement = place(LONG, &[home, candidate(5)], PlacementTuning::default()).unwrap();
     assert_eq!((placement.server, placement.fetch_from), (1, Some(0)));
@@ -344,14 +345,16 @@
     let near = PlacementCandidate { round_trip_ms: 2.5, ..candidate(3) };
     let short = PlacementRequest { prompt: tokens(200), shared: tokens(0), ..LONG };
     assert_eq!(placed(short, &[far, near]), 1);
-    // Not at any price: what the far one holds takes longer to read than the way.
+    // The region is left if prefilling the part nearby takes longer than the round trip to its
+    // holder.
     let holds = PlacementCandidate { warm: tokens(10_500), ..far };
     let request = PlacementRequest { transfer_tokens_per_ms: None, ..LONG };
     assert_eq!(placed(request, &[holds, near]), 0);
 }
 
-/// A failure domain is evacuated and another one has just come back: its servers are open, but cold. The one
-/// that is warm and crowded is over twice the mean of all, though not of those that are open.
+/// One failure domain is evacuated, and the servers of another one have just come back cold. The
+/// load of the warm server is above twice the mean of all servers, but not above twice the mean of
+/// those that accept requests.
 #[test]
 fn servers_that_may_take_nothing_count_in_the_mean_load() {
     let loaded = |requests| PlacementCandidate {
--- a/crates/papayamux-coordination/tests/route_cost.rs
+++ b/crates/papayamux-coordination/tests/route_cost.rs
@@ -1,4 +1,4 @@
-//! What a server costs a request.
+//! Cost of a request on a server.
 
 use std::time::Duration;
 
--- a/crates/papayamux-coordination/tests/server_profile.rs
+++ b/crates/papayamux-coordination/tests/server_profile.rs
@@ -1,4 +1,4 @@
-//! Fleets whose servers differ by factors, learnt from their answers alone.
+//! Profiles of fleets whose servers differ by factors, estimated from their answers alone.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// An engine that reads so many tokens in a millisecond and sends events of so many tokens.
+/// The speed of a simulated engine.
 #[derive(Clone, Copy)]
 struct Engine {
     prefill_tokens_per_ms: f64,
@@ -39,7 +39,8 @@
     Duration::from_secs_f64(span / 1_000.0)
 }
 
-/// Answers of an engine, a tenth of them disturbed by a lost packet, a pause or a wrong guess.
+/// Answers of an engine. A tenth of them are disturbed by a lost packet, a pause or a wrong
+/// assumption.
 struct Answers {
     random: StdRng,
     engine: Engine,
@@ -62,7 +63,7 @@
 
     fn record_answers(&mut self, tracker: &mut ProfileTracker, name: &str, count: usize) {
         for number in 0..count {
-            // One prompt in three lacks a long part, the others only what is their own.
+            // One prompt in three lacks a long part; the others lack only their own tokens.
             let tokens = if number % 3 == 0 { 6_000 } else { 300 };
             let reading = f64::from(tokens) / self.engine.prefill_tokens_per_ms;
             let took = millis((reading + self.engine.first_event_ms) * self.scatter());
@@ -139,7 +140,7 @@
     };
     let (slow, usual) = (prefill_rate(&tracker, "i-4"), prefill_rate(&tracker, "i-1"));
     assert!(slow < usual * 0.5, "{slow} {usual}");
-    // One that has shown nothing yet is taken for one of its service.
+    // A server without samples gets the estimates of its service.
     let new = prefill_rate(&tracker, "i-5");
     assert!(relative_error(new, USUAL.prefill_tokens_per_ms) < 0.4, "{new}");
     tracker.forget(&server("i-4"));
@@ -160,7 +161,7 @@
         let speed = tracker.speed(&service(), &server("i-1"));
         free_slots(ServerWork::Engine, 64, load, 0, &speed)
     };
-    // The same 4,000 tokens take 0.1 s, 0.8 s and 12 ms.
+    // The prefill of the same 4,000 tokens takes 0.1 s, 0.8 s and 12 ms.
     assert_eq!((slots(1.0), slots(0.125), slots(8.0)), (61, 0, 61));
 }
 
@@ -174,7 +175,7 @@
         }
         tracker.service_speed(&service()).call_silence()
     };
-    // A lost packet alone takes 200 ms; slow calls are no silence.
+    // A lost packet alone takes 200 ms. Slow calls don't count as silence.
     assert_eq!(silence(5.0), Duration::from_millis(250));
     let slow = silence(300.0);
     assert!(slow > Duration::from_millis(600) && slow < Duration::from_secs(3), "{slow:?}");
@@ -204,7 +205,7 @@
     assert_eq!(tracker.speed(&service(), &server("i-1")), before);
 }
 
-/// Gives first events of prompts of which 4,000 tokens were guessed to be held, each read or not.
+/// Records first events of prompts with 4,000 tokens assumed to be cached, given whether each was.
 fn record_assumptions(tracker: &mut ProfileTracker, are_held: impl Iterator<Item = bool>) {
     for is_held in are_held {
         let read = if is_held { 300.0 } else { 4_300.0 };
@@ -225,7 +226,7 @@
     // All caches are empty.
     record_assumptions(&mut tracker, [false; 20].into_iter());
     assert!(missing(&tracker) > 900, "{}", missing(&tracker));
-    // Most have been filled since, by other routers too.
+    // Most caches have been filled since, also by other routers.
     record_assumptions(&mut tracker, (0..40).map(|number| number % 10 != 0));
     assert!(missing(&tracker) < 200, "{}", missing(&tracker));
 }
@@ -253,7 +254,7 @@
     let mut tracker = ProfileTracker::default();
     Answers::of(USUAL).record_answers(&mut tracker, "i-1", 60);
     for _ in 0..20 {
-        // Cut off at their deadlines, after nine events in four seconds.
+        // The stream is cut off at its deadline, after nine events in four seconds.
         let end = StreamEnd { events: 9, lasted: Duration::from_secs(4), expected: None };
         tracker.record_stream(&service(), &server("i-1"), end);
     }
@@ -268,7 +269,7 @@
     let speed = tracker.speed(&service(), &server("i-1"));
     let answer = TokenCount::new(100);
     assert_eq!(speed.slot_wait(8, 7, answer), Duration::ZERO);
-    // A hundred tokens in twenty events take 0.44 s; each eighth part of that frees a slot.
+    // A hundred tokens in twenty events take 0.44 s, and a slot becomes free in an eighth of that.
     let next = speed.slot_wait(8, 8, answer);
     assert!((millis(40.0)..millis(80.0)).contains(&next), "{next:?}");
     assert_eq!(speed.slot_wait(8, 11, answer).as_millis() / 4, next.as_millis());
--- a/crates/papayamux-coordination/tests/server_slots.rs
+++ b/crates/papayamux-coordination/tests/server_slots.rs
@@ -1,4 +1,4 @@
-//! When a server counts as full.
+//! Conditions under which a server counts as full.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 mod backend_servers;
@@ -19,8 +19,8 @@
     let engine = |load, waiting| free_slots(ServerWork::Engine, 64, load, waiting, &SPEED);
     assert_eq!(engine(load(60, 3_000), 0), 4);
     assert_eq!(engine(load(70, 0), 0), 0);
-    assert_eq!(engine(load(10, 50_000), 0), 0, "its prompts take most of a second to read");
-    assert_eq!(engine(load(30, 0), 20), 0, "its memory is taken");
+    assert_eq!(engine(load(10, 50_000), 0), 0, "the prefill of its prompts takes most of a second");
+    assert_eq!(engine(load(30, 0), 20), 0, "its memory is used up");
     assert_eq!(engine(load(30, 0), 1), 34);
 }
 
--- a/crates/papayamux-coordination/tests/support/mod.rs
+++ b/crates/papayamux-coordination/tests/support/mod.rs
@@ -10,15 +10,15 @@
 
 pub type TestResult = Result<(), Box<dyn Error>>;
 
-/// The life of the agent that the requests are for.
+/// Incarnation of the agent that the requests are for.
 pub const AGENT: u64 = 7;
 
-/// A mean over a group of four servers.
+/// Returns a mean over a group of four servers.
 pub fn mean_load(mean: f64) -> GroupLoad {
     GroupLoad { group: GroupId(1), mean, samples: 4.0, servers: 4 }
 }
 
-/// Request number `number` of an organisation.
+/// Returns request number `number` of an organisation.
 pub fn request(number: u64, organisation: &str) -> Result<OpenRequest, Box<dyn Error>> {
     let incarnation = Incarnation::from(1);
     Ok(OpenRequest {
