--- a/crates/papayamux-coordination/src/part_owners.rs
+++ b/crates/papayamux-coordination/src/part_owners.rs
@@ -65,8 +65,8 @@
 
 impl AnswerTimes {
     /// Adds the time of an answer, including answers that came too late.
-    pub fn note(&mut self, took: Duration) {
-        self.0.note(took);
+    pub fn record(&mut self, took: Duration) {
+        self.0.record(took);
     }
 
     /// Returns the time to wait for an answer about a part with the given prefill time; `None` if
@@ -86,7 +86,7 @@
 
 impl SilentOwners {
     /// Records that an owner did not answer on time.
-    pub fn note(&mut self, owner: IpAddr, now: Instant) {
+    pub fn record(&mut self, owner: IpAddr, now: Instant) {
         self.until.retain(|_, until| now < *until);
         self.until.insert(owner, now + SILENT_OWNER_BACKOFF);
     }
--- a/crates/papayamux-coordination/src/part_prefills.rs
+++ b/crates/papayamux-coordination/src/part_prefills.rs
@@ -54,7 +54,7 @@
     /// Number of prompt tokens that the engine has to prefill.
     pub cold: TokenCount,
     /// Time at which the request was sent.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// Expected time to the first event.
     pub expected: Duration,
     /// Number of tokens that the engine has to prefill before the first event, including those of
@@ -104,7 +104,7 @@
         prefixes: &[(PartId, TokenCount)],
         prefill: PromptPrefill,
     ) -> PrefillTicket {
-        let until = prefill.begun + prefill.expected.mul_f64(MAX_OVERRUN_FACTOR);
+        let until = prefill.started_at + prefill.expected.mul_f64(MAX_OVERRUN_FACTOR);
         let cold = prefill.cold;
         self.readers += 1;
         let reader = self.readers;
@@ -113,7 +113,7 @@
         for (prefix, _) in prefixes.iter().filter(|_| prefill.begins_soon()) {
             let part_prefill =
                 prefills.entry(*prefix).or_insert(PartPrefill { reader, cold, until });
-            if part_prefill.until <= prefill.begun {
+            if part_prefill.until <= prefill.started_at {
                 *part_prefill = PartPrefill { reader, cold, until };
             }
             if part_prefill.reader == reader {
@@ -131,7 +131,7 @@
         prefixes: &[(PartId, TokenCount)],
         prefill: PromptPrefill,
     ) {
-        let until = prefill.begun + prefill.expected.min(MAX_REMOTE_DURATION);
+        let until = prefill.started_at + prefill.expected.min(MAX_REMOTE_DURATION);
         let prefills = self.prefills.entry(server.clone()).or_default();
         for (prefix, _) in prefixes {
             let part_prefill = PartPrefill { reader: REMOTE_READER, cold: prefill.cold, until };
--- a/crates/papayamux-coordination/src/round_trips.rs
+++ b/crates/papayamux-coordination/src/round_trips.rs
@@ -34,7 +34,7 @@
     pub fn note(&mut self, domain: &FailureDomain, took: Duration) {
         let prior = self.prior(domain);
         let known = self.domains.entry(domain.clone());
-        known.or_insert_with(|| MedianEstimate::new(prior)).note(took.as_secs_f64() * 1_000.0);
+        known.or_insert_with(|| MedianEstimate::new(prior)).record(took.as_secs_f64() * 1_000.0);
     }
 
     /// The usual round trip, in milliseconds.
--- a/crates/papayamux-coordination/src/server_profile/estimates.rs
+++ b/crates/papayamux-coordination/src/server_profile/estimates.rs
@@ -43,7 +43,7 @@
     }
 
     /// Adds a sample; ignores samples that are not positive.
-    pub fn note(&mut self, sample: f64) {
+    pub fn record(&mut self, sample: f64) {
         if !(sample.is_finite() && sample > 0.0) {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Adds a sample.
-    pub fn note(&mut self, is_so: bool) {
+    pub fn record(&mut self, is_so: bool) {
         let sample = if is_so { 1.0 } else { 0.0 };
         self.0 += (sample - self.0) * SHARE_WEIGHT;
     }
@@ -122,7 +122,7 @@
     }
 
     /// Adds a sample; ignores samples that are not positive.
-    pub fn note(&mut self, sample: f64) {
+    pub fn record(&mut self, sample: f64) {
         if !(sample.is_finite() && sample > 0.0) {
             return;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Adds the time of a call.
-    pub fn note(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let sample = took.as_secs_f64() * 1_000.0;
         self.samples = self.samples.saturating_add(1);
         let even = 1.0 / f64::from(self.samples);
--- a/crates/papayamux-coordination/src/server_profile/profile_tracker.rs
+++ b/crates/papayamux-coordination/src/server_profile/profile_tracker.rs
@@ -55,7 +55,7 @@
     /// Number of events.
     pub events: u64,
     /// Time from the first event to the last.
-    pub lasted: Duration,
+    pub duration: Duration,
     /// Expected number of answer tokens, if the stream was complete.
     pub expected: Option<TokenCount>,
 }
@@ -108,13 +108,13 @@
         if let Some(transfer) = first.transfer {
             let transfer_ms = transfer.as_secs_f64() * 1_000.0;
             let rest = took_ms - transfer_ms - tokens / self.prefill_rate.value();
-            self.copied_first_event.note(rest.max(1.0));
+            self.copied_first_event.record(rest.max(1.0));
             return;
         }
         if tokens >= MIN_PREFILL_TOKENS {
-            self.prefill_rate.note(tokens / (took_ms - self.first_event.value()).max(1.0));
+            self.prefill_rate.record(tokens / (took_ms - self.first_event.value()).max(1.0));
         } else {
-            self.first_event.note((took_ms - tokens / self.prefill_rate.value()).max(1.0));
+            self.first_event.record((took_ms - tokens / self.prefill_rate.value()).max(1.0));
         }
     }
 
@@ -125,7 +125,7 @@
         let assumed_ms = first.assumed.get() as f64 / self.prefill_rate.value();
         // The prefill time of a short part is lost in the variation between answers.
         if assumed_ms > self.first_event.value() {
-            self.assumed_hit_rate.note(took_ms < known_ms + assumed_ms / 2.0);
+            self.assumed_hit_rate.record(took_ms < known_ms + assumed_ms / 2.0);
         }
     }
 }
@@ -164,18 +164,18 @@
             return;
         }
         let profile = self.profile(service);
-        let gap_ms = end.lasted.as_secs_f64() * 1_000.0 / (end.events - 1) as f64;
-        profile.server(server).event_gap.note(gap_ms);
-        profile.all.event_gap.note(gap_ms);
-        profile.all.idle_gap.note(gap_ms);
+        let gap_ms = end.duration.as_secs_f64() * 1_000.0 / (end.events - 1) as f64;
+        profile.server(server).event_gap.record(gap_ms);
+        profile.all.event_gap.record(gap_ms);
+        profile.all.idle_gap.record(gap_ms);
         if let Some(expected) = end.expected {
-            profile.all.event_tokens.note(expected.get() as f64 / end.events as f64);
+            profile.all.event_tokens.record(expected.get() as f64 / end.events as f64);
         }
     }
 
     /// Records a successful plain call.
     pub fn record_call(&mut self, service: &ServiceId, took: Duration) {
-        self.profile(service).all.call.note(took);
+        self.profile(service).all.call.record(took);
     }
 
     /// Removes a server that has departed or restarted.
--- a/crates/papayamux-coordination/src/server_profile/server_speed.rs
+++ b/crates/papayamux-coordination/src/server_profile/server_speed.rs
@@ -95,7 +95,7 @@
     }
 
     /// Returns the number of tokens assumed to be cached that are expected to be missing.
-    pub fn missing(&self, assumed: TokenCount) -> TokenCount {
+    pub fn expected_misses(&self, assumed: TokenCount) -> TokenCount {
         TokenCount::new((assumed.get() as f64 * (1.0 - self.assumed_hit_rate)) as u64)
     }
 
--- a/crates/papayamux-coordination/src/server_slots.rs
+++ b/crates/papayamux-coordination/src/server_slots.rs
@@ -60,7 +60,7 @@
 
 impl QueueReports {
     /// Records the report of a server.
-    pub fn note(&mut self, server: &ServerId, queue: ReportedQueue, now: Instant) {
+    pub fn record(&mut self, server: &ServerId, queue: ReportedQueue, now: Instant) {
         self.servers.insert(server.clone(), (queue.waiting, now));
     }
 
--- a/crates/papayamux-coordination/tests/cold_servers.rs
+++ b/crates/papayamux-coordination/tests/cold_servers.rs
@@ -423,7 +423,7 @@
             known_routers.record(&all, begun);
             known_routers.update(begun + Duration::from_secs(6));
             match send_quota(&server, view, &known_routers) {
-                SendQuota::Bounded(has_quota) => has_quota,
+                SendQuota::Bounded(requests) => requests,
                 SendQuota::Unbounded => u32::MAX,
             }
         });
--- a/crates/papayamux-coordination/tests/engine_kinds.rs
+++ b/crates/papayamux-coordination/tests/engine_kinds.rs
@@ -30,8 +30,8 @@
     ("least-wait", PlacementPolicy::LeastWait, true),
 ];
 
-fn run(engines: EngineKind, rate: f64, policy: PlacementPolicy, has_line: bool) -> ReplayResult {
-    replay(ReplayLoad { engines, policy, rate, length: LENGTH, seed: 5, has_line })
+fn run(engines: EngineKind, rate: f64, policy: PlacementPolicy, has_queue: bool) -> ReplayResult {
+    replay(ReplayLoad { engines, policy, rate, length: LENGTH, seed: 5, has_queue })
 }
 
 /// Returns the result of each policy for one kind of engine.
--- a/crates/papayamux-coordination/tests/fleet_replay/engine.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/engine.rs
@@ -126,9 +126,9 @@
     fn fill_slots(&mut self) {
         while self.running.len() < self.kind.slots as usize {
             let Some(work) = self.waiting.pop_front() else { return };
-            let reading = work.own_tokens / self.kind.prefill_tokens_per_ms;
+            let own_prefill_ms = work.own_tokens / self.kind.prefill_tokens_per_ms;
             self.running.push(Running {
-                prefill_ms: reading * self.slower,
+                prefill_ms: own_prefill_ms * self.slower,
                 first_ms: FIRST_EVENT_MS * self.slower,
                 events_left: work.events,
                 has_begun: false,
--- a/crates/papayamux-coordination/tests/fleet_replay/mod.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/mod.rs
@@ -47,7 +47,7 @@
     pub length: Duration,
     pub seed: u64,
     /// `true` if requests wait in a queue for slots and may be refused.
-    pub has_line: bool,
+    pub has_queue: bool,
 }
 
 /// The outcome of a request.
@@ -95,13 +95,13 @@
 
     /// Returns the time within which nine in ten refused requests were refused, in milliseconds.
     pub fn refused_within_ms(&self) -> u128 {
-        let told = self.outcomes.iter().filter_map(|outcome| match outcome {
+        let refused_after = self.outcomes.iter().filter_map(|outcome| match outcome {
             Outcome::TurnedAway(after) => Some(after.as_millis()),
             _ => None,
         });
-        let mut told: Vec<_> = told.collect();
-        told.sort_unstable();
-        told.get(told.len() * 9 / 10).copied().unwrap_or_default()
+        let mut refused_after: Vec<_> = refused_after.collect();
+        refused_after.sort_unstable();
+        refused_after.get(refused_after.len() * 9 / 10).copied().unwrap_or_default()
     }
 
     /// Returns the median error of the `count` estimates before the `until`th answer.
@@ -276,7 +276,7 @@
         request.attempts += 1;
         let first_asked = request.first_asked;
         let left = (first_asked + DEADLINE).saturating_duration_since(now);
-        if !self.load.has_line {
+        if !self.load.has_queue {
             self.send(index);
             return;
         }
@@ -292,8 +292,8 @@
                 serving: speed.time_to_first_event(TokenCount::new(OWN_TOKENS)),
             },
         };
-        let places = self.places();
-        match self.line.arrive(asked, index, places) {
+        let total_free_slots = self.total_free_slots();
+        match self.line.arrive(asked, index, total_free_slots) {
             LineArrival::Goes => self.send(index),
             LineArrival::Waits(_) => {}
             LineArrival::TurnedAway(_) => self.turn_away(index),
@@ -304,22 +304,22 @@
         self.profiles.speed(&self.service, &self.ids[engine]).prefill_tokens_per_ms
     }
 
-    fn places(&self) -> u32 {
-        let places = (0..ENGINES).map(|engine| {
+    fn total_free_slots(&self) -> u32 {
+        let total_free_slots = (0..ENGINES).map(|engine| {
             let speed = self.profiles.speed(&self.service, &self.ids[engine]);
             let load = self.ledger.total(&self.ids[engine], self.now, self.prefill_rate(engine));
             let waiting = self.engines[engine].waiting();
             free_slots(ServerWork::Engine, self.load.engines.slots, load, waiting, &speed)
         });
-        places.sum()
+        total_free_slots.sum()
     }
 
     fn call(&mut self) {
         if self.line.is_empty() {
             return;
         }
-        let places = self.places();
-        for request in self.line.call(places, places) {
+        let total_free_slots = self.total_free_slots();
+        for request in self.line.call(total_free_slots, total_free_slots) {
             self.send(request);
             self.line.note_taken();
         }
@@ -362,13 +362,13 @@
         let request = &self.requests[index];
         let left = (request.first_asked + DEADLINE).saturating_duration_since(self.now);
         let backlog = candidates[engine].load.backlog;
-        let missing = speed.missing(placement.assumed);
+        let missing = speed.expected_misses(placement.assumed);
         let cold = placement.cold + missing;
         let answer = TokenCount::new(EVENTS * EVENT_TOKENS);
         let requests = candidates[engine].load.requests;
         let slot_wait = speed.slot_wait(self.load.engines.slots, requests, answer);
         let first = slot_wait + speed.time_to_first_event(cold + TokenCount::new(backlog));
-        if self.load.has_line && backlog > 0 && first > left {
+        if self.load.has_queue && backlog > 0 && first > left {
             self.turn_away(index);
             return;
         }
@@ -452,11 +452,11 @@
         self.ledger.end(id, placed.load);
         self.line.note_end(placed.work, self.now - placed.sent, self.now);
         if let Some(first) = placed.first {
-            let lasted = self.now - first;
+            let duration = self.now - first;
             let answer = TokenCount::new(EVENTS * EVENT_TOKENS);
             let events =
                 if is_whole { EVENTS + 1 } else { 1 + self.engines[placed.engine].events(index) };
-            let end = StreamEnd { events, lasted, expected: is_whole.then_some(answer) };
+            let end = StreamEnd { events, duration, expected: is_whole.then_some(answer) };
             self.profiles.record_stream(&self.service, id, end);
         }
         let request = &mut self.requests[index];
--- a/crates/papayamux-coordination/tests/part_owners.rs
+++ b/crates/papayamux-coordination/tests/part_owners.rs
@@ -60,7 +60,7 @@
 fn silent_owner_is_not_queried_during_its_backoff() {
     let (mut silent, now) = (SilentOwners::default(), Instant::now());
     assert!(silent.allow(address(1), now));
-    silent.note(address(1), now);
+    silent.record(address(1), now);
     assert!(!silent.allow(address(1), now + Duration::from_millis(900)));
     assert!(silent.allow(address(2), now));
     assert!(silent.allow(address(1), now + Duration::from_millis(1_100)));
@@ -79,14 +79,16 @@
     assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
     // Owners in another region answer after 42 ms. The first answers come too late, but are still
     // recorded.
-    (0..20).for_each(|_| times.note(millis(42)));
+    (0..20).for_each(|_| times.record(millis(42)));
     assert!(times.wait_budget(millis(400)).is_some_and(|wait_budget| wait_budget > millis(42)));
     assert_eq!(times.wait_budget(millis(160)), None, "the prefill of the part takes hardly longer");
-    for reading in [200, 1_000, 10_000].map(millis) {
-        assert!(times.wait_budget(reading).is_some_and(|wait_budget| wait_budget <= reading / 4));
+    for prefill_time in [200, 1_000, 10_000].map(millis) {
+        assert!(times
+            .wait_budget(prefill_time)
+            .is_some_and(|wait_budget| wait_budget <= prefill_time / 4));
     }
     // Once owners are near again, a few dozen answers restore the initial wait.
-    (0..48).for_each(|_| times.note(millis(1)));
+    (0..48).for_each(|_| times.record(millis(1)));
     assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
 }
 
@@ -127,7 +129,8 @@
         let owner = part_owner(PartId(part), fleet.iter().copied());
         let asks = matches!(knowledge, Knowledge::Owners(_)) && owner.is_some();
         let holders = placed.entry(part).or_default();
-        let knows = |(_, by, told): &&(usize, usize, u64)| *by == router || *told <= now;
+        let knows =
+            |(_, by, known_from): &&(usize, usize, u64)| *by == router || *known_from <= now;
         let mut known: Vec<usize> =
             holders.iter().filter(knows).map(|(engine, ..)| *engine).collect();
         let home_is_away = random.random_bool(HOME_AWAY);
--- a/crates/papayamux-coordination/tests/part_prefills.rs
+++ b/crates/papayamux-coordination/tests/part_prefills.rs
@@ -16,9 +16,9 @@
     chain.parse::<PromptChain>().unwrap().shared_prefixes()
 }
 
-fn prefill(cold: u64, begun: Instant) -> PromptPrefill {
+fn prefill(cold: u64, started_at: Instant) -> PromptPrefill {
     let cold = TokenCount::new(cold);
-    PromptPrefill { cold, begun, expected: PREFILL_TIME, ahead: cold, waiting: 0 }
+    PromptPrefill { cold, started_at, expected: PREFILL_TIME, ahead: cold, waiting: 0 }
 }
 
 fn engine(name: &str) -> ServerId {
@@ -27,7 +27,7 @@
 
 #[test]
 fn each_long_part_is_computed_once_by_an_engine() {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut prefills = PartPrefills::default();
     let shared = prefixes("a1:2500,b2:6100,c3:580");
     let mut readers = 0;
@@ -35,7 +35,7 @@
     let mut open = None;
     // Twenty prompts with the same part arrive while an engine prefills it.
     for number in 0..20 {
-        let now = begun + Duration::from_millis(10 * number);
+        let now = started_at + Duration::from_millis(10 * number);
         if prefills.wait_until(&engine("i-1"), &shared, now).is_some() {
             waiting += 1;
             continue;
@@ -46,7 +46,7 @@
     assert_eq!((readers, waiting), (1, 19));
     // No request waits once the prefill is complete.
     prefills.end(&open.unwrap());
-    assert_eq!(prefills.wait_until(&engine("i-1"), &shared, begun + PREFILL_TIME), None);
+    assert_eq!(prefills.wait_until(&engine("i-1"), &shared, started_at + PREFILL_TIME), None);
 }
 
 #[test]
--- a/crates/papayamux-coordination/tests/route_cost.rs
+++ b/crates/papayamux-coordination/tests/route_cost.rs
@@ -36,10 +36,10 @@
 #[test]
 fn a_short_wait_where_the_prompt_is_warm_beats_computing_it_elsewhere() {
     let prompt = checkpoints(100);
-    let whole = prompt.hashes().len() as u32;
+    let all_checkpoints = prompt.hashes().len() as u32;
     let idle = route_cost(&reply(0, 0), &prompt);
-    assert!(route_cost(&reply(whole, 50), &prompt) < idle);
-    assert!(route_cost(&reply(whole, 5_000), &prompt) > idle);
+    assert!(route_cost(&reply(all_checkpoints, 50), &prompt) < idle);
+    assert!(route_cost(&reply(all_checkpoints, 5_000), &prompt) > idle);
 }
 
 #[test]
--- a/crates/papayamux-coordination/tests/server_profile.rs
+++ b/crates/papayamux-coordination/tests/server_profile.rs
@@ -65,15 +65,15 @@
         for number in 0..count {
             // One prompt in three lacks a long part; the others lack only their own tokens.
             let tokens = if number % 3 == 0 { 6_000 } else { 300 };
-            let reading = f64::from(tokens) / self.engine.prefill_tokens_per_ms;
-            let took = millis((reading + self.engine.first_event_ms) * self.scatter());
+            let prefill_ms = f64::from(tokens) / self.engine.prefill_tokens_per_ms;
+            let took = millis((prefill_ms + self.engine.first_event_ms) * self.scatter());
             let tokens = TokenCount::new(u64::from(tokens as u32));
             let assumed = TokenCount::default();
             let first = FirstEvent { tokens, took, transfer: None, assumed };
             tracker.record_first(&service(), &server(name), first);
-            let lasted = millis(self.engine.event_gap_ms * 19.0 * self.scatter());
+            let duration = millis(self.engine.event_gap_ms * 19.0 * self.scatter());
             let expected = TokenCount::new((20.0 * self.engine.event_tokens) as u64);
-            let end = StreamEnd { events: 20, lasted, expected: Some(expected) };
+            let end = StreamEnd { events: 20, duration, expected: Some(expected) };
             tracker.record_stream(&service(), &server(name), end);
         }
     }
@@ -106,8 +106,8 @@
             ));
         }
         let bounds = [0.6, 0.3, 0.25];
-        for ((reading, gap), bound) in errors.iter().zip(bounds) {
-            assert!(*reading < bound && *gap < bound, "factor {factor}: {errors:?}");
+        for ((prefill_ms, gap), bound) in errors.iter().zip(bounds) {
+            assert!(*prefill_ms < bound && *gap < bound, "factor {factor}: {errors:?}");
         }
     }
 }
@@ -197,10 +197,10 @@
     Answers::of(USUAL).record_answers(&mut tracker, "i-1", 100);
     let before = tracker.speed(&service(), &server("i-1"));
     let nothing =
-        StreamEnd { events: 0, lasted: Duration::ZERO, expected: Some(TokenCount::new(0)) };
+        StreamEnd { events: 0, duration: Duration::ZERO, expected: Some(TokenCount::new(0)) };
     tracker.record_stream(&service(), &server("i-1"), nothing);
     let at_once =
-        StreamEnd { events: 9, lasted: Duration::ZERO, expected: Some(TokenCount::new(0)) };
+        StreamEnd { events: 9, duration: Duration::ZERO, expected: Some(TokenCount::new(0)) };
     tracker.record_stream(&service(), &server("i-1"), at_once);
     assert_eq!(tracker.speed(&service(), &server("i-1")), before);
 }
@@ -219,16 +219,16 @@
 #[test]
 fn assumed_hit_rate_follows_a_change() {
     let mut tracker = ProfileTracker::default();
-    let missing = |tracker: &ProfileTracker| {
-        tracker.service_speed(&service()).missing(TokenCount::new(1_000)).get()
+    let expected_misses = |tracker: &ProfileTracker| {
+        tracker.service_speed(&service()).expected_misses(TokenCount::new(1_000)).get()
     };
-    assert_eq!(missing(&tracker), 500);
+    assert_eq!(expected_misses(&tracker), 500);
     // All caches are empty.
     record_assumptions(&mut tracker, [false; 20].into_iter());
-    assert!(missing(&tracker) > 900, "{}", missing(&tracker));
+    assert!(expected_misses(&tracker) > 900, "{}", expected_misses(&tracker));
     // Most caches have been filled since, also by other routers.
     record_assumptions(&mut tracker, (0..40).map(|number| number % 10 != 0));
-    assert!(missing(&tracker) < 200, "{}", missing(&tracker));
+    assert!(expected_misses(&tracker) < 200, "{}", expected_misses(&tracker));
 }
 
 #[test]
@@ -255,7 +255,7 @@
     Answers::of(USUAL).record_answers(&mut tracker, "i-1", 60);
     for _ in 0..20 {
         // The stream is cut off at its deadline, after nine events in four seconds.
-        let end = StreamEnd { events: 9, lasted: Duration::from_secs(4), expected: None };
+        let end = StreamEnd { events: 9, duration: Duration::from_secs(4), expected: None };
         tracker.record_stream(&service(), &server("i-1"), end);
     }
     let gap = tracker.speed(&service(), &server("i-1")).event_gap_ms;
--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -175,8 +175,8 @@
     /// tokens, or that breaks off.
     pub(super) fn note_stream_end(&mut self, expected: Option<TokenCount>) {
         if let (Some(first), Some(last)) = (self.first_event.take(), self.last_event) {
-            let lasted = last.saturating_duration_since(first);
-            let end = StreamEnd { events: self.events, lasted, expected };
+            let duration = last.saturating_duration_since(first);
+            let end = StreamEnd { events: self.events, duration, expected };
             self.fleet.record_stream(&self.server, end);
         }
     }
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -107,7 +107,7 @@
             transfer.map_or(Duration::ZERO, |transfer| transfer + chosen.speed.copy_time());
         let requests = chosen.load.requests;
         let slot_wait = chosen.speed.slot_wait(chosen.slots, requests, request.answer);
-        let missing = chosen.speed.missing(placement.assumed);
+        let missing = chosen.speed.expected_misses(placement.assumed);
         let cold = placement.cold + missing;
         Some(ChosenServer {
             server,
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -77,7 +77,7 @@
 
     /// Notes how long an owner's answer took.
     pub(in crate::direct) fn note_owner_answer(&self, took: Duration) {
-        self.mail.answers.borrow_mut().note(took);
+        self.mail.answers.borrow_mut().record(took);
     }
 
     /// Tells the owner of a part that a server holds it from now on, or will when it has read it.
@@ -143,7 +143,7 @@
         }
         let reading = PromptPrefill {
             cold: holder.cold,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             expected: Duration::from_millis(u64::from(holder.reading_ms)),
             ahead: holder.cold,
             waiting: 0,
--- a/crates/papayamux-router/src/direct/fleet/part_waits.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_waits.rs
@@ -89,7 +89,7 @@
         let server = &chosen.server.id;
         let ahead = TokenCount::new(self.load_at(&chosen.server, now).backlog);
         let waiting = self.queue_reports.borrow().waiting(server, now);
-        let reading = PromptPrefill { cold, begun: now, expected, ahead, waiting };
+        let reading = PromptPrefill { cold, started_at: now, expected, ahead, waiting };
         if !lacking.is_empty() && is_worth_noting(prefixes) {
             let reading = Some(reading);
             self.tell_owner(StartedReading {
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -165,7 +165,7 @@
 
     /// Notes what a server said of its queue.
     pub(in crate::direct) fn note_queue(&self, server: &BackendServer, queue: ReportedQueue) {
-        self.queue_reports.borrow_mut().note(&server.id, queue, Instant::now());
+        self.queue_reports.borrow_mut().record(&server.id, queue, Instant::now());
     }
 
     /// Notes whether a server's answer was a failure of its own.
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -205,7 +205,7 @@
         let ReportedReading { server, prefixes, cold, expected_ms } = reported;
         let Some(server) = self.fleet.server_by_key(server) else { return };
         let expected = Duration::from_millis(u64::from(expected_ms));
-        let reading = PromptPrefill { cold, begun: now, expected, ahead: cold, waiting: 0 };
+        let reading = PromptPrefill { cold, started_at: now, expected, ahead: cold, waiting: 0 };
         let reading = (expected_ms > 0).then_some(reading);
         self.fleet.note_reading(&StartedReading { server, prefixes, reading });
     }
@@ -352,7 +352,7 @@
     let StartedReading { server, prefixes, reading } = started;
     let (cold, expected_ms) = match reading {
         Some(reading) => {
-            let age = now.saturating_duration_since(reading.begun);
+            let age = now.saturating_duration_since(reading.started_at);
             let left = reading.expected.saturating_sub(age).as_millis();
             (reading.cold, u32::try_from(left).ok().filter(|left| *left > 0)?)
         }
--- a/crates/papayamux-router/src/direct/peers/owner_mail.rs
+++ b/crates/papayamux-router/src/direct/peers/owner_mail.rs
@@ -82,7 +82,7 @@
         open.retain(|_, question| {
             let is_lost = now.saturating_duration_since(question.asked) >= OWNER_TIMEOUT;
             if is_lost {
-                self.silent_owners.borrow_mut().note(question.owner, now);
+                self.silent_owners.borrow_mut().record(question.owner, now);
             }
             !is_lost
         });
