--- a/crates/papayamux-coordination/tests/cache_survey.rs
+++ b/crates/papayamux-coordination/tests/cache_survey.rs
@@ -35,17 +35,17 @@
 }
 
 #[test]
-fn each_engine_is_asked_by_one_router() {
+fn each_engine_is_surveyed_by_one_router() {
     for (routers, count) in [(1, 12), (6, 18), (420, 600)] {
         let engines = engines(count);
-        let asked: Vec<_> = shares(routers, &engines).into_values().flatten().collect();
-        assert_eq!(asked.len(), engines.len());
-        assert_eq!(asked.iter().collect::<BTreeSet<_>>().len(), engines.len());
+        let surveyed: Vec<_> = shares(routers, &engines).into_values().flatten().collect();
+        assert_eq!(surveyed.len(), engines.len());
+        assert_eq!(surveyed.iter().collect::<BTreeSet<_>>().len(), engines.len());
     }
 }
 
 #[test]
-fn no_router_asks_many_engines_of_a_large_fleet() {
+fn no_router_surveys_many_engines_of_a_large_fleet() {
     let most = shares(420, &engines(600)).into_values().map(|share| share.len()).max();
     assert!(most.unwrap() <= 10, "{most:?}");
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn long_parts_are_kept_of_a_long_list() {
+fn largest_parts_of_a_listing_are_kept() {
     let mut tokens = vec![300; 500];
     tokens.extend([12_000, 90, 9_000]);
     let listing = listing("i-1", &tokens);
--- a/crates/papayamux-coordination/tests/cold_servers.rs
+++ b/crates/papayamux-coordination/tests/cold_servers.rs
@@ -333,7 +333,7 @@
 const SIZES: [usize; 3] = [6, 24, 300];
 
 #[test]
-fn no_server_gets_more_than_its_limit_whatever_happens_between_routers() {
+fn no_server_gets_more_than_its_limit_despite_faults_between_routers() {
     let fault_sets = [
         MINIMAL_FAULTS,
         Faults { lost: 0.3, ..MINIMAL_FAULTS },
@@ -374,7 +374,7 @@
 }
 
 #[test]
-fn most_of_what_is_allowed_is_used_while_all_want_to_send() {
+fn most_of_the_limit_is_used_under_full_demand() {
     for routers in SIZES {
         let result = simulate(routers, LimitStrategy::Shares, MINIMAL_FAULTS);
         assert!(result.used >= 0.8, "{routers} routers: {result:?}");
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn limits_are_read_as_they_are_written() {
+fn limits_round_trip_through_text() {
     let limit = ALLOWANCE.limit(PER_SECOND);
     assert_eq!(limit.to_string(), "21.5/s");
     assert_eq!("21.5/s".parse(), Ok(limit));
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn router_that_knows_too_little_sends_little() {
+fn unsettled_router_sends_few_requests() {
     let begun = Instant::now();
     let server: ServerId = "i-1".parse().unwrap();
     let mut known_routers = KnownRouters::new(address(1), false, begun);
@@ -459,7 +459,7 @@
 }
 
 #[test]
-fn requests_that_have_chosen_a_server_count_before_they_are_sent() {
+fn reserved_requests_count_before_they_are_sent() {
     let (server, begun): (ServerId, _) = ("i-1".parse().unwrap(), Instant::now());
     let at = |millis| begun + Duration::from_millis(millis);
     let mut tracker = ColdTracker::default();
--- a/crates/papayamux-coordination/tests/engine_kinds.rs
+++ b/crates/papayamux-coordination/tests/engine_kinds.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn in_a_lasting_overload_answers_are_on_time_and_not_late() {
+fn answers_are_on_time_during_a_sustained_overload() {
     for kind in ["usual", "4 slots", "all parts cached", "one at a third"] {
         let kinds = engine_kinds();
         let (_, engines) = kinds.iter().find(|(name, _)| *name == kind).unwrap();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn estimates_come_near_within_dozens_of_answers() {
+fn estimates_converge_within_dozens_of_answers() {
     for (kind, engines) in engine_kinds().into_iter().filter(|(kind, _)| !kind.contains("slower")) {
         let result = run(engines, EASY, PlacementPolicy::Warm, true);
         let errors = [(20, 10), (100, 40), (500, 100)];
--- a/crates/papayamux-coordination/tests/mechanisms.rs
+++ b/crates/papayamux-coordination/tests/mechanisms.rs
@@ -3,7 +3,7 @@
 use papayamux_coordination::mechanism::{DisabledMechanisms, Mechanism};
 
 #[test]
-fn each_mechanism_is_read_by_the_name_that_it_is_written_with() {
+fn mechanism_names_round_trip_through_text() {
     for mechanism in Mechanism::all() {
         assert_eq!(mechanism.to_string().parse(), Ok(mechanism));
     }
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn only_what_is_switched_off_is_out_of_use() {
+fn only_disabled_mechanisms_are_not_allowed() {
     let disabled: DisabledMechanisms = [Mechanism::Line, Mechanism::Copies].into_iter().collect();
     let used = Mechanism::all().filter(|mechanism| disabled.allow(*mechanism));
     assert_eq!(used.count(), Mechanism::all().count() - 2);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_page_of_settings_names_each_mechanism() {
+fn settings_page_lists_each_mechanism() {
     let page = include_str!("../../../docs/operators/settings.md");
     for mechanism in Mechanism::all() {
         assert!(
--- a/crates/papayamux-coordination/tests/part_owners.rs
+++ b/crates/papayamux-coordination/tests/part_owners.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn answers_are_waited_for_as_long_as_they_take_and_never_for_long() {
+fn wait_for_an_answer_follows_answer_times_up_to_a_bound() {
     let millis = Duration::from_millis;
     let mut times = AnswerTimes::default();
     assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
--- a/crates/papayamux-coordination/tests/part_prefills.rs
+++ b/crates/papayamux-coordination/tests/part_prefills.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn remote_prefill_is_waited_for_for_its_expected_duration() {
+fn remote_prefill_is_waited_for_until_its_expected_end() {
     let now = Instant::now();
     let shared = prefixes("a1:2500,b2:6100,c3:580");
     let mut prefills = PartPrefills::default();
--- a/crates/papayamux-coordination/tests/placement.rs
+++ b/crates/papayamux-coordination/tests/placement.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn draining_server_gets_no_request_and_hands_on_what_it_holds() {
+fn draining_server_gets_no_requests_but_is_a_source_of_copies() {
     let draining =
         PlacementCandidate { accepts: false, serves: false, warm: tokens(10_500), ..candidate(0) };
     let placement = place(LONG, &[draining, candidate(5)], PlacementTuning::default()).unwrap();
@@ -215,16 +215,16 @@
 }
 
 #[test]
-fn part_that_nobody_holds_is_read_at_its_home_and_copied_from_nowhere() {
+fn part_that_no_server_holds_is_prefilled_at_its_home_and_not_copied() {
     let home = PlacementCandidate { rank: 0, ..candidate(1) };
-    let asked = PlacementRequest { nobody_holds: true, ..LONG };
-    let placement = place(asked, &[candidate(1), home], PlacementTuning::default()).unwrap();
+    let request = PlacementRequest { nobody_holds: true, ..LONG };
+    let placement = place(request, &[candidate(1), home], PlacementTuning::default()).unwrap();
     assert_eq!((placement.server, placement.fetch_from), (1, None));
     assert_eq!((placement.cold, placement.assumed), (LONG.prompt, TokenCount::default()));
     // If the home is overloaded, the part is prefilled elsewhere, and not copied from the home.
     let busy = PlacementCandidate { load: ServerLoad { requests: 40, backlog: 200_000 }, ..home };
     let others = [candidate(1), candidate(1), candidate(1), busy];
-    let placement = place(asked, &others, PlacementTuning::default()).unwrap();
+    let placement = place(request, &others, PlacementTuning::default()).unwrap();
     assert_ne!(placement.server, 3);
     assert_eq!((placement.cold, placement.fetch_from), (LONG.prompt, None));
 }
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn policies_are_read_by_their_names() {
+fn policies_parse_from_their_names() {
     for name in ["warm", "least-wait", "two-choices", "bounded-hash", "random"] {
         assert_eq!(name.parse::<PlacementPolicy>().unwrap().to_string(), name);
     }
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn baselines_choose_without_regard_to_warmth() {
+fn baselines_ignore_caches() {
     let warm = PlacementCandidate { warm: tokens(10_500), rank: 0, ..candidate(4) };
     let candidates = [candidate(1), warm, candidate(9)];
     let placed = |policy, sample| {
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn prompt_leaves_a_home_where_many_wait_by_its_own_report() {
+fn prompt_leaves_a_home_that_reports_many_waiting_requests() {
     let home = PlacementCandidate { rank: 0, warm: tokens(10_500), waiting: 40, ..engine(20) };
     let placement = place(LONG, &[home, engine(20)], PlacementTuning::default()).unwrap();
     assert_eq!((placement.server, placement.fetch_from), (1, Some(0)));
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn nearly_full_cache_takes_a_part_in_only_for_a_greater_difference_in_load() {
+fn copy_to_a_nearly_full_cache_needs_a_larger_difference_in_load() {
     let home = PlacementCandidate { rank: 0, warm: tokens(10_500), ..engine(120) };
     let spare = PlacementCandidate { nearly_full: false, ..engine(10) };
     let nearly_full = PlacementCandidate { nearly_full: true, ..engine(10) };
@@ -356,7 +356,7 @@
 /// load of the warm server is above twice the mean of all servers, but not above twice the mean of
 /// those that accept requests.
 #[test]
-fn servers_that_may_take_nothing_count_in_the_mean_load() {
+fn servers_that_accept_no_requests_count_in_the_mean_load() {
     let loaded = |requests| PlacementCandidate {
         load: ServerLoad { requests, backlog: 0 },
         slots: 64,
--- a/crates/papayamux-coordination/tests/route_cost.rs
+++ b/crates/papayamux-coordination/tests/route_cost.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_server_that_takes_nothing_is_no_candidate() {
+fn server_that_accepts_no_requests_is_no_candidate() {
     let mut draining = reply(1, 0);
     draining.load.limit = RequestCount::new(0);
     assert_eq!(route_cost(&draining, &checkpoints(10)), None);
--- a/crates/papayamux-coordination/tests/server_profile.rs
+++ b/crates/papayamux-coordination/tests/server_profile.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn one_server_at_a_third_of_its_services_speed_is_told_from_the_others() {
+fn server_at_a_third_of_the_speed_of_its_service_gets_estimates_of_its_own() {
     let mut tracker = ProfileTracker::default();
     let slow = Engine { prefill_tokens_per_ms: USUAL.prefill_tokens_per_ms / 3.0, ..USUAL };
     let names = ["i-1", "i-2", "i-3", "i-4"];
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn engine_is_full_by_the_time_that_it_reads_and_not_by_tokens() {
+fn engine_counts_as_full_by_prefill_time_and_not_by_tokens() {
     let load = ServerLoad { requests: 3, backlog: 4_000 };
     let slots = |factor: f64| {
         let mut tracker = ProfileTracker::default();
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn calls_of_5_and_of_300_ms_have_silences_of_their_own() {
+fn call_silence_follows_the_time_of_calls() {
     let silence = |mean: f64| {
         let mut tracker = ProfileTracker::default();
         let mut random = StdRng::seed_from_u64(3);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn an_engine_too_slow_to_end_its_streams_is_seen_to_be_slow() {
+fn incomplete_streams_show_the_event_rate_of_a_slow_engine() {
     let mut tracker = ProfileTracker::default();
     Answers::of(USUAL).record_answers(&mut tracker, "i-1", 60);
     for _ in 0..20 {
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn wait_for_a_slot_shows_where_an_engine_has_none_free() {
+fn slot_wait_is_expected_only_without_a_free_slot() {
     let mut tracker = ProfileTracker::default();
     Answers::of(USUAL).record_answers(&mut tracker, "i-1", 60);
     let speed = tracker.speed(&service(), &server("i-1"));
