--- a/crates/papayamux-coordination/src/placement/load_ledger.rs
+++ b/crates/papayamux-coordination/src/placement/load_ledger.rs
@@ -1,4 +1,4 @@
-//! The requests that routers have at each server.
+//! The load that routers have placed on each server.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,12 +7,11 @@
 
 use papayamux_state::ids::ServerId;
 
-/// Age at which what a router said of its requests is no longer believed. Reports come several
-/// times in a second; a router that is silent for this long is cut off or gone, and its requests
-/// end soon.
+/// Age at which a router's load report expires. Reports come several times a second: a router that
+/// is silent for this long is cut off or has stopped, and its requests end soon.
 const REPORT_EXPIRY: Duration = Duration::from_millis(2_500);
 
-/// A router, by its address between routers.
+/// A router, identified by its address for traffic between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterId(pub IpAddr);
 
@@ -22,12 +21,12 @@
     }
 }
 
-/// Requests at a server.
+/// Load on a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that were sent and have not ended.
+    /// Number of requests sent that have not completed.
     pub requests: u32,
-    /// Prompt tokens, not expected to be cached, of requests without a first event.
+    /// Number of prompt tokens, not expected to be cached, of requests without a first event.
     pub backlog: u64,
 }
 
@@ -37,14 +36,14 @@
         self.backlog += other.backlog;
     }
 
-    /// The load that is expected where this is the `part` of it that is known.
-    fn of_part(self, part: f64) -> Self {
-        if part >= 1.0 {
+    /// Estimates the whole load, given that this is the load of a `fraction` of the routers.
+    fn extrapolated(self, fraction: f64) -> Self {
+        if fraction >= 1.0 {
             return self;
         }
         Self {
-            requests: (f64::from(self.requests) / part).round() as u32,
-            backlog: (self.backlog as f64 / part).round() as u64,
+            requests: (f64::from(self.requests) / fraction).round() as u32,
+            backlog: (self.backlog as f64 / fraction).round() as u64,
         }
     }
 
@@ -56,64 +55,68 @@
 
 #[derive(Debug)]
 struct RouterReport {
-    heard: Instant,
+    received_at: Instant,
     loads: Vec<(ServerId, ServerLoad)>,
 }
 
-/// Prompt tokens that a router said at some time to wait at a server.
+/// Prompt tokens that a router reported as waiting at a server.
 #[derive(Debug, Clone, Copy)]
 struct ReportedBacklog {
     router: RouterId,
-    heard: Instant,
+    received_at: Instant,
     tokens: u64,
-    /// Whether the router had said so of that server in its report before. A server that reads has read
-    /// one prompt long before the next report; one that hangs does not, and nothing else tells the others.
-    stands: bool,
+    /// `true` if the router's previous report also had a backlog for this server. A working server
+    /// prefills a prompt long before the next report; a backlog that persists is the only sign by
+    /// which other routers can tell that a server hangs.
+    is_repeated: bool,
 }
 
-/// What is left of backlogs of one server, in the order in which they were heard of, as the server has read
-/// them one after the other since, but for those that stand.
-fn backlog_left(backlogs: &[ReportedBacklog], now: Instant, tokens_per_ms: f64) -> u64 {
-    let read = |from: Instant, to: Instant| {
+/// Returns what remains of the backlogs of one server, ordered by time of receipt, assuming that
+/// the server has since prefilled them one after the other. Repeated backlogs are counted in full.
+fn remaining_backlog(backlogs: &[ReportedBacklog], now: Instant, tokens_per_ms: f64) -> u64 {
+    let prefilled_between = |from: Instant, to: Instant| {
         (to.saturating_duration_since(from).as_secs_f64() * 1_000.0 * tokens_per_ms) as u64
     };
-    let standing = backlogs.iter().filter(|backlog| backlog.stands).map(|backlog| backlog.tokens);
+    let repeated =
+        backlogs.iter().filter(|backlog| backlog.is_repeated).map(|backlog| backlog.tokens);
     let (mut left, mut at) = (0u64, None);
-    for backlog in backlogs.iter().filter(|backlog| !backlog.stands) {
-        left = left.saturating_sub(at.map_or(0, |at| read(at, backlog.heard)));
+    for backlog in backlogs.iter().filter(|backlog| !backlog.is_repeated) {
+        left = left.saturating_sub(at.map_or(0, |at| prefilled_between(at, backlog.received_at)));
         left = left.saturating_add(backlog.tokens);
-        at = Some(backlog.heard);
+        at = Some(backlog.received_at);
     }
-    left.saturating_sub(at.map_or(0, |at| read(at, now))).saturating_add(standing.sum())
+    left.saturating_sub(at.map_or(0, |at| prefilled_between(at, now)))
+        .saturating_add(repeated.sum())
 }
 
-/// This router's own requests, exactly, and those of the others as they last reported.
+/// The load of this router's own requests, counted exactly, and that of other routers by their last
+/// reports.
 #[derive(Debug, Default)]
 pub struct LoadLedger {
     own: HashMap<ServerId, ServerLoad>,
     reports: HashMap<RouterId, RouterReport>,
     reported: HashMap<ServerId, u32>,
     backlogs: HashMap<ServerId, Vec<ReportedBacklog>>,
-    heard_part: HeardPart,
+    reported_fraction: ReportedFraction,
 }
 
-/// The part of the other routers of which a report is believed, from 0 to 1.
+/// Fraction of the other routers that have an unexpired report, from 0 to 1.
 #[derive(Debug, Clone, Copy)]
-struct HeardPart(f64);
+struct ReportedFraction(f64);
 
-impl Default for HeardPart {
+impl Default for ReportedFraction {
     fn default() -> Self {
         Self(1.0)
     }
 }
 
 impl LoadLedger {
-    /// Counts a request that is sent to `server`.
+    /// Adds the load of a request that is sent to `server`.
     pub fn begin(&mut self, server: &ServerId, load: ServerLoad) {
         self.own.entry(server.clone()).or_default().add(load);
     }
 
-    /// Takes back what [`Self::begin`] counted, or a part of it.
+    /// Subtracts load added by [`Self::begin`], in whole or in part.
     pub fn end(&mut self, server: &ServerId, load: ServerLoad) {
         if let Some(own) = self.own.get_mut(server) {
             own.subtract(load);
@@ -123,73 +126,76 @@
         }
     }
 
-    /// This router's requests, for the other routers.
+    /// Returns the load of this router's own requests, to be reported to the other routers.
     pub fn own(&self) -> impl Iterator<Item = (&ServerId, ServerLoad)> {
         self.own.iter().map(|(server, load)| (server, *load))
     }
 
-    /// Replaces what a router reported.
-    pub fn note_report(
+    /// Replaces the last report of a router.
+    pub fn record_report(
         &mut self,
         router: RouterId,
         loads: Vec<(ServerId, ServerLoad)>,
         now: Instant,
     ) {
-        let before = self.forget_report(router);
+        let before = self.remove_report(router);
         let had_backlog = |server: &ServerId| {
             before.iter().any(|(known, load)| known == server && load.backlog > 0)
         };
         for (server, load) in &loads {
             *self.reported.entry(server.clone()).or_default() += load.requests;
             if load.backlog > 0 {
-                let stands = had_backlog(server);
-                let backlog = ReportedBacklog { router, heard: now, tokens: load.backlog, stands };
+                let is_repeated = had_backlog(server);
+                let backlog =
+                    ReportedBacklog { router, received_at: now, tokens: load.backlog, is_repeated };
                 self.backlogs.entry(server.clone()).or_default().push(backlog);
             }
         }
-        self.reports.insert(router, RouterReport { heard: now, loads });
+        self.reports.insert(router, RouterReport { received_at: now, loads });
     }
 
-    /// Forgets reports that are too old; returns the routers that sent them.
+    /// Removes expired reports and returns the routers that sent them.
     pub fn expire(&mut self, now: Instant) -> Vec<RouterId> {
-        let old = self.reports.iter().filter(|(_, report)| now - report.heard > REPORT_EXPIRY);
+        let old =
+            self.reports.iter().filter(|(_, report)| now - report.received_at > REPORT_EXPIRY);
         let routers: Vec<_> = old.map(|(router, _)| *router).collect();
         for router in &routers {
-            self.forget_report(*router);
+            self.remove_report(*router);
         }
         routers
     }
 
-    /// Routers whose reports are believed.
+    /// Returns the number of routers with an unexpired report.
     pub fn reporting(&self) -> usize {
         self.reports.len()
     }
 
-    /// Notes how long it takes until each other router has reported once. Where that is longer than
-    /// reports are believed, those that are believed stand for the others too.
-    pub fn note_cycle(&mut self, cycle: Duration) {
-        let believed = REPORT_EXPIRY.as_secs_f64() / cycle.as_secs_f64().max(f64::MIN_POSITIVE);
-        self.heard_part = HeardPart(believed.min(1.0));
+    /// Records the time within which every other router reports once. If it exceeds the expiry of
+    /// reports, the load of the routers with unexpired reports is extrapolated to all routers.
+    pub fn record_cycle(&mut self, cycle: Duration) {
+        let reported = REPORT_EXPIRY.as_secs_f64() / cycle.as_secs_f64().max(f64::MIN_POSITIVE);
+        self.reported_fraction = ReportedFraction(reported.min(1.0));
     }
 
-    /// The requests of all routers at `server`, which reads `tokens_per_ms`.
+    /// Returns the load of all routers on `server`, which prefills `tokens_per_ms`.
     ///
-    /// What others said to wait there is taken as read on since: a prompt of ten thousand tokens is read
-    /// in 0.16 s, while many routers hear each other once in seconds. Where such a backlog was believed
-    /// until the next report, prompts were sent to other engines for its sake.
+    /// Reported backlogs shrink at the server's prefill rate after they are received: a prompt of
+    /// 10,000 tokens is prefilled in 0.16 s, while in a large fleet two routers hear from each
+    /// other only every few seconds. Counting such a backlog in full until the next report moved
+    /// prompts to other engines needlessly.
     pub fn total(&self, server: &ServerId, now: Instant, tokens_per_ms: f64) -> ServerLoad {
         let backlogs = self.backlogs.get(server).map(Vec::as_slice).unwrap_or_default();
         let reported = ServerLoad {
             requests: self.reported.get(server).copied().unwrap_or_default(),
-            backlog: backlog_left(backlogs, now, tokens_per_ms),
+            backlog: remaining_backlog(backlogs, now, tokens_per_ms),
         };
         let mut total = self.own.get(server).copied().unwrap_or_default();
-        total.add(reported.of_part(self.heard_part.0));
+        total.add(reported.extrapolated(self.reported_fraction.0));
         total
     }
 
-    /// Forgets what a router reported; returns it.
-    fn forget_report(&mut self, router: RouterId) -> Vec<(ServerId, ServerLoad)> {
+    /// Removes a router's report and returns its loads.
+    fn remove_report(&mut self, router: RouterId) -> Vec<(ServerId, ServerLoad)> {
         let Some(report) = self.reports.remove(&router) else { return Vec::new() };
         for (server, load) in &report.loads {
             if let Some(reported) = self.reported.get_mut(server) {
--- a/crates/papayamux-coordination/tests/backend_servers/mod.rs
+++ b/crates/papayamux-coordination/tests/backend_servers/mod.rs
@@ -6,20 +6,20 @@
 use papayamux_coordination::server_profile::ServerSpeed;
 use papayamux_state::backend::{BackendServer, ServerPhase};
 
-/// Engines that read 60 tokens in a millisecond, and calls of 20 ms.
+/// Speed of engines that prefill 60 tokens per millisecond, and of services with calls of 20 ms.
 pub const SPEED: ServerSpeed = ServerSpeed {
-    read_tokens_per_ms: 60.0,
+    prefill_tokens_per_ms: 60.0,
     first_event_ms: 20.0,
     copy_ms: 3.0,
     event_gap_ms: 22.0,
     idle_gap_ms: 22.0,
     event_tokens: 6.0,
-    held_guesses: 0.9,
+    assumed_hit_rate: 0.9,
     call_ms: 20.0,
-    longest_call: Duration::from_millis(100),
+    max_call_time: Duration::from_millis(100),
 };
 
-/// A server of the service "llm".
+/// Returns a server of the service "llm".
 pub fn server(id: &str, phase: ServerPhase) -> BackendServer {
     BackendServer {
         id: id.parse().unwrap(),
--- a/crates/papayamux-coordination/tests/part_owners.rs
+++ b/crates/papayamux-coordination/tests/part_owners.rs
@@ -1,4 +1,4 @@
-//! Owners of shared parts: who they are, and what they are worth where routers hear one another late.
+//! Owners of shared parts: their assignment, and the prefills they avoid when reports are delayed.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 mod backend_servers;
@@ -9,7 +9,7 @@
 
 use backend_servers::SPEED;
 use papayamux_coordination::part_owners::{
-    is_worth_telling, part_owner, AnswerTimes, SilentOwners,
+    is_worth_announcing, part_owner, AnswerTimes, SilentOwners,
 };
 use papayamux_coordination::placement::{
     place, PlacementCandidate, PlacementRequest, PlacementTuning, ServerLoad,
@@ -57,65 +57,71 @@
 }
 
 #[test]
-fn silent_owner_is_not_asked_for_a_while() {
+fn silent_owner_is_not_queried_during_its_backoff() {
     let (mut silent, now) = (SilentOwners::default(), Instant::now());
     assert!(silent.allow(address(1), now));
-    silent.note(address(1), now);
+    silent.record(address(1), now);
     assert!(!silent.allow(address(1), now + Duration::from_millis(900)));
     assert!(silent.allow(address(2), now));
     assert!(silent.allow(address(1), now + Duration::from_millis(1_100)));
 }
 
 #[test]
-fn short_parts_are_not_worth_a_word() {
-    assert!(!is_worth_telling(999));
-    assert!(is_worth_telling(1_000));
+fn short_parts_are_not_announced() {
+    assert!(!is_worth_announcing(999));
+    assert!(is_worth_announcing(1_000));
 }
 
 #[test]
-fn answers_are_waited_for_as_long_as_they_take_and_never_for_long() {
+fn wait_for_an_answer_follows_answer_times_up_to_a_bound() {
     let millis = Duration::from_millis;
     let mut times = AnswerTimes::default();
-    assert!(times.patience(millis(160)).is_some_and(|patience| patience < millis(10)));
-    // Owners of another region answer after 42 ms; the first answers come too late and teach that.
-    (0..20).for_each(|_| times.note(millis(42)));
-    assert!(times.patience(millis(400)).is_some_and(|patience| patience > millis(42)));
-    assert_eq!(times.patience(millis(160)), None, "reading the part takes hardly longer");
-    for reading in [200, 1_000, 10_000].map(millis) {
-        assert!(times.patience(reading).is_some_and(|patience| patience <= reading / 4));
+    assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
+    // Owners in another region answer after 42 ms. The first answers come too late, but are still
+    // recorded.
+    (0..20).for_each(|_| times.record(millis(42)));
+    assert!(times.wait_budget(millis(400)).is_some_and(|wait_budget| wait_budget > millis(42)));
+    assert_eq!(times.wait_budget(millis(160)), None, "the prefill of the part takes hardly longer");
+    for prefill_time in [200, 1_000, 10_000].map(millis) {
+        assert!(times
+            .wait_budget(prefill_time)
+            .is_some_and(|wait_budget| wait_budget <= prefill_time / 4));
     }
-    // Back near, a few dozen answers bring it back to where it began.
-    (0..48).for_each(|_| times.note(millis(1)));
-    assert!(times.patience(millis(160)).is_some_and(|patience| patience < millis(10)));
+    // Once owners are near again, a few dozen answers restore the initial wait.
+    (0..48).for_each(|_| times.record(millis(1)));
+    assert!(times.wait_budget(millis(160)).is_some_and(|wait_budget| wait_budget < millis(10)));
 }
 
 const ENGINES: usize = 24;
 const PARTS: u64 = 200;
 const PART_TOKENS: u64 = 10_000;
 const OWN_TOKENS: u64 = 1_000;
-/// Requests of a replay, and the part of them whose home has something against it at that moment.
+/// Number of requests in a simulation.
 const REQUESTS: u64 = 4_000;
+/// Fraction of requests for which the home of the part is ejected.
 const HOME_AWAY: f64 = 0.15;
-/// Requests a second.
+/// Requests per second.
 const RATE: u64 = 200;
 
-/// How routers know what others have placed.
+/// How routers learn what others have placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Knowledge {
-    /// By reports that reach each router so late.
+    /// Through reports that arrive after a delay.
     Reports(Duration),
-    /// The same, and by asking owners.
+    /// Through the same reports, and by querying owners.
     Owners(Duration),
 }
 
-/// Shared tokens read again in one replay though a sound engine held them.
-fn read_again(routers: usize, knowledge: Knowledge) -> u64 {
+/// Returns the number of shared tokens prefilled again in one simulation although a sound engine
+/// held them.
+fn recomputed_tokens(routers: usize, knowledge: Knowledge) -> u64 {
     let mut random = StdRng::seed_from_u64(1);
     let fleet = fleet(routers);
-    let (Knowledge::Reports(late) | Knowledge::Owners(late)) = knowledge;
-    // Each placement: the part, its engine, the router that knows at once, and when the others do.
+    let (Knowledge::Reports(delay) | Knowledge::Owners(delay)) = knowledge;
+    // For each part its placements: the engine, the router that placed it, and when others learn of
+    // it.
     let mut placed: HashMap<u64, Vec<(usize, usize, u64)>> = HashMap::new();
-    let mut again = 0;
+    let mut recomputed = 0;
     for request in 0..REQUESTS {
         let now = request * 1_000 / RATE;
         let part = random.random_range(0..PARTS);
@@ -123,7 +129,8 @@
         let owner = part_owner(PartId(part), fleet.iter().copied());
         let asks = matches!(knowledge, Knowledge::Owners(_)) && owner.is_some();
         let holders = placed.entry(part).or_default();
-        let knows = |(_, by, told): &&(usize, usize, u64)| *by == router || *told <= now;
+        let knows =
+            |(_, by, known_from): &&(usize, usize, u64)| *by == router || *known_from <= now;
         let mut known: Vec<usize> =
             holders.iter().filter(knows).map(|(engine, ..)| *engine).collect();
         let home_is_away = random.random_bool(HOME_AWAY);
@@ -148,8 +155,8 @@
                     warm: TokenCount::new(if known.contains(&engine) { PART_TOKENS } else { 0 }),
                     nearly_full: false,
                     rank: rank(engine),
-                    failing: 0.0,
-                    held_up: 0.0,
+                    excess_failure_rate: 0.0,
+                    excess_delay_rate: 0.0,
                     speed: SPEED,
                     standing,
                     round_trip_ms: 1.0,
@@ -161,32 +168,32 @@
             answer: TokenCount::new(300),
             shared: TokenCount::new(PART_TOKENS),
             nobody_holds: asked && known.is_empty(),
-            draw: 0.5,
+            sample: 0.5,
             transfer_tokens_per_ms: Some(500.0),
         };
         let placement = place(prompt, &candidates, PlacementTuning::default()).unwrap();
         let holds = |engine: usize| holders.iter().any(|(holder, ..)| *holder == engine);
         let is_copied = placement.fetch_from.is_some_and(holds);
-        // A holder that something speaks against is of no use to anybody.
+        // An ejected holder can't be used.
         let there = holders.iter().any(|(holder, ..)| is_sound(*holder));
         if !holds(placement.server) {
             if !is_copied && there {
-                again += PART_TOKENS;
+                recomputed += PART_TOKENS;
             }
-            holders.push((placement.server, router, now + late.as_millis() as u64));
+            holders.push((placement.server, router, now + delay.as_millis() as u64));
         }
     }
-    again
+    recomputed
 }
 
-/// Where the routers of a large fleet hear one another late, prompts are sent in the belief that their
-/// home holds the part, or copied from there.
+/// In a large fleet, reports arrive late, and prompts are placed on or copied from a home that is
+/// wrongly assumed to hold the part.
 #[test]
-fn asking_owners_saves_most_of_what_late_reports_have_read_again() {
-    for (routers, late) in [(68, 3), (300, 10)] {
-        let late = Duration::from_secs(late);
-        let reports = read_again(routers, Knowledge::Reports(late));
-        let owners = read_again(routers, Knowledge::Owners(late));
+fn querying_owners_avoids_most_recomputation_that_delayed_reports_cause() {
+    for (routers, delay) in [(68, 3), (300, 10)] {
+        let delay = Duration::from_secs(delay);
+        let reports = recomputed_tokens(routers, Knowledge::Reports(delay));
+        let owners = recomputed_tokens(routers, Knowledge::Owners(delay));
         assert!(owners * 4 <= reports, "{routers}: {owners} for {reports}");
     }
 }
--- a/crates/papayamux-coordination/tests/route_cost.rs
+++ b/crates/papayamux-coordination/tests/route_cost.rs
@@ -1,4 +1,4 @@
-//! What a server costs a request.
+//! Cost of a request on a server.
 
 use std::time::Duration;
 
@@ -36,15 +36,15 @@
 #[test]
 fn a_short_wait_where_the_prompt_is_warm_beats_computing_it_elsewhere() {
     let prompt = checkpoints(100);
-    let whole = prompt.hashes().len() as u32;
+    let all_checkpoints = prompt.hashes().len() as u32;
     let idle = route_cost(&reply(0, 0), &prompt);
-    assert!(route_cost(&reply(whole, 50), &prompt) < idle);
-    assert!(route_cost(&reply(whole, 5_000), &prompt) > idle);
+    assert!(route_cost(&reply(all_checkpoints, 50), &prompt) < idle);
+    assert!(route_cost(&reply(all_checkpoints, 5_000), &prompt) > idle);
 }
 
 #[test]
-fn a_server_that_takes_nothing_is_no_candidate() {
-    let mut leaving = reply(1, 0);
-    leaving.load.limit = RequestCount::new(0);
-    assert_eq!(route_cost(&leaving, &checkpoints(10)), None);
+fn server_that_accepts_no_requests_is_no_candidate() {
+    let mut draining = reply(1, 0);
+    draining.load.limit = RequestCount::new(0);
+    assert_eq!(route_cost(&draining, &checkpoints(10)), None);
 }
--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::link_delays::{EventRhythm, EventTiming};
-use papayamux_coordination::part_flights::flight_patience;
+use papayamux_coordination::part_prefills::prefill_wait_budget;
 use papayamux_coordination::placement::ServerLoad;
 use papayamux_coordination::server_evidence::EvidenceKind;
 use papayamux_coordination::server_profile::{FirstEvent, StreamEnd};
@@ -75,7 +75,7 @@
     pub(super) async fn wait_for_parts(&mut self, plan: &CallPlan) {
         let prefixes = plan.call.prompt.shared_prefixes();
         if !prefixes.is_empty() {
-            let wait_budget = flight_patience(plan.left());
+            let wait_budget = prefill_wait_budget(plan.left());
             let waited = self.fleet.wait_for_parts(&self.server.id, &prefixes, wait_budget).await;
             if let Some(waited) = waited {
                 self.fleet.metrics().record_part_wait(plan.kind(), waited);
@@ -168,7 +168,7 @@
         if is_clear && !self.queued.get() {
             let took = now.saturating_duration_since(self.sent);
             let tokens = self.tokens_ahead.saturating_sub(self.chosen.missing);
-            let first = FirstEvent { tokens, took, transfer, guessed: placement.guessed };
+            let first = FirstEvent { tokens, took, transfer, assumed: placement.assumed };
             self.fleet.record_first_event(&self.server, first);
         }
     }
@@ -177,8 +177,8 @@
     /// of answer tokens, or that was truncated (`None`).
     pub(super) fn record_stream_end(&mut self, expected: Option<TokenCount>) {
         if let (Some(first), Some(last)) = (self.first_event.take(), self.last_event) {
-            let lasted = last.saturating_duration_since(first);
-            let end = StreamEnd { events: self.events, lasted, expected };
+            let duration = last.saturating_duration_since(first);
+            let end = StreamEnd { events: self.events, duration, expected };
             self.fleet.record_stream_speed(&self.server, end);
         }
     }
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -3,7 +3,9 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::cold_servers::{send_room, ColdLimit, ColdSummary, ColdView, SendRoom};
+use papayamux_coordination::cold_servers::{
+    send_quota, ColdLimit, ColdSummary, ColdView, SendQuota,
+};
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_state::backend::BackendServer;
 use papayamux_state::ids::{FailureDomain, ServerId, ServiceId};
@@ -14,12 +16,12 @@
 impl Fleet {
     /// Returns how many requests this router may send to a server now, by its share of the limit of
     /// a cold server.
-    pub(in crate::direct) fn send_room(&self, server: &BackendServer, now: Instant) -> SendRoom {
-        let Some(limit) = self.cold_limit(&server.service) else { return SendRoom::Unbounded };
+    pub(in crate::direct) fn send_quota(&self, server: &BackendServer, now: Instant) -> SendQuota {
+        let Some(limit) = self.cold_limit(&server.service) else { return SendQuota::Unbounded };
         let tracker = self.cold_tracker.borrow();
         let is_cold = tracker.is_cold(&server.id, now);
         let view = ColdView { limit, is_cold, used: tracker.used(&server.id, now) };
-        send_room(&server.id, view, &self.router_count.borrow())
+        send_quota(&server.id, view, &self.router_count.borrow())
     }
 
     /// Returns whether a server is cold and takes only few requests.
@@ -54,7 +56,7 @@
         let used = self.cold_tracker.borrow().used(&server.id, now).saturating_sub(1);
         let Some(limit) = self.cold_limit(&server.service) else { return is_listed };
         let view = ColdView { limit, is_cold: self.is_cold(server, now), used };
-        is_listed && !send_room(&server.id, view, &self.router_count.borrow()).is_empty()
+        is_listed && !send_quota(&server.id, view, &self.router_count.borrow()).is_empty()
     }
 
     /// Returns the limit of the cold servers of a service; `None` if there is none.
@@ -73,7 +75,7 @@
     /// Records the remaining time for which a server is cold, as given by its entry.
     pub(super) fn record_coldness(&self, id: &ServerId, left: Duration, now: Instant) {
         let is_listed = self.presence.borrow().catalog().get(id).is_some();
-        if is_listed && self.cold_tracker.borrow_mut().note_listed(id, left, now) {
+        if is_listed && self.cold_tracker.borrow_mut().record_listed(id, left, now) {
             log::info!(server:% = id, left_ms = left.as_millis() as u64; "server is cold");
         }
     }
@@ -85,7 +87,7 @@
         let servers = presence.catalog().iter().filter(|server| server.domain == *domain);
         for server in servers {
             let Some(start) = self.cold_start(&server.service) else { continue };
-            self.cold_tracker.borrow_mut().presume(&server.id, start.lasts, now);
+            self.cold_tracker.borrow_mut().assume_cold(&server.id, start.lasts, now);
         }
     }
 
@@ -104,7 +106,7 @@
         if self.is_cold(server, now) {
             self.metrics.cold_requests.count("sent");
         }
-        self.cold_tracker.borrow_mut().note_sent(&server.id, now);
+        self.cold_tracker.borrow_mut().record_sent(&server.id, now);
     }
 
     /// Withdraws what [`Self::reserve_send`] counted.
@@ -115,7 +117,7 @@
     /// Records that a choice passed over a server without room.
     pub(super) fn record_passed_over_server(&self, server: &BackendServer) {
         self.metrics.cold_requests.count("passed_over");
-        self.cold_tracker.borrow_mut().note_passed_over(&server.id);
+        self.cold_tracker.borrow_mut().record_passed_over(&server.id);
     }
 
     /// Records the sender of a report, the routers that it knows and the number of routers that it
@@ -128,13 +130,13 @@
         now: Instant,
     ) {
         let mut router_count = self.router_count.borrow_mut();
-        router_count.note(known.iter().chain([&sender]), now);
-        router_count.note_count(counted, now);
+        router_count.record(known.iter().chain([&sender]), now);
+        router_count.record_count(counted, now);
     }
 
     /// Returns the number of routers known here, for the reports to other routers.
     pub(in crate::direct) fn counted_routers(&self) -> u32 {
-        self.router_count.borrow().heard()
+        self.router_count.borrow().known_count()
     }
 
     /// Updates the router count, by which the limits of cold servers and the burst allowance of
--- a/crates/papayamux-router/src/direct/fleet/part_prefills.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_prefills.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::mechanism::Mechanism;
-use papayamux_coordination::part_flights::{FlightTicket, PromptReading};
-use papayamux_coordination::part_owners::is_worth_telling;
-use papayamux_coordination::placement::HolderNote;
+use papayamux_coordination::part_owners::is_worth_announcing;
+use papayamux_coordination::part_prefills::{PrefillTicket, PromptPrefill};
+use papayamux_coordination::placement::HolderUpdate;
 use papayamux_state::ids::ServerId;
 use papayamux_state::prompt::PartId;
 use papayamux_state::quantities::TokenCount;
@@ -21,19 +21,19 @@
     /// The shared prefixes of the prompt, with their tokens.
     pub prefixes: Vec<(PartId, TokenCount)>,
     /// The prefill in progress; `None` after its end.
-    pub reading: Option<PromptReading>,
+    pub reading: Option<PromptPrefill>,
 }
 
 /// A prefill for a request of this router.
 pub(in crate::direct) struct OwnPrefill {
-    ticket: FlightTicket,
+    ticket: PrefillTicket,
     /// The start as announced to the other routers.
     announced: Option<PrefillUpdate>,
 }
 
 /// Returns whether the owner of the last part should know the holders of the chain.
 fn is_worth_reporting(prefixes: &[(PartId, TokenCount)]) -> bool {
-    is_worth_telling(prefixes.iter().map(|(_, tokens)| tokens.get()).sum())
+    is_worth_announcing(prefixes.iter().map(|(_, tokens)| tokens.get()).sum())
 }
 
 impl Fleet {
@@ -81,18 +81,18 @@
         });
         let lacking: Vec<_> = lacking.copied().collect();
         // If the server is only assumed to hold a part, it may have to prefill it.
-        let guessed = match chosen.fetch_from {
-            None => chosen.placement.guessed,
+        let assumed = match chosen.fetch_from {
+            None => chosen.placement.assumed,
             Some(_) => TokenCount::default(),
         };
-        let cold = chosen.placement.cold + guessed;
+        let cold = chosen.placement.cold + assumed;
         let speed = self.speed(&chosen.server);
-        let expected = chosen.expected + speed.reading_time(guessed);
+        let expected = chosen.expected + speed.prefill_time(assumed);
         let now = Instant::now();
         let server = &chosen.server.id;
         let ahead = TokenCount::new(self.load_at(&chosen.server, now).backlog);
         let waiting = self.queue_reports.borrow().waiting(server, now);
-        let reading = PromptReading { cold, begun: now, expected, ahead, waiting };
+        let reading = PromptPrefill { cold, started_at: now, expected, ahead, waiting };
         if !lacking.is_empty() && is_worth_reporting(prefixes) {
             let reading = Some(reading);
             self.notify_owner(PrefillUpdate {
@@ -101,7 +101,8 @@
                 reading,
             });
         }
-        let is_announced = self.uses(Mechanism::ReadingsTold) && reading.is_worth_telling(&lacking);
+        let is_announced =
+            self.uses(Mechanism::ReadingsTold) && reading.is_worth_announcing(&lacking);
         let announced = is_announced.then(|| {
             // The complete chain is announced, so that the order of its parts is known.
             let prefixes = prefixes.to_vec();
@@ -133,12 +134,12 @@
         let PrefillUpdate { server, prefixes, reading } = update;
         match reading {
             Some(reading) => {
-                let note = HolderNote { server: server.clone(), prefixes: prefixes.clone() };
+                let note = HolderUpdate { server: server.clone(), prefixes: prefixes.clone() };
                 self.record_holder(&note);
-                self.flights.borrow_mut().note_elsewhere(server, prefixes, *reading);
+                self.flights.borrow_mut().record_remote(server, prefixes, *reading);
             }
             None => {
-                self.flights.borrow_mut().end_elsewhere(server, prefixes);
+                self.flights.borrow_mut().end_remote(server, prefixes);
                 self.prefill_ended.take().give();
             }
         }
--- a/crates/papayamux-router/src/direct/fleet/queued_requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/queued_requests.rs
@@ -6,7 +6,7 @@
 
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_coordination::server_evidence::ServerStanding;
-use papayamux_coordination::server_places::{free_places, ServerWork};
+use papayamux_coordination::server_slots::{free_slots, ServerWork};
 use papayamux_coordination::service_line::{LineArrival, LineRefusal, LineRequest};
 use papayamux_state::backend::BackendServer;
 use papayamux_state::ids::{RouteId, ServiceId};
@@ -76,7 +76,7 @@
         let now = Instant::now();
         let queued = Rc::new(QueuedRequest::default());
         let arrival = {
-            let open_slots = self.free_places(service, now);
+            let open_slots = self.free_slots(service, now);
             let mut queues = self.queues.borrow_mut();
             let service_queue = queues.entry(service.clone()).or_default();
             service_queue.arrive(request, queued.clone(), open_slots)
@@ -115,7 +115,7 @@
         else {
             return;
         };
-        let open_slots = self.free_places(service, Instant::now());
+        let open_slots = self.free_slots(service, Instant::now());
         // Other routers see the same free slots: each takes its share and checks again soon.
         let routers = u32::try_from(self.ledger.borrow().reporting() + 1).unwrap_or(u32::MAX);
         for queued in service_queue.call(open_slots, open_slots.div_ceil(routers)) {
@@ -140,7 +140,7 @@
 
     /// Returns how many requests the servers of a service can take now without a long wait, as far
     /// as is known. A service without any server to count has no limit here.
-    fn free_places(&self, service: &ServiceId, now: Instant) -> u32 {
+    fn free_slots(&self, service: &ServiceId, now: Instant) -> u32 {
         let presence = self.presence.borrow();
         let serving = presence.catalog().of_service(service);
         let serving = serving.filter(|server| self.takes_requests(server));
@@ -168,7 +168,7 @@
         };
         let load = self.load_at(server, now);
         let waiting = self.queue_reports.borrow().waiting(&server.id, now);
-        let open_slots = free_places(work, server.slots, load, waiting, &self.speed(server));
-        self.send_room(server, now).at_most(open_slots)
+        let open_slots = free_slots(work, server.slots, load, waiting, &self.speed(server));
+        self.send_quota(server, now).limit_slots(open_slots)
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -125,14 +125,14 @@
     /// Records the first event of an answer.
     pub(in crate::direct) fn record_first_event(&self, server: &BackendServer, first: FirstEvent) {
         if self.uses(Mechanism::LearntProfile) {
-            self.profiles.borrow_mut().note_first(&server.service, &server.id, first);
+            self.profiles.borrow_mut().record_first(&server.service, &server.id, first);
         }
     }
 
     /// Records the end of a stream.
     pub(in crate::direct) fn record_stream_speed(&self, server: &BackendServer, end: StreamEnd) {
         if self.uses(Mechanism::LearntProfile) {
-            self.profiles.borrow_mut().note_stream(&server.service, &server.id, end);
+            self.profiles.borrow_mut().record_stream(&server.service, &server.id, end);
         }
     }
 
@@ -143,7 +143,7 @@
         elapsed: Duration,
     ) {
         if self.uses(Mechanism::LearntProfile) {
-            self.profiles.borrow_mut().note_call(&server.service, elapsed);
+            self.profiles.borrow_mut().record_call(&server.service, elapsed);
         }
     }
 
@@ -163,14 +163,14 @@
     ) -> Duration {
         let speed = self.profiles.borrow().service_speed(service);
         match self.engine_profile(service) {
-            Some(_) => speed.time_to_first(tokens),
+            Some(_) => speed.time_to_first_event(tokens),
             None => speed.call_time(),
         }
     }
 
     /// Records the queue that a server reported.
     pub(in crate::direct) fn record_queue(&self, server: &BackendServer, queue: ReportedQueue) {
-        self.queue_reports.borrow_mut().note(&server.id, queue, Instant::now());
+        self.queue_reports.borrow_mut().record(&server.id, queue, Instant::now());
     }
 
     /// Records whether an answer was a failure of the server.
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -9,13 +9,13 @@
 
 use bytes::Bytes;
 use monoio::net::udp::UdpSocket;
-use papayamux_coordination::cache_survey::{CacheListing, ListingNews, FRESH_FOR};
+use papayamux_coordination::cache_survey::{CacheListing, ListingUpdates, FRESH_DURATION};
 use papayamux_coordination::freshness_confirmation::{
     FreshnessQueries, FreshnessQuery, FreshnessReport,
 };
-use papayamux_coordination::part_flights::PromptReading;
 use papayamux_coordination::part_owners::SilentOwners;
-use papayamux_coordination::placement::{HolderNote, RouterId, ServerLoad};
+use papayamux_coordination::part_prefills::PromptPrefill;
+use papayamux_coordination::placement::{HolderUpdate, RouterId, ServerLoad};
 use papayamux_coordination::router_peers::{PeerUpdate, RouterPeers};
 use papayamux_protocol::router_report::{
     ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedQuestion,
@@ -58,7 +58,7 @@
     address: SocketAddr,
     pub(super) peers: RefCell<RouterPeers>,
     freshness_queries: RefCell<FreshnessQueries<IpAddr>>,
-    listings: RefCell<ListingNews>,
+    listings: RefCell<ListingUpdates>,
     pub(super) life: u64,
     pub(super) started: Instant,
     sequence: Cell<u64>,
@@ -170,7 +170,7 @@
         }
         for ReportedHolder { server, prefixes } in report.holders {
             if let Some(server) = self.fleet.server_by_key(server) {
-                self.fleet.record_holder(&HolderNote { server, prefixes });
+                self.fleet.record_holder(&HolderUpdate { server, prefixes });
             }
         }
         for ReportedListing { server, parts } in report.listings {
@@ -203,7 +203,7 @@
         });
         let mut ledger = self.fleet.ledger().borrow_mut();
         let before = ledger.reporting();
-        ledger.note_report(RouterId(sender), loads.collect(), now);
+        ledger.record_report(RouterId(sender), loads.collect(), now);
         let routers = u32::try_from(ledger.reporting() + 1).unwrap_or(u32::MAX);
         if ledger.reporting() > before {
             log::info!(peer:% = sender, routers = routers; "router heard");
@@ -214,7 +214,7 @@
         let ReportedReading { server, prefixes, cold, expected_ms } = reported;
         let Some(server) = self.fleet.server_by_key(server) else { return };
         let expected = Duration::from_millis(u64::from(expected_ms));
-        let reading = PromptReading { cold, begun: now, expected, ahead: cold, waiting: 0 };
+        let reading = PromptPrefill { cold, started_at: now, expected, ahead: cold, waiting: 0 };
         let reading = (expected_ms > 0).then_some(reading);
         self.fleet.record_prefill(&PrefillUpdate { server, prefixes, reading });
     }
@@ -243,7 +243,7 @@
         self.sequence.set(self.sequence.get() + 1);
         let report = RouterReport {
             sequence: self.sequence.get(),
-            fresh: self.started.elapsed() < FRESH_FOR,
+            fresh: self.started.elapsed() < FRESH_DURATION,
             is_partial: true,
             ..report
         };
@@ -293,7 +293,7 @@
             let pause = REPORT_INTERVAL.max(needed);
             // The others send reports at about the same interval.
             let rounds = u32::try_from(self.peers.borrow().rounds()).unwrap_or(u32::MAX);
-            self.fleet.ledger().borrow_mut().note_cycle(pause * rounds);
+            self.fleet.ledger().borrow_mut().record_cycle(pause * rounds);
             monoio::time::sleep(pause).await;
         }
     }
@@ -312,7 +312,7 @@
         });
         let notes = self.fleet.next_holder_notes(now);
         let holders = notes.into_iter().map(|note| {
-            let HolderNote { server, prefixes } = note;
+            let HolderUpdate { server, prefixes } = note;
             ReportedHolder { server: (&server).into(), prefixes }
         });
         let listings = self.listings.borrow_mut().next(now).into_iter();
@@ -327,7 +327,7 @@
             holders: holders.collect(),
             listings: listings.collect(),
             leaving: self.leaving.get(),
-            fresh: now.saturating_duration_since(self.started) < FRESH_FOR,
+            fresh: now.saturating_duration_since(self.started) < FRESH_DURATION,
             question,
             configuration: self.next_answers(now),
             readings: Vec::new(),
@@ -366,7 +366,7 @@
     let PrefillUpdate { server, prefixes, reading } = update;
     let (cold, expected_ms) = match reading {
         Some(reading) => {
-            let age = now.saturating_duration_since(reading.begun);
+            let age = now.saturating_duration_since(reading.started_at);
             let left = reading.expected.saturating_sub(age).as_millis();
             (reading.cold, u32::try_from(left).ok().filter(|left| *left > 0)?)
         }
