--- a/crates/papayamux-agent/src/admitted_run.rs
+++ b/crates/papayamux-agent/src/admitted_run.rs
@@ -42,7 +42,7 @@
         let core = self.core;
         let now = core.clock();
         if let Some(load) = &open.placement.group_load {
-            core.book.hear_mean(load, now);
+            core.book.record_mean_load(load, now);
         }
         let elsewhere = match open.placement.may_redirect {
             true => core.engine.context_elsewhere(open),
@@ -116,8 +116,8 @@
 pub async fn run_admitted(core: Rc<AgentCore>, open: OpenRequest, admitted: AdmittedRequest) {
     let AdmittedRequest { record, admission, pass: _pass } = admitted;
     let permit = match admission {
-        Admission::Now(permit) => Ok(permit),
-        Admission::Later(ticket) => wait_for_place(&core, &open, &record, ticket).await,
+        Admission::Admitted(permit) => Ok(permit),
+        Admission::Waiting(ticket) => wait_for_place(&core, &open, &record, ticket).await,
     };
     match permit {
         Ok(permit) => run_now(&core, open, &record, permit).await,
@@ -160,7 +160,7 @@
     core.engine.note_start(&open, core.clock());
     let started = Instant::now();
     let end = run_request(core, open, record, recorder).await;
-    core.book.note_run(started.elapsed());
+    core.book.record_run(started.elapsed());
     core.metrics.running.dec();
     core.metrics.answers.count(end.label());
     drop(permit);
--- a/crates/papayamux-agent/src/agent_core.rs
+++ b/crates/papayamux-agent/src/agent_core.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::admission::AdmissionBook;
+use papayamux_coordination::admission::AdmissionController;
 use papayamux_protocol::link::AgentClock;
 use papayamux_protocol::serving::{ServingAnswer, ServingQuestion, ServingRefusal};
 use papayamux_state::ids::{FailureDomain, Incarnation, ServerId};
@@ -29,7 +29,7 @@
     /// The agent's failure domain.
     pub domain: FailureDomain,
     /// What was admitted.
-    pub book: Rc<AdmissionBook>,
+    pub book: Rc<AdmissionController>,
     /// The witness of claims.
     pub witness: ClaimWitness,
     /// Answers kept for repeats.
@@ -78,7 +78,7 @@
     /// Answers another server's agent that asks whether it can count on this server.
     pub(crate) fn answer_question(&self, question: &ServingQuestion) -> ServingAnswer {
         match &self.orders {
-            Some(orders) => orders.answer_question(question, self.book.is_leaving()),
+            Some(orders) => orders.answer_question(question, self.book.is_draining()),
             None => ServingAnswer::Refused(ServingRefusal::NotServing),
         }
     }
--- a/crates/papayamux-agent/src/crash_board.rs
+++ b/crates/papayamux-agent/src/crash_board.rs
@@ -37,7 +37,7 @@
 impl CrashBoard {
     /// Tells a router on a new connection what is held, and from now on what changes.
     pub fn connect(&self, link: u64, sender: LinkSender<AgentMessage>) {
-        let held = self.quarantine.borrow_mut().next_held(MOST_NOTICES, Instant::now());
+        let held = self.quarantine.borrow_mut().next_quarantined(MOST_NOTICES, Instant::now());
         if !held.is_empty() {
             sender.send(CONNECTION, AgentMessage::Crashes(held));
         }
@@ -55,7 +55,7 @@
         let RunningContent { fingerprint, sent_after } = content;
         let mut quarantine = self.quarantine.borrow_mut();
         quarantine.forget_old(Instant::now());
-        if quarantine.note_crash(fingerprint, sent_after, 0.0, Instant::now()).is_some() {
+        if quarantine.record_crash(fingerprint, sent_after, 0.0, Instant::now()).is_some() {
             let crashes = sent_after.crashes + 1;
             log::warn!(fingerprint:% = fingerprint, crashes = crashes; "server ended under a request");
         }
@@ -66,14 +66,15 @@
     pub fn note_run(&self, content: RunningContent) {
         let RunningContent { fingerprint, sent_after } = content;
         let mut quarantine = self.quarantine.borrow_mut();
-        if quarantine.note_run(fingerprint, sent_after, Instant::now()) {
+        if quarantine.record_run(fingerprint, sent_after, Instant::now()) {
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
         }
         self.tell(&mut quarantine);
     }
 
     fn tell(&self, quarantine: &mut CrashQuarantine) {
-        let notices = quarantine.next_untold(NoticeOrigin::Seen, MOST_NOTICES, Instant::now());
+        let notices =
+            quarantine.next_unannounced(NoticeOrigin::Observed, MOST_NOTICES, Instant::now());
         if notices.is_empty() {
             return;
         }
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -7,7 +7,7 @@
 
 use futures_util::future::{select, Either};
 use futures_util::StreamExt;
-use papayamux_coordination::admission::AdmissionBook;
+use papayamux_coordination::admission::AdmissionController;
 use papayamux_daemon::logging::start_logging;
 use papayamux_daemon::operations::{serve_operations, OperationsView, READY_PATH};
 use papayamux_daemon::signals::catch_end_signals;
@@ -55,7 +55,7 @@
 
 impl OperationsView for AgentView {
     fn is_ready(&self) -> bool {
-        !self.core.book.is_leaving() && !self.is_superseded()
+        !self.core.book.is_draining() && !self.is_superseded()
     }
 
     fn status(&self) -> serde_json::Value {
@@ -65,7 +65,7 @@
             "incarnation": self.core.incarnation.to_string(),
             "failure_domain": self.core.domain.to_string(),
             "server": self.core.server.to_string(),
-            "leaving": self.core.book.is_leaving(),
+            "leaving": self.core.book.is_draining(),
             "configuration": self.configuration.as_ref().map(ConfigurationView::status),
             "waiting": self.core.book.waiting().get(),
             "running": self.core.book.running().get(),
@@ -126,7 +126,7 @@
     /// Takes no new work from now on, and tells the routers so.
     fn leave(self) -> DrainingAgent {
         log::info!("agent drains");
-        self.core.book.leave();
+        self.core.book.start_draining();
         self.core.leaving.give();
         DrainingAgent { core: self.core }
     }
@@ -197,7 +197,7 @@
         incarnation,
         server: settings.server.clone(),
         domain: settings.domain.clone(),
-        book: AdmissionBook::new(incarnation, settings.limits()),
+        book: AdmissionController::new(incarnation, settings.limits()),
         engine: EngineView::new(settings.prefill_rate),
         client: HttpClient::new(settings.server_address),
         witness: ClaimWitness::new(incarnation, &settings.claims),
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -203,7 +203,7 @@
     fn answer_probe(&self, stream: u64, probe: &LoadProbe) {
         let core = &self.core;
         if let Some(load) = &probe.group_load {
-            core.book.hear_mean(load, core.clock());
+            core.book.record_mean_load(load, core.clock());
         }
         let reply = ProbeReply {
             load: core.load(probe.group_load.map(|load| load.group)),
--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -124,7 +124,7 @@
     if let (ServerStep::Gone, Some(request)) = (&step, again) {
         // Only streamed chats are asked for; nothing of the answer has come, and the request was
         // lost on a connection that went silent. A server that leaves gets it no more.
-        if !core.book.is_leaving() {
+        if !core.book.is_draining() {
             let exchange = core.client.send_once(request);
             step = ServerWatch::new(core).wait_for(target, exchange).await;
         }
--- a/crates/papayamux-agent/src/settings.rs
+++ b/crates/papayamux-agent/src/settings.rs
@@ -82,7 +82,7 @@
         AdmissionLimits {
             capacity: self.capacity,
             queue: self.queue,
-            longest_wait: self.longest_wait,
+            max_wait: self.longest_wait,
             factor: self.load_factor,
         }
     }
--- a/crates/papayamux-coordination/src/admission.rs
+++ b/crates/papayamux-coordination/src/admission.rs
@@ -19,15 +19,15 @@
 /// The priority class of calls that people stand and wait for.
 pub const TOP_PRIORITY: u32 = 0;
 /// One place in so many is kept for the top class.
-const RESERVED_SHARE: u64 = 8;
+const SLOTS_PER_RESERVED_SLOT: u64 = 8;
 /// How long places are kept for the top class after its last call.
-const RESERVED_FOR: Duration = Duration::from_secs(60);
+const RESERVATION_DURATION: Duration = Duration::from_secs(60);
 /// The longest wait that is told.
-const LONGEST_ESTIMATE: Duration = Duration::from_secs(60);
+const MAX_WAIT_ESTIMATE: Duration = Duration::from_secs(60);
 /// How long a wait that was accepted may take at least, whatever was expected.
-const SHORTEST_WAIT: Duration = Duration::from_millis(50);
+const MIN_WAIT_LIMIT: Duration = Duration::from_millis(50);
 /// Weight of the latest run in the running mean of how long a run takes.
-const LATEST_WEIGHT: f64 = 0.1;
+const LATEST_RUN_WEIGHT: f64 = 0.1;
 
 /// What binds an agent's admissions.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -37,7 +37,7 @@
     /// Requests that may wait; with 0, a request without a place is refused at once.
     pub queue: RequestCount,
     /// The longest that a request may wait.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
     /// How far the load may lie above the mean.
     pub factor: LoadFactor,
 }
@@ -48,7 +48,7 @@
         Self {
             capacity,
             queue: RequestCount::new(256),
-            longest_wait: Duration::from_secs(10),
+            max_wait: Duration::from_secs(10),
             factor: LoadFactor::DEFAULT,
         }
     }
@@ -59,31 +59,31 @@
 /// A request that it refuses is never run: the id is remembered until the request's deadline has
 /// passed on the agent's clock, and from then on the deadline refuses it.
 #[derive(Debug)]
-pub struct AdmissionBook {
+pub struct AdmissionController {
     incarnation: Incarnation,
     limits: AdmissionLimits,
     capacity: Cell<RequestCount>,
     running: Cell<u64>,
-    leaving: Cell<bool>,
+    draining: Cell<bool>,
     seen: RefCell<SeenRequests>,
     bound: LoadBound,
     queue: RefCell<FairQueue<RequestId>>,
     tickets: RefCell<HashMap<RequestId, Rc<TicketState>>>,
     clock: Cell<AgentClock>,
-    last_top: Cell<Option<AgentClock>>,
+    last_top_priority: Cell<Option<AgentClock>>,
     mean_run_ms: Cell<f64>,
 }
 
 /// A place among the running requests; dropping it frees the place for the next that waits.
 #[derive(Debug)]
 pub struct AdmissionPermit {
-    book: Rc<AdmissionBook>,
+    controller: Rc<AdmissionController>,
 }
 
 impl Drop for AdmissionPermit {
     fn drop(&mut self) {
-        self.book.running.set(self.book.running.get().saturating_sub(1));
-        self.book.grant_places();
+        self.controller.running.set(self.controller.running.get().saturating_sub(1));
+        self.controller.grant_slots();
     }
 }
 
@@ -91,12 +91,12 @@
 #[derive(Debug)]
 pub enum Admission {
     /// It runs now.
-    Now(AdmissionPermit),
+    Admitted(AdmissionPermit),
     /// It waits.
-    Later(AdmissionTicket),
+    Waiting(AdmissionTicket),
 }
 
-impl AdmissionBook {
+impl AdmissionController {
     /// A book for one life of an agent.
     pub fn new(incarnation: Incarnation, limits: AdmissionLimits) -> Rc<Self> {
         Rc::new(Self {
@@ -104,25 +104,25 @@
             limits,
             capacity: Cell::new(limits.capacity),
             running: Cell::new(0),
-            leaving: Cell::new(false),
+            draining: Cell::new(false),
             seen: RefCell::default(),
             bound: LoadBound::new(limits.factor),
             queue: RefCell::new(FairQueue::new(limits.queue.get() as usize)),
             tickets: RefCell::default(),
             clock: Cell::default(),
-            last_top: Cell::new(None),
+            last_top_priority: Cell::new(None),
             mean_run_ms: Cell::new(0.0),
         })
     }
 
     /// Takes no new work from now on. What waits was accepted and still gets its turn.
-    pub fn leave(&self) {
-        self.leaving.set(true);
+    pub fn start_draining(&self) {
+        self.draining.set(true);
     }
 
     /// Whether the agent takes no new work.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.get()
+    pub fn is_draining(&self) -> bool {
+        self.draining.get()
     }
 
     /// Requests admitted and not finished.
@@ -133,7 +133,7 @@
     /// Refuses a request that never came, from `now` until its own deadline does so; `false`
     /// where it came, or where that can't be told any more.
     pub fn refuse_unseen(&self, id: RequestId, start_before: AgentClock, now: AgentClock) -> bool {
-        now < start_before && self.seen.borrow_mut().note(id, start_before, now)
+        now < start_before && self.seen.borrow_mut().record(id, start_before, now)
     }
 
     /// Requests that wait for a place.
@@ -142,28 +142,28 @@
     }
 
     /// The places that the engine's batch has; the agent gives it no more at once.
-    pub fn set_batch(self: &Rc<Self>, places: RequestCount) {
-        self.capacity.set(self.limits.capacity.min(places).max(RequestCount::new(1)));
-        self.grant_places();
+    pub fn set_batch_limit(self: &Rc<Self>, slots: RequestCount) {
+        self.capacity.set(self.limits.capacity.min(slots).max(RequestCount::new(1)));
+        self.grant_slots();
     }
 
     /// Takes in what a router says of the mean load.
-    pub fn hear_mean(self: &Rc<Self>, load: &GroupLoad, now: AgentClock) {
+    pub fn record_mean_load(self: &Rc<Self>, load: &GroupLoad, now: AgentClock) {
         self.clock.set(self.clock.get().max(now));
         self.bound.hear(load, now);
-        self.grant_places();
+        self.grant_slots();
     }
 
     /// Notes how long a run took.
-    pub fn note_run(&self, took: Duration) {
-        let took = took.as_secs_f64() * 1_000.0;
+    pub fn record_run(&self, elapsed: Duration) {
+        let elapsed = elapsed.as_secs_f64() * 1_000.0;
         let mean = self.mean_run_ms.get();
-        self.mean_run_ms.set(mean + LATEST_WEIGHT * (took - mean));
+        self.mean_run_ms.set(mean + LATEST_RUN_WEIGHT * (elapsed - mean));
     }
 
     /// What the server carries, for a group of servers that it belongs to.
     pub fn load(&self, group: Option<GroupId>, now: AgentClock) -> LoadReport {
-        let limit = match self.leaving.get() {
+        let limit = match self.draining.get() {
             true => RequestCount::default(),
             false => self.within_bound(self.capacity.get(), group, now),
         };
@@ -177,15 +177,15 @@
 
     /// How long a refused request of this class would have to wait for a place now.
     pub fn retry_after(&self, priority: u32) -> Duration {
-        self.expected_wait(self.places_for(priority), priority)
+        self.expected_wait(self.slots_for(priority), priority)
     }
 
     /// How long a request of this class waits until fewer than `places` run before it.
-    fn expected_wait(&self, places: RequestCount, priority: u32) -> Duration {
+    fn expected_wait(&self, slots: RequestCount, priority: u32) -> Duration {
         let ahead = self.queue.borrow().ahead_of(priority) as u64;
-        let over = (self.running.get() + ahead + 1).saturating_sub(places.get());
+        let excess = (self.running.get() + ahead + 1).saturating_sub(slots.get());
         let rate = self.running.get().max(1) as f64 / self.mean_run_ms.get().max(f64::MIN_POSITIVE);
-        let wait_ms = (over as f64 / rate).min(LONGEST_ESTIMATE.as_millis() as f64);
+        let wait_ms = (excess as f64 / rate).min(MAX_WAIT_ESTIMATE.as_millis() as f64);
         Duration::from_secs_f64(wait_ms / 1_000.0)
     }
 
@@ -199,19 +199,19 @@
         self.check(open, now)?;
         let group = open.placement.group_load.map(|load| load.group);
         if open.priority == TOP_PRIORITY {
-            self.last_top.set(Some(now));
+            self.last_top_priority.set(Some(now));
         }
-        let capacity = self.places_for(open.priority);
-        let places = self.within_bound(capacity, group, now);
+        let capacity = self.slots_for(open.priority);
+        let slots = self.within_bound(capacity, group, now);
         let first = self.queue.borrow().ahead_of(open.priority) == 0;
-        if first && self.running() < places {
-            return Ok(Admission::Now(self.occupy()));
+        if first && self.running() < slots {
+            return Ok(Admission::Admitted(self.take_slot()));
         }
-        let wait = self.expected_wait(places, open.priority);
+        let wait = self.expected_wait(slots, open.priority);
         if self.limits.queue.get() > 0 && wait < open.placement.patience {
-            return self.enqueue(open, group, now, wait).map(Admission::Later);
+            return self.enqueue(open, group, now, wait).map(Admission::Waiting);
         }
-        Err(if places < capacity { RefusalReason::OverBound } else { RefusalReason::AtCapacity })
+        Err(if slots < capacity { RefusalReason::OverBound } else { RefusalReason::AtCapacity })
     }
 
     fn check(&self, open: &OpenRequest, now: AgentClock) -> Result<(), RefusalReason> {
@@ -221,38 +221,42 @@
         if now >= open.start_before {
             return Err(RefusalReason::DeadlinePassed);
         }
-        if !self.seen.borrow_mut().note(open.id, open.start_before, now) {
+        if !self.seen.borrow_mut().record(open.id, open.start_before, now) {
             return Err(RefusalReason::SeenBefore);
         }
-        match self.leaving.get() {
+        match self.draining.get() {
             true => Err(RefusalReason::Leaving),
             false => Ok(()),
         }
     }
 
-    fn occupy(self: &Rc<Self>) -> AdmissionPermit {
+    fn take_slot(self: &Rc<Self>) -> AdmissionPermit {
         self.running.set(self.running.get() + 1);
-        AdmissionPermit { book: self.clone() }
+        AdmissionPermit { controller: self.clone() }
     }
 
     /// `places`, or as many as the mean load of the group leaves of them.
     fn within_bound(
         &self,
-        places: RequestCount,
+        slots: RequestCount,
         group: Option<GroupId>,
         now: AgentClock,
     ) -> RequestCount {
         let bound = group.and_then(|group| self.bound.limit(group, now));
-        bound.map_or(places, |bound| bound.min(places))
+        bound.map_or(slots, |bound| bound.min(slots))
     }
 
     /// Places that a class may fill: some are kept for the top class while it calls.
-    fn places_for(&self, priority: u32) -> RequestCount {
+    fn slots_for(&self, priority: u32) -> RequestCount {
         let capacity = self.capacity.get();
-        let called =
-            self.last_top.get().is_some_and(|last| last.after(RESERVED_FOR) > self.clock.get());
-        match called && priority != TOP_PRIORITY {
-            true => capacity.saturating_sub(RequestCount::new(capacity.get() / RESERVED_SHARE)),
+        let is_reserved = self
+            .last_top_priority
+            .get()
+            .is_some_and(|last| last.after(RESERVATION_DURATION) > self.clock.get());
+        match is_reserved && priority != TOP_PRIORITY {
+            true => {
+                capacity.saturating_sub(RequestCount::new(capacity.get() / SLOTS_PER_RESERVED_SLOT))
+            }
             false => capacity,
         }
     }
@@ -264,9 +268,9 @@
         now: AgentClock,
         wait: Duration,
     ) -> Result<AdmissionTicket, RefusalReason> {
-        let longest = open.placement.patience.saturating_mul(2).max(SHORTEST_WAIT);
-        let longest = longest.min(self.limits.longest_wait);
-        let deadline = open.start_before.min(now.after(longest));
+        let wait_limit = open.placement.patience.saturating_mul(2).max(MIN_WAIT_LIMIT);
+        let wait_limit = wait_limit.min(self.limits.max_wait);
+        let deadline = open.start_before.min(now.after(wait_limit));
         if now.after(wait) >= deadline {
             return Err(RefusalReason::WaitTooLong);
         }
@@ -279,8 +283,8 @@
         let outcome = self.queue.borrow_mut().push(entry);
         match outcome {
             PushOutcome::Full(_) => return Err(RefusalReason::QueueFull),
-            PushOutcome::Displaced(id) => self.settle(&id, Err(RefusalReason::Displaced)),
-            PushOutcome::Waits => {}
+            PushOutcome::Displaced(id) => self.resolve(&id, Err(RefusalReason::Displaced)),
+            PushOutcome::Queued => {}
         }
         let state = Rc::new(TicketState::new(group));
         self.tickets.borrow_mut().insert(open.id, state.clone());
@@ -288,10 +292,10 @@
     }
 
     /// Gives free places to those that wait.
-    fn grant_places(self: &Rc<Self>) {
+    fn grant_slots(self: &Rc<Self>) {
         while let Some(id) = self.next_to_run() {
-            let permit = self.occupy();
-            self.settle(&id, Ok(permit));
+            let permit = self.take_slot();
+            self.resolve(&id, Ok(permit));
         }
     }
 
@@ -299,18 +303,18 @@
         let mut queue = self.queue.borrow_mut();
         let priority = queue.next_priority()?;
         let group = self.waiting_group(queue.peek()?);
-        let places = self.within_bound(self.places_for(priority), group, self.clock.get());
-        (self.running() < places).then(|| queue.pop()).flatten()
+        let slots = self.within_bound(self.slots_for(priority), group, self.clock.get());
+        (self.running() < slots).then(|| queue.pop()).flatten()
     }
 
     fn waiting_group(&self, id: &RequestId) -> Option<GroupId> {
         self.tickets.borrow().get(id)?.group
     }
 
-    fn settle(&self, id: &RequestId, outcome: Result<AdmissionPermit, RefusalReason>) {
+    fn resolve(&self, id: &RequestId, outcome: Result<AdmissionPermit, RefusalReason>) {
         let state = self.tickets.borrow_mut().remove(id);
         if let Some(state) = state {
-            state.settle(outcome);
+            state.resolve(outcome);
         }
     }
 
--- a/crates/papayamux-coordination/src/admission_ticket.rs
+++ b/crates/papayamux-coordination/src/admission_ticket.rs
@@ -10,7 +10,7 @@
 use papayamux_state::load::GroupId;
 use papayamux_state::refusal::RefusalReason;
 
-use crate::admission::{AdmissionBook, AdmissionPermit};
+use crate::admission::{AdmissionController, AdmissionPermit};
 
 /// What a waiting request is told.
 type TicketOutcome = Result<AdmissionPermit, RefusalReason>;
@@ -33,7 +33,7 @@
         Self { group, wait: RefCell::default() }
     }
 
-    pub(crate) fn settle(&self, outcome: TicketOutcome) {
+    pub(crate) fn resolve(&self, outcome: TicketOutcome) {
         let mut wait = self.wait.borrow_mut();
         wait.outcome = Some(outcome);
         if let Some(waker) = wait.waker.take() {
@@ -56,7 +56,7 @@
 /// A request's place in the queue; dropping it gives the place up.
 #[derive(Debug)]
 pub struct AdmissionTicket {
-    book: Rc<AdmissionBook>,
+    controller: Rc<AdmissionController>,
     id: RequestId,
     state: Rc<TicketState>,
     deadline: AgentClock,
@@ -64,12 +64,12 @@
 
 impl AdmissionTicket {
     pub(crate) fn new(
-        book: Rc<AdmissionBook>,
+        controller: Rc<AdmissionController>,
         id: RequestId,
         state: Rc<TicketState>,
         deadline: AgentClock,
     ) -> Self {
-        Self { book, id, state, deadline }
+        Self { controller, id, state, deadline }
     }
 
     /// When the request has to have a place at the latest.
@@ -85,6 +85,6 @@
 
 impl Drop for AdmissionTicket {
     fn drop(&mut self) {
-        self.book.withdraw(&self.id);
+        self.controller.withdraw(&self.id);
     }
 }
--- a/crates/papayamux-coordination/src/attempt_plan.rs
+++ b/crates/papayamux-coordination/src/attempt_plan.rs
@@ -4,7 +4,7 @@
 
 /// Attempts at connecting or at servers that turn the request away, for one request. Each costs
 /// up to a connect timeout; more than this would not find a place in time.
-const MOST_OFFERS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// What is known of an attempt that brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,25 +34,25 @@
 /// The attempts that a request has had.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AttemptHistory {
-    offers: u32,
+    attempts: u32,
     runs: u32,
-    unknown: bool,
+    outcome_unknown: bool,
 }
 
 impl AttemptHistory {
     /// Notes an attempt that failed and decides what comes next. `attempts` is the number of
     /// servers that the request may run on.
-    pub fn after_loss(&mut self, kind: RequestKind, attempts: u32, loss: AttemptLoss) -> NextStep {
-        self.offers += 1;
+    pub fn after_loss(&mut self, kind: RequestKind, max_runs: u32, loss: AttemptLoss) -> NextStep {
+        self.attempts += 1;
         if loss == AttemptLoss::Unknown {
             self.runs += 1;
-            self.unknown = true;
+            self.outcome_unknown = true;
         }
-        let may_run_again = match self.unknown {
-            true => kind.may_repeat() && self.runs < attempts.max(1),
+        let may_run_again = match self.outcome_unknown {
+            true => kind.may_repeat() && self.runs < max_runs.max(1),
             false => true,
         };
-        if may_run_again && self.offers < MOST_OFFERS {
+        if may_run_again && self.attempts < MAX_ATTEMPTS {
             return NextStep::Again { counts: loss != AttemptLoss::NotSent };
         }
         self.outcome()
@@ -60,20 +60,20 @@
 
     /// What can be said for certain when no further attempt is made.
     pub fn outcome(&self) -> NextStep {
-        match self.unknown {
+        match self.outcome_unknown {
             true => NextStep::TellUnknown,
             false => NextStep::TellNotRun,
         }
     }
 
     /// Whether the request may go to another server while this attempt's outcome is unknown.
-    pub fn may_leave(&self, kind: RequestKind, attempts: u32) -> bool {
-        kind.may_repeat() && self.runs + 1 < attempts.max(1) && self.offers + 1 < MOST_OFFERS
+    pub fn may_fail_over(&self, kind: RequestKind, max_runs: u32) -> bool {
+        kind.may_repeat() && self.runs + 1 < max_runs.max(1) && self.attempts + 1 < MAX_ATTEMPTS
     }
 
     /// Whether an earlier attempt may have run.
     pub fn may_have_run(&self) -> bool {
-        self.unknown
+        self.outcome_unknown
     }
 
     /// Servers that may have run the request.
@@ -82,7 +82,7 @@
     }
 
     /// Attempts so far.
-    pub fn offers(&self) -> u32 {
-        self.offers
+    pub fn attempts(&self) -> u32 {
+        self.attempts
     }
 }
--- a/crates/papayamux-coordination/src/server_record.rs
+++ b/crates/papayamux-coordination/src/failure_rates.rs
@@ -16,20 +16,20 @@
 /// Answers that every server is credited with, so that one failure condemns nobody.
 const PRIOR_ANSWERS: f64 = 3.0;
 /// Weight below which a record is forgotten.
-const LEAST_WEIGHT: f64 = 0.05;
+const MIN_WEIGHT: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy)]
 struct AnswerCounts {
     failures: f64,
     answers: f64,
-    noted: Instant,
+    updated_at: Instant,
 }
 
 impl AnswerCounts {
     fn at(self, now: Instant) -> Self {
-        let age = now.saturating_duration_since(self.noted);
+        let age = now.saturating_duration_since(self.updated_at);
         let factor = (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
-        Self { failures: self.failures * factor, answers: self.answers * factor, noted: now }
+        Self { failures: self.failures * factor, answers: self.answers * factor, updated_at: now }
     }
 
     fn with(self, failed: bool, now: Instant) -> Self {
@@ -37,21 +37,21 @@
         Self {
             failures: counts.failures + f64::from(u8::from(failed)),
             answers: counts.answers + 1.0,
-            noted: now,
+            updated_at: now,
         }
     }
 }
 
 /// The answers of one service's servers.
 #[derive(Debug, Default)]
-pub struct AnswerRecord {
+pub struct FailureRates {
     servers: HashMap<ServerId, AnswerCounts>,
 }
 
-impl AnswerRecord {
+impl FailureRates {
     /// Notes an answer.
-    pub fn note(&mut self, server: &ServerId, failed: bool, now: Instant) {
-        let fresh = AnswerCounts { failures: 0.0, answers: 0.0, noted: now };
+    pub fn record_answer(&mut self, server: &ServerId, failed: bool, now: Instant) {
+        let fresh = AnswerCounts { failures: 0.0, answers: 0.0, updated_at: now };
         let counts = self.servers.entry(server.clone()).or_insert(fresh);
         *counts = counts.with(failed, now);
     }
@@ -69,13 +69,13 @@
         if answers < 1.0 {
             return 0.0;
         }
-        let usual = failures / answers;
-        let expected = (own.failures + usual * PRIOR_ANSWERS) / (own.answers + PRIOR_ANSWERS);
-        (expected - usual).max(0.0)
+        let baseline = failures / answers;
+        let expected = (own.failures + baseline * PRIOR_ANSWERS) / (own.answers + PRIOR_ANSWERS);
+        (expected - baseline).max(0.0)
     }
 
     /// Forgets what has faded.
-    pub fn forget_faded(&mut self, now: Instant) {
-        self.servers.retain(|_, counts| counts.at(now).answers >= LEAST_WEIGHT);
+    pub fn remove_decayed(&mut self, now: Instant) {
+        self.servers.retain(|_, counts| counts.at(now).answers >= MIN_WEIGHT);
     }
 }
--- a/crates/papayamux-coordination/src/fair_queue.rs
+++ b/crates/papayamux-coordination/src/fair_queue.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PushOutcome<T> {
     /// It waits.
-    Waits,
+    Queued,
     /// It waits in the place of another entry, which has to be refused.
     Displaced(T),
     /// There is no place for it.
@@ -41,13 +41,13 @@
 pub struct FairQueue<T> {
     classes: BTreeMap<u32, FairShare<OrganisationId, T>>,
     length: usize,
-    longest: usize,
+    max_length: usize,
 }
 
 impl<T: PartialEq> FairQueue<T> {
     /// A queue of at most `longest` entries.
-    pub fn new(longest: usize) -> Self {
-        Self { classes: BTreeMap::new(), length: 0, longest }
+    pub fn new(max_length: usize) -> Self {
+        Self { classes: BTreeMap::new(), length: 0, max_length }
     }
 
     /// Entries that wait.
@@ -69,11 +69,11 @@
     /// organisation that waits with the most for its weight, never of one with less than the
     /// newcomer's.
     pub fn push(&mut self, entry: QueueEntry<T>) -> PushOutcome<T> {
-        if self.length < self.longest {
+        if self.length < self.max_length {
             self.insert(entry);
-            return PushOutcome::Waits;
+            return PushOutcome::Queued;
         }
-        match self.make_place(&entry) {
+        match self.make_room(&entry) {
             Some(displaced) => {
                 self.insert(entry);
                 PushOutcome::Displaced(displaced)
@@ -89,14 +89,14 @@
         self.length += 1;
     }
 
-    fn make_place(&mut self, entry: &QueueEntry<T>) -> Option<T> {
+    fn make_room(&mut self, entry: &QueueEntry<T>) -> Option<T> {
         let mut classes = self.classes.iter_mut().rev();
         let (priority, class) = classes.find(|(_, class)| !class.is_empty())?;
         if *priority < entry.priority {
             return None;
         }
-        let (organisation, weighted) = class.longest()?;
-        let own = class.length_with_one_more(&entry.organisation, entry.weight());
+        let (organisation, weighted) = class.longest_flow()?;
+        let own = class.length_after_push(&entry.organisation, entry.weight());
         if *priority == entry.priority && weighted <= own {
             return None;
         }
@@ -121,14 +121,15 @@
     pub fn pop(&mut self) -> Option<T> {
         let item = self.classes.values_mut().find_map(FairShare::pop)?;
         self.length -= 1;
-        self.classes.retain(|_, class| !class.is_forgotten());
+        self.classes.retain(|_, class| !class.is_idle());
         Some(item)
     }
 
     /// Takes out an entry that no longer waits; `false` where there is none.
     pub fn remove(&mut self, item: &T) -> bool {
         let mut classes = self.classes.values_mut();
-        let removed = classes.any(|class| !class.take_where(|waiting| waiting == item).is_empty());
+        let removed =
+            classes.any(|class| !class.remove_where(|waiting| waiting == item).is_empty());
         self.length -= usize::from(removed);
         removed
     }
--- a/crates/papayamux-coordination/src/fair_share.rs
+++ b/crates/papayamux-coordination/src/fair_share.rs
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct Flow<T> {
-    due: f64,
+    start_tag: f64,
     weight: f64,
     entries: VecDeque<FlowEntry<T>>,
 }
@@ -52,46 +52,46 @@
     pub fn push_before(&mut self, key: K, share: FlowShare, item: T, before: impl Fn(&T) -> bool) {
         let now = self.virtual_time;
         let flow = self.flows.entry(key).or_insert_with(|| Flow {
-            due: now,
+            start_tag: now,
             weight: share.weight,
             entries: VecDeque::new(),
         });
         if flow.entries.is_empty() {
-            flow.due = flow.due.max(now);
+            flow.start_tag = flow.start_tag.max(now);
         }
         flow.weight = share.weight;
-        let place = flow.entries.iter().position(|entry| before(&entry.item));
-        let place = place.unwrap_or(flow.entries.len());
-        flow.entries.insert(place, FlowEntry { cost: share.cost, item });
+        let index = flow.entries.iter().position(|entry| before(&entry.item));
+        let index = index.unwrap_or(flow.entries.len());
+        flow.entries.insert(index, FlowEntry { cost: share.cost, item });
     }
 
     /// The entry that goes next.
     pub fn peek(&self) -> Option<&T> {
-        let entry = self.flows.get(self.next()?)?.entries.front();
+        let entry = self.flows.get(self.next_key()?)?.entries.front();
         entry.map(|entry| &entry.item)
     }
 
     /// Takes out the entry that goes next.
     pub fn pop(&mut self) -> Option<T> {
-        let next = self.next()?.clone();
+        let next = self.next_key()?.clone();
         let flow = self.flows.get_mut(&next)?;
         let entry = flow.entries.pop_front()?;
-        self.virtual_time = self.virtual_time.max(flow.due);
-        flow.due += entry.cost / flow.weight;
+        self.virtual_time = self.virtual_time.max(flow.start_tag);
+        flow.start_tag += entry.cost / flow.weight;
         let now = self.virtual_time;
-        self.flows.retain(|_, flow| !flow.entries.is_empty() || flow.due > now);
+        self.flows.retain(|_, flow| !flow.entries.is_empty() || flow.start_tag > now);
         Some(entry.item)
     }
 
     /// Takes out the entries for which `gone` holds.
-    pub fn take_where(&mut self, mut gone: impl FnMut(&T) -> bool) -> Vec<T> {
+    pub fn remove_where(&mut self, mut predicate: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
         for flow in self.flows.values_mut() {
             let entries = std::mem::take(&mut flow.entries);
-            let (leaving, staying): (VecDeque<_>, _) =
-                entries.into_iter().partition(|entry| gone(&entry.item));
-            taken.extend(leaving.into_iter().map(|entry| entry.item));
-            flow.entries = staying;
+            let (removed, kept): (VecDeque<_>, _) =
+                entries.into_iter().partition(|entry| predicate(&entry.item));
+            taken.extend(removed.into_iter().map(|entry| entry.item));
+            flow.entries = kept;
         }
         taken
     }
@@ -102,7 +102,7 @@
     }
 
     /// The flow with the most entries for its weight.
-    pub fn longest(&self) -> Option<(&K, f64)> {
+    pub fn longest_flow(&self) -> Option<(&K, f64)> {
         let lengths = self.flows.iter().map(|(key, flow)| {
             let length = flow.entries.len() as f64 / flow.weight;
             (key, length)
@@ -111,7 +111,7 @@
     }
 
     /// The entries of one flow for its weight, with one more.
-    pub fn length_with_one_more(&self, key: &K, weight: f64) -> f64 {
+    pub fn length_after_push(&self, key: &K, weight: f64) -> f64 {
         let flow = self.flows.get(key);
         flow.map_or(1.0 / weight, |flow| (flow.entries.len() + 1) as f64 / flow.weight)
     }
@@ -146,14 +146,14 @@
     }
 
     /// Whether nothing waits, and no flow is ahead of its share.
-    pub fn is_forgotten(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.flows.is_empty()
     }
 
-    fn next(&self) -> Option<&K> {
+    fn next_key(&self) -> Option<&K> {
         let waiting = self.flows.iter().filter(|(_, flow)| !flow.entries.is_empty());
         let next = waiting.min_by(|(left_key, left), (right_key, right)| {
-            left.due.total_cmp(&right.due).then_with(|| left_key.cmp(right_key))
+            left.start_tag.total_cmp(&right.start_tag).then_with(|| left_key.cmp(right_key))
         });
         next.map(|(key, _)| key)
     }
--- a/crates/papayamux-coordination/src/link_delays.rs
+++ b/crates/papayamux-coordination/src/link_delays.rs
@@ -13,83 +13,83 @@
 
 /// A pause in a stream from which a retransmission is suspected. TCP sends a lost packet again after
 /// 200 ms at the least; most of that is seen.
-const PAUSE: Duration = Duration::from_millis(150);
+const MIN_PAUSE: Duration = Duration::from_millis(150);
 /// Events that arrive within this time of each other were delivered together: engines make one
 /// every 20 ms or so.
-const TOGETHER: Duration = Duration::from_millis(4);
+const MAX_BATCH_GAP: Duration = Duration::from_millis(4);
 /// Events that must arrive together with the one that ended the pause.
-const FOLLOWERS: u64 = 2;
+const FOLLOWING_EVENTS: u64 = 2;
 
 /// What the arrival of events shows of the link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventTiming {
     /// They came as they were made.
-    InTime,
+    OnTime,
     /// They were held up on the way.
-    HeldUp,
+    Delayed,
     /// The next events will tell.
     Undecided,
 }
 
 /// The rhythm in which one stream's events arrive.
 #[derive(Debug, Clone, Copy)]
-pub struct EventRhythm {
+pub struct DelayDetector {
     last: Instant,
     /// Events that arrived together since a pause.
     since_pause: Option<u64>,
 }
 
-impl EventRhythm {
+impl DelayDetector {
     /// A stream whose first event arrived at `now`.
     pub fn new(now: Instant) -> Self {
         Self { last: now, since_pause: None }
     }
 
     /// Notes events that arrived together.
-    pub fn note(&mut self, events: u64, now: Instant) -> EventTiming {
+    pub fn record(&mut self, events: u64, now: Instant) -> EventTiming {
         let gap = now.saturating_duration_since(std::mem::replace(&mut self.last, now));
-        let together = match self.since_pause.take() {
-            _ if gap >= PAUSE => events,
-            Some(earlier) if gap < TOGETHER => earlier + events,
-            _ => return EventTiming::InTime,
+        let batched = match self.since_pause.take() {
+            _ if gap >= MIN_PAUSE => events,
+            Some(earlier) if gap < MAX_BATCH_GAP => earlier + events,
+            _ => return EventTiming::OnTime,
         };
-        if together > FOLLOWERS {
-            return EventTiming::HeldUp;
+        if batched > FOLLOWING_EVENTS {
+            return EventTiming::Delayed;
         }
-        self.since_pause = Some(together);
+        self.since_pause = Some(batched);
         EventTiming::Undecided
     }
 }
 
 /// Events over which the part that is held up is taken: a router gets a hundred from each domain in
 /// a fifth of a second, so that a link is found out within some tenths.
-const EVENTS: f64 = 150.0;
+const AVERAGED_EVENTS: f64 = 150.0;
 /// Time after which what is known of a link counts half: what avoids a link learns nothing new of it,
 /// and has to try it again after some seconds.
 const HALF_LIFE: Duration = Duration::from_secs(5);
 /// The part of events that may be held up without a link being to blame: one alone shows nothing, as
 /// a process that stands still for a moment also gets several together.
-const USUAL_PART: f64 = 0.007;
+const BASELINE_SHARE: f64 = 0.007;
 /// How many times as often events of one domain may be held up as those of the best one without its
 /// link being to blame.
-const USUAL_SPREAD: f64 = 3.0;
+const BASELINE_FACTOR: f64 = 3.0;
 
 #[derive(Debug, Clone, Copy)]
-struct HeldUpPart {
-    part: f64,
-    noted: Instant,
+struct DelayedShare {
+    share: f64,
+    updated_at: Instant,
 }
 
-impl HeldUpPart {
+impl DelayedShare {
     fn at(self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.noted);
-        self.part * (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
+        let age = now.saturating_duration_since(self.updated_at);
+        self.share * (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    fn with(self, held_up: bool, now: Instant) -> Self {
-        let part = self.at(now);
-        let event = f64::from(u8::from(held_up));
-        Self { part: part + (event - part) / EVENTS, noted: now }
+    fn with(self, delayed: bool, now: Instant) -> Self {
+        let share = self.at(now);
+        let event = f64::from(u8::from(delayed));
+        Self { share: share + (event - share) / AVERAGED_EVENTS, updated_at: now }
     }
 }
 
@@ -105,16 +105,16 @@
 /// How events came from each failure domain lately.
 #[derive(Debug, Default)]
 pub struct LinkDelays {
-    domains: HashMap<FailureDomain, HeldUpPart>,
-    blamed: HashSet<FailureDomain>,
+    domains: HashMap<FailureDomain, DelayedShare>,
+    reported: HashSet<FailureDomain>,
 }
 
 impl LinkDelays {
     /// Notes an event from `domain`.
-    pub fn note(&mut self, domain: &FailureDomain, held_up: bool, now: Instant) {
-        let fresh = HeldUpPart { part: 0.0, noted: now };
+    pub fn record(&mut self, domain: &FailureDomain, delayed: bool, now: Instant) {
+        let fresh = DelayedShare { share: 0.0, updated_at: now };
         let known = self.domains.entry(domain.clone()).or_insert(fresh);
-        *known = known.with(held_up, now);
+        *known = known.with(delayed, now);
     }
 
     /// What has changed since this was asked last, for the log.
@@ -124,12 +124,12 @@
             .keys()
             .map(|domain| LinkChange { domain: domain.clone(), excess: self.excess(domain, now) });
         let changed =
-            |change: &LinkChange| (change.excess > 0.0) != self.blamed.contains(&change.domain);
+            |change: &LinkChange| (change.excess > 0.0) != self.reported.contains(&change.domain);
         let changes: Vec<_> = all.filter(changed).collect();
         for change in &changes {
             match change.excess > 0.0 {
-                true => self.blamed.insert(change.domain.clone()),
-                false => self.blamed.remove(&change.domain),
+                true => self.reported.insert(change.domain.clone()),
+                false => self.reported.remove(&change.domain),
             };
         }
         changes
@@ -138,8 +138,8 @@
     /// The chance that an event from `domain` is held up, beyond the usual.
     pub fn excess(&self, domain: &FailureDomain, now: Instant) -> f64 {
         let Some(own) = self.domains.get(domain) else { return 0.0 };
-        let parts = self.domains.values().map(|known| known.at(now));
-        let least = parts.fold(f64::INFINITY, f64::min);
-        (own.at(now) - least * USUAL_SPREAD - USUAL_PART).max(0.0)
+        let shares = self.domains.values().map(|known| known.at(now));
+        let least = shares.fold(f64::INFINITY, f64::min);
+        (own.at(now) - least * BASELINE_FACTOR - BASELINE_SHARE).max(0.0)
     }
 }
--- a/crates/papayamux-coordination/src/placement/placer.rs
+++ b/crates/papayamux-coordination/src/placement/placer.rs
@@ -99,8 +99,8 @@
 /// against all of them, all that take requests.
 fn usable_candidates(candidates: &[PlacementCandidate]) -> Vec<IndexedCandidate<'_>> {
     let mut usable: Vec<_> = candidates.iter().enumerate().filter(|(_, one)| one.accepts).collect();
-    if usable.iter().any(|(_, one)| one.standing != ServerStanding::Held) {
-        usable.retain(|(_, one)| one.standing != ServerStanding::Held);
+    if usable.iter().any(|(_, one)| one.standing != ServerStanding::Ejected) {
+        usable.retain(|(_, one)| one.standing != ServerStanding::Ejected);
     }
     usable
 }
@@ -109,7 +109,7 @@
 /// that are sound: where some may take nothing, as in an evacuated failure domain, the others bear more, and
 /// those among them that have least have to bear it.
 fn load_bound(candidates: &[PlacementCandidate], factor: f64) -> f64 {
-    let sound = |one: &&PlacementCandidate| one.serves && one.standing != ServerStanding::Held;
+    let sound = |one: &&PlacementCandidate| one.serves && one.standing != ServerStanding::Ejected;
     let counted: Vec<_> = candidates.iter().filter(sound).collect();
     let requests: f64 = counted.iter().map(|one| f64::from(one.load.requests)).sum();
     let mean = requests / counted.len().max(1) as f64;
--- a/crates/papayamux-coordination/src/recent_departures.rs
+++ b/crates/papayamux-coordination/src/recent_departures.rs
@@ -15,15 +15,15 @@
 
 /// Renewals that a lapsed entry has missed at least, of the three after which it lapses: one may
 /// have been under way.
-const MISSED_RENEWALS: u32 = 2;
+const MIN_MISSED_RENEWALS: u32 = 2;
 
 /// How servers renew their entries and leave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DepartureBounds {
     /// The pause between two renewals of an entry.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// How long a server that has left still finishes its work.
-    pub linger: Duration,
+    pub termination_grace: Duration,
 }
 
 /// Servers that have left lately.
@@ -41,33 +41,33 @@
     }
 
     /// Notes that a server renewed its entry.
-    pub fn note_renewal(&mut self, id: &ServerId, now: Instant) {
+    pub fn record_renewal(&mut self, id: &ServerId, now: Instant) {
         self.renewed.insert(id.clone(), now);
         self.departed.retain(|(server, _)| server.id != *id);
     }
 
     /// Notes that a server's entry is gone; whether the server is believed to live on for a while.
-    pub fn note_departure(&mut self, server: &BackendServer, now: Instant) -> bool {
+    pub fn record_departure(&mut self, server: &BackendServer, now: Instant) -> bool {
         let renewed = self.renewed.remove(&server.id);
         let silence = renewed.map(|renewed| now.saturating_duration_since(renewed));
-        let longest = self.bounds.renewal * MISSED_RENEWALS;
-        let lives = server.phase == ServerPhase::Serving
-            && silence.is_some_and(|silence| silence < longest);
-        if lives {
-            self.note_lingering(server, now);
+        let max_silence = self.bounds.renewal_interval * MIN_MISSED_RENEWALS;
+        let is_alive = server.phase == ServerPhase::Serving
+            && silence.is_some_and(|silence| silence < max_silence);
+        if is_alive {
+            self.record_terminating(server, now);
         }
-        lives
+        is_alive
     }
 
     /// Notes that a server has left and lives on for a while, as another router saw by its renewals.
-    pub fn note_lingering(&mut self, server: &BackendServer, now: Instant) {
+    pub fn record_terminating(&mut self, server: &BackendServer, now: Instant) {
         self.renewed.remove(&server.id);
-        let leaving = BackendServer { phase: ServerPhase::Draining, ..server.clone() };
-        self.departed.push((Rc::new(leaving), now));
+        let terminating = BackendServer { phase: ServerPhase::Draining, ..server.clone() };
+        self.departed.push((Rc::new(terminating), now));
     }
 
     /// Whether a server has left and is believed to live on.
-    pub fn lingers(&self, server: &BackendServer) -> bool {
+    pub fn is_terminating(&self, server: &BackendServer) -> bool {
         self.departed.iter().any(|(departed, _)| departed.id == server.id)
     }
 
@@ -78,18 +78,20 @@
 
     /// The servers of a service that have left and may still be copied from.
     pub fn of_service(&self, service: &ServiceId, now: Instant) -> Vec<Rc<BackendServer>> {
-        let lingers = |left: Instant| now.saturating_duration_since(left) < self.bounds.linger;
-        let servers = self.departed.iter().filter(|(_, left)| lingers(*left));
+        let is_terminating = |departed_at: Instant| {
+            now.saturating_duration_since(departed_at) < self.bounds.termination_grace
+        };
+        let servers = self.departed.iter().filter(|(_, departed_at)| is_terminating(*departed_at));
         let servers = servers.map(|(server, _)| server);
         servers.filter(|server| server.service == *service).cloned().collect()
     }
 
     /// Forgets servers that have ended; returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<ServerId> {
-        let linger = self.bounds.linger;
-        let ended = self
-            .departed
-            .extract_if(.., |(_, left)| now.saturating_duration_since(*left) >= linger);
-        ended.map(|(server, _)| server.id.clone()).collect()
+        let termination_grace = self.bounds.termination_grace;
+        let finished = self.departed.extract_if(.., |(_, departed_at)| {
+            now.saturating_duration_since(*departed_at) >= termination_grace
+        });
+        finished.map(|(server, _)| server.id.clone()).collect()
     }
 }
--- a/crates/papayamux-coordination/src/retry_budget.rs
+++ b/crates/papayamux-coordination/src/retry_budget.rs
@@ -3,9 +3,9 @@
 use std::cell::Cell;
 
 /// Retries that each request adds to the budget.
-const PER_REQUEST: f64 = 0.2;
+const RETRIES_PER_REQUEST: f64 = 0.2;
 /// Retries that the budget holds at most.
-const MOST: f64 = 20.0;
+const MAX_RETRIES: f64 = 20.0;
 
 /// A token bucket that requests fill and retries empty, so that retries can't outnumber a fifth of
 /// the requests for long. A refusal proves that nothing ran and needs no budget: the number of
@@ -17,14 +17,14 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: Cell::new(MOST) }
+        Self { tokens: Cell::new(MAX_RETRIES) }
     }
 }
 
 impl RetryBudget {
     /// Notes a request's first offer.
-    pub fn note_request(&self) {
-        self.tokens.set((self.tokens.get() + PER_REQUEST).min(MOST));
+    pub fn record_request(&self) {
+        self.tokens.set((self.tokens.get() + RETRIES_PER_REQUEST).min(MAX_RETRIES));
     }
 
     /// Takes one retry; `false` where the budget is used up.
--- a/crates/papayamux-coordination/src/return_time.rs
+++ b/crates/papayamux-coordination/src/retry_delay.rs
@@ -9,29 +9,29 @@
 
 /// Part of a caller's time left after which it comes back. Callers accept up to a third; the rest
 /// is for the second attempt.
-const PART_OF_TIME_LEFT: f64 = 0.25;
+const TIME_LEFT_SHARE: f64 = 0.25;
 /// Part of a caller's time left after which it accepts to come back.
-const PART_ACCEPTED: f64 = 1.0 / 3.0;
+const MAX_TIME_LEFT_SHARE: f64 = 1.0 / 3.0;
 /// The shortest pause: a round trip and a little of a plain call's time.
-const SHORTEST: Duration = Duration::from_millis(40);
+const MIN_DELAY: Duration = Duration::from_millis(40);
 /// The longest pause: a restarted server is listed again within about three seconds.
-const LONGEST: Duration = Duration::from_millis(3_500);
+const MAX_DELAY: Duration = Duration::from_millis(3_500);
 /// How far pauses are spread to both sides of their middle.
-const SPREAD: f64 = 0.25;
+const JITTER_SHARE: f64 = 0.25;
 
 /// The pause for a caller that no server takes before `rest` has passed; `draw` is from 0 up to 1.
-pub fn return_after_rest(rest: Duration, draw: f64) -> Duration {
-    rest.mul_f64(1.0 + SPREAD * draw).max(SHORTEST)
+pub fn retry_delay_after_backoff(backoff: Duration, jitter: f64) -> Duration {
+    backoff.mul_f64(1.0 + JITTER_SHARE * jitter).max(MIN_DELAY)
 }
 
 /// How long a rest of all servers may be that a caller with this much time left waits for. It would accept to come
 /// back after as long, which costs it one of its tries.
-pub fn rest_patience(left: Duration) -> Duration {
-    left.mul_f64(PART_ACCEPTED)
+pub fn max_backoff_wait(time_left: Duration) -> Duration {
+    time_left.mul_f64(MAX_TIME_LEFT_SHARE)
 }
 
 /// The pause for a caller with this much time left; `draw` is from 0 up to 1.
-pub fn return_time(left: Duration, draw: f64) -> Duration {
-    let middle = left.mul_f64(PART_OF_TIME_LEFT).min(LONGEST);
-    middle.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * draw).max(SHORTEST)
+pub fn retry_delay(time_left: Duration, jitter: f64) -> Duration {
+    let middle = time_left.mul_f64(TIME_LEFT_SHARE).min(MAX_DELAY);
+    middle.mul_f64(1.0 - JITTER_SHARE + 2.0 * JITTER_SHARE * jitter).max(MIN_DELAY)
 }
--- a/crates/papayamux-coordination/src/round_trips.rs
+++ b/crates/papayamux-coordination/src/round_trips.rs
@@ -13,9 +13,9 @@
 
 /// Priors, left with the first connections: a round trip within a failure domain, with a server's time
 /// to accept.
-const OWN_DOMAIN_MS: f64 = 1.0;
+const OWN_DOMAIN_PRIOR_MS: f64 = 1.0;
 /// The same to another failure domain of the region.
-const OTHER_DOMAIN_MS: f64 = 2.5;
+const OTHER_DOMAIN_PRIOR_MS: f64 = 2.5;
 
 /// What new connections have shown.
 #[derive(Debug)]
@@ -31,21 +31,21 @@
     }
 
     /// Notes how long it took to open a connection to a server.
-    pub fn note(&mut self, domain: &FailureDomain, took: Duration) {
+    pub fn record(&mut self, domain: &FailureDomain, elapsed: Duration) {
         let prior = self.prior(domain);
         let known = self.domains.entry(domain.clone());
-        known.or_insert_with(|| MedianEstimate::new(prior)).note(took.as_secs_f64() * 1_000.0);
+        known.or_insert_with(|| MedianEstimate::new(prior)).note(elapsed.as_secs_f64() * 1_000.0);
     }
 
     /// The usual round trip, in milliseconds.
-    pub fn usual_ms(&self, domain: &FailureDomain) -> f64 {
+    pub fn median_ms(&self, domain: &FailureDomain) -> f64 {
         self.domains.get(domain).map_or_else(|| self.prior(domain), MedianEstimate::value)
     }
 
     fn prior(&self, domain: &FailureDomain) -> f64 {
         match *domain == self.own {
-            true => OWN_DOMAIN_MS,
-            false => OTHER_DOMAIN_MS,
+            true => OWN_DOMAIN_PRIOR_MS,
+            false => OTHER_DOMAIN_PRIOR_MS,
         }
     }
 }
--- a/crates/papayamux-coordination/src/seen_requests.rs
+++ b/crates/papayamux-coordination/src/seen_requests.rs
@@ -14,7 +14,7 @@
 
 impl SeenRequests {
     /// Notes `id`; `false` where it was seen before.
-    pub fn note(&mut self, id: RequestId, start_before: AgentClock, now: AgentClock) -> bool {
+    pub fn record(&mut self, id: RequestId, start_before: AgentClock, now: AgentClock) -> bool {
         while let Some((expiry, expired)) = self.expiries.first().copied() {
             if expiry > now {
                 break;
--- a/crates/papayamux-coordination/src/server_liveness.rs
+++ b/crates/papayamux-coordination/src/server_liveness.rs
@@ -10,13 +10,13 @@
 
 /// How recently another server must have been heard. Where none was, the silence is our own: a
 /// paused process, or a link that is cut.
-const OTHERS_HEARD_WITHIN: Duration = Duration::from_millis(150);
+const OTHERS_CONTACT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How many times as long as is usual among the servers at the moment a silence has to last. Where all
 /// have become slow at once, each one's silence is long before what is learnt of their pace tells so, and
 /// requests would leave engines that are at work for others just as slow.
-const USUAL_SILENCES: f64 = 4.0;
+const SILENCE_FACTOR: f64 = 4.0;
 /// Servers with requests under way from which something is usual.
-const FEWEST_SERVERS: usize = 3;
+const MIN_SERVERS: usize = 3;
 
 #[derive(Debug, Clone, Copy)]
 struct ServerLiveness {
@@ -26,13 +26,13 @@
 
 /// When servers were last heard, for one service.
 #[derive(Debug, Default)]
-pub struct LivenessBook {
+pub struct LivenessTracker {
     servers: HashMap<ServerId, ServerLiveness>,
-    heard_any: Option<(ServerId, Instant)>,
-    heard_other: Option<Instant>,
+    last_contact: Option<(ServerId, Instant)>,
+    last_other_contact: Option<Instant>,
 }
 
-impl LivenessBook {
+impl LivenessTracker {
     /// Notes that a request was sent to `server` and an answer is awaited.
     pub fn begin(&mut self, server: &ServerId, now: Instant) {
         let fresh = ServerLiveness { pending: 0, waiting_since: now };
@@ -54,14 +54,15 @@
     }
 
     /// Notes that something arrived from `server`.
-    pub fn hear(&mut self, server: &ServerId, now: Instant) {
+    pub fn record_contact(&mut self, server: &ServerId, now: Instant) {
         if let Some(liveness) = self.servers.get_mut(server) {
             liveness.waiting_since = now;
         }
-        match &mut self.heard_any {
-            Some((last, heard)) if last == server => *heard = now,
+        match &mut self.last_contact {
+            Some((last, contact_at)) if last == server => *contact_at = now,
             last => {
-                self.heard_other = last.take().map(|(_, heard)| heard).max(self.heard_other);
+                self.last_other_contact =
+                    last.take().map(|(_, contact_at)| contact_at).max(self.last_other_contact);
                 *last = Some((server.clone(), now));
             }
         }
@@ -69,29 +70,30 @@
 
     /// The least silence that sets a server apart from the others: a few times the median of those
     /// that owe a sign of life.
-    pub fn usual_silence(&self, now: Instant) -> Duration {
+    pub fn silence_threshold(&self, now: Instant) -> Duration {
         let silences = self.servers.values();
         let mut silences: Vec<_> = silences
             .map(|liveness| now.saturating_duration_since(liveness.waiting_since))
             .collect();
-        if silences.len() < FEWEST_SERVERS {
+        if silences.len() < MIN_SERVERS {
             return Duration::ZERO;
         }
         let middle = silences.len() / 2;
         let (_, median, _) = silences.select_nth_unstable(middle);
-        median.mul_f64(USUAL_SILENCES)
+        median.mul_f64(SILENCE_FACTOR)
     }
 
     /// How long `server` has owed a sign of life while another server gave one.
     pub fn silence(&self, server: &ServerId, now: Instant) -> Option<Duration> {
         let liveness = self.servers.get(server)?;
         let silence = now.saturating_duration_since(liveness.waiting_since);
-        let other = match &self.heard_any {
-            Some((last, heard)) if last != server => Some(*heard),
-            _ => self.heard_other,
+        let other = match &self.last_contact {
+            Some((last, contact_at)) if last != server => Some(*contact_at),
+            _ => self.last_other_contact,
         };
-        let others_live =
-            other.is_some_and(|heard| now.saturating_duration_since(heard) < OTHERS_HEARD_WITHIN);
+        let others_live = other.is_some_and(|contact_at| {
+            now.saturating_duration_since(contact_at) < OTHERS_CONTACT_TIMEOUT
+        });
         others_live.then_some(silence)
     }
 }
--- a/crates/papayamux-coordination/src/server_notices.rs
+++ b/crates/papayamux-coordination/src/server_notices.rs
@@ -11,58 +11,58 @@
 
 /// The longest rest that is kept. A server that asks for more would be lost to a mistake of its own for the rest
 /// of its life, and is asked again after this time.
-const LONGEST_REST: Duration = Duration::from_secs(300);
+const MAX_BACKOFF: Duration = Duration::from_secs(300);
 /// Servers beyond which those are forgotten whose rest is over, and those that have been leaving for longest.
-const MOST_SERVERS: usize = 4_096;
+const MAX_SERVERS: usize = 4_096;
 
 /// Which servers leave, and how long others want nothing.
 #[derive(Debug, Default)]
-pub struct NoticeBook {
-    rests_until: HashMap<ServerId, Instant>,
+pub struct NoticeTable {
+    backoff_until: HashMap<ServerId, Instant>,
     /// Since when servers leave that have said so.
-    leaves_since: HashMap<ServerId, Instant>,
+    draining_since: HashMap<ServerId, Instant>,
 }
 
-impl NoticeBook {
+impl NoticeTable {
     /// Takes in what a server said.
-    pub fn note(&mut self, server: &ServerId, notice: ServerNotice, now: Instant) {
+    pub fn record(&mut self, server: &ServerId, notice: ServerNotice, now: Instant) {
         if notice.leaves {
-            self.note_leaving(server, now);
+            self.record_draining(server, now);
         }
         if let Some(rest) = notice.rest {
-            self.note_rest(server, rest, now);
+            self.record_backoff(server, rest, now);
         }
     }
 
     /// A server that leaves doesn't stay: an answer without the word was made before it.
-    fn note_leaving(&mut self, server: &ServerId, now: Instant) {
-        if self.leaves_since.len() >= MOST_SERVERS && !self.leaves(server) {
-            let first = self.leaves_since.iter().min_by_key(|(_, since)| **since);
+    fn record_draining(&mut self, server: &ServerId, now: Instant) {
+        if self.draining_since.len() >= MAX_SERVERS && !self.is_draining(server) {
+            let first = self.draining_since.iter().min_by_key(|(_, since)| **since);
             if let Some(first) = first.map(|(first, _)| first.clone()) {
-                self.leaves_since.remove(&first);
+                self.draining_since.remove(&first);
             }
         }
-        self.leaves_since.entry(server.clone()).or_insert(now);
+        self.draining_since.entry(server.clone()).or_insert(now);
     }
 
     /// Of several rests the one that ends last counts: answers may overtake one another.
-    fn note_rest(&mut self, server: &ServerId, rest: Duration, now: Instant) {
-        if self.rests_until.len() >= MOST_SERVERS {
-            self.rests_until.retain(|_, until| *until > now);
+    fn record_backoff(&mut self, server: &ServerId, rest: Duration, now: Instant) {
+        if self.backoff_until.len() >= MAX_SERVERS {
+            self.backoff_until.retain(|_, until| *until > now);
         }
-        let until = now + rest.min(LONGEST_REST);
-        let known = self.rests_until.entry(server.clone()).or_insert(until);
+        let until = now + rest.min(MAX_BACKOFF);
+        let known = self.backoff_until.entry(server.clone()).or_insert(until);
         *known = until.max(*known);
     }
 
     /// Whether a server has said that it leaves.
-    pub fn leaves(&self, server: &ServerId) -> bool {
-        self.leaves_since.contains_key(server)
+    pub fn is_draining(&self, server: &ServerId) -> bool {
+        self.draining_since.contains_key(server)
     }
 
     /// How long a server still rests; nothing where it doesn't.
-    pub fn rest_left(&self, server: &ServerId, now: Instant) -> Option<Duration> {
-        let until = self.rests_until.get(server)?;
+    pub fn backoff_left(&self, server: &ServerId, now: Instant) -> Option<Duration> {
+        let until = self.backoff_until.get(server)?;
         until.checked_duration_since(now).filter(|left| !left.is_zero())
     }
 }
--- a/crates/papayamux-coordination/src/server_presence.rs
+++ b/crates/papayamux-coordination/src/server_presence.rs
@@ -28,7 +28,7 @@
     /// It finishes what it has.
     Draining,
     /// Its entry is gone, but it may be back.
-    Lapsed,
+    Expired,
     /// It is gone.
     Departed,
     /// It is gone, and its name belongs to a later start.
@@ -41,10 +41,10 @@
 #[derive(Debug, Default)]
 pub struct ServerPresence {
     catalog: ServerCatalog,
-    lapsed: HashMap<ServerId, Instant>,
+    expired: HashMap<ServerId, Instant>,
     /// Since when the entry of a name has shown an earlier start than the one that is known.
     outdated: HashMap<ServerName, Instant>,
-    heard: Option<Instant>,
+    last_contact: Option<Instant>,
     grace_until: Option<Instant>,
 }
 
@@ -56,17 +56,18 @@
 
     /// Notes that the list answered at `now`. After an outage a grace begins; `failed` tells that
     /// reads had failed since it answered last.
-    pub fn note_contact(&mut self, failed: bool, now: Instant) {
-        let away = failed || self.heard.is_some_and(|heard| now - heard > OUTAGE_THRESHOLD);
-        if away {
+    pub fn record_contact(&mut self, failed: bool, now: Instant) {
+        let was_unavailable = failed
+            || self.last_contact.is_some_and(|last_contact| now - last_contact > OUTAGE_THRESHOLD);
+        if was_unavailable {
             self.grace_until = Some(now + RENEWAL_GRACE);
         }
-        self.heard = Some(now);
+        self.last_contact = Some(now);
     }
 
     /// When the list answered last.
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard
+    pub fn last_contact(&self) -> Option<Instant> {
+        self.last_contact
     }
 
     /// Takes in an entry. Returns what changed for its server, and for the one that had its name
@@ -74,7 +75,7 @@
     ///
     /// A server that starts again under its name holds nothing of before. Where nobody noticed, what
     /// its earlier start had cached would be asked of it, and its failures held against it.
-    pub fn note_entry(
+    pub fn record_entry(
         &mut self,
         server: BackendServer,
         now: Instant,
@@ -83,38 +84,38 @@
         let other = self.catalog.named(&server.name).filter(|known| known.id != id).cloned();
         let Some(known) = other else {
             self.outdated.remove(&server.name);
-            return vec![(id, self.note_start(server, now))];
+            return vec![(id, self.record_start(server, now))];
         };
-        if known.start >= server.start && !self.outlasts(&server, now) {
+        if known.start >= server.start && !self.supersedes(&server, now) {
             return vec![(id, PresenceChange::Outdated)];
         }
         self.forget(&known.id);
-        let change = self.note_start(server, now);
+        let change = self.record_start(server, now);
         vec![(known.id.clone(), PresenceChange::Restarted), (id, change)]
     }
 
     /// Whether a start that seems to be the earlier one is in force after all. A write may be done
     /// late, and shows an earlier start for a moment; a server whose clock was set back renews its
     /// entry while the other start no longer does.
-    fn outlasts(&mut self, server: &BackendServer, now: Instant) -> bool {
+    fn supersedes(&mut self, server: &BackendServer, now: Instant) -> bool {
         let since = *self.outdated.entry(server.name.clone()).or_insert(now);
         now.saturating_duration_since(since) >= RENEWAL_GRACE
     }
 
     /// Notes an entry that was read. What is written after an outage is told again to whoever follows this
     /// router, for whom it may have lapsed.
-    fn note_start(&mut self, server: BackendServer, now: Instant) -> PresenceChange {
-        let may_have_lapsed =
-            self.lapsed.contains_key(&server.id) || !self.grace_left(now).is_zero();
-        self.take_entry(server, may_have_lapsed)
+    fn record_start(&mut self, server: BackendServer, now: Instant) -> PresenceChange {
+        let may_have_expired =
+            self.expired.contains_key(&server.id) || !self.grace_left(now).is_zero();
+        self.apply_entry(server, may_have_expired)
     }
 
     /// Takes an entry into the catalog; where `tells_again`, as a new one also if it is as before.
-    fn take_entry(&mut self, server: BackendServer, tells_again: bool) -> PresenceChange {
-        self.lapsed.remove(&server.id);
+    fn apply_entry(&mut self, server: BackendServer, announces_again: bool) -> PresenceChange {
+        self.expired.remove(&server.id);
         let phase = server.phase;
         let is_as_before = self.catalog.get(&server.id).is_some_and(|known| **known == server);
-        if is_as_before && !tells_again {
+        if is_as_before && !announces_again {
             return PresenceChange::Unchanged;
         }
         let previous = self.catalog.upsert(server);
@@ -127,21 +128,21 @@
     }
 
     /// Takes in that the entry of a server is gone.
-    pub fn note_removal(&mut self, id: &ServerId, now: Instant) -> PresenceChange {
+    pub fn record_removal(&mut self, id: &ServerId, now: Instant) -> PresenceChange {
         let Some(known) = self.catalog.get(id) else { return PresenceChange::Unchanged };
         let grace = self.grace_until.filter(|until| now < *until);
         match grace {
             Some(until) if known.phase == ServerPhase::Serving => {
-                self.lapsed.entry(id.clone()).or_insert(until);
-                PresenceChange::Lapsed
+                self.expired.entry(id.clone()).or_insert(until);
+                PresenceChange::Expired
             }
-            _ => self.note_overwritten(id),
+            _ => self.record_overwrite(id),
         }
     }
 
     /// Takes in that the entry of a server no longer names one. Somebody wrote it while the list was
     /// there, so that it is no lapse.
-    pub fn note_overwritten(&mut self, id: &ServerId) -> PresenceChange {
+    pub fn record_overwrite(&mut self, id: &ServerId) -> PresenceChange {
         match self.catalog.get(id) {
             Some(_) => {
                 self.forget(id);
@@ -165,8 +166,8 @@
     pub fn adopt_grace(&mut self, left: Duration, now: Instant) -> Vec<ServerId> {
         let until = now + left;
         self.grace_until = (!left.is_zero()).then_some(until);
-        self.lapsed.values_mut().for_each(|lapsed| *lapsed = (*lapsed).min(until));
-        self.expire_lapsed(now)
+        self.expired.values_mut().for_each(|expired| *expired = (*expired).min(until));
+        self.remove_expired(now)
     }
 
     /// Takes over what another router believes of a server, which has weighed starts and lapses itself.
@@ -179,7 +180,7 @@
             self.forget(&known.id);
         }
         // It may have changed and changed back. Whoever follows this router is told it again too.
-        let change = self.take_entry(server, true);
+        let change = self.apply_entry(server, true);
         let restarted = other.map(|known| (known.id.clone(), PresenceChange::Restarted));
         restarted.into_iter().chain([(id, change)]).collect()
     }
@@ -190,7 +191,7 @@
     }
 
     /// Takes in the whole list: what it lacks is gone. Returns what changed.
-    pub fn note_list(
+    pub fn record_list(
         &mut self,
         servers: Vec<BackendServer>,
         now: Instant,
@@ -203,9 +204,9 @@
             .map(|known| known.id.clone())
             .collect();
         let mut changes: Vec<_> =
-            servers.into_iter().flat_map(|server| self.note_entry(server, now)).collect();
+            servers.into_iter().flat_map(|server| self.record_entry(server, now)).collect();
         for id in missing {
-            let change = self.note_removal(&id, now);
+            let change = self.record_removal(&id, now);
             changes.push((id, change));
         }
         changes.retain(|(_, change)| *change != PresenceChange::Unchanged);
@@ -214,19 +215,19 @@
 
     /// Whether lapsed entries may still come back.
     pub fn awaits_renewals(&self) -> bool {
-        !self.lapsed.is_empty()
+        !self.expired.is_empty()
     }
 
     /// Gives up lapsed servers whose grace has passed; returns them.
-    pub fn expire_lapsed(&mut self, now: Instant) -> Vec<ServerId> {
-        let due = self.lapsed.iter().filter(|(_, until)| **until <= now);
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<ServerId> {
+        let due = self.expired.iter().filter(|(_, until)| **until <= now);
         let gone: Vec<_> = due.map(|(id, _)| id.clone()).collect();
         gone.iter().for_each(|id| self.forget(id));
         gone
     }
 
     fn forget(&mut self, id: &ServerId) {
-        self.lapsed.remove(id);
+        self.expired.remove(id);
         if let Some(server) = self.catalog.remove(id) {
             self.outdated.remove(&server.name);
         }
--- a/crates/papayamux-coordination/src/service_line/line_request.rs
+++ b/crates/papayamux-coordination/src/service_queue/queued_request.rs
@@ -24,7 +24,7 @@
 
 /// A request that may have to wait.
 #[derive(Debug, Clone, PartialEq)]
-pub struct LineRequest {
+pub struct QueuedRequest {
     /// Whose it is.
     pub flow: FlowKey,
     /// What it costs a server, in prompt tokens read.
@@ -34,12 +34,12 @@
 }
 
 /// What every request costs, of a plain service too: a place, and a step or two.
-const LEAST_WORK: u64 = 500;
+const BASE_REQUEST_WORK: u64 = 500;
 
 /// The work of a request: `own` tokens of its prompt are shared with nobody, and its answer is
 /// expected to have `answer` tokens, each of which costs as much as reading `token_work`. Shared parts
 /// are mostly cached.
 pub fn request_work(own: TokenCount, answer: TokenCount, token_work: f64) -> TokenCount {
     let answering = (answer.get() as f64 * token_work) as u64;
-    TokenCount::new(own.get().saturating_add(answering).saturating_add(LEAST_WORK))
+    TokenCount::new(own.get().saturating_add(answering).saturating_add(BASE_REQUEST_WORK))
 }
--- a/crates/papayamux-coordination/src/service_retry_budget.rs
+++ b/crates/papayamux-coordination/src/service_retry_budget.rs
@@ -22,7 +22,7 @@
 const KEPT_BUCKETS: usize = 2 * BUCKETS + 1;
 /// Routers that share the slack at least. Routers that are not heard of, and the ones that
 /// replaced them, spend their part too.
-const FEWEST_SHARERS: u32 = 8;
+const MIN_SHARERS: u32 = 8;
 /// Part of the ratio that is spent: the rest covers requests that callers sent in another window than the one
 /// in which the router counts them.
 const RATIO_USED: f64 = 0.8;
@@ -50,11 +50,11 @@
 
 /// What a router has counted for one service, for its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RetryAccount {
+pub struct RetryUsage {
     /// Requests in the window.
     pub requests: u32,
     /// Repeats in the window.
-    pub repeats: u32,
+    pub retries: u32,
     /// Routers that share the slack; `None` where they are not known yet.
     pub sharers: Option<u32>,
 }
@@ -63,7 +63,7 @@
 struct CountBucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// One router's part of the budget, for each service.
@@ -87,33 +87,33 @@
     /// The same for a router that has no others. As the slack is shared among several all the same, the starts
     /// of it that fall into one window leave enough for one another.
     pub fn alone(allowance: RetryAllowance, now: Instant) -> Self {
-        Self { sharers: Some(FEWEST_SHARERS), slack_from: 0, ..Self::new(allowance, now) }
+        Self { sharers: Some(MIN_SHARERS), slack_from: 0, ..Self::new(allowance, now) }
     }
 
     /// Notes that all routers are known and how many they are, this one included. The most ever seen counts,
     /// and half as many again for those not heard of.
-    pub fn note_routers(&mut self, routers: u32) {
-        let sharers = routers.saturating_add(routers / 2).max(FEWEST_SHARERS);
+    pub fn record_routers(&mut self, routers: u32) {
+        let sharers = routers.saturating_add(routers / 2).max(MIN_SHARERS);
         self.sharers = self.sharers.max(Some(sharers));
     }
 
     /// Counts the first sending of a request.
-    pub fn note_request(&mut self, service: &ServiceId, now: Instant) {
+    pub fn record_request(&mut self, service: &ServiceId, now: Instant) {
         self.bucket(service, now).requests += 1;
     }
 
     /// Whether there is room for one more repeat in each window that contains this moment.
-    pub fn has_room(&self, service: &ServiceId, now: Instant) -> bool {
+    pub fn allows_retry(&self, service: &ServiceId, now: Instant) -> bool {
         let recent = self.recent_buckets(service, now);
-        let from_slack = self.slack_share(now);
-        let mut repeats = 1;
+        let slack_retries = self.slack_share(now);
+        let mut retries = 1;
         let mut requests = requests_in(&recent[..BUCKETS]);
         // The window that begins in the current bucket, then those that began earlier.
         for first in 0..=BUCKETS {
-            repeats += recent[first].repeats;
-            let from_requests =
+            retries += recent[first].retries;
+            let request_retries =
                 f64::from(requests) * REQUEST_WEIGHT * self.allowance.ratio * RATIO_USED;
-            if f64::from(repeats) > from_requests + from_slack {
+            if f64::from(retries) > request_retries + slack_retries {
                 return false;
             }
             requests += recent[first + BUCKETS].requests;
@@ -133,21 +133,21 @@
     }
 
     /// Takes one repeat; `false` where the budget is used up.
-    pub fn take_repeat(&mut self, service: &ServiceId, now: Instant) -> bool {
-        if !self.has_room(service, now) {
+    pub fn take_retry(&mut self, service: &ServiceId, now: Instant) -> bool {
+        if !self.allows_retry(service, now) {
             return false;
         }
-        self.bucket(service, now).repeats += 1;
+        self.bucket(service, now).retries += 1;
         true
     }
 
     /// What is counted in the window that ends now.
-    pub fn account(&self, service: &ServiceId, now: Instant) -> RetryAccount {
+    pub fn usage(&self, service: &ServiceId, now: Instant) -> RetryUsage {
         let recent = self.recent_buckets(service, now);
         let window = &recent[..=BUCKETS];
-        RetryAccount {
+        RetryUsage {
             requests: requests_in(window),
-            repeats: window.iter().map(|bucket| bucket.repeats).sum(),
+            retries: window.iter().map(|bucket| bucket.retries).sum(),
             sharers: self.sharers,
         }
     }
@@ -179,7 +179,7 @@
             buckets.pop_front();
         }
         if buckets.back().is_none_or(|last| last.number < number) {
-            buckets.push_back(CountBucket { number, requests: 0, repeats: 0 });
+            buckets.push_back(CountBucket { number, requests: 0, retries: 0 });
         }
         let last = buckets.len() - 1;
         &mut buckets[last]
--- a/crates/papayamux-coordination/src/usual_deadline.rs
+++ b/crates/papayamux-coordination/src/usual_deadline.rs
@@ -8,13 +8,13 @@
 
 /// Values that are counted. Half of the requests or more carry the usual deadline, also while many
 /// come back, each with another one; the others only have to be told from it.
-const COUNTED_VALUES: usize = 4;
+const MAX_COUNTED_DEADLINES: usize = 4;
 /// Requests after which the counts are halved, so that a changed deadline is learnt.
-const MOST_COUNTED: u32 = 1_024;
+const MAX_COUNT: u32 = 1_024;
 /// Requests that must have carried a deadline before a shorter one means anything.
-const FEWEST_COUNTED: u32 = 8;
+const MIN_COUNT: u32 = 8;
 /// Deadlines that differ by less are one: callers may take off what connecting cost.
-const SAME_WITHIN: Duration = Duration::from_millis(20);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Clone, Copy)]
 struct CountedDeadline {
@@ -31,40 +31,40 @@
 impl UsualDeadline {
     /// Notes the deadline of a request. Returns how long ago its caller first asked, as far as a
     /// deadline that is shorter than the usual one tells; zero for a newcomer.
-    pub fn note(&mut self, deadline: Duration) -> Duration {
-        let known = self.counted.iter().position(|one| one.is_same(deadline));
+    pub fn record(&mut self, deadline: Duration) -> Duration {
+        let known = self.counted.iter().position(|candidate| candidate.is_same(deadline));
         match known {
             Some(known) => self.counted[known].count += 1,
-            None if self.counted.len() < COUNTED_VALUES => {
+            None if self.counted.len() < MAX_COUNTED_DEADLINES => {
                 self.counted.push(CountedDeadline { deadline, count: 1 });
             }
-            None => self.lower(|count| count - 1),
+            None => self.update_counts(|count| count - 1),
         }
-        if self.counted.iter().any(|one| one.count >= MOST_COUNTED) {
-            self.lower(|count| count / 2);
+        if self.counted.iter().any(|candidate| candidate.count >= MAX_COUNT) {
+            self.update_counts(|count| count / 2);
         }
-        let used = self.usual().unwrap_or_default().saturating_sub(deadline);
-        if used < SAME_WITHIN {
+        let elapsed = self.usual().unwrap_or_default().saturating_sub(deadline);
+        if elapsed < DEADLINE_TOLERANCE {
             Duration::ZERO
         } else {
-            used
+            elapsed
         }
     }
 
     /// The usual deadline, once enough requests have carried it.
     pub fn usual(&self) -> Option<Duration> {
-        let most = self.counted.iter().max_by_key(|one| one.count)?;
-        (most.count >= FEWEST_COUNTED).then_some(most.deadline)
+        let most_frequent = self.counted.iter().max_by_key(|candidate| candidate.count)?;
+        (most_frequent.count >= MIN_COUNT).then_some(most_frequent.deadline)
     }
 
-    fn lower(&mut self, change: impl Fn(u32) -> u32) {
-        self.counted.iter_mut().for_each(|one| one.count = change(one.count));
-        self.counted.retain(|one| one.count > 0);
+    fn update_counts(&mut self, change: impl Fn(u32) -> u32) {
+        self.counted.iter_mut().for_each(|candidate| candidate.count = change(candidate.count));
+        self.counted.retain(|candidate| candidate.count > 0);
     }
 }
 
 impl CountedDeadline {
     fn is_same(&self, deadline: Duration) -> bool {
-        self.deadline.abs_diff(deadline) < SAME_WITHIN
+        self.deadline.abs_diff(deadline) < DEADLINE_TOLERANCE
     }
 }
--- a/crates/papayamux-coordination/tests/admission_book.rs
+++ b/crates/papayamux-coordination/tests/admission_controller.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use papayamux_coordination::admission::{
-    Admission, AdmissionBook, AdmissionLimits, AdmissionPermit, TOP_PRIORITY,
+    Admission, AdmissionController, AdmissionLimits, AdmissionPermit, TOP_PRIORITY,
 };
 use papayamux_coordination::admission_ticket::AdmissionTicket;
 use papayamux_protocol::link::AgentClock;
@@ -23,9 +23,9 @@
 
 const NOW: AgentClock = AgentClock(1_000);
 
-fn book(capacity: u64) -> Rc<AdmissionBook> {
+fn controller(capacity: u64) -> Rc<AdmissionController> {
     let limits = AdmissionLimits::of_capacity(RequestCount::new(capacity));
-    AdmissionBook::new(Incarnation::from(AGENT), limits)
+    AdmissionController::new(Incarnation::from(AGENT), limits)
 }
 
 fn poll(ticket: &AdmissionTicket) -> Poll<Result<AdmissionPermit, RefusalReason>> {
@@ -39,7 +39,7 @@
 
 fn ticket(admission: Result<Admission, RefusalReason>) -> Option<AdmissionTicket> {
     match admission {
-        Ok(Admission::Later(ticket)) => Some(ticket),
+        Ok(Admission::Waiting(ticket)) => Some(ticket),
         _ => None,
     }
 }
@@ -59,49 +59,54 @@
 fn no_interleaving_admits_above_the_bound() {
     bolero::check!().with_iterations(GENERATED_INPUTS).with_type::<Vec<(u8, u8)>>().for_each(
         |steps| {
-            let book = book(8);
+            let controller = controller(8);
             let (mut permits, mut tickets) = (Vec::new(), Vec::new());
             for (number, (step, value)) in steps.iter().enumerate() {
                 let now = NOW.after(Duration::from_millis(20 * number as u64));
-                let heard = mean_load(f64::from(value % 10));
+                let received = mean_load(f64::from(value % 10));
                 if step % 4 != 3 {
-                    book.hear_mean(&heard, now);
+                    controller.record_mean_load(&received, now);
                 }
                 collect_grants(&mut tickets, &mut permits);
-                let (before, limit) = (book.running(), book.load(Some(heard.group), now).limit);
+                let (before, limit) =
+                    (controller.running(), controller.load(Some(received.group), now).limit);
                 match step % 4 {
                     0 => {}
                     3 if permits.is_empty() => {}
                     3 => drop(permits.swap_remove(usize::from(*value) % permits.len())),
                     _ => {
                         let Ok(mut open) = request(number as u64, "yanchang") else { return };
-                        open.placement.group_load = Some(heard);
+                        open.placement.group_load = Some(received);
                         if step % 4 == 1 {
                             open.placement.patience = Duration::ZERO;
                         }
-                        match book.admit(&open, now) {
-                            Ok(Admission::Now(permit)) => permits.push(permit),
-                            Ok(Admission::Later(ticket)) => tickets.push(ticket),
+                        match controller.admit(&open, now) {
+                            Ok(Admission::Admitted(permit)) => permits.push(permit),
+                            Ok(Admission::Waiting(ticket)) => tickets.push(ticket),
                             Err(_) => {}
                         }
                     }
                 }
                 collect_grants(&mut tickets, &mut permits);
-                assert_eq!(book.running().get(), permits.len() as u64);
-                assert!(book.running() <= before.max(limit), "{} > {limit}", book.running());
+                assert_eq!(controller.running().get(), permits.len() as u64);
+                assert!(
+                    controller.running() <= before.max(limit),
+                    "{} > {limit}",
+                    controller.running()
+                );
             }
         },
     );
 }
 
 #[test]
-fn the_bound_rounds_down_but_leaves_a_place_for_every_request() {
+fn bound_rounds_down_but_leaves_a_slot_for_every_request() {
     for total in 0..200_u32 {
         for servers in [1, 3, 4, 12, 20] {
             let mean = f64::from(total) / f64::from(servers);
             let limit = LoadFactor::DEFAULT.limit(mean, servers).get();
-            let places = limit * u64::from(servers);
-            assert!(places > u64::from(total), "{total} requests, {places} places");
+            let slots = limit * u64::from(servers);
+            assert!(slots > u64::from(total), "{total} requests, {slots} places");
             let share = f64::from(total + 1) / f64::from(servers);
             let margin = LoadFactor::DEFAULT.get() * ADMISSION_MARGIN;
             assert!(limit as f64 <= (margin * share).max(share.ceil()));
@@ -110,23 +115,25 @@
 }
 
 #[test]
-fn a_server_alone_in_its_group_has_no_bound_but_its_capacity() -> TestResult {
-    let book = book(64);
+fn lone_server_of_a_group_is_bound_by_its_capacity_alone() -> TestResult {
+    let controller = controller(64);
     let alone = GroupLoad { servers: 1, ..mean_load(0.0) };
     let mut permits = Vec::new();
     for number in 0..64 {
         let mut open = request(number, "yanchang")?;
         open.placement.group_load = Some(alone);
-        book.hear_mean(&alone, NOW);
-        let Ok(Admission::Now(permit)) = book.admit(&open, NOW) else { return Err("full".into()) };
+        controller.record_mean_load(&alone, NOW);
+        let Ok(Admission::Admitted(permit)) = controller.admit(&open, NOW) else {
+            return Err("full".into());
+        };
         permits.push(permit);
     }
     Ok(())
 }
 
 #[test]
-fn a_server_at_the_bound_refuses_although_it_has_capacity() -> TestResult {
-    let book = book(64);
+fn server_at_the_bound_refuses_although_it_has_capacity() -> TestResult {
+    let controller = controller(64);
     let mut permits = Vec::new();
     let mut outcome = Ok(());
     let mut open = request(0, "yanchang")?;
@@ -134,10 +141,10 @@
     for number in 1..11 {
         open.id.number = number;
         open.placement.patience = Duration::ZERO;
-        book.hear_mean(&mean_load(4.0), NOW);
-        match book.admit(&open, NOW) {
-            Ok(Admission::Now(permit)) => permits.push(permit),
-            Ok(Admission::Later(_)) => return Err("it waits".into()),
+        controller.record_mean_load(&mean_load(4.0), NOW);
+        match controller.admit(&open, NOW) {
+            Ok(Admission::Admitted(permit)) => permits.push(permit),
+            Ok(Admission::Waiting(_)) => return Err("it waits".into()),
             Err(reason) => outcome = Err(reason),
         }
     }
@@ -147,31 +154,31 @@
     assert_eq!(outcome, Err(RefusalReason::OverBound));
     open.id.number = 11;
     open.placement.patience = Duration::from_secs(1);
-    let waiting = ticket(book.admit(&open, NOW)).ok_or("no ticket")?;
+    let waiting = ticket(controller.admit(&open, NOW)).ok_or("no ticket")?;
     permits.pop();
     assert!(is_granted(&waiting), "a patient one waits until it is within the bound");
     Ok(())
 }
 
 #[test]
-fn a_mean_that_nobody_repeats_is_forgotten() -> TestResult {
-    let book = book(64);
-    book.hear_mean(&mean_load(0.0), NOW);
+fn mean_load_that_is_not_reported_again_expires() -> TestResult {
+    let controller = controller(64);
+    controller.record_mean_load(&mean_load(0.0), NOW);
     let group = Some(mean_load(0.0).group);
-    assert_eq!(book.load(group, NOW).limit, RequestCount::new(1));
+    assert_eq!(controller.load(group, NOW).limit, RequestCount::new(1));
     let later = NOW.after(Duration::from_secs(10));
-    assert_eq!(book.load(group, later).limit, RequestCount::new(64));
+    assert_eq!(controller.load(group, later).limit, RequestCount::new(64));
     Ok(())
 }
 
 #[test]
-fn a_full_agent_refuses_or_lets_wait_as_the_router_asks() -> TestResult {
-    let book = book(1);
-    let running = book.admit(&request(1, "yanchang")?, NOW);
+fn full_agent_refuses_or_queues_by_the_wait_budget_of_the_router() -> TestResult {
+    let controller = controller(1);
+    let running = controller.admit(&request(1, "yanchang")?, NOW);
     let mut impatient = request(2, "yanchang")?;
     impatient.placement.patience = Duration::ZERO;
-    assert_eq!(book.admit(&impatient, NOW).err(), Some(RefusalReason::AtCapacity));
-    let waiting = ticket(book.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
+    assert_eq!(controller.admit(&impatient, NOW).err(), Some(RefusalReason::AtCapacity));
+    let waiting = ticket(controller.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
     assert!(!is_granted(&waiting));
     drop(running);
     assert!(is_granted(&waiting));
@@ -179,47 +186,47 @@
 }
 
 #[test]
-fn a_place_given_up_goes_to_the_next() -> TestResult {
-    let book = book(1);
-    let running = book.admit(&request(1, "yanchang")?, NOW);
-    let first = ticket(book.admit(&request(2, "yanchang")?, NOW)).ok_or("no ticket")?;
-    let second = ticket(book.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
+fn abandoned_queue_position_goes_to_the_next() -> TestResult {
+    let controller = controller(1);
+    let running = controller.admit(&request(1, "yanchang")?, NOW);
+    let first = ticket(controller.admit(&request(2, "yanchang")?, NOW)).ok_or("no ticket")?;
+    let second = ticket(controller.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
     drop(first);
-    assert_eq!(book.waiting(), RequestCount::new(1));
+    assert_eq!(controller.waiting(), RequestCount::new(1));
     drop(running);
     assert!(is_granted(&second));
     Ok(())
 }
 
 #[test]
-fn a_grant_that_nobody_takes_goes_to_the_next() -> TestResult {
-    let book = book(1);
-    let running = book.admit(&request(1, "yanchang")?, NOW);
-    let first = ticket(book.admit(&request(2, "yanchang")?, NOW)).ok_or("no ticket")?;
-    let second = ticket(book.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
+fn unclaimed_grant_goes_to_the_next() -> TestResult {
+    let controller = controller(1);
+    let running = controller.admit(&request(1, "yanchang")?, NOW);
+    let first = ticket(controller.admit(&request(2, "yanchang")?, NOW)).ok_or("no ticket")?;
+    let second = ticket(controller.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
     drop(running);
     drop(first);
     assert!(is_granted(&second));
-    assert_eq!(book.running(), RequestCount::new(0));
+    assert_eq!(controller.running(), RequestCount::new(0));
     Ok(())
 }
 
 #[test]
-fn the_top_class_goes_first_and_finds_a_place_kept() -> TestResult {
-    let book = book(8);
+fn top_class_goes_first_and_has_a_reserved_slot() -> TestResult {
+    let controller = controller(8);
     let mut top = request(1, "gates")?;
     top.priority = TOP_PRIORITY;
-    drop(book.admit(&top, NOW));
+    drop(controller.admit(&top, NOW));
     let mut running = Vec::new();
     for number in 2..9 {
-        running.push(book.admit(&request(number, "itineraries")?, NOW)?);
+        running.push(controller.admit(&request(number, "itineraries")?, NOW)?);
     }
-    let waiting = ticket(book.admit(&request(9, "itineraries")?, NOW)).ok_or("no ticket")?;
+    let waiting = ticket(controller.admit(&request(9, "itineraries")?, NOW)).ok_or("no ticket")?;
     top.id.number = 10;
-    let kept = book.admit(&top, NOW)?;
-    assert!(matches!(kept, Admission::Now(_)), "a place was kept");
+    let kept = controller.admit(&top, NOW)?;
+    assert!(matches!(kept, Admission::Admitted(_)), "a place was kept");
     top.id.number = 11;
-    let next = ticket(book.admit(&top, NOW)).ok_or("no ticket")?;
+    let next = ticket(controller.admit(&top, NOW)).ok_or("no ticket")?;
     running.pop();
     assert!(is_granted(&next), "the top class goes before those that came first");
     assert!(!is_granted(&waiting));
@@ -227,23 +234,23 @@
 }
 
 #[test]
-fn a_wait_past_the_deadline_is_refused_at_once() -> TestResult {
-    let book = book(1);
-    book.note_run(Duration::from_secs(3_000));
-    let _running = book.admit(&request(1, "yanchang")?, NOW)?;
-    let refused = book.admit(&request(2, "yanchang")?, NOW);
+fn wait_past_the_deadline_is_refused_at_once() -> TestResult {
+    let controller = controller(1);
+    controller.record_run(Duration::from_secs(3_000));
+    let _running = controller.admit(&request(1, "yanchang")?, NOW)?;
+    let refused = controller.admit(&request(2, "yanchang")?, NOW);
     assert_eq!(refused.err(), Some(RefusalReason::WaitTooLong));
     Ok(())
 }
 
 #[test]
-fn a_refused_request_stays_refused() -> TestResult {
-    let book = book(1);
-    let running = book.admit(&request(1, "yanchang")?, NOW);
+fn refused_request_stays_refused() -> TestResult {
+    let controller = controller(1);
+    let running = controller.admit(&request(1, "yanchang")?, NOW);
     let mut open = request(2, "yanchang")?;
     open.placement.patience = Duration::ZERO;
-    assert_eq!(book.admit(&open, NOW).err(), Some(RefusalReason::AtCapacity));
+    assert_eq!(controller.admit(&open, NOW).err(), Some(RefusalReason::AtCapacity));
     drop(running);
-    assert_eq!(book.admit(&open, NOW).err(), Some(RefusalReason::SeenBefore));
+    assert_eq!(controller.admit(&open, NOW).err(), Some(RefusalReason::SeenBefore));
     Ok(())
 }
--- a/crates/papayamux-coordination/tests/attempt_plan.rs
+++ b/crates/papayamux-coordination/tests/attempt_plan.rs
@@ -14,17 +14,17 @@
 ];
 
 /// Follows every order of losses to its end.
-fn follow(kind: RequestKind, attempts: u32, history: AttemptHistory, runs: u32, depth: u32) {
+fn follow(kind: RequestKind, max_runs: u32, history: AttemptHistory, runs: u32, depth: u32) {
     assert!(depth < 10, "attempts are bounded");
     for loss in LOSSES {
         let mut history = history;
         let runs = runs + u32::from(loss == AttemptLoss::Unknown);
-        match history.after_loss(kind, attempts, loss) {
+        match history.after_loss(kind, max_runs, loss) {
             NextStep::Again { counts } => {
                 assert_eq!(counts, loss != AttemptLoss::NotSent);
-                assert!(runs < attempts.max(1) || runs == 0, "{kind:?}: {runs} of {attempts}");
+                assert!(runs < max_runs.max(1) || runs == 0, "{kind:?}: {runs} of {max_runs}");
                 assert!(runs == 0 || kind.may_repeat(), "{kind:?} ran and would run again");
-                follow(kind, attempts, history, runs, depth + 1);
+                follow(kind, max_runs, history, runs, depth + 1);
             }
             NextStep::TellNotRun => assert_eq!(runs, 0, "{kind:?} may have run"),
             NextStep::TellUnknown => assert!(runs > 0),
@@ -33,21 +33,21 @@
 }
 
 #[test]
-fn every_order_of_losses_keeps_the_promises() {
+fn every_order_of_losses_upholds_the_guarantees() {
     for kind in KINDS {
-        for attempts in 0..4 {
-            follow(kind, attempts, AttemptHistory::default(), 0, 0);
+        for max_runs in 0..4 {
+            follow(kind, max_runs, AttemptHistory::default(), 0, 0);
         }
     }
 }
 
 #[test]
-fn silent_server_is_left_only_where_another_run_is_allowed() {
+fn silent_server_is_abandoned_only_if_another_run_is_allowed() {
     let history = AttemptHistory::default();
-    assert!(history.may_leave(RequestKind::Idempotent, 2));
-    assert!(!history.may_leave(RequestKind::Idempotent, 1));
-    assert!(!history.may_leave(RequestKind::Once, 3));
+    assert!(history.may_fail_over(RequestKind::Idempotent, 2));
+    assert!(!history.may_fail_over(RequestKind::Idempotent, 1));
+    assert!(!history.may_fail_over(RequestKind::Once, 3));
     let mut second = history;
     second.after_loss(RequestKind::Idempotent, 2, AttemptLoss::Unknown);
-    assert!(!second.may_leave(RequestKind::Idempotent, 2));
+    assert!(!second.may_fail_over(RequestKind::Idempotent, 2));
 }
--- a/crates/papayamux-coordination/tests/constants.rs
+++ b/crates/papayamux-coordination/tests/constants.rs
@@ -9,10 +9,10 @@
 const FILES: [&str; 14] = [
     "link_delays.rs",
     "part_flights.rs",
-    "return_time.rs",
+    "retry_delay.rs",
     "server_places.rs",
     "server_liveness.rs",
-    "server_record.rs",
+    "failure_rates.rs",
     "usual_deadline.rs",
     "recent_departures.rs",
     "cache_survey.rs",
@@ -24,7 +24,7 @@
 ];
 /// Folders of such decisions.
 const FOLDERS: [&str; 5] =
-    ["placement", "server_profile", "service_line", "fleet_knowledge", "cold_servers"];
+    ["placement", "server_profile", "service_queue", "fleet_knowledge", "cold_servers"];
 
 fn sources() -> Vec<PathBuf> {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
--- a/crates/papayamux-coordination/tests/fair_queue.rs
+++ b/crates/papayamux-coordination/tests/fair_queue.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_surge_waits_behind_itself() -> Result<(), IdError> {
+fn surging_organisation_does_not_delay_others() -> Result<(), IdError> {
     let mut queue = FairQueue::new(1_000);
     for number in 0..500 {
         queue.push(entry("surging", number)?);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn shares_decide_between_organisations_that_wait() -> Result<(), IdError> {
+fn organisations_are_served_by_their_shares() -> Result<(), IdError> {
     let mut queue = FairQueue::new(1_000);
     for number in 0..100 {
         queue.push(entry("small", number)?);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_full_queue_takes_the_place_from_the_surge() -> Result<(), IdError> {
+fn full_queue_displaces_the_surging_organisation() -> Result<(), IdError> {
     let mut queue = FairQueue::new(10);
     for number in 0..10 {
         queue.push(entry("surging", number)?);
@@ -55,12 +55,12 @@
 }
 
 #[test]
-fn no_surge_pushes_out_an_organisation_below_its_share() {
+fn surge_displaces_no_organisation_below_its_share() {
     bolero::check!().with_iterations(GENERATED_INPUTS).with_type::<Vec<(bool, u8)>>().for_each(
         |steps| {
-            const PLACES: usize = 12;
+            const CAPACITY: usize = 12;
             const NAMES: [&str; 3] = ["one", "two", "three"];
-            let mut queue = FairQueue::new(PLACES);
+            let mut queue = FairQueue::new(CAPACITY);
             let mut waiting = [0_usize; 3];
             let index_of = |name: &str| NAMES.iter().position(|known| *known == name);
             for (push, choice) in steps {
@@ -73,14 +73,14 @@
                 }
                 let Ok(entry) = entry(NAMES[index], 0) else { return };
                 match queue.push(entry) {
-                    PushOutcome::Waits => waiting[index] += 1,
+                    PushOutcome::Queued => waiting[index] += 1,
                     PushOutcome::Displaced((name, _)) => {
                         let Some(victim) = index_of(name) else { return };
-                        assert!(waiting[victim] > PLACES / NAMES.len());
+                        assert!(waiting[victim] > CAPACITY / NAMES.len());
                         waiting[victim] -= 1;
                         waiting[index] += 1;
                     }
-                    PushOutcome::Full(_) => assert!(waiting[index] >= PLACES / NAMES.len()),
+                    PushOutcome::Full(_) => assert!(waiting[index] >= CAPACITY / NAMES.len()),
                 }
                 assert_eq!(queue.len(), waiting.iter().sum::<usize>());
             }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn classes_go_in_their_order_and_the_lowest_gives_way() -> Result<(), IdError> {
+fn priority_classes_are_ordered_and_the_lowest_is_displaced() -> Result<(), IdError> {
     let mut queue = FairQueue::new(2);
     queue.push(entry("itineraries", 0)?);
     queue.push(entry("itineraries", 1)?);
--- a/crates/papayamux-coordination/tests/fleet_knowledge/beliefs.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/beliefs.rs
@@ -49,14 +49,14 @@
         // A start that replaces another one is believed at once here.
         match self.presence.id_of(&server.name).is_some_and(|known| known != server.id) {
             true => drop(self.presence.adopt(server)),
-            false => drop(self.presence.note_entry(server, Instant::now())),
+            false => drop(self.presence.record_entry(server, Instant::now())),
         }
     }
 
     fn remove(&mut self, name: &str) {
         let name = name.parse().unwrap();
         if let Some(id) = self.presence.id_of(&name) {
-            self.presence.note_overwritten(&id);
+            self.presence.record_overwrite(&id);
         }
         self.journal.note_departure(name);
     }
@@ -106,8 +106,8 @@
     reader.put(serving("i-1"));
     reader.note(10);
     let id = reader.presence.id_of(&"i-1".parse().unwrap()).unwrap();
-    reader.presence.note_contact(true, back);
-    assert_eq!(reader.presence.note_removal(&id, back), PresenceChange::Lapsed);
+    reader.presence.record_contact(true, back);
+    assert_eq!(reader.presence.record_removal(&id, back), PresenceChange::Expired);
     reader.note(12);
     let mut follower = Believer::default();
     follower.put(serving("i-1"));
@@ -127,12 +127,12 @@
     let mut reader = Believer::default();
     reader.put(serving("i-1"));
     reader.note(10);
-    reader.presence.note_contact(true, back);
+    reader.presence.record_contact(true, back);
     let mut follower = Believer::default();
     follower.put(serving("i-1"));
-    follower.presence.note_contact(true, back);
+    follower.presence.record_contact(true, back);
     let id = follower.presence.id_of(&"i-1".parse().unwrap()).unwrap();
-    assert_eq!(follower.presence.note_removal(&id, back), PresenceChange::Lapsed);
+    assert_eq!(follower.presence.record_removal(&id, back), PresenceChange::Expired);
     follower.note(12);
     reader.put(serving("i-1"));
     reader.note(14);
--- a/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/source_view.rs
@@ -241,7 +241,7 @@
             {
                 self.presence.adopt(server);
             }
-            Written::Server(server) => drop(self.presence.note_entry(server, Instant::now())),
+            Written::Server(server) => drop(self.presence.record_entry(server, Instant::now())),
             Written::Gone(name) => self.remove(&name),
             Written::Configuration => {}
         }
@@ -257,7 +257,7 @@
     fn remove(&mut self, name: &str) {
         let name = name.parse().unwrap();
         if let Some(id) = self.presence.id_of(&name) {
-            self.presence.note_overwritten(&id);
+            self.presence.record_overwrite(&id);
         }
         self.journal.note_departure(name);
     }
--- a/crates/papayamux-coordination/tests/fleet_replay/mod.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/mod.rs
@@ -12,12 +12,12 @@
     place, LoadLedger, PlacementCandidate, PlacementPolicy, PlacementRequest, PlacementTuning,
     ServerLoad,
 };
-use papayamux_coordination::return_time::return_time;
+use papayamux_coordination::retry_delay::retry_delay;
 use papayamux_coordination::server_evidence::ServerStanding;
 use papayamux_coordination::server_places::{free_places, ServerWork};
 use papayamux_coordination::server_profile::{FirstEvent, ProfileBook, StreamEnd};
-use papayamux_coordination::service_line::{
-    request_work, CallerTime, FlowKey, LineArrival, LineRequest, ServiceLine,
+use papayamux_coordination::service_queue::{
+    request_work, CallerTime, EnqueueOutcome, FlowKey, QueuedRequest, ServiceQueue,
 };
 use papayamux_state::ids::{ServerId, ServiceId};
 use papayamux_state::prompt::{PromptChain, WarmParts};
@@ -164,7 +164,7 @@
     ids: Vec<ServerId>,
     service: ServiceId,
     requests: Vec<Request>,
-    line: ServiceLine<usize>,
+    line: ServiceQueue<usize>,
     ledger: LoadLedger,
     profiles: ProfileBook,
     warm: Vec<WarmParts>,
@@ -186,7 +186,7 @@
         ids: (0..ENGINES).map(|index| format!("i-{index}").parse().unwrap()).collect(),
         service: "llm".parse().unwrap(),
         requests: Vec::new(),
-        line: ServiceLine::default(),
+        line: ServiceQueue::default(),
         ledger: LoadLedger::default(),
         profiles: ProfileBook::default(),
         warm: (0..ENGINES).map(|_| WarmParts::new(TokenCount::new(capacity))).collect(),
@@ -270,22 +270,22 @@
             return;
         }
         let speed = self.profiles.service_speed(&self.service);
-        let asked = LineRequest {
+        let asked = QueuedRequest {
             flow: FlowKey { organisation: None, priority: 0 },
             work,
             time: CallerTime {
                 arrived: now,
-                asked_before: now - first_asked,
+                since_first_attempt: now - first_asked,
                 objective: OBJECTIVE,
-                left,
-                serving: speed.time_to_first(TokenCount::new(OWN_TOKENS)),
+                time_left: left,
+                service_time: speed.time_to_first(TokenCount::new(OWN_TOKENS)),
             },
         };
         let places = self.places();
-        match self.line.arrive(asked, index, places) {
-            LineArrival::Goes => self.send(index),
-            LineArrival::Waits(_) => {}
-            LineArrival::TurnedAway(_) => self.turn_away(index),
+        match self.line.enqueue(asked, index, places) {
+            EnqueueOutcome::Admitted => self.send(index),
+            EnqueueOutcome::Queued(_) => {}
+            EnqueueOutcome::Refused(_) => self.turn_away(index),
         }
     }
 
@@ -308,9 +308,9 @@
             return;
         }
         let places = self.places();
-        for request in self.line.call(places, places) {
+        for request in self.line.dispatch(places, places) {
             self.send(request);
-            self.line.note_taken();
+            self.line.release_reservation();
         }
     }
 
@@ -323,7 +323,7 @@
             request.outcome = Some(Outcome::TurnedAway(now - request.asked));
             return;
         }
-        self.returning.push((now + return_time(left, draw), index));
+        self.returning.push((now + retry_delay(left, draw), index));
     }
 
     fn chain(&self, index: usize) -> PromptChain {
@@ -372,7 +372,7 @@
         );
         self.warm[engine].note_use(&chain);
         let work = self.work();
-        self.line.note_begin(work, self.now);
+        self.line.record_dispatch(work, self.now);
         let is_copied = placement.fetch_from.is_some_and(|source| self.engines[source].holds(part));
         self.engines[engine].take(EngineWork {
             request: index,
@@ -439,7 +439,7 @@
         let Some(placed) = self.requests[index].placed.take() else { return };
         let id = &self.ids[placed.engine];
         self.ledger.end(id, placed.load);
-        self.line.note_end(placed.work, self.now - placed.sent, self.now);
+        self.line.record_completion(placed.work, self.now - placed.sent, self.now);
         if let Some(first) = placed.first {
             let lasted = self.now - first;
             let answer = TokenCount::new(EVENTS * EVENT_TOKENS);
@@ -471,7 +471,7 @@
                 self.note_end(index, false);
                 self.engines[engine].stop(index);
             }
-            self.line.leave(&index);
+            self.line.remove(&index);
             self.requests[index].outcome.get_or_insert(Outcome::Died);
         }
     }
--- a/crates/papayamux-coordination/tests/link_delays.rs
+++ b/crates/papayamux-coordination/tests/link_delays.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::link_delays::{EventRhythm, EventTiming, LinkDelays};
+use papayamux_coordination::link_delays::{DelayDetector, EventTiming, LinkDelays};
 use papayamux_state::ids::FailureDomain;
 
 fn domain(name: &str) -> FailureDomain {
@@ -12,70 +12,70 @@
 
 /// Feeds events that arrive at these milliseconds; the first one begins the stream.
 fn timings(arrivals: &[u64]) -> Vec<EventTiming> {
-    let begun = Instant::now();
-    let mut rhythm = EventRhythm::new(begun);
-    let arrivals = arrivals.iter().map(|millis| begun + Duration::from_millis(*millis));
-    arrivals.map(|now| rhythm.note(1, now)).collect()
+    let started_at = Instant::now();
+    let mut detector = DelayDetector::new(started_at);
+    let arrivals = arrivals.iter().map(|millis| started_at + Duration::from_millis(*millis));
+    arrivals.map(|now| detector.record(1, now)).collect()
 }
 
 #[test]
-fn events_that_arrive_together_after_a_pause_were_held_up() {
-    use EventTiming::{HeldUp, InTime, Undecided};
+fn batched_events_after_a_pause_are_delayed() {
+    use EventTiming::{Delayed, OnTime, Undecided};
     assert_eq!(
         timings(&[20, 40, 230, 231, 232, 252]),
-        [InTime, InTime, Undecided, Undecided, HeldUp, InTime]
+        [OnTime, OnTime, Undecided, Undecided, Delayed, OnTime]
     );
     let now = Instant::now();
-    let mut rhythm = EventRhythm::new(now);
-    assert_eq!(rhythm.note(8, now + Duration::from_millis(210)), HeldUp);
+    let mut detector = DelayDetector::new(now);
+    assert_eq!(detector.record(8, now + Duration::from_millis(210)), Delayed);
 }
 
 #[test]
-fn a_server_that_pauses_is_not_taken_for_a_link() {
-    use EventTiming::{InTime, Undecided};
+fn pausing_server_is_not_mistaken_for_a_lossy_link() {
+    use EventTiming::{OnTime, Undecided};
     // The engine read a long prompt for 170 ms and went on in its usual rhythm.
-    assert_eq!(timings(&[20, 190, 210, 230]), [InTime, Undecided, InTime, InTime]);
+    assert_eq!(timings(&[20, 190, 210, 230]), [OnTime, Undecided, OnTime, OnTime]);
     // Two events in one step, but no pause.
-    assert_eq!(timings(&[20, 21, 40, 41, 42]), [InTime; 5]);
+    assert_eq!(timings(&[20, 21, 40, 41, 42]), [OnTime; 5]);
 }
 
 /// `events` from a domain, of which one in `every` is held up.
-fn play(delays: &mut LinkDelays, name: &str, events: u32, every: u32, now: Instant) {
+fn record_events(delays: &mut LinkDelays, name: &str, events: u32, every: u32, now: Instant) {
     for number in 1..=events {
-        delays.note(&domain(name), number % every == 0, now);
+        delays.record(&domain(name), number % every == 0, now);
     }
 }
 
 #[test]
-fn a_domain_behind_a_lossy_link_is_found_within_some_tenths_of_a_second() {
+fn lossy_link_is_detected_within_tenths_of_a_second() {
     let now = Instant::now();
     let mut delays = LinkDelays::default();
-    play(&mut delays, "lossy", 100, 30, now);
-    play(&mut delays, "sound", 100, 1_000, now);
+    record_events(&mut delays, "lossy", 100, 30, now);
+    record_events(&mut delays, "sound", 100, 1_000, now);
     assert!(delays.excess(&domain("lossy"), now) > 0.005);
     assert_eq!(delays.excess(&domain("sound"), now), 0.0);
     assert_eq!(delays.excess(&domain("unknown"), now), 0.0);
 }
 
 #[test]
-fn a_router_behind_a_lossy_link_finds_its_own_domain_the_best() {
+fn router_behind_a_lossy_link_finds_its_own_domain_the_best() {
     let now = Instant::now();
     let mut delays = LinkDelays::default();
-    play(&mut delays, "own", 400, 1_000, now);
-    play(&mut delays, "one", 400, 30, now);
-    play(&mut delays, "other", 400, 25, now);
+    record_events(&mut delays, "own", 400, 1_000, now);
+    record_events(&mut delays, "one", 400, 30, now);
+    record_events(&mut delays, "other", 400, 25, now);
     assert_eq!(delays.excess(&domain("own"), now), 0.0);
     assert!(delays.excess(&domain("one"), now) > 0.01);
     assert!(delays.excess(&domain("other"), now) > 0.01);
 }
 
 #[test]
-fn delays_of_all_domains_alike_blame_no_link() {
+fn uniform_delays_blame_no_link() {
     // The router itself stood still now and then.
     let now = Instant::now();
     let mut delays = LinkDelays::default();
     for (name, every) in [("one", 20), ("two", 30), ("three", 50)] {
-        play(&mut delays, name, 800, every, now);
+        record_events(&mut delays, name, 800, every, now);
     }
     for name in ["one", "two", "three"] {
         assert_eq!(delays.excess(&domain(name), now), 0.0, "{name}");
@@ -83,23 +83,23 @@
 }
 
 #[test]
-fn one_delay_means_nothing_and_an_avoided_link_is_tried_again() {
+fn single_delay_is_ignored_and_an_avoided_link_is_retried() {
     let now = Instant::now();
     let mut delays = LinkDelays::default();
-    play(&mut delays, "sound", 400, 1_000, now);
-    delays.note(&domain("quiet"), true, now);
+    record_events(&mut delays, "sound", 400, 1_000, now);
+    delays.record(&domain("quiet"), true, now);
     assert_eq!(delays.excess(&domain("quiet"), now), 0.0);
-    play(&mut delays, "lossy", 400, 30, now);
+    record_events(&mut delays, "lossy", 400, 30, now);
     assert!(delays.excess(&domain("lossy"), now + Duration::from_secs(2)) > 0.01);
     assert_eq!(delays.excess(&domain("lossy"), now + Duration::from_secs(15)), 0.0);
 }
 
 #[test]
-fn changes_are_told_once() {
+fn changes_are_reported_once() {
     let now = Instant::now();
     let mut delays = LinkDelays::default();
-    play(&mut delays, "sound", 400, 1_000, now);
-    play(&mut delays, "lossy", 400, 30, now);
+    record_events(&mut delays, "sound", 400, 1_000, now);
+    record_events(&mut delays, "lossy", 400, 30, now);
     let changes = delays.changes(now);
     assert_eq!(changes.len(), 1);
     assert!(changes[0].excess > 0.0);
--- a/crates/papayamux-coordination/tests/part_owners.rs
+++ b/crates/papayamux-coordination/tests/part_owners.rs
@@ -137,7 +137,7 @@
             .map(|engine| {
                 let standing = match is_sound(engine) {
                     true => ServerStanding::Good,
-                    false => ServerStanding::Held,
+                    false => ServerStanding::Ejected,
                 };
                 PlacementCandidate {
                     accepts: true,
--- a/crates/papayamux-coordination/tests/placement.rs
+++ b/crates/papayamux-coordination/tests/placement.rs
@@ -121,8 +121,11 @@
 
 #[test]
 fn nothing_is_taken_from_a_server_that_is_silent() {
-    let silent =
-        PlacementCandidate { warm: tokens(10_500), standing: ServerStanding::Held, ..candidate(1) };
+    let silent = PlacementCandidate {
+        warm: tokens(10_500),
+        standing: ServerStanding::Ejected,
+        ..candidate(1)
+    };
     let placement = place(LONG, &[silent, candidate(5)], PlacementTuning::default()).unwrap();
     assert_eq!((placement.server, placement.fetch_from), (1, None));
 }
@@ -164,7 +167,7 @@
 
 #[test]
 fn where_all_are_held_one_is_asked_all_the_same() {
-    let held = PlacementCandidate { standing: ServerStanding::Held, ..candidate(1) };
+    let held = PlacementCandidate { standing: ServerStanding::Ejected, ..candidate(1) };
     assert_eq!(placed(PlacementRequest::default(), &[held, held]), 0);
     assert!(place(PlacementRequest::default(), &[], PlacementTuning::default()).is_none());
 }
--- a/crates/papayamux-coordination/tests/recent_departures.rs
+++ b/crates/papayamux-coordination/tests/recent_departures.rs
@@ -9,55 +9,57 @@
 use papayamux_coordination::recent_departures::{DepartureBounds, RecentDepartures};
 use papayamux_state::backend::ServerPhase;
 
-const BOUNDS: DepartureBounds =
-    DepartureBounds { renewal: Duration::from_millis(1_200), linger: Duration::from_millis(2_000) };
+const BOUNDS: DepartureBounds = DepartureBounds {
+    renewal_interval: Duration::from_millis(1_200),
+    termination_grace: Duration::from_millis(2_000),
+};
 
-fn lingering(departures: &RecentDepartures, now: Instant) -> Vec<String> {
+fn terminating(departures: &RecentDepartures, now: Instant) -> Vec<String> {
     let servers = departures.of_service(&"llm".parse().unwrap(), now);
     assert!(servers.iter().all(|server| server.phase == ServerPhase::Draining));
     servers.iter().map(|server| server.id.to_string()).collect()
 }
 
 #[test]
-fn server_that_left_without_a_notice_can_be_copied_from_until_it_ends() {
-    let begun = Instant::now();
+fn departed_server_is_a_copy_source_until_its_grace_ends() {
+    let started_at = Instant::now();
     let mut departures = RecentDepartures::new(BOUNDS);
-    departures.note_renewal(&"i-1".parse().unwrap(), begun);
-    let left = begun + Duration::from_millis(1_900);
-    assert!(departures.note_departure(&server("i-1", ServerPhase::Serving), left));
-    assert_eq!(lingering(&departures, left + Duration::from_millis(1_999)), ["i-1"]);
-    let ended = left + BOUNDS.linger;
-    assert!(lingering(&departures, ended).is_empty());
-    assert_eq!(departures.expire(ended), ["i-1".parse().unwrap()]);
+    departures.record_renewal(&"i-1".parse().unwrap(), started_at);
+    let departed_at = started_at + Duration::from_millis(1_900);
+    assert!(departures.record_departure(&server("i-1", ServerPhase::Serving), departed_at));
+    assert_eq!(terminating(&departures, departed_at + Duration::from_millis(1_999)), ["i-1"]);
+    let finished = departed_at + BOUNDS.termination_grace;
+    assert!(terminating(&departures, finished).is_empty());
+    assert_eq!(departures.expire(finished), ["i-1".parse().unwrap()]);
 }
 
 #[test]
-fn server_that_crashed_cannot() {
-    let begun = Instant::now();
+fn crashed_server_is_no_copy_source() {
+    let started_at = Instant::now();
     let mut departures = RecentDepartures::new(BOUNDS);
-    departures.note_renewal(&"i-1".parse().unwrap(), begun);
-    let lapsed = begun + BOUNDS.renewal * 3;
-    assert!(!departures.note_departure(&server("i-1", ServerPhase::Serving), lapsed));
-    assert!(lingering(&departures, lapsed).is_empty());
-    assert!(!departures.note_departure(&server("i-unknown", ServerPhase::Serving), lapsed));
+    departures.record_renewal(&"i-1".parse().unwrap(), started_at);
+    let lapsed = started_at + BOUNDS.renewal_interval * 3;
+    assert!(!departures.record_departure(&server("i-1", ServerPhase::Serving), lapsed));
+    assert!(terminating(&departures, lapsed).is_empty());
+    assert!(!departures.record_departure(&server("i-unknown", ServerPhase::Serving), lapsed));
 }
 
 #[test]
-fn server_that_drained_has_ended() {
-    let begun = Instant::now();
+fn drained_server_is_no_copy_source() {
+    let started_at = Instant::now();
     let mut departures = RecentDepartures::new(BOUNDS);
-    departures.note_renewal(&"i-1".parse().unwrap(), begun);
+    departures.record_renewal(&"i-1".parse().unwrap(), started_at);
     let drained = server("i-1", ServerPhase::Draining);
-    assert!(!departures.note_departure(&drained, begun));
+    assert!(!departures.record_departure(&drained, started_at));
 }
 
 #[test]
-fn server_that_is_back_has_not_left() {
-    let begun = Instant::now();
+fn renewed_server_is_not_departed() {
+    let started_at = Instant::now();
     let mut departures = RecentDepartures::new(BOUNDS);
     let id = "i-1".parse().unwrap();
-    departures.note_renewal(&id, begun);
-    departures.note_departure(&server("i-1", ServerPhase::Serving), begun);
-    departures.note_renewal(&id, begun);
-    assert!(lingering(&departures, begun).is_empty());
+    departures.record_renewal(&id, started_at);
+    departures.record_departure(&server("i-1", ServerPhase::Serving), started_at);
+    departures.record_renewal(&id, started_at);
+    assert!(terminating(&departures, started_at).is_empty());
 }
--- a/crates/papayamux-coordination/tests/retry_budget_fleet.rs
+++ b/crates/papayamux-coordination/tests/retry_budget_fleet.rs
@@ -8,7 +8,7 @@
 
 const WINDOW: u64 = 10_000;
 const TICK: u64 = 10;
-const HEARS_AFTER: Option<u64> = Some(1_000);
+const LEARNS_AFTER: Option<u64> = Some(1_000);
 
 fn service() -> ServiceId {
     "llm".parse().unwrap()
@@ -18,7 +18,7 @@
 type FleetLoad = fn(u64) -> u64;
 
 /// What a fleet goes through.
-struct Play {
+struct Scenario {
     routers: usize,
     slack: f64,
     load: FleetLoad,
@@ -27,16 +27,16 @@
     /// Whether a router starts again at this moment.
     restarts: fn(usize, u64) -> bool,
     /// How long a router that has started takes to hear of the others; `None` where it never does.
-    hears_after: Option<u64>,
+    learns_after: Option<u64>,
     millis: u64,
 }
 
 struct Counts {
     requests: Vec<u64>,
-    repeats: Vec<u64>,
+    retries: Vec<u64>,
 }
 
-impl Play {
+impl Scenario {
     fn allowance(&self) -> RetryAllowance {
         let window = Duration::from_millis(WINDOW);
         RetryAllowance { ratio: 0.2, slack: self.slack, window }
@@ -45,20 +45,20 @@
     /// Requests and repeats in each tick. A request that fails is repeated while there is room, twice at
     /// most.
     fn run(&self) -> Counts {
-        let begun = Instant::now();
-        let at = |millis: u64| begun + Duration::from_millis(millis);
+        let started_at = Instant::now();
+        let at = |millis: u64| started_at + Duration::from_millis(millis);
         let start = |millis| (ServiceRetryBudget::new(self.allowance(), at(millis)), millis);
         let mut routers: Vec<_> = (0..self.routers).map(|_| start(0)).collect();
-        let mut counts = Counts { requests: Vec::new(), repeats: Vec::new() };
+        let mut counts = Counts { requests: Vec::new(), retries: Vec::new() };
         let (mut due, mut next) = (0, 0);
         for millis in (0..self.millis).step_by(TICK as usize) {
-            let (mut requests, mut repeats) = (0, 0);
+            let (mut requests, mut retries) = (0, 0);
             for (index, router) in routers.iter_mut().enumerate() {
                 if (self.restarts)(index, millis) {
                     *router = start(millis);
                 }
-                if self.hears_after.is_some_and(|after| millis == router.1 + after) {
-                    router.0.note_routers(self.routers as u32);
+                if self.learns_after.is_some_and(|after| millis == router.1 + after) {
+                    router.0.record_routers(self.routers as u32);
                 }
             }
             due += (self.load)(millis) * TICK;
@@ -66,16 +66,16 @@
                 due -= 1_000;
                 next = (next * 31 + 7) % 1_000_003;
                 let budget = &mut routers[next % self.routers].0;
-                budget.note_request(&service(), at(millis));
+                budget.record_request(&service(), at(millis));
                 requests += 1;
                 for _ in 0..2 {
-                    if (self.fails)(millis) && budget.take_repeat(&service(), at(millis)) {
-                        repeats += 1;
+                    if (self.fails)(millis) && budget.take_retry(&service(), at(millis)) {
+                        retries += 1;
                     }
                 }
             }
             counts.requests.push(requests);
-            counts.repeats.push(repeats);
+            counts.retries.push(retries);
         }
         counts
     }
@@ -90,16 +90,16 @@
     /// The window in which most repeats go beyond what is allowed: where it begins, repeats and allowance.
     fn worst(&self, slack: f64) -> (i64, u64, f64) {
         let window = WINDOW as i64;
-        let windows = (0..self.repeats.len() as i64 * TICK as i64 - window).step_by(50);
+        let windows = (0..self.retries.len() as i64 * TICK as i64 - window).step_by(50);
         let of = |from: i64| {
-            let repeats = Self::sum(&self.repeats, from, from + window);
+            let retries = Self::sum(&self.retries, from, from + window);
             // The window's own requests, those of the one before or of the one half a window before.
             let requests = [from, from - window / 2, from - window]
                 .map(|from| Self::sum(&self.requests, from, from + window));
             let allowed = 0.2 * requests.into_iter().max().unwrap() as f64 + slack;
-            (from, repeats, allowed)
+            (from, retries, allowed)
         };
-        let excess = |(_, repeats, allowed): &(i64, u64, f64)| *repeats as f64 - allowed;
+        let excess = |(_, retries, allowed): &(i64, u64, f64)| *retries as f64 - allowed;
         windows.map(of).max_by(|left, right| excess(left).total_cmp(&excess(right))).unwrap()
     }
 }
@@ -109,27 +109,27 @@
     [(6, 58.0, |_| 115), (24, 100.0, |_| 400), (300, 1_000.0, |_| 6_000)]
 }
 
-fn check(play: &Play) {
-    let counts = play.run();
-    let (from, repeats, allowed) = counts.worst(play.slack);
+fn check(scenario: &Scenario) {
+    let counts = scenario.run();
+    let (from, retries, allowed) = counts.worst(scenario.slack);
     assert!(
-        repeats as f64 <= allowed,
-        "{} routers: {repeats} repeats from {from} ms, allowed {allowed}",
-        play.routers
+        retries as f64 <= allowed,
+        "{} routers: {retries} repeats from {from} ms, allowed {allowed}",
+        scenario.routers
     );
-    assert!(Counts::sum(&counts.repeats, 0, play.millis as i64) > 0, "some are repeated");
+    assert!(Counts::sum(&counts.retries, 0, scenario.millis as i64) > 0, "some are repeated");
 }
 
 #[test]
 fn routers_that_restart_at_once_stay_within_the_budget() {
     for (routers, slack, load) in fleets() {
-        check(&Play {
+        check(&Scenario {
             routers,
             slack,
             load,
             fails: |millis| millis > 12_000,
             restarts: |_, millis| matches!(millis, 14_000 | 16_500 | 19_000),
-            hears_after: HEARS_AFTER,
+            learns_after: LEARNS_AFTER,
             millis: 40_000,
         });
     }
@@ -138,7 +138,7 @@
 #[test]
 fn routers_that_restart_in_series_stay_within_the_budget() {
     for (routers, slack, load) in fleets() {
-        check(&Play {
+        check(&Scenario {
             routers,
             slack,
             load,
@@ -146,14 +146,14 @@
             restarts: |index, millis| {
                 millis > 12_000 && millis % 4_000 == (index as u64 * 70) % 4_000
             },
-            hears_after: HEARS_AFTER,
+            learns_after: LEARNS_AFTER,
             millis: 40_000,
         });
     }
 }
 
 #[test]
-fn repeats_fall_with_the_load_after_a_burst() {
+fn retries_fall_with_the_load_after_a_burst() {
     let bursts: [FleetLoad; 3] = [
         |millis| if millis % 16_000 < 2_000 { 6_000 } else { 30 },
         |millis| if matches!(millis % 30_000, 0..1_000 | 5_600..8_000) { 6_000 } else { 10 },
@@ -161,13 +161,13 @@
     ];
     for load in bursts {
         for routers in [6, 24, 300] {
-            check(&Play {
+            check(&Scenario {
                 routers,
                 slack: 58.0,
                 load,
                 fails: |millis| millis % 16_000 > 1_500,
                 restarts: |_, _| false,
-                hears_after: HEARS_AFTER,
+                learns_after: LEARNS_AFTER,
                 millis: 45_000,
             });
         }
@@ -175,27 +175,27 @@
 }
 
 #[test]
-fn routers_that_restart_without_hearing_others_stay_within_the_budget() {
-    check(&Play {
+fn isolated_routers_that_restart_stay_within_the_budget() {
+    check(&Scenario {
         routers: 300,
         slack: 1_000.0,
         load: |_| 300,
         fails: |millis| millis > 12_000,
         restarts: |_, millis| millis > 12_000 && millis % 900 == 0,
-        hears_after: None,
+        learns_after: None,
         millis: 40_000,
     });
 }
 
 #[test]
-fn routers_that_hear_nobody_stay_within_the_budget() {
-    check(&Play {
+fn isolated_routers_stay_within_the_budget() {
+    check(&Scenario {
         routers: 300,
         slack: 1_000.0,
         load: |_| 6_000,
         fails: |millis| millis > 12_000,
         restarts: |_, _| false,
-        hears_after: None,
+        learns_after: None,
         millis: 40_000,
     });
 }
--- a/crates/papayamux-coordination/tests/round_trips.rs
+++ b/crates/papayamux-coordination/tests/round_trips.rs
@@ -11,16 +11,16 @@
 }
 
 #[test]
-fn another_region_is_told_from_another_failure_domain() {
+fn other_region_is_distinguished_from_other_failure_domain() {
     let mut trips = RoundTrips::new(domain("here"));
-    assert!(trips.usual_ms(&domain("here")) < trips.usual_ms(&domain("there")));
+    assert!(trips.median_ms(&domain("here")) < trips.median_ms(&domain("there")));
     for number in 0..24 {
         // One in eight loses a packet or meets a busy server.
         let delayed = if number % 8 == 7 { 200 } else { 0 };
-        trips.note(&domain("there"), Duration::from_millis(3 + delayed));
-        trips.note(&domain("far"), Duration::from_millis(25 + delayed));
+        trips.record(&domain("there"), Duration::from_millis(3 + delayed));
+        trips.record(&domain("far"), Duration::from_millis(25 + delayed));
     }
-    let (there, far) = (trips.usual_ms(&domain("there")), trips.usual_ms(&domain("far")));
+    let (there, far) = (trips.median_ms(&domain("there")), trips.median_ms(&domain("far")));
     assert!((2.5..4.0).contains(&there), "{there}");
     assert!((22.0..30.0).contains(&far), "{far}");
 }
--- a/crates/papayamux-coordination/tests/server_evidence.rs
+++ b/crates/papayamux-coordination/tests/server_evidence.rs
@@ -2,61 +2,65 @@
 
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::server_evidence::{EvidenceBook, EvidenceKind, ServerStanding};
+use papayamux_coordination::server_evidence::{EvidenceKind, EvidenceTracker, ServerStanding};
 use papayamux_state::ids::{IdError, ServerId};
 
 /// How long the server is held after a failure at `now`.
-fn hold_after(book: &mut EvidenceBook, server: &ServerId, now: Instant) -> Duration {
-    book.note(server, EvidenceKind::Unreachable, now);
+fn ejection_after(tracker: &mut EvidenceTracker, server: &ServerId, now: Instant) -> Duration {
+    tracker.record(server, EvidenceKind::Unreachable, now);
     let step = Duration::from_millis(50);
-    let held = |after: u32| book.standing(server, now + step * after) == ServerStanding::Held;
-    step * (0..10_000).take_while(|after| held(*after)).count() as u32
+    let is_ejected =
+        |after: u32| tracker.standing(server, now + step * after) == ServerStanding::Ejected;
+    step * (0..10_000).take_while(|after| is_ejected(*after)).count() as u32
 }
 
 #[test]
-fn a_flapping_server_comes_back_later_each_time() -> Result<(), IdError> {
-    let (mut book, server) = (EvidenceBook::default(), "engine-1".parse()?);
+fn flapping_server_is_ejected_longer_each_time() -> Result<(), IdError> {
+    let (mut tracker, server) = (EvidenceTracker::default(), "engine-1".parse()?);
     let mut now = Instant::now();
-    let mut holds = Vec::new();
+    let mut ejections = Vec::new();
     for _ in 0..8 {
-        let hold = hold_after(&mut book, &server, now);
-        now += hold;
-        assert_eq!(book.standing(&server, now), ServerStanding::OnTrial);
-        book.note_answer(&server, now);
-        assert_eq!(book.standing(&server, now), ServerStanding::Good);
+        let ejection = ejection_after(&mut tracker, &server, now);
+        now += ejection;
+        assert_eq!(tracker.standing(&server, now), ServerStanding::HalfOpen);
+        tracker.record_answer(&server, now);
+        assert_eq!(tracker.standing(&server, now), ServerStanding::Good);
         now += Duration::from_millis(100);
-        holds.push(hold);
+        ejections.push(ejection);
     }
-    assert!(holds.windows(2).all(|pair| pair[0] <= pair[1]), "{holds:?}");
-    assert!(holds[5] >= holds[0] * 16, "{holds:?}");
+    assert!(ejections.windows(2).all(|pair| pair[0] <= pair[1]), "{ejections:?}");
+    assert!(ejections[5] >= ejections[0] * 16, "{ejections:?}");
     let much_later = now + Duration::from_secs(600);
-    assert!(hold_after(&mut book, &server, much_later) < holds[1], "it is forgiven in time");
+    assert!(
+        ejection_after(&mut tracker, &server, much_later) < ejections[1],
+        "it is forgiven in time"
+    );
     Ok(())
 }
 
 #[test]
-fn one_request_at_a_time_tries_out_a_server() -> Result<(), IdError> {
-    let (mut book, server) = (EvidenceBook::default(), "engine-1".parse()?);
+fn half_open_server_gets_one_request_at_a_time() -> Result<(), IdError> {
+    let (mut tracker, server) = (EvidenceTracker::default(), "engine-1".parse()?);
     let now = Instant::now();
-    book.note(&server, EvidenceKind::ServerDown, now);
+    tracker.record(&server, EvidenceKind::ServerDown, now);
     let later = now + Duration::from_secs(1);
-    assert_eq!(book.standing(&server, later), ServerStanding::OnTrial);
-    book.begin_trial(&server, later);
-    assert_eq!(book.standing(&server, later), ServerStanding::Held);
-    assert_eq!(book.standing(&server, later + Duration::from_secs(2)), ServerStanding::OnTrial);
+    assert_eq!(tracker.standing(&server, later), ServerStanding::HalfOpen);
+    tracker.begin_trial(&server, later);
+    assert_eq!(tracker.standing(&server, later), ServerStanding::Ejected);
+    assert_eq!(tracker.standing(&server, later + Duration::from_secs(2)), ServerStanding::HalfOpen);
     Ok(())
 }
 
 #[test]
-fn one_unanswered_probe_holds_nobody() -> Result<(), IdError> {
-    let (mut book, server) = (EvidenceBook::default(), "engine-1".parse()?);
+fn one_unanswered_probe_ejects_no_server() -> Result<(), IdError> {
+    let (mut tracker, server) = (EvidenceTracker::default(), "engine-1".parse()?);
     let now = Instant::now();
-    book.note(&server, EvidenceKind::Silent, now);
-    assert_eq!(book.standing(&server, now), ServerStanding::Good);
-    book.note_answer(&server, now);
-    book.note(&server, EvidenceKind::Silent, now);
-    assert_eq!(book.standing(&server, now), ServerStanding::Good);
-    book.note(&server, EvidenceKind::Silent, now);
-    assert_eq!(book.standing(&server, now), ServerStanding::Held);
+    tracker.record(&server, EvidenceKind::Silent, now);
+    assert_eq!(tracker.standing(&server, now), ServerStanding::Good);
+    tracker.record_answer(&server, now);
+    tracker.record(&server, EvidenceKind::Silent, now);
+    assert_eq!(tracker.standing(&server, now), ServerStanding::Good);
+    tracker.record(&server, EvidenceKind::Silent, now);
+    assert_eq!(tracker.standing(&server, now), ServerStanding::Ejected);
     Ok(())
 }
--- a/crates/papayamux-coordination/tests/server_presence.rs
+++ b/crates/papayamux-coordination/tests/server_presence.rs
@@ -19,81 +19,84 @@
 
 fn begin(now: Instant) -> ServerPresence {
     let mut presence = ServerPresence::default();
-    presence.note_contact(false, now);
+    presence.record_contact(false, now);
     for id in ["a", "b"] {
-        presence.note_entry(server(id, ServerPhase::Serving), now);
+        presence.record_entry(server(id, ServerPhase::Serving), now);
     }
     presence
 }
 
 #[test]
-fn removal_while_the_list_is_there_is_a_departure_at_once() {
+fn removal_while_the_list_is_available_is_a_departure() {
     let now = Instant::now();
     let mut presence = begin(now);
     let later = now + Duration::from_millis(700);
-    presence.note_contact(false, later);
-    let change = presence.note_removal(&"a".parse().unwrap(), later);
+    presence.record_contact(false, later);
+    let change = presence.record_removal(&"a".parse().unwrap(), later);
     assert_eq!(change, PresenceChange::Departed);
     assert_eq!(known(&presence), ["b"]);
 }
 
 #[test]
-fn lapse_during_an_outage_may_be_taken_back() {
+fn expiry_during_an_outage_is_revoked_by_a_renewal() {
     let now = Instant::now();
     let mut presence = begin(now);
     let back = now + OUTAGE_THRESHOLD + Duration::from_secs(3);
-    presence.note_contact(false, back);
-    let lapsed = presence.note_list(Vec::new(), back);
-    assert!(lapsed.iter().all(|(_, change)| *change == PresenceChange::Lapsed));
+    presence.record_contact(false, back);
+    let expired = presence.record_list(Vec::new(), back);
+    assert!(expired.iter().all(|(_, change)| *change == PresenceChange::Expired));
     assert_eq!(known(&presence), ["a", "b"]);
     // One renews within the grace, the other doesn't.
     let renewed = back + Duration::from_secs(1);
-    presence.note_contact(false, renewed);
-    presence.note_entry(server("b", ServerPhase::Serving), renewed);
+    presence.record_contact(false, renewed);
+    presence.record_entry(server("b", ServerPhase::Serving), renewed);
     let over = back + RENEWAL_GRACE;
-    assert_eq!(presence.expire_lapsed(over), ["a".parse().unwrap()]);
+    assert_eq!(presence.remove_expired(over), ["a".parse().unwrap()]);
     assert_eq!(known(&presence), ["b"]);
 }
 
 #[test]
-fn grace_of_a_router_that_was_not_cut_off_is_taken_over() {
+fn grace_of_a_router_without_an_outage_is_adopted() {
     let now = Instant::now();
     let mut presence = begin(now);
-    presence.note_contact(true, now);
-    presence.note_removal(&"a".parse().unwrap(), now);
+    presence.record_contact(true, now);
+    presence.record_removal(&"a".parse().unwrap(), now);
     let soon = now + Duration::from_millis(300);
     assert_eq!(presence.adopt_grace(Duration::ZERO, soon), ["a".parse().unwrap()]);
     assert_eq!(known(&presence), ["b"]);
     // What leaves from now on has left.
-    assert_eq!(presence.note_removal(&"b".parse().unwrap(), soon), PresenceChange::Departed);
+    assert_eq!(presence.record_removal(&"b".parse().unwrap(), soon), PresenceChange::Departed);
 }
 
 #[test]
-fn grace_of_others_is_never_stretched_on_its_way() {
+fn adopted_grace_is_never_extended() {
     let now = Instant::now();
     let mut presence = begin(now);
-    presence.note_contact(true, now);
-    presence.note_removal(&"a".parse().unwrap(), now);
+    presence.record_contact(true, now);
+    presence.record_removal(&"a".parse().unwrap(), now);
     let left = presence.grace_left(now + Duration::from_millis(500));
     assert_eq!(left, RENEWAL_GRACE - Duration::from_millis(500));
-    let mut told = begin(now);
-    let heard = now + Duration::from_millis(510);
-    assert!(told.adopt_grace(left, heard).is_empty());
-    assert_eq!(told.note_removal(&"a".parse().unwrap(), heard), PresenceChange::Lapsed);
-    assert_eq!(told.expire_lapsed(heard + left), ["a".parse().unwrap()]);
+    let mut follower = begin(now);
+    let received_at = now + Duration::from_millis(510);
+    assert!(follower.adopt_grace(left, received_at).is_empty());
+    assert_eq!(
+        follower.record_removal(&"a".parse().unwrap(), received_at),
+        PresenceChange::Expired
+    );
+    assert_eq!(follower.remove_expired(received_at + left), ["a".parse().unwrap()]);
     // A longer one doesn't hold what was to be given up sooner.
-    presence.adopt_grace(Duration::from_secs(9), heard);
-    assert_eq!(presence.expire_lapsed(now + RENEWAL_GRACE), ["a".parse().unwrap()]);
+    presence.adopt_grace(Duration::from_secs(9), received_at);
+    assert_eq!(presence.remove_expired(now + RENEWAL_GRACE), ["a".parse().unwrap()]);
 }
 
 #[test]
-fn server_that_was_draining_does_not_come_back() {
+fn draining_server_gets_no_grace() {
     let now = Instant::now();
     let mut presence = begin(now);
-    presence.note_entry(server("a", ServerPhase::Draining), now);
+    presence.record_entry(server("a", ServerPhase::Draining), now);
     let back = now + OUTAGE_THRESHOLD * 3;
-    presence.note_contact(false, back);
-    let change = presence.note_removal(&"a".parse().unwrap(), back);
+    presence.record_contact(false, back);
+    let change = presence.record_removal(&"a".parse().unwrap(), back);
     assert_eq!(change, PresenceChange::Departed);
 }
 
@@ -102,8 +105,8 @@
     let now = Instant::now();
     let mut presence = begin(now);
     let back = now + Duration::from_millis(900);
-    presence.note_contact(true, back);
-    assert_eq!(presence.note_removal(&"a".parse().unwrap(), back), PresenceChange::Lapsed);
+    presence.record_contact(true, back);
+    assert_eq!(presence.record_removal(&"a".parse().unwrap(), back), PresenceChange::Expired);
 }
 
 #[test]
@@ -111,8 +114,8 @@
     let now = Instant::now();
     let mut presence = begin(now);
     let back = now + OUTAGE_THRESHOLD;
-    presence.note_contact(false, back);
-    assert_eq!(presence.note_removal(&"a".parse().unwrap(), back), PresenceChange::Departed);
+    presence.record_contact(false, back);
+    assert_eq!(presence.record_removal(&"a".parse().unwrap(), back), PresenceChange::Departed);
 }
 
 /// The server "a" as it says after it started at `start`.
@@ -126,64 +129,64 @@
 const RENEWAL: Duration = Duration::from_millis(1_200);
 
 #[test]
-fn server_that_starts_again_is_another_one() {
+fn restarted_server_is_a_new_server() {
     let now = Instant::now();
     let mut presence = ServerPresence::default();
-    presence.note_entry(started(5), now);
-    let changes = presence.note_entry(started(9), now + RENEWAL);
+    presence.record_entry(started(5), now);
+    let changes = presence.record_entry(started(9), now + RENEWAL);
     let expected =
         [(started(5).id, PresenceChange::Restarted), (started(9).id, PresenceChange::Arrived)];
     assert_eq!(changes, expected);
     assert_eq!(known(&presence), ["a#9"]);
     // A list that shows it says the same.
-    let changes = presence.note_list(vec![started(12)], now + RENEWAL * 2);
+    let changes = presence.record_list(vec![started(12)], now + RENEWAL * 2);
     assert_eq!(changes[0], (started(9).id, PresenceChange::Restarted));
     assert_eq!(known(&presence), ["a#12"]);
 }
 
 #[test]
-fn start_that_is_told_of_for_the_first_time_is_a_new_one() {
+fn first_reported_start_is_a_new_server() {
     let now = Instant::now();
     let mut presence = begin(now);
-    presence.note_entry(started(5), now);
+    presence.record_entry(started(5), now);
     assert_eq!(known(&presence), ["a#5", "b"]);
     // Who doesn't tell a start any more is not believed over one that did.
-    let changes = presence.note_entry(server("a", ServerPhase::Draining), now);
+    let changes = presence.record_entry(server("a", ServerPhase::Draining), now);
     assert_eq!(changes[0].1, PresenceChange::Outdated);
     assert_eq!(known(&presence), ["a#5", "b"]);
 }
 
 #[test]
-fn write_of_an_earlier_start_that_is_done_late_changes_nothing() {
+fn late_write_of_an_earlier_start_changes_nothing() {
     let now = Instant::now();
     let mut presence = ServerPresence::default();
-    presence.note_entry(started(9), now);
+    presence.record_entry(started(9), now);
     for renewal in 1..20 {
         let at = now + RENEWAL * renewal;
-        let late = presence.note_entry(started(5), at - Duration::from_millis(1));
+        let late = presence.record_entry(started(5), at - Duration::from_millis(1));
         assert_eq!(late, [(started(5).id, PresenceChange::Outdated)]);
-        assert_eq!(presence.note_entry(started(9), at)[0].1, PresenceChange::Unchanged);
+        assert_eq!(presence.record_entry(started(9), at)[0].1, PresenceChange::Unchanged);
     }
 }
 
 #[test]
-fn server_whose_clock_was_set_back_is_found_again() {
+fn server_whose_clock_was_set_back_is_accepted_again() {
     let now = Instant::now();
     let mut presence = ServerPresence::default();
-    presence.note_entry(started(9), now);
+    presence.record_entry(started(9), now);
     let shown = (0..4).map(|renewal| {
-        presence.note_entry(started(5), now + RENEWAL * renewal);
+        presence.record_entry(started(5), now + RENEWAL * renewal);
         known(&presence).remove(0)
     });
     assert_eq!(shown.collect::<Vec<_>>(), ["a#9", "a#9", "a#5", "a#5"]);
 }
 
 #[test]
-fn overwritten_entry_is_no_lapse() {
+fn overwritten_entry_is_a_departure() {
     let now = Instant::now();
     let mut presence = begin(now);
-    presence.note_contact(true, now);
-    assert_eq!(presence.note_overwritten(&"a".parse().unwrap()), PresenceChange::Departed);
+    presence.record_contact(true, now);
+    assert_eq!(presence.record_overwrite(&"a".parse().unwrap()), PresenceChange::Departed);
     assert_eq!(known(&presence), ["b"]);
-    assert_eq!(presence.note_overwritten(&"a".parse().unwrap()), PresenceChange::Unchanged);
+    assert_eq!(presence.record_overwrite(&"a".parse().unwrap()), PresenceChange::Unchanged);
 }
--- a/crates/papayamux-coordination/tests/service_line.rs
+++ b/crates/papayamux-coordination/tests/service_queue.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::service_line::{
-    request_work, CallerTime, FlowKey, LineArrival, LineRequest, ServiceLine,
+use papayamux_coordination::service_queue::{
+    request_work, CallerTime, EnqueueOutcome, FlowKey, QueuedRequest, ServiceQueue,
 };
 use papayamux_state::quantities::TokenCount;
 
@@ -21,7 +21,7 @@
     priority: u32,
     arrives: Duration,
     /// How long before its arrival it asked first.
-    asked_before: Duration,
+    since_first_attempt: Duration,
     started: Option<Duration>,
     refused: Option<Duration>,
 }
@@ -33,15 +33,15 @@
         organisation,
         priority,
         arrives: gap * number,
-        asked_before: Duration::ZERO,
+        since_first_attempt: Duration::ZERO,
         started: None,
         refused: None,
     };
     (0..rate * seconds).map(caller).collect()
 }
 
-fn request(caller: &Caller, now: Instant) -> LineRequest {
-    LineRequest {
+fn request(caller: &Caller, now: Instant) -> QueuedRequest {
+    QueuedRequest {
         flow: FlowKey {
             organisation: Some(caller.organisation.parse().unwrap()),
             priority: caller.priority,
@@ -49,10 +49,10 @@
         work: request_work(TokenCount::new(500), TokenCount::new(200), 6.0),
         time: CallerTime {
             arrived: now,
-            asked_before: caller.asked_before,
+            since_first_attempt: caller.since_first_attempt,
             objective: OBJECTIVE,
-            left: DEADLINE - caller.asked_before,
-            serving: SERVICE_TIME,
+            time_left: DEADLINE - caller.since_first_attempt,
+            service_time: SERVICE_TIME,
         },
     }
 }
@@ -60,43 +60,43 @@
 /// Plays the callers before a service with [`SLOTS`] slots; returns what became of each.
 fn replay(mut callers: Vec<Caller>) -> Vec<Caller> {
     callers.sort_by_key(|caller| caller.arrives);
-    let begun = Instant::now() + Duration::from_secs(60);
-    let mut line = ServiceLine::<usize>::default();
+    let started_at = Instant::now() + Duration::from_secs(60);
+    let mut queue = ServiceQueue::<usize>::default();
     let mut running: Vec<(Duration, TokenCount)> = Vec::new();
     let mut next = 0;
     let end = callers.last().unwrap().arrives + DEADLINE;
     let work = request_work(TokenCount::new(500), TokenCount::new(200), 6.0);
     let mut time = Duration::ZERO;
     while time < end {
-        let now = begun + time;
+        let now = started_at + time;
         running.retain(|(until, work)| {
             if *until <= time {
-                line.note_end(*work, SERVICE_TIME, now);
+                queue.record_completion(*work, SERVICE_TIME, now);
             }
             *until > time
         });
-        for (index, _) in line.take_overdue(now) {
+        for (index, _) in queue.take_overdue(now) {
             let caller: &mut Caller = &mut callers[index];
             caller.refused = Some(time);
         }
         let free = (SLOTS - running.len()) as u32;
-        for index in line.call(free, free) {
-            line.note_taken();
+        for index in queue.dispatch(free, free) {
+            queue.release_reservation();
             callers[index].started = Some(time);
-            line.note_begin(work, now);
+            queue.record_dispatch(work, now);
             running.push((time + SERVICE_TIME, work));
         }
         while next < callers.len() && callers[next].arrives <= time {
             let free = (SLOTS - running.len()) as u32;
             let caller = &mut callers[next];
-            match line.arrive(request(caller, now), next, free) {
-                LineArrival::Goes => {
+            match queue.enqueue(request(caller, now), next, free) {
+                EnqueueOutcome::Admitted => {
                     caller.started = Some(time);
-                    line.note_begin(work, now);
+                    queue.record_dispatch(work, now);
                     running.push((time + SERVICE_TIME, work));
                 }
-                LineArrival::Waits(_) => {}
-                LineArrival::TurnedAway(_) => caller.refused = Some(time),
+                EnqueueOutcome::Queued(_) => {}
+                EnqueueOutcome::Refused(_) => caller.refused = Some(time),
             }
             next += 1;
         }
@@ -119,30 +119,30 @@
 }
 
 #[test]
-fn nobody_waits_while_there_are_places() {
-    let played = replay(callers("calm", 1, 140, 4));
+fn no_request_queues_while_slots_are_free() {
+    let simulated = replay(callers("calm", 1, 140, 4));
     let at_once =
         |caller: &Caller| caller.started.is_some_and(|started| started - caller.arrives < 2 * TICK);
-    assert!(part(&played, at_once) > 0.999);
+    assert!(part(&simulated, at_once) > 0.999);
 }
 
 #[test]
-fn in_a_surge_of_all_those_who_are_served_are_served_on_time() {
+fn surge_of_all_organisations_is_served_on_time_or_refused() {
     // Twice and a half what the service can run, from ten organisations.
     let names = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"];
     let all = names.into_iter().flat_map(|name| callers(name, 1, 40, 6)).collect();
-    let played = replay(all);
-    let served = part(&played, |caller| caller.started.is_some());
+    let simulated = replay(all);
+    let served = part(&simulated, |caller| caller.started.is_some());
     assert!((0.35..0.5).contains(&served), "{served}");
-    assert!(part(&played, on_time) > 0.9 * served, "{}", part(&played, on_time));
-    let answered = part(&played, |caller| caller.started.is_some() != caller.refused.is_some());
+    assert!(part(&simulated, on_time) > 0.9 * served, "{}", part(&simulated, on_time));
+    let answered = part(&simulated, |caller| caller.started.is_some() != caller.refused.is_some());
     assert_eq!(answered, 1.0);
 }
 
 #[test]
-fn who_can_not_be_served_is_told_at_once() {
-    let played = replay(callers("all", 1, 400, 6));
-    let refused: Vec<_> = played.into_iter().filter(|caller| caller.refused.is_some()).collect();
+fn unservable_requests_are_refused_at_once() {
+    let simulated = replay(callers("all", 1, 400, 6));
+    let refused: Vec<_> = simulated.into_iter().filter(|caller| caller.refused.is_some()).collect();
     let at_once = |caller: &Caller| {
         caller.refused.is_some_and(|refused| refused - caller.arrives < OBJECTIVE / 8)
     };
@@ -150,37 +150,37 @@
 }
 
 #[test]
-fn a_sudden_surge_is_not_judged_by_the_calm_before_it() {
+fn sudden_surge_is_not_refused_by_the_low_rate_before_it() {
     // Five a second for a while, then 36 at once: all of them can be served within 300 ms.
     let mut all = callers("calm", 1, 5, 3);
     let at_once = callers("surge", 1, 36, 1).into_iter();
     all.extend(at_once.map(|caller| Caller { arrives: Duration::from_secs(2), ..caller }));
-    let played = replay(all);
-    assert_eq!(part(&played, on_time), 1.0);
+    let simulated = replay(all);
+    assert_eq!(part(&simulated, on_time), 1.0);
 }
 
 #[test]
-fn a_surge_of_one_organisation_leaves_the_others_their_service() {
+fn surge_of_one_organisation_leaves_others_their_share() {
     // One of five organisations sends eight times its usual.
     let names = ["b", "c", "d", "e"];
     let mut all = callers("surging", 1, 200, 6);
     all.extend(names.into_iter().flat_map(|name| callers(name, 1, 25, 6)));
-    let played = replay(all);
+    let simulated = replay(all);
     for name in names {
-        let served = part(&of(&played, name), on_time);
+        let served = part(&of(&simulated, name), on_time);
         assert!(served > 0.95, "{name}: {served}");
     }
-    let surging = part(&of(&played, "surging"), on_time);
+    let surging = part(&of(&simulated, "surging"), on_time);
     assert!(surging > 0.2, "the rest of the service is the surging organisation's: {surging}");
 }
 
 #[test]
-fn urgent_requests_go_first_and_no_rank_is_starved() {
+fn urgent_requests_are_dispatched_first_without_starvation() {
     let mut all = callers("urgent", 0, 150, 6);
     all.extend(callers("usual", 1, 150, 6));
     all.extend(callers("batch", 2, 150, 6));
-    let played = replay(all);
-    let served = |name: &str| part(&of(&played, name), |caller| caller.started.is_some());
+    let simulated = replay(all);
+    let served = |name: &str| part(&of(&simulated, name), |caller| caller.started.is_some());
     let (urgent, usual, batch) = (served("urgent"), served("usual"), served("batch"));
     assert!(urgent > usual && usual > batch, "{urgent} {usual} {batch}");
     let mean = (urgent + usual + batch) / 3.0;
@@ -188,85 +188,86 @@
 }
 
 /// `rate` callers a second that come back, so long after they first asked.
-fn returning(rate: u32, seconds: u32, asked_before: Duration) -> Vec<Caller> {
+fn returning(rate: u32, seconds: u32, since_first_attempt: Duration) -> Vec<Caller> {
     let back = callers("all", 1, rate, seconds).into_iter();
-    back.map(|caller| Caller { asked_before, ..caller }).collect()
+    back.map(|caller| Caller { since_first_attempt, ..caller }).collect()
 }
 
 /// The part of those that came back, or of the newcomers, that was served.
-fn served(played: &[Caller], came_back: bool) -> f64 {
-    let group = played.iter().filter(|one| one.asked_before.is_zero() != came_back);
+fn served(simulated: &[Caller], is_retry: bool) -> f64 {
+    let group = simulated.iter().filter(|one| one.since_first_attempt.is_zero() != is_retry);
     let group: Vec<_> = group.cloned().collect();
     part(&group, |caller| caller.started.is_some())
 }
 
 #[test]
-fn a_caller_that_comes_back_in_time_is_served_before_newcomers() {
+fn on_time_retries_are_served_before_new_requests() {
     let mut all = callers("all", 1, 380, 6);
     all.extend(returning(20, 6, Duration::from_millis(200)));
-    let played = replay(all);
-    assert!(served(&played, true) > 0.95, "{}", served(&played, true));
-    assert!(served(&played, false) > 0.3, "{}", served(&played, false));
+    let simulated = replay(all);
+    assert!(served(&simulated, true) > 0.95, "{}", served(&simulated, true));
+    assert!(served(&simulated, false) > 0.3, "{}", served(&simulated, false));
 }
 
 #[test]
-fn callers_that_come_back_late_take_no_place_from_those_in_time() {
+fn late_retries_take_no_slots_from_on_time_requests() {
     // As many as the service can run come back late, and more than that are newcomers.
     let mut all = callers("all", 1, 240, 6);
     all.extend(returning(160, 6, Duration::from_secs(3)));
-    let played = replay(all);
-    let newcomers = played.iter().filter(|one| one.asked_before.is_zero());
+    let simulated = replay(all);
+    let newcomers = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
     let newcomers: Vec<_> = newcomers.cloned().collect();
-    let in_time = part(&newcomers, on_time);
+    let served_on_time = part(&newcomers, on_time);
     // 160 a second can be run.
-    assert!(in_time > 0.6, "{in_time}");
+    assert!(served_on_time > 0.6, "{served_on_time}");
     let told = |caller: &Caller| {
         caller.started.is_some()
             || caller.refused.is_some_and(|refused| refused - caller.arrives < OBJECTIVE / 8)
     };
-    let late: Vec<_> = played.into_iter().filter(|one| !one.asked_before.is_zero()).collect();
+    let late: Vec<_> =
+        simulated.into_iter().filter(|one| !one.since_first_attempt.is_zero()).collect();
     assert!(part(&late, told) > 0.9, "{}", part(&late, told));
 }
 
 #[test]
-fn callers_that_come_back_late_are_served_with_what_is_left() {
+fn late_retries_are_served_with_the_remaining_capacity() {
     // Newcomers use three quarters of the service.
     let mut all = callers("all", 1, 120, 6);
     all.extend(returning(30, 6, Duration::from_secs(3)));
-    let played = replay(all);
-    assert!(served(&played, true) > 0.95, "{}", served(&played, true));
-    let newcomers = played.iter().filter(|one| one.asked_before.is_zero());
+    let simulated = replay(all);
+    assert!(served(&simulated, true) > 0.95, "{}", served(&simulated, true));
+    let newcomers = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
     let newcomers: Vec<_> = newcomers.cloned().collect();
     assert!(part(&newcomers, on_time) > 0.99, "{}", part(&newcomers, on_time));
 }
 
 #[test]
-fn the_place_of_a_caller_that_leaves_goes_to_the_next() {
+fn slot_of_a_disconnected_caller_goes_to_the_next() {
     let now = Instant::now();
-    let mut line = ServiceLine::default();
+    let mut queue = ServiceQueue::default();
     let caller = &callers("all", 1, 1, 1)[0];
-    assert_eq!(line.arrive(request(caller, now), 1, 0), LineArrival::Waits(Duration::ZERO));
-    assert_eq!(line.arrive(request(caller, now), 2, 0), LineArrival::Waits(Duration::ZERO));
-    assert!(line.leave(&1));
-    assert!(!line.leave(&1));
-    assert_eq!(line.call(1, 1), [2]);
+    assert_eq!(queue.enqueue(request(caller, now), 1, 0), EnqueueOutcome::Queued(Duration::ZERO));
+    assert_eq!(queue.enqueue(request(caller, now), 2, 0), EnqueueOutcome::Queued(Duration::ZERO));
+    assert!(queue.remove(&1));
+    assert!(!queue.remove(&1));
+    assert_eq!(queue.dispatch(1, 1), [2]);
     // The place is promised until it is taken: nobody else gets it meanwhile.
-    assert_ne!(line.arrive(request(caller, now), 3, 1), LineArrival::Goes);
-    line.note_taken();
-    assert_eq!(line.call(1, 1), [3]);
+    assert_ne!(queue.enqueue(request(caller, now), 3, 1), EnqueueOutcome::Admitted);
+    queue.release_reservation();
+    assert_eq!(queue.dispatch(1, 1), [3]);
 }
 
 #[test]
-fn a_line_gives_way_when_places_come_back() {
+fn queue_drains_when_slots_become_free() {
     // The service stands still for a while: what waited too long is refused, the rest is called.
     let now = Instant::now();
-    let mut line = ServiceLine::default();
+    let mut queue = ServiceQueue::default();
     let caller = &callers("all", 1, 1, 1)[0];
-    line.arrive(request(caller, now), 1, 0);
+    queue.enqueue(request(caller, now), 1, 0);
     let later = now + OBJECTIVE;
-    line.arrive(request(caller, later), 2, 0);
-    let refused: Vec<_> = line.take_overdue(later).into_iter().map(|(item, _)| item).collect();
+    queue.enqueue(request(caller, later), 2, 0);
+    let refused: Vec<_> = queue.take_overdue(later).into_iter().map(|(item, _)| item).collect();
     assert_eq!(refused, [1]);
-    assert_eq!(line.call(u32::MAX, u32::MAX), [2]);
-    assert!(line.is_empty());
+    assert_eq!(queue.dispatch(u32::MAX, u32::MAX), [2]);
+    assert!(queue.is_empty());
 }
--- a/crates/papayamux-coordination/tests/service_retry_budget.rs
+++ b/crates/papayamux-coordination/tests/service_retry_budget.rs
@@ -14,70 +14,70 @@
 }
 
 /// Routers that don't hear one another, each with a share of the requests, all of which fail.
-fn repeats_in_window(routers: usize, requests_per_second: usize) -> (usize, usize) {
-    let begun = Instant::now();
+fn retries_in_window(routers: usize, requests_per_second: usize) -> (usize, usize) {
+    let started_at = Instant::now();
     let mut budgets: Vec<_> =
-        (0..routers).map(|_| ServiceRetryBudget::new(ALLOWANCE, begun)).collect();
+        (0..routers).map(|_| ServiceRetryBudget::new(ALLOWANCE, started_at)).collect();
     let mut log = Vec::new();
     for millis in 0..30_000u64 {
         if millis % (1_000 / requests_per_second as u64) != 0 {
             continue;
         }
-        let now = begun + Duration::from_millis(millis);
+        let now = started_at + Duration::from_millis(millis);
         let budget = &mut budgets[(millis as usize / 7) % routers];
-        budget.note_request(&service(), now);
-        let repeated = budget.take_repeat(&service(), now);
-        log.push((millis, repeated));
+        budget.record_request(&service(), now);
+        let retried = budget.take_retry(&service(), now);
+        log.push((millis, retried));
     }
     let window = |from: u64| {
         let inside = log.iter().filter(|(at, _)| (from..from + 10_000).contains(at));
         let inside: Vec<_> = inside.collect();
-        let repeats = inside.iter().filter(|(_, repeated)| *repeated).count();
-        (repeats, inside.len())
+        let retries = inside.iter().filter(|(_, retried)| *retried).count();
+        (retries, inside.len())
     };
-    (0..20_000).step_by(250).map(window).max_by_key(|(repeats, _)| *repeats).unwrap()
+    (0..20_000).step_by(250).map(window).max_by_key(|(retries, _)| *retries).unwrap()
 }
 
 #[test]
-fn blind_routers_stay_within_the_sum() {
+fn isolated_routers_stay_within_the_fleet_budget() {
     for (routers, rate) in [(1, 20), (5, 50), (8, 100)] {
-        let (repeats, requests) = repeats_in_window(routers, rate);
+        let (retries, requests) = retries_in_window(routers, rate);
         let most = ALLOWANCE.ratio * requests as f64 + ALLOWANCE.slack;
-        assert!((repeats as f64) <= most, "{routers} routers: {repeats} of {most}");
-        assert!(repeats > 0);
+        assert!((retries as f64) <= most, "{routers} routers: {retries} of {most}");
+        assert!(retries > 0);
     }
 }
 
 #[test]
-fn every_router_that_was_seen_takes_its_part_of_the_slack() {
+fn every_known_router_takes_its_share_of_the_slack() {
     let now = Instant::now();
     let mut budget = ServiceRetryBudget::new(ALLOWANCE, now);
-    budget.note_routers(40);
-    assert!(!budget.take_repeat(&service(), now), "56 over 60 routers is less than one");
-    budget.note_routers(2);
-    assert!(!budget.take_repeat(&service(), now), "routers that fell silent spend on");
+    budget.record_routers(40);
+    assert!(!budget.take_retry(&service(), now), "56 over 60 routers is less than one");
+    budget.record_routers(2);
+    assert!(!budget.take_retry(&service(), now), "routers that fell silent spend on");
 }
 
 #[test]
-fn budget_comes_back_with_the_window() {
+fn budget_recovers_with_the_window() {
     let now = Instant::now();
     let mut budget = ServiceRetryBudget::new(ALLOWANCE, now);
-    budget.note_routers(1);
+    budget.record_routers(1);
     let now = now + ALLOWANCE.window + Duration::from_secs(1);
-    assert!(budget.take_repeat(&service(), now));
-    while budget.take_repeat(&service(), now) {}
+    assert!(budget.take_retry(&service(), now));
+    while budget.take_retry(&service(), now) {}
     let later = now + ALLOWANCE.window + Duration::from_secs(1);
-    assert!(budget.take_repeat(&service(), later));
+    assert!(budget.take_retry(&service(), later));
 }
 
 #[test]
-fn starts_of_a_lone_router_stay_within_the_sum() {
+fn restarts_of_a_lone_router_stay_within_the_budget() {
     let now = Instant::now();
     let starts = 8;
     let taken = (0..starts).map(|start| {
         let now = now + ALLOWANCE.window / starts * start;
         let mut budget = ServiceRetryBudget::alone(ALLOWANCE, now);
-        std::iter::from_fn(|| budget.take_repeat(&service(), now).then_some(())).count()
+        std::iter::from_fn(|| budget.take_retry(&service(), now).then_some(())).count()
     });
     let taken: usize = taken.sum();
     assert!(taken > 0 && taken as f64 <= ALLOWANCE.slack, "{taken}");
--- a/crates/papayamux-coordination/tests/usual_deadline.rs
+++ b/crates/papayamux-coordination/tests/usual_deadline.rs
@@ -9,42 +9,42 @@
 fn known() -> UsualDeadline {
     let mut deadlines = UsualDeadline::default();
     for _ in 0..50 {
-        assert_eq!(deadlines.note(USUAL), Duration::ZERO);
+        assert_eq!(deadlines.record(USUAL), Duration::ZERO);
     }
     deadlines
 }
 
 #[test]
-fn a_shorter_deadline_tells_how_long_ago_the_caller_asked() {
+fn shorter_deadline_shows_the_time_since_the_first_attempt() {
     let mut deadlines = known();
-    assert_eq!(deadlines.note(USUAL - Duration::from_secs(4)), Duration::from_secs(4));
-    assert_eq!(deadlines.note(USUAL - Duration::from_millis(5)), Duration::ZERO);
-    assert_eq!(deadlines.note(USUAL * 3), Duration::ZERO);
+    assert_eq!(deadlines.record(USUAL - Duration::from_secs(4)), Duration::from_secs(4));
+    assert_eq!(deadlines.record(USUAL - Duration::from_millis(5)), Duration::ZERO);
+    assert_eq!(deadlines.record(USUAL * 3), Duration::ZERO);
 }
 
 #[test]
-fn nothing_is_concluded_from_a_few_requests() {
+fn few_requests_give_no_usual_deadline() {
     let mut deadlines = UsualDeadline::default();
-    deadlines.note(USUAL);
-    assert_eq!(deadlines.note(Duration::from_secs(1)), Duration::ZERO);
+    deadlines.record(USUAL);
+    assert_eq!(deadlines.record(Duration::from_secs(1)), Duration::ZERO);
 }
 
 #[test]
-fn the_usual_deadline_stays_known_while_many_come_back() {
+fn usual_deadline_survives_many_retries() {
     let mut deadlines = known();
     for number in 1..400u64 {
-        deadlines.note(USUAL);
-        deadlines.note(USUAL - Duration::from_millis(number * 30));
+        deadlines.record(USUAL);
+        deadlines.record(USUAL - Duration::from_millis(number * 30));
     }
     assert_eq!(deadlines.usual(), Some(USUAL));
 }
 
 #[test]
-fn a_changed_deadline_is_learnt() {
+fn changed_deadline_is_learned() {
     let mut deadlines = known();
     for _ in 0..2_000 {
-        deadlines.note(Duration::from_secs(5));
+        deadlines.record(Duration::from_secs(5));
     }
-    assert_eq!(deadlines.note(Duration::from_secs(5)), Duration::ZERO);
+    assert_eq!(deadlines.record(Duration::from_secs(5)), Duration::ZERO);
     assert_eq!(deadlines.usual(), Some(Duration::from_secs(5)));
 }
--- a/crates/papayamux-router/src/agents/agent_news.rs
+++ b/crates/papayamux-router/src/agents/agent_news.rs
@@ -29,8 +29,8 @@
         let (mut quarantine, now) = (self.0.borrow_mut(), Instant::now());
         quarantine.forget_old(now);
         for notice in notices {
-            let is_new = quarantine.take_notice(*notice, rand::random(), now);
-            let held = quarantine.hold_left(notice.fingerprint, now).filter(|_| is_new);
+            let is_new = quarantine.receive_notice(*notice, rand::random(), now);
+            let held = quarantine.quarantine_left(notice.fingerprint, now).filter(|_| is_new);
             if let Some(held) = held {
                 log::info!(
                     fingerprint:% = notice.fingerprint, crashes = notice.record.crashes,
@@ -47,7 +47,7 @@
 
     /// How long a request is still to be kept from servers.
     pub fn hold_left(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
-        self.0.borrow().hold_left(fingerprint, Instant::now())
+        self.0.borrow().quarantine_left(fingerprint, Instant::now())
     }
 
     /// Notes that a request is about to be sent; returns the crashes that it is sent after.
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -109,7 +109,7 @@
     let mut named = None;
     let organisation = desk.settings.organisation(&offer.organisation);
     plan = plan.with_share(organisation.share).with_offers(desk.settings.most_offers);
-    desk.planner.retries().note_request();
+    desk.planner.retries().record_request();
     let quarantine = &desk.directory.news().quarantine;
     while let Some(candidate) = plan.next(named.as_ref()) {
         named = None;
@@ -235,7 +235,7 @@
     match reason {
         RefusalReason::NoAgentReachable => Some(EvidenceKind::Unreachable),
         RefusalReason::ServerUnreachable => Some(EvidenceKind::ServerDown),
-        RefusalReason::Leaving => Some(EvidenceKind::Leaving),
+        RefusalReason::Leaving => Some(EvidenceKind::Draining),
         _ => None,
     }
 }
--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::link_delays::{EventRhythm, EventTiming};
+use papayamux_coordination::link_delays::{DelayDetector, EventTiming};
 use papayamux_coordination::part_flights::flight_patience;
 use papayamux_coordination::placement::ServerLoad;
 use papayamux_coordination::server_evidence::EvidenceKind;
@@ -27,7 +27,7 @@
     sent: Instant,
     /// Whether it was sent, so that its server owes it a sign of life.
     is_awaited: bool,
-    rhythm: Option<EventRhythm>,
+    rhythm: Option<DelayDetector>,
     reading: Option<OwnReading>,
     /// Tokens that its server had to read first, its own among them.
     ahead: TokenCount,
@@ -144,15 +144,15 @@
         self.events += events;
         self.last_event = Some(now);
         let Some(rhythm) = &mut self.rhythm else {
-            self.rhythm = Some(EventRhythm::new(now));
+            self.rhythm = Some(DelayDetector::new(now));
             self.first_event = Some(now);
             self.note_first_event(now);
             self.prompt_was_read();
             return;
         };
-        match rhythm.note(events, now) {
-            EventTiming::InTime => self.fleet.note_event(&self.server, false),
-            EventTiming::HeldUp => self.fleet.note_event(&self.server, true),
+        match rhythm.record(events, now) {
+            EventTiming::OnTime => self.fleet.note_event(&self.server, false),
+            EventTiming::Delayed => self.fleet.note_event(&self.server, true),
             EventTiming::Undecided => {}
         }
     }
--- a/crates/papayamux-router/src/direct/call_handler.rs
+++ b/crates/papayamux-router/src/direct/call_handler.rs
@@ -89,7 +89,7 @@
         plan.check_quarantine()?;
         plan.check_open()?;
         let in_flight = InFlight::begin(&self.fleet);
-        self.fleet.budget().borrow_mut().note_request(&plan.service, Instant::now());
+        self.fleet.budget().borrow_mut().record_request(&plan.service, Instant::now());
         plan.wait_for_rest().await?;
         plan.wait_for_turn().await?;
         self.run(plan, in_flight).await
--- a/crates/papayamux-router/src/direct/call_plan.rs
+++ b/crates/papayamux-router/src/direct/call_plan.rs
@@ -8,9 +8,11 @@
 use http::uri::PathAndQuery;
 use papayamux_coordination::attempt_plan::{AttemptHistory, AttemptLoss, NextStep};
 use papayamux_coordination::mechanism::Mechanism;
-use papayamux_coordination::return_time::{rest_patience, return_after_rest, return_time};
-use papayamux_coordination::service_line::{request_work, CallerTime, FlowKey, LineRequest};
-use papayamux_coordination::service_retry_budget::RetryAccount;
+use papayamux_coordination::retry_delay::{
+    max_backoff_wait, retry_delay, retry_delay_after_backoff,
+};
+use papayamux_coordination::service_queue::{request_work, CallerTime, FlowKey, QueuedRequest};
+use papayamux_coordination::service_retry_budget::RetryUsage;
 use papayamux_state::crash_record::CrashRecord;
 use papayamux_state::ids::{OrganisationId, ServerId, ServiceId};
 use papayamux_state::quantities::TokenCount;
@@ -120,19 +122,19 @@
 
     /// Whether the request may leave a server that is silent for another one.
     pub(super) fn may_leave(&self) -> bool {
-        self.history.may_leave(self.kind(), self.route.attempts)
-            && self.fleet.budget().borrow().has_room(&self.service, Instant::now())
+        self.history.may_fail_over(self.kind(), self.route.attempts)
+            && self.fleet.budget().borrow().allows_retry(&self.service, Instant::now())
     }
 
     /// Attempts so far.
     pub(super) fn offers(&self) -> u32 {
-        self.history.offers()
+        self.history.attempts()
     }
 
     /// Waits until there is a place for the request.
     pub(super) async fn wait_for_turn(&self) -> Result<(), CallFailure> {
         let request = self.line_request();
-        let patience = request.time.patience();
+        let patience = request.time.wait_budget();
         match self.fleet.wait_for_turn(&self.service, request).await {
             Ok(Some(waited)) => self.fleet.metrics().note_wait(self.kind(), waited),
             Ok(None) => {}
@@ -150,17 +152,17 @@
         Ok(())
     }
 
-    fn line_request(&self) -> LineRequest {
+    fn line_request(&self) -> QueuedRequest {
         let deadline = self.call.deadline;
         let asked_before = deadline.map(|time| self.fleet.asked_before(&self.route.id, time));
         let time = CallerTime {
             arrived: self.arrived,
-            asked_before: asked_before.unwrap_or_default(),
+            since_first_attempt: asked_before.unwrap_or_default(),
             objective: self.route.objective,
-            left: self.left(),
-            serving: self.fleet.serving_time(&self.service, self.own_tokens()),
+            time_left: self.left(),
+            service_time: self.fleet.serving_time(&self.service, self.own_tokens()),
         };
-        LineRequest { flow: self.flow(), work: self.work(), time }
+        QueuedRequest { flow: self.flow(), work: self.work(), time }
     }
 
     /// Whose share of the places the request uses.
@@ -225,7 +227,7 @@
     /// rest is long.
     pub(super) async fn wait_for_rest(&self) -> Result<(), CallFailure> {
         while let Some(rest) = self.rest_of_all() {
-            if rest > rest_patience(self.left()) {
+            if rest > max_backoff_wait(self.left()) {
                 return Err(self.failure(NotRunReason::Resting));
             }
             monoio::time::sleep(rest).await;
@@ -339,8 +341,8 @@
     fn take_repeat(&self) -> bool {
         let now = Instant::now();
         let mut budget = self.fleet.budget().borrow_mut();
-        let taken = budget.take_repeat(&self.service, now);
-        let RetryAccount { requests, repeats, sharers } = budget.account(&self.service, now);
+        let taken = budget.take_retry(&self.service, now);
+        let RetryUsage { requests, retries, sharers } = budget.usage(&self.service, now);
         if taken {
             self.fleet.metrics().repeats_taken.inc();
         } else {
@@ -348,7 +350,7 @@
         }
         log::info!(
             request:% = self.call.id, service:% = self.service, requests = requests,
-            repeats = repeats, sharers = sharers.unwrap_or_default();
+            repeats = retries, sharers = sharers.unwrap_or_default();
             "{}", if taken { "request is sent again" } else { "retry budget is used up" }
         );
         taken
@@ -365,14 +367,14 @@
         let retry_after = match reason {
             NotRunReason::Resting => {
                 let rest = self.rest_of_all().unwrap_or_default();
-                Some(return_after_rest(rest, rand::random()))
+                Some(retry_delay_after_backoff(rest, rand::random()))
             }
             NotRunReason::NoServer
             | NotRunReason::Rejected
             | NotRunReason::Full
             | NotRunReason::Evacuated
             | NotRunReason::OutsideHomes
-            | NotRunReason::Starting => Some(return_time(self.left(), rand::random())),
+            | NotRunReason::Starting => Some(retry_delay(self.left(), rand::random())),
             _ => None,
         };
         CallFailure::NotRun { reason, retry_after }
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -149,7 +149,7 @@
             false => speed.call_silence(),
         };
         let standing = match self.is_silent(server, limit, now) {
-            true => ServerStanding::Held,
+            true => ServerStanding::Ejected,
             false => self.evidence.borrow().standing(&server.id, now),
         };
         let room = self.send_room(server, now);
@@ -171,7 +171,7 @@
             held_up: self.link_excess(server, now),
             speed,
             standing,
-            round_trip_ms: self.round_trips.borrow().usual_ms(&server.domain),
+            round_trip_ms: self.round_trips.borrow().median_ms(&server.domain),
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -139,7 +139,7 @@
         let mut census = self.census.borrow_mut();
         census.update(now);
         if census.is_settled() {
-            self.budget.borrow_mut().note_routers(census.count());
+            self.budget.borrow_mut().record_routers(census.count());
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/crash_records.rs
+++ b/crates/papayamux-router/src/direct/fleet/crash_records.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::crash_quarantine::{NoticeOrigin, HELD_PER_REPORT};
+use papayamux_coordination::crash_quarantine::{NoticeOrigin, QUARANTINED_PER_REPORT};
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_state::crash_record::{CrashNotice, CrashRecord};
 use papayamux_state::ids::ServerId;
@@ -30,7 +30,7 @@
 
     /// How long a request is still to be kept from servers; `None` where it may be sent.
     pub(in crate::direct) fn hold_left(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
-        self.quarantine.borrow().hold_left(fingerprint, Instant::now())
+        self.quarantine.borrow().quarantine_left(fingerprint, Instant::now())
     }
 
     /// Notes that a request is about to be sent; returns the crashes that it is sent after.
@@ -50,12 +50,12 @@
         }
         let now = Instant::now();
         let mut quarantine = self.quarantine.borrow_mut();
-        quarantine.note_end(server, now);
-        let Some(record) = quarantine.note_crash(fingerprint, sent, rand::random(), now) else {
+        quarantine.record_server_crash(server, now);
+        let Some(record) = quarantine.record_crash(fingerprint, sent, rand::random(), now) else {
             return;
         };
         self.metrics.crash_records.count("crash");
-        let held = quarantine.hold_left(fingerprint, now);
+        let held = quarantine.quarantine_left(fingerprint, now);
         if held.is_some() {
             self.metrics.crash_records.count("held");
         }
@@ -69,7 +69,7 @@
 
     /// Notes that a server has run a request to its end.
     pub(in crate::direct) fn note_run(&self, fingerprint: RequestFingerprint, sent: CrashRecord) {
-        if self.quarantine.borrow_mut().note_run(fingerprint, sent, Instant::now()) {
+        if self.quarantine.borrow_mut().record_run(fingerprint, sent, Instant::now()) {
             self.metrics.crash_records.count("cleared");
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
             self.crash_noted.take().give();
@@ -85,11 +85,11 @@
         let mut quarantine = self.quarantine.borrow_mut();
         let mut learnt = false;
         for notice in notices {
-            if !quarantine.take_notice(*notice, rand::random(), now) {
+            if !quarantine.receive_notice(*notice, rand::random(), now) {
                 continue;
             }
             learnt = true;
-            if let Some(held) = quarantine.hold_left(notice.fingerprint, now) {
+            if let Some(held) = quarantine.quarantine_left(notice.fingerprint, now) {
                 self.metrics.crash_records.count("told");
                 log::info!(
                     peer:% = peer, fingerprint:% = notice.fingerprint,
@@ -111,8 +111,12 @@
             let news = {
                 let mut quarantine = self.quarantine.borrow_mut();
                 CrashNews {
-                    seen: quarantine.next_untold(NoticeOrigin::Seen, NOTICES_AT_ONCE, now),
-                    heard: quarantine.next_untold(NoticeOrigin::Heard, NOTICES_AT_ONCE, now),
+                    seen: quarantine.next_unannounced(NoticeOrigin::Observed, NOTICES_AT_ONCE, now),
+                    heard: quarantine.next_unannounced(
+                        NoticeOrigin::Received,
+                        NOTICES_AT_ONCE,
+                        now,
+                    ),
                 }
             };
             if !news.seen.is_empty() || !news.heard.is_empty() {
@@ -124,6 +128,6 @@
 
     /// Some of the requests that are held, for the next regular report.
     pub(in crate::direct) fn next_held_requests(&self, now: Instant) -> Vec<CrashNotice> {
-        self.quarantine.borrow_mut().next_held(HELD_PER_REPORT, now)
+        self.quarantine.borrow_mut().next_quarantined(QUARANTINED_PER_REPORT, now)
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/fleet_state.rs
+++ b/crates/papayamux-router/src/direct/fleet/fleet_state.rs
@@ -8,6 +8,7 @@
 use papayamux_coordination::cold_servers::{ColdBook, RouterCensus};
 use papayamux_coordination::crash_quarantine::CrashQuarantine;
 use papayamux_coordination::domain_evacuations::DomainEvacuations;
+use papayamux_coordination::failure_rates::FailureRates;
 use papayamux_coordination::key_freshness::KeyFreshness;
 use papayamux_coordination::link_delays::LinkDelays;
 use papayamux_coordination::log_limit::LogLimit;
@@ -16,14 +17,13 @@
 use papayamux_coordination::placement::{LoadLedger, RecentHolders};
 use papayamux_coordination::recent_departures::RecentDepartures;
 use papayamux_coordination::round_trips::RoundTrips;
-use papayamux_coordination::server_evidence::EvidenceBook;
-use papayamux_coordination::server_liveness::LivenessBook;
-use papayamux_coordination::server_notices::NoticeBook;
+use papayamux_coordination::server_evidence::EvidenceTracker;
+use papayamux_coordination::server_liveness::LivenessTracker;
+use papayamux_coordination::server_notices::NoticeTable;
 use papayamux_coordination::server_places::QueueReports;
 use papayamux_coordination::server_presence::ServerPresence;
 use papayamux_coordination::server_profile::ProfileBook;
-use papayamux_coordination::server_record::AnswerRecord;
-use papayamux_coordination::service_line::ServiceLine;
+use papayamux_coordination::service_queue::ServiceQueue;
 use papayamux_coordination::service_retry_budget::ServiceRetryBudget;
 use papayamux_coordination::usual_deadline::UsualDeadline;
 use papayamux_state::ids::{RouteId, ServerId, ServiceId};
@@ -56,15 +56,15 @@
     pub(super) cold_book: RefCell<ColdBook>,
     pub(super) census: RefCell<RouterCensus>,
     pub(super) ledger: RefCell<LoadLedger>,
-    pub(super) evidence: RefCell<EvidenceBook>,
-    pub(super) notices: RefCell<NoticeBook>,
-    pub(super) liveness: RefCell<HashMap<ServiceId, LivenessBook>>,
+    pub(super) evidence: RefCell<EvidenceTracker>,
+    pub(super) notices: RefCell<NoticeTable>,
+    pub(super) liveness: RefCell<HashMap<ServiceId, LivenessTracker>>,
     pub(super) budget: RefCell<ServiceRetryBudget>,
-    pub(super) records: RefCell<HashMap<ServiceId, AnswerRecord>>,
+    pub(super) records: RefCell<HashMap<ServiceId, FailureRates>>,
     pub(super) profiles: RefCell<ProfileBook>,
     pub(super) warm: RefCell<HashMap<ServerId, WarmParts>>,
     pub(super) holders: RefCell<RecentHolders>,
-    pub(super) lines: RefCell<HashMap<ServiceId, ServiceLine<Rc<Turn>>>>,
+    pub(super) lines: RefCell<HashMap<ServiceId, ServiceQueue<Rc<Turn>>>>,
     pub(super) links: RefCell<LinkDelays>,
     pub(super) round_trips: RefCell<RoundTrips>,
     pub(super) queue_reports: RefCell<QueueReports>,
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -14,7 +14,7 @@
 impl Fleet {
     /// Notes that the list of servers answered.
     pub fn note_list_contact(&self, failed: bool, now: Instant) {
-        self.presence.borrow_mut().note_contact(failed, now);
+        self.presence.borrow_mut().record_contact(failed, now);
     }
 
     /// Whether lapsed servers may still come back.
@@ -29,7 +29,7 @@
         if !self.awaits_renewals() {
             return;
         }
-        let lapsed = self.presence.borrow_mut().expire_lapsed(Instant::now());
+        let lapsed = self.presence.borrow_mut().remove_expired(Instant::now());
         self.give_up(&lapsed);
     }
 
@@ -49,7 +49,7 @@
     /// Takes in one entry of the list.
     pub fn note_server(&self, server: BackendServer, now: Instant) {
         let (id, cold_left) = (server.id.clone(), server.cold_left);
-        let changes = self.presence.borrow_mut().note_entry(server, now);
+        let changes = self.presence.borrow_mut().record_entry(server, now);
         self.note_renewal(&id, now);
         self.note_coldness(&id, cold_left, now);
         self.note_changes(&changes);
@@ -68,7 +68,7 @@
     /// Takes in that an entry is gone.
     pub fn note_server_gone(&self, name: &ServerName, now: Instant) {
         let Some(known) = self.listed_server(name) else { return };
-        let change = self.presence.borrow_mut().note_removal(&known.id, now);
+        let change = self.presence.borrow_mut().record_removal(&known.id, now);
         self.note_departure(&known, change, now);
     }
 
@@ -84,7 +84,7 @@
         }
         let known = fault.name.as_ref().and_then(|name| self.listed_server(name));
         if let Some(known) = known {
-            let change = self.presence.borrow_mut().note_overwritten(&known.id);
+            let change = self.presence.borrow_mut().record_overwrite(&known.id);
             self.note_departure(&known, change, now);
         }
     }
@@ -101,10 +101,10 @@
     /// Takes over that a server is gone, and whether it lives on for a while.
     pub(super) fn adopt_departure(&self, name: &ServerName, lingers: bool, now: Instant) {
         let Some(known) = self.listed_server(name) else { return };
-        let change = self.presence.borrow_mut().note_overwritten(&known.id);
+        let change = self.presence.borrow_mut().record_overwrite(&known.id);
         match lingers && known.phase == ServerPhase::Serving {
             true => {
-                self.departures.borrow_mut().note_lingering(&known, now);
+                self.departures.borrow_mut().record_terminating(&known, now);
                 log::info!(server:% = known.id; "server has left and finishes its work");
             }
             false => self.note_presence(&known.id, change),
@@ -119,7 +119,7 @@
 
     fn note_departure(&self, known: &BackendServer, change: PresenceChange, now: Instant) {
         let lingers = change == PresenceChange::Departed
-            && self.departures.borrow_mut().note_departure(known, now);
+            && self.departures.borrow_mut().record_departure(known, now);
         match lingers {
             true => log::info!(server:% = known.id; "server has left and finishes its work"),
             false => self.note_presence(&known.id, change),
@@ -130,7 +130,7 @@
     pub fn note_server_list(&self, servers: Vec<BackendServer>, now: Instant) {
         let listed = servers.iter().map(|server| (server.id.clone(), server.cold_left));
         let listed: Vec<_> = listed.collect();
-        let changes = self.presence.borrow_mut().note_list(servers, now);
+        let changes = self.presence.borrow_mut().record_list(servers, now);
         for (id, cold_left) in listed {
             self.note_renewal(&id, now);
             self.note_coldness(&id, cold_left, now);
@@ -143,7 +143,7 @@
     /// Notes that a server renewed its entry; one of an earlier start renews nothing.
     fn note_renewal(&self, id: &ServerId, now: Instant) {
         if self.presence.borrow().catalog().get(id).is_some() {
-            self.departures.borrow_mut().note_renewal(id, now);
+            self.departures.borrow_mut().record_renewal(id, now);
         }
     }
 
@@ -166,7 +166,7 @@
                 log::info!(server:% = id; "server is there");
             }
             PresenceChange::Draining => log::info!(server:% = id; "server is draining"),
-            PresenceChange::Lapsed => log::info!(server:% = id; "server's entry has lapsed"),
+            PresenceChange::Expired => log::info!(server:% = id; "server's entry has lapsed"),
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -54,7 +54,7 @@
             .borrow_mut()
             .entry(server.service.clone())
             .or_default()
-            .note_begin(work, Instant::now());
+            .record_dispatch(work, Instant::now());
         self.ledger.borrow_mut().begin(&server.id, chosen.load);
         if !prompt.parts().is_empty() {
             let capacity = self.cache_capacity(&server.service);
@@ -86,7 +86,7 @@
             }
         }
         if let Some(line) = self.lines.borrow_mut().get_mut(&server.service) {
-            line.note_end(work, took, Instant::now());
+            line.record_completion(work, took, Instant::now());
         }
         self.call_waiting(&server.service);
     }
@@ -95,15 +95,15 @@
     pub(in crate::direct) fn hear_server(&self, server: &BackendServer) {
         let now = Instant::now();
         if let Some(liveness) = self.liveness.borrow_mut().get_mut(&server.service) {
-            liveness.hear(&server.id, now);
+            liveness.record_contact(&server.id, now);
         }
-        self.evidence.borrow_mut().note_answer(&server.id, now);
+        self.evidence.borrow_mut().record_answer(&server.id, now);
     }
 
     /// Notes evidence against a server.
     pub(in crate::direct) fn note_evidence(&self, server: &BackendServer, kind: EvidenceKind) {
         if self.uses(Mechanism::Evidence) {
-            self.evidence.borrow_mut().note(&server.id, kind, Instant::now());
+            self.evidence.borrow_mut().record(&server.id, kind, Instant::now());
         }
         if kind == EvidenceKind::Unreachable {
             self.pool.forget(server.address);
@@ -112,13 +112,13 @@
 
     /// Notes whether an event of a server was held up on its way.
     pub(in crate::direct) fn note_event(&self, server: &BackendServer, held_up: bool) {
-        self.links.borrow_mut().note(&server.domain, held_up, Instant::now());
+        self.links.borrow_mut().record(&server.domain, held_up, Instant::now());
     }
 
     /// Notes how long it took to open a connection to a server.
     pub(in crate::direct) fn note_connection(&self, server: &BackendServer, took: Duration) {
         if self.uses(Mechanism::LearntProfile) {
-            self.round_trips.borrow_mut().note(&server.domain, took);
+            self.round_trips.borrow_mut().record(&server.domain, took);
         }
     }
 
@@ -172,7 +172,7 @@
     pub(in crate::direct) fn note_answer(&self, server: &BackendServer, failed: bool) {
         let mut records = self.records.borrow_mut();
         let record = records.entry(server.service.clone()).or_default();
-        record.note(&server.id, failed, Instant::now());
+        record.record_answer(&server.id, failed, Instant::now());
     }
 
     /// Whether a server has owed a sign of life for longer than `limit`, and than is usual among the
@@ -184,7 +184,7 @@
         let liveness = self.liveness.borrow();
         let Some(liveness) = liveness.get(&server.service) else { return false };
         let silence = liveness.silence(&server.id, now).filter(|silence| *silence >= limit);
-        silence.is_some_and(|silence| silence >= liveness.usual_silence(now))
+        silence.is_some_and(|silence| silence >= liveness.silence_threshold(now))
     }
 
     /// Forgets what is too old to matter.
@@ -193,7 +193,7 @@
         if self.deadlines.borrow().len() > MOST_ROUTES {
             self.deadlines.borrow_mut().clear();
         }
-        self.records.borrow_mut().values_mut().for_each(|record| record.forget_faded(now));
+        self.records.borrow_mut().values_mut().for_each(|record| record.remove_decayed(now));
         self.queue_reports.borrow_mut().forget_old(now);
         self.flights.borrow_mut().forget_old(now);
         self.quarantine.borrow_mut().forget_old(now);
--- a/crates/papayamux-router/src/direct/fleet/server_notices.rs
+++ b/crates/papayamux-router/src/direct/fleet/server_notices.rs
@@ -19,17 +19,17 @@
             let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
             log::info!(server:% = server.id, rest_ms = rest_ms; "server asks for rest");
         }
-        self.notices.borrow_mut().note(&server.id, notice, Instant::now());
+        self.notices.borrow_mut().record(&server.id, notice, Instant::now());
     }
 
     /// Whether a server has said with an answer that it leaves.
     pub(in crate::direct) fn leaves(&self, server: &BackendServer) -> bool {
-        self.notices.borrow().leaves(&server.id)
+        self.notices.borrow().is_draining(&server.id)
     }
 
     /// Whether a server has asked for a rest that isn't over.
     pub(in crate::direct) fn rests(&self, server: &BackendServer, now: Instant) -> bool {
-        self.notices.borrow().rest_left(&server.id, now).is_some()
+        self.notices.borrow().backoff_left(&server.id, now).is_some()
     }
 
     /// How long until the first server of a service takes a request with these homes, where all that would take it
@@ -44,7 +44,7 @@
         let servers = presence.catalog().of_service(service);
         let open = servers.filter(|server| self.takes_requests(server));
         let open = open.filter(|server| self.is_home(server, homes));
-        let rests = open.map(|server| notices.rest_left(&server.id, now));
+        let rests = open.map(|server| notices.backoff_left(&server.id, now));
         rests.min_by_key(|rest| rest.unwrap_or_default()).flatten()
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -251,7 +251,7 @@
         let Some(position) = self.source_position() else { return };
         let (presence, departures) = (self.presence.borrow(), self.departures.borrow());
         let mut journal = self.knowledge.journal.borrow_mut();
-        journal.note(presence.catalog(), position, |server| departures.lingers(server));
+        journal.note(presence.catalog(), position, |server| departures.is_terminating(server));
     }
 
     fn tell_followers(&self) {
--- a/crates/papayamux-router/src/direct/fleet/turns.rs
+++ b/crates/papayamux-router/src/direct/fleet/turns.rs
@@ -7,7 +7,7 @@
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_coordination::server_evidence::ServerStanding;
 use papayamux_coordination::server_places::{free_places, ServerWork};
-use papayamux_coordination::service_line::{LineArrival, LineRefusal, LineRequest};
+use papayamux_coordination::service_queue::{EnqueueOutcome, QueueRefusal, QueuedRequest};
 use papayamux_state::backend::BackendServer;
 use papayamux_state::ids::{RouteId, ServiceId};
 use papayamux_transport::shutdown::ShutdownSignal;
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy)]
 enum TurnOutcome {
     Called,
-    TurnedAway(LineRefusal),
+    TurnedAway(QueueRefusal),
 }
 
 impl Turn {
@@ -53,10 +53,10 @@
         let mut lines = self.fleet.lines.borrow_mut();
         let Some(line) = lines.get_mut(self.service) else { return };
         match self.turn.outcome.get() {
-            Some(TurnOutcome::Called) => line.note_taken(),
+            Some(TurnOutcome::Called) => line.release_reservation(),
             Some(TurnOutcome::TurnedAway(_)) => {}
             None => {
-                line.leave(self.turn);
+                line.remove(self.turn);
             }
         }
     }
@@ -68,8 +68,8 @@
     pub(in crate::direct) async fn wait_for_turn(
         &self,
         service: &ServiceId,
-        request: LineRequest,
-    ) -> Result<Option<Duration>, LineRefusal> {
+        request: QueuedRequest,
+    ) -> Result<Option<Duration>, QueueRefusal> {
         if !self.uses(Mechanism::Line) {
             return Ok(None);
         }
@@ -79,12 +79,12 @@
             let places = self.free_places(service, now);
             let mut lines = self.lines.borrow_mut();
             let line = lines.entry(service.clone()).or_default();
-            line.arrive(request, turn.clone(), places)
+            line.enqueue(request, turn.clone(), places)
         };
         let expected = match arrival {
-            LineArrival::Goes => return Ok(None),
-            LineArrival::TurnedAway(refusal) => return Err(refusal),
-            LineArrival::Waits(wait) => wait,
+            EnqueueOutcome::Admitted => return Ok(None),
+            EnqueueOutcome::Refused(refusal) => return Err(refusal),
+            EnqueueOutcome::Queued(wait) => wait,
         };
         let guard = LineGuard { fleet: self, service, turn: &turn };
         turn.decided.given().await;
@@ -103,7 +103,7 @@
         if !self.uses(Mechanism::UsualDeadline) {
             return Duration::ZERO;
         }
-        self.deadlines.borrow_mut().entry(route.clone()).or_default().note(deadline)
+        self.deadlines.borrow_mut().entry(route.clone()).or_default().record(deadline)
     }
 
     /// Calls requests that wait for a service with free places.
@@ -113,7 +113,7 @@
         let places = self.free_places(service, Instant::now());
         // Other routers see the same places: each takes its part, and looks again soon.
         let routers = u32::try_from(self.ledger.borrow().reporting() + 1).unwrap_or(u32::MAX);
-        for turn in line.call(places, places.div_ceil(routers)) {
+        for turn in line.dispatch(places, places.div_ceil(routers)) {
             turn.decide(TurnOutcome::Called);
         }
     }
@@ -147,8 +147,8 @@
             }
             let places = self.places_at(server, now);
             let sum = match self.evidence.borrow().standing(&server.id, now) {
-                ServerStanding::Held => &mut held,
-                ServerStanding::Good | ServerStanding::OnTrial => &mut sound,
+                ServerStanding::Ejected => &mut held,
+                ServerStanding::Good | ServerStanding::HalfOpen => &mut sound,
             };
             *sum = Some(sum.unwrap_or(0u32).saturating_add(places));
         }
