--- a/crates/papayamux-router/src/direct/peers/crash_news.rs
+++ b/crates/papayamux-router/src/direct/peers/crash_news.rs
@@ -19,8 +19,8 @@
     pub(super) async fn tell_crashes(self: Rc<Self>) {
         loop {
             let CrashNews { seen, heard } = self.fleet.next_crash_news().await;
-            let bytes = self.send_crashes(seen, NoticeOrigin::Seen.fanout()).await
-                + self.send_crashes(heard, NoticeOrigin::Heard.fanout()).await;
+            let bytes = self.send_crashes(seen, NoticeOrigin::Observed.fanout()).await
+                + self.send_crashes(heard, NoticeOrigin::Received.fanout()).await;
             let pause = Duration::from_secs_f64(bytes as f64 / MOST_BYTES_PER_SECOND);
             monoio::time::sleep(pause).await;
         }
--- a/crates/papayamux-router/src/direct/settings.rs
+++ b/crates/papayamux-router/src/direct/settings.rs
@@ -78,7 +78,7 @@
     /// How servers renew their entries and leave.
     pub fn departure_bounds(&self) -> DepartureBounds {
         let linger = self.drain_within.unwrap_or_default();
-        DepartureBounds { renewal: self.renewal_every, linger }
+        DepartureBounds { renewal_interval: self.renewal_every, termination_grace: linger }
     }
 
     /// Age of the configuration up to which a request is refused for its key or route by it. A
--- a/crates/papayamux-router/src/routing/first_token.rs
+++ b/crates/papayamux-router/src/routing/first_token.rs
@@ -160,7 +160,7 @@
         let is_new = |record: &&Rc<ServerRecord>| {
             !probed.iter().any(|server| Rc::ptr_eq(&server.record, record))
                 && self.planner.standing(&record.entry.server, Instant::now())
-                    != ServerStanding::Held
+                    != ServerStanding::Ejected
         };
         let of_home = probed.iter().find(|server| Rc::ptr_eq(&server.record, &self.home));
         let named = of_home.and_then(|home| home.reply.elsewhere.as_ref());
@@ -191,7 +191,7 @@
     fn reliable(&self, records: &[Rc<ServerRecord>]) -> Vec<Rc<ServerRecord>> {
         let now = Instant::now();
         let is_reliable = |record: &&Rc<ServerRecord>| {
-            self.planner.standing(&record.entry.server, now) != ServerStanding::Held
+            self.planner.standing(&record.entry.server, now) != ServerStanding::Ejected
         };
         records.iter().filter(is_reliable).cloned().collect()
     }
--- a/crates/papayamux-router/src/routing/route_planner.rs
+++ b/crates/papayamux-router/src/routing/route_planner.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use papayamux_coordination::retry_budget::RetryBudget;
-use papayamux_coordination::server_evidence::{EvidenceBook, EvidenceKind, ServerStanding};
+use papayamux_coordination::server_evidence::{EvidenceKind, EvidenceTracker, ServerStanding};
 use papayamux_state::ids::ServerId;
 
 use super::baselines::RingCache;
@@ -18,7 +18,7 @@
     pub(super) policy: RoutingPolicy,
     loads: Rc<LoadBook>,
     pub(super) rings: RingCache,
-    evidence: RefCell<EvidenceBook>,
+    evidence: RefCell<EvidenceTracker>,
     retries: RetryBudget,
     metrics: RouterMetrics,
 }
@@ -53,7 +53,7 @@
     /// Notes what was seen of a server.
     pub fn note_evidence(&self, server: &ServerId, kind: EvidenceKind) {
         self.metrics.evidence.count(kind.label());
-        self.evidence.borrow_mut().note(server, kind, Instant::now());
+        self.evidence.borrow_mut().record(server, kind, Instant::now());
     }
 
     /// Notes what came of a probe.
@@ -67,7 +67,7 @@
 
     /// Notes that a server answered.
     pub fn note_answer(&self, server: &ServerId) {
-        self.evidence.borrow_mut().note_answer(server, Instant::now());
+        self.evidence.borrow_mut().record_answer(server, Instant::now());
     }
 
     pub(super) fn standing(&self, server: &ServerId, now: Instant) -> ServerStanding {
--- a/crates/papayamux-router/tests/direct_settings.rs
+++ b/crates/papayamux-router/tests/direct_settings.rs
@@ -40,7 +40,7 @@
     assert_eq!(settings.grace, Duration::from_secs(8));
     assert_eq!(settings.fleet.read_bounds().interval(), Duration::from_secs(1));
     assert_eq!(settings.most_callers(), 2_220);
-    assert_eq!(settings.fleet.departure_bounds().renewal, Duration::from_millis(1_500));
+    assert_eq!(settings.fleet.departure_bounds().renewal_interval, Duration::from_millis(1_500));
 }
 
 #[test]
