--- a/crates/papayamux-coordination/src/admission.rs
+++ b/crates/papayamux-coordination/src/admission.rs
@@ -1,4 +1,4 @@
-//! An agent's decision whether to take a request now, later or not at all.
+//! An agent's decision to run, queue or refuse a request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,34 +16,34 @@
 use crate::load_bound::LoadBound;
 use crate::seen_requests::SeenRequests;
 
-/// The priority class of calls that people stand and wait for.
+/// The priority class of calls that a person is waiting for.
 pub const TOP_PRIORITY: u32 = 0;
-/// One place in so many is kept for the top class.
+/// One of this many slots is reserved for the top class.
 const SLOTS_PER_RESERVED_SLOT: u64 = 8;
-/// How long places are kept for the top class after its last call.
+/// Time for which slots stay reserved after the last call of the top class.
 const RESERVATION_DURATION: Duration = Duration::from_secs(60);
-/// The longest wait that is told.
+/// Maximum wait that is reported.
 const MAX_WAIT_ESTIMATE: Duration = Duration::from_secs(60);
-/// How long a wait that was accepted may take at least, whatever was expected.
+/// Minimum limit on the wait of a queued request, however short its expected wait.
 const MIN_WAIT_LIMIT: Duration = Duration::from_millis(50);
-/// Weight of the latest run in the running mean of how long a run takes.
+/// Weight of the latest run in the moving average of run times.
 const LATEST_RUN_WEIGHT: f64 = 0.1;
 
-/// What binds an agent's admissions.
+/// The limits on an agent's admissions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionLimits {
-    /// Requests that may run at once, whatever others carry.
+    /// Maximum number of running requests, regardless of the load of other servers.
     pub capacity: RequestCount,
-    /// Requests that may wait; with 0, a request without a place is refused at once.
+    /// Maximum number of queued requests. With 0, a request without a free slot is refused at once.
     pub queue: RequestCount,
-    /// The longest that a request may wait.
+    /// Maximum time in the queue.
     pub max_wait: Duration,
-    /// How far the load may lie above the mean.
+    /// The allowed factor of the load above the mean.
     pub factor: LoadFactor,
 }
 
 impl AdmissionLimits {
-    /// Limits with the given capacity and else as they are where nothing is set.
+    /// Creates limits with the given capacity and defaults for the rest.
     pub fn of_capacity(capacity: RequestCount) -> Self {
         Self {
             capacity,
@@ -54,10 +54,10 @@
     }
 }
 
-/// The agent's book of what it has admitted.
+/// Tracks the requests that an agent has admitted.
 ///
-/// A request that it refuses is never run: the id is remembered until the request's deadline has
-/// passed on the agent's clock, and from then on the deadline refuses it.
+/// A refused request is never run: its id is remembered until its deadline has passed on the
+/// agent's clock, and from then on the deadline refuses it.
 #[derive(Debug)]
 pub struct AdmissionController {
     incarnation: Incarnation,
@@ -74,7 +74,7 @@
     mean_run_ms: Cell<f64>,
 }
 
-/// A place among the running requests; dropping it frees the place for the next that waits.
+/// A slot of a running request. Dropping it frees the slot for the next queued request.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     controller: Rc<AdmissionController>,
@@ -87,17 +87,17 @@
     }
 }
 
-/// The agent's answer to a request.
+/// The decision on a request that was not refused.
 #[derive(Debug)]
 pub enum Admission {
-    /// It runs now.
+    /// The request runs now.
     Admitted(AdmissionPermit),
-    /// It waits.
+    /// The request is queued.
     Waiting(AdmissionTicket),
 }
 
 impl AdmissionController {
-    /// A book for one life of an agent.
+    /// Creates a controller for one incarnation of an agent.
     pub fn new(incarnation: Incarnation, limits: AdmissionLimits) -> Rc<Self> {
         Rc::new(Self {
             incarnation,
@@ -115,53 +115,54 @@
         })
     }
 
-    /// Takes no new work from now on. What waits was accepted and still gets its turn.
+    /// Refuses new requests from now on. Queued requests were accepted and are still run.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// Whether the agent takes no new work.
+    /// Returns whether the agent refuses new requests.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Requests admitted and not finished.
+    /// Returns the number of running requests.
     pub fn running(&self) -> RequestCount {
         RequestCount::new(self.running.get())
     }
 
-    /// Refuses a request that never came, from `now` until its own deadline does so; `false`
-    /// where it came, or where that can't be told any more.
+    /// Ensures that a request which has not arrived yet is refused if it does, until its deadline
+    /// refuses it. Returns `false` if the request has arrived, or if its deadline has passed so
+    /// that its arrival is unknown.
     pub fn refuse_unseen(&self, id: RequestId, start_before: AgentClock, now: AgentClock) -> bool {
         now < start_before && self.seen.borrow_mut().record(id, start_before, now)
     }
 
-    /// Requests that wait for a place.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> RequestCount {
         RequestCount::new(self.queue.borrow().len() as u64)
     }
 
-    /// The places that the engine's batch has; the agent gives it no more at once.
+    /// Sets the batch size of the engine, beyond which the agent runs no more requests at once.
     pub fn set_batch_limit(self: &Rc<Self>, slots: RequestCount) {
         self.capacity.set(self.limits.capacity.min(slots).max(RequestCount::new(1)));
         self.grant_slots();
     }
 
-    /// Takes in what a router says of the mean load.
+    /// Records the mean load that a router reports.
     pub fn record_mean_load(self: &Rc<Self>, load: &GroupLoad, now: AgentClock) {
         self.clock.set(self.clock.get().max(now));
         self.bound.hear(load, now);
         self.grant_slots();
     }
 
-    /// Notes how long a run took.
+    /// Records the duration of a run.
     pub fn record_run(&self, elapsed: Duration) {
         let elapsed = elapsed.as_secs_f64() * 1_000.0;
         let mean = self.mean_run_ms.get();
         self.mean_run_ms.set(mean + LATEST_RUN_WEIGHT * (elapsed - mean));
     }
 
-    /// What the server carries, for a group of servers that it belongs to.
+    /// Returns the load of the server, with the limit that applies in `group`.
     pub fn load(&self, group: Option<GroupId>, now: AgentClock) -> LoadReport {
         let limit = match self.draining.get() {
             true => RequestCount::default(),
@@ -175,12 +176,12 @@
         }
     }
 
-    /// How long a refused request of this class would have to wait for a place now.
+    /// Returns the time that a refused request of this class would have to wait for a slot now.
     pub fn retry_after(&self, priority: u32) -> Duration {
         self.expected_wait(self.slots_for(priority), priority)
     }
 
-    /// How long a request of this class waits until fewer than `places` run before it.
+    /// Returns the expected time until a request of this class can run with `slots` slots.
     fn expected_wait(&self, slots: RequestCount, priority: u32) -> Duration {
         let ahead = self.queue.borrow().ahead_of(priority) as u64;
         let excess = (self.running.get() + ahead + 1).saturating_sub(slots.get());
@@ -189,7 +190,7 @@
         Duration::from_secs_f64(wait_ms / 1_000.0)
     }
 
-    /// Decides on a request at `now`.
+    /// Decides on a request that arrives at `now`.
     pub fn admit(
         self: &Rc<Self>,
         open: &OpenRequest,
@@ -235,7 +236,7 @@
         AdmissionPermit { controller: self.clone() }
     }
 
-    /// `places`, or as many as the mean load of the group leaves of them.
+    /// Limits `slots` by the mean load of the group.
     fn within_bound(
         &self,
         slots: RequestCount,
@@ -246,7 +247,8 @@
         bound.map_or(slots, |bound| bound.min(slots))
     }
 
-    /// Places that a class may fill: some are kept for the top class while it calls.
+    /// Returns the slots that a class may use. Some are reserved for the top class while it is in
+    /// use.
     fn slots_for(&self, priority: u32) -> RequestCount {
         let capacity = self.capacity.get();
         let is_reserved = self
@@ -291,7 +293,7 @@
         Ok(AdmissionTicket::new(self.clone(), open.id, state, deadline))
     }
 
-    /// Gives free places to those that wait.
+    /// Gives free slots to queued requests.
     fn grant_slots(self: &Rc<Self>) {
         while let Some(id) = self.next_to_run() {
             let permit = self.take_slot();
@@ -318,7 +320,7 @@
         }
     }
 
-    /// Takes a request out of the queue that no longer waits.
+    /// Removes a request from the queue.
     pub(crate) fn withdraw(&self, id: &RequestId) {
         self.queue.borrow_mut().remove(id);
         self.tickets.borrow_mut().remove(id);
--- a/crates/papayamux-coordination/src/admission_ticket.rs
+++ b/crates/papayamux-coordination/src/admission_ticket.rs
@@ -1,4 +1,4 @@
-//! The wait of a request that has no place yet.
+//! The wait of a request that has no slot yet.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -12,7 +12,7 @@
 
 use crate::admission::{AdmissionController, AdmissionPermit};
 
-/// What a waiting request is told.
+/// The result of a queued request.
 type TicketOutcome = Result<AdmissionPermit, RefusalReason>;
 
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     waker: Option<Waker>,
 }
 
-/// What the book and the ticket share.
+/// The state that the controller and the ticket share.
 #[derive(Debug)]
 pub(crate) struct TicketState {
     pub(crate) group: Option<GroupId>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A request's place in the queue; dropping it gives the place up.
+/// A position in the queue. Dropping it removes the request from the queue.
 #[derive(Debug)]
 pub struct AdmissionTicket {
     controller: Rc<AdmissionController>,
@@ -72,12 +72,12 @@
         Self { controller, id, state, deadline }
     }
 
-    /// When the request has to have a place at the latest.
+    /// Returns the time by which the request needs a slot.
     pub fn deadline(&self) -> AgentClock {
         self.deadline
     }
 
-    /// Waits for a place, or for the refusal where another request took the place in the queue.
+    /// Waits for a slot, or for the refusal if another request displaces this one.
     pub async fn granted(&self) -> Result<AdmissionPermit, RefusalReason> {
         poll_fn(|context| self.state.poll(context)).await
     }
--- a/crates/papayamux-coordination/src/attempt_plan.rs
+++ b/crates/papayamux-coordination/src/attempt_plan.rs
@@ -1,37 +1,37 @@
-//! What becomes of a request after an attempt at a backend server has failed.
+//! Decides how a request proceeds after a failed attempt at a backend server.
 
 use papayamux_state::service_config::RequestKind;
 
-/// Attempts at connecting or at servers that turn the request away, for one request. Each costs
-/// up to a connect timeout; more than this would not find a place in time.
+/// Maximum number of attempts for one request, counting failed connections and refusals. Each costs
+/// up to a connect timeout, and further attempts would not find a slot in time.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// What is known of an attempt that brought no answer.
+/// What is known of an attempt without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptLoss {
     /// Nothing of the request was sent.
     NotSent,
-    /// The server says that it has not run the request and will not.
+    /// The server reports that it has not run the request and will not.
     Rejected,
     /// The request may have run.
     Unknown,
 }
 
-/// What to do next.
+/// The next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try another server; `counts` tells whether that takes from the retry budget.
+    /// Try another server.
     Again {
-        /// Whether the repeat takes from the retry budget.
+        /// `true` if the retry takes from the retry budget.
         counts: bool,
     },
     /// Answer that the request has not run.
     TellNotRun,
-    /// Answer that the outcome is not known.
+    /// Answer that the outcome is unknown.
     TellUnknown,
 }
 
-/// The attempts that a request has had.
+/// The attempts of a request so far.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AttemptHistory {
     attempts: u32,
@@ -40,8 +40,8 @@
 }
 
 impl AttemptHistory {
-    /// Notes an attempt that failed and decides what comes next. `attempts` is the number of
-    /// servers that the request may run on.
+    /// Records a failed attempt and returns the next step. `max_runs` is the number of servers that
+    /// the request may run on.
     pub fn after_loss(&mut self, kind: RequestKind, max_runs: u32, loss: AttemptLoss) -> NextStep {
         self.attempts += 1;
         if loss == AttemptLoss::Unknown {
@@ -58,7 +58,7 @@
         self.outcome()
     }
 
-    /// What can be said for certain when no further attempt is made.
+    /// Returns what is certain if no further attempt is made.
     pub fn outcome(&self) -> NextStep {
         match self.outcome_unknown {
             true => NextStep::TellUnknown,
@@ -66,22 +66,23 @@
         }
     }
 
-    /// Whether the request may go to another server while this attempt's outcome is unknown.
+    /// Returns whether the request may go to another server while the outcome of this attempt is
+    /// unknown.
     pub fn may_fail_over(&self, kind: RequestKind, max_runs: u32) -> bool {
         kind.may_repeat() && self.runs + 1 < max_runs.max(1) && self.attempts + 1 < MAX_ATTEMPTS
     }
 
-    /// Whether an earlier attempt may have run.
+    /// Returns whether an earlier attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.outcome_unknown
     }
 
-    /// Servers that may have run the request.
+    /// Returns the number of servers that may have run the request.
     pub fn runs(&self) -> u32 {
         self.runs
     }
 
-    /// Attempts so far.
+    /// Returns the number of attempts so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
--- a/crates/papayamux-coordination/src/crash_quarantine.rs
+++ b/crates/papayamux-coordination/src/crash_quarantine.rs
@@ -1,8 +1,9 @@
-//! Quarantines queries of death: requests under which every server ends that runs them.
+//! Quarantines queries of death: requests that crash every server that runs them.
 //!
-//! Such a request is retried as any failed one is, through any router, and ends one server after the other.
-//! So crashes count for its content and not for the call, and all routers share the count. A request that
-//! only happened to be at a server that ended is cleared by its next whole run.
+//! Such a request is retried like any failed one, through any router, and crashes one server after
+//! the other. Crashes are therefore counted by the content of a request and not by call, and all
+//! routers share the count. A request that merely ran on a server that crashed is cleared by its
+//! next completed run.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -11,48 +12,49 @@
 use papayamux_state::ids::ServerId;
 use papayamux_state::request_fingerprint::RequestFingerprint;
 
-/// Crashes in a row after which a request is kept from servers. Others that were at the same server once
-/// must still be able to go elsewhere.
+/// Consecutive crashes after which a request is quarantined. Other requests that were on the same
+/// server once must still be able to run elsewhere.
 const CRASHES_TO_QUARANTINE: u32 = 2;
-/// The same where other servers have ended without it. Something else ends them, which may have ended both
-/// of those that ran it.
+/// The same while other servers crash without the request. They have another cause, which may also
+/// have crashed both servers that ran it.
 const CRASHES_TO_QUARANTINE_AMONG_OTHERS: u32 = 3;
-/// How long the end of a server speaks for such a cause.
+/// Time for which the crash of a server counts as a sign of another cause.
 const SERVER_CRASH_TTL: Duration = Duration::from_secs(10);
-/// Ends of servers that are kept.
+/// Maximum number of server crashes that are kept.
 const MAX_SERVER_CRASHES: usize = 64;
-/// How long the first hold lasts.
+/// Duration of the first quarantine.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(30);
-/// By how much each further crash lengthens the hold.
+/// Factor by which each further crash extends the quarantine.
 const QUARANTINE_GROWTH: u32 = 4;
-/// The longest hold.
+/// Maximum duration of a quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(3_600);
-/// How long the request that tries a server after a hold may take until another one may.
+/// Time that the trial request after a quarantine has before another one may try.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a record is kept after its hold, or its last change.
+/// Time for which a record is kept after its quarantine or its last change.
 const RECORD_RETENTION: Duration = Duration::from_secs(600);
-/// Records kept. Beyond that the ones with the fewest crashes go first.
+/// Maximum number of records. Those with the fewest crashes are evicted first.
 const MAX_RECORDS: usize = 4_096;
 
-/// Routers told at once of what this one has seen: all of a small fleet.
+/// Number of routers that are notified at once of this router's own observations: all of a small
+/// fleet.
 const ORIGIN_FANOUT: usize = 16;
-/// Routers told at once of what this one has heard, so that news reaches a large fleet in a few steps and
-/// makes up for lost datagrams. Regular reports reach whoever was left out.
+/// Number of routers that are notified at once of received records. Records reach a large fleet in
+/// a few steps, and lost datagrams are made up for. Regular reports reach the remaining routers.
 const RELAY_FANOUT: usize = 4;
-/// Held requests that a regular report repeats.
+/// Number of quarantined requests that a regular report repeats.
 pub const QUARANTINED_PER_REPORT: usize = 4;
 
-/// Where a record comes from.
+/// The origin of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NoticeOrigin {
-    /// This router heard of it from another one, which tells others too.
+    /// The record was received from another router, which notifies others too.
     Received,
-    /// This router has seen it itself.
+    /// This router has observed it.
     Observed,
 }
 
 impl NoticeOrigin {
-    /// To how many routers a record is passed on.
+    /// Returns the number of routers to which a record is sent.
     pub fn fanout(self) -> usize {
         match self {
             NoticeOrigin::Received => RELAY_FANOUT,
@@ -65,19 +67,19 @@
 struct SuspectRequest {
     record: CrashRecord,
     changed: Instant,
-    /// Until when all routers hold it.
+    /// When the quarantine ends that all routers apply.
     quarantined_until: Instant,
-    /// When this router lets it try a server.
+    /// When this router lets the request try a server.
     trial_from: Instant,
-    /// Whether it is held, or was until its trial.
+    /// `true` if the request is quarantined, or was until its trial.
     is_quarantined: bool,
-    /// Whether others are still to be told.
+    /// The origin of a record that is not yet announced to other routers.
     unannounced: Option<NoticeOrigin>,
 }
 
 impl SuspectRequest {
     fn new(record: CrashRecord, held: Duration, jitter: f64, now: Instant) -> Self {
-        // Routers let it try again at different times: the first of them finds out for all.
+        // Routers allow a trial at different times, so that the first of them finds out for all.
         let trial_from = now + held.mul_f64(1.0 + jitter);
         let (quarantined_until, is_quarantined) = (now + held, !held.is_zero());
         Self {
@@ -100,22 +102,22 @@
     }
 }
 
-/// The requests under which servers have ended, as one router knows them.
+/// The requests that servers have crashed under, as one router knows them.
 #[derive(Debug, Default)]
 pub struct CrashQuarantine {
     requests: BTreeMap<RequestFingerprint, SuspectRequest>,
-    /// Servers that have ended lately, and when, the latest last.
+    /// The servers that have crashed recently and when, the latest last.
     server_crashes: VecDeque<(ServerId, Instant)>,
     last_repeated: Option<RequestFingerprint>,
 }
 
 impl CrashQuarantine {
-    /// Whether no request is suspect.
+    /// Returns whether no request is suspect.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// How long a request is still to be kept from servers; `None` where it may be sent.
+    /// Returns the remaining quarantine of a request, or `None` if it may be sent.
     pub fn quarantine_left(
         &self,
         fingerprint: RequestFingerprint,
@@ -126,8 +128,8 @@
         (suspect.is_quarantined && !left.is_zero()).then_some(left)
     }
 
-    /// Notes that a request is about to be sent. The record returned tells which crashes it was sent
-    /// after.
+    /// Records that a request is about to be sent. Returns the record of the crashes before this
+    /// attempt.
     pub fn begin_attempt(&mut self, fingerprint: RequestFingerprint, now: Instant) -> CrashRecord {
         let Some(suspect) = self.requests.get_mut(&fingerprint) else {
             return CrashRecord::default();
@@ -138,7 +140,7 @@
         suspect.record
     }
 
-    /// Notes that a server has ended that should be serving.
+    /// Records the crash of a server that should be serving.
     pub fn record_server_crash(&mut self, server: &ServerId, now: Instant) {
         self.server_crashes
             .retain(|(_, crashed)| now.saturating_duration_since(*crashed) < SERVER_CRASH_TTL);
@@ -151,7 +153,7 @@
         self.server_crashes.push_back((server.clone(), now));
     }
 
-    /// How long a request is held from now on.
+    /// Returns the duration for which a request is quarantined from now on.
     fn quarantine_duration(&self, record: CrashRecord, now: Instant) -> Duration {
         let lately = |crashed: &Instant| now.saturating_duration_since(*crashed) < SERVER_CRASH_TTL;
         let server_crashes =
@@ -166,9 +168,9 @@
         max_quarantine(record)
     }
 
-    /// Notes that a server ended under a request that was sent with the record `sent`. Servers that ended
-    /// at the same time count as one: what ended them together was not this request alone. Returns the new
-    /// record, where it tells more than the one before. `draw` is from 0 to 1.
+    /// Records that a server crashed under a request that was sent with the record `sent`.
+    /// Simultaneous crashes count as one, since this request alone did not cause them together.
+    /// Returns the new record if it adds to the known one. `jitter` is in the range 0 to 1.
     pub fn record_crash(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -182,8 +184,8 @@
         self.apply(notice, NoticeOrigin::Observed, jitter, now).then_some(record)
     }
 
-    /// Notes that a server has run a request to its end that was sent with the record `sent`. Returns
-    /// whether it was suspect.
+    /// Records that a server has completed a request that was sent with the record `sent`. Returns
+    /// whether the request was suspect.
     pub fn record_run(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -199,7 +201,7 @@
         self.apply(notice, NoticeOrigin::Observed, 0.0, now)
     }
 
-    /// Takes in what another router tells. Returns whether that was new.
+    /// Applies a notice of another router. Returns whether it was new.
     pub fn receive_notice(&mut self, notice: CrashNotice, jitter: f64, now: Instant) -> bool {
         let held = notice.held.min(max_quarantine(notice.record));
         self.apply(CrashNotice { held, ..notice }, NoticeOrigin::Received, jitter, now)
@@ -223,7 +225,8 @@
         true
     }
 
-    /// Records that others are still to be told, those with the most crashes first, `most` at a time.
+    /// Returns at most `limit` records that are not yet announced, those with the most crashes
+    /// first, and marks them as announced.
     pub fn next_unannounced(
         &mut self,
         origin: NoticeOrigin,
@@ -244,7 +247,8 @@
         notices.collect()
     }
 
-    /// Some of the requests that are held, in turn: a router that has just started knows none of them.
+    /// Returns at most `limit` of the quarantined requests, in rotation: a router that has just
+    /// started knows none of them.
     pub fn next_quarantined(&mut self, limit: usize, now: Instant) -> Vec<CrashNotice> {
         let held: Vec<_> = self
             .requests
@@ -261,7 +265,7 @@
         batch
     }
 
-    /// Forgets records that no longer matter.
+    /// Removes expired records.
     pub fn forget_old(&mut self, now: Instant) {
         self.requests.retain(|_, suspect| !suspect.is_expired(now));
     }
@@ -285,7 +289,7 @@
     }
 }
 
-/// How long a request with this record is kept from servers at most.
+/// Returns the maximum quarantine of a request with this record.
 fn max_quarantine(record: CrashRecord) -> Duration {
     let Some(further) = record.crashes.checked_sub(CRASHES_TO_QUARANTINE) else {
         return Duration::ZERO;
--- a/crates/papayamux-coordination/src/failure_rates.rs
+++ b/crates/papayamux-coordination/src/failure_rates.rs
@@ -1,21 +1,21 @@
-//! How well servers have answered lately.
+//! The recent failure rates of servers.
 //!
-//! A server may fail part of its requests while it looks healthy. What it costs to ask it is the
-//! chance that the answer is a failure, by its own last answers against those of all servers: where
-//! all fail alike, nobody is avoided. The record fades within seconds, so that a server that has
-//! recovered is asked again.
+//! A server may fail some of its requests while it looks healthy. The cost of choosing it is the
+//! probability that its answer is a failure, from its own recent answers compared to those of all
+//! servers: if all fail alike, none is avoided. The counts decay within seconds, so that a
+//! recovered server is chosen again.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use papayamux_state::ids::ServerId;
 
-/// Time after which an answer counts half: long enough for a dozen answers at the usual rates,
-/// short enough that a server is tried again soon.
+/// Half-life of answers: long enough for a dozen answers at usual rates, short enough that a server
+/// is soon tried again.
 const HALF_LIFE: Duration = Duration::from_secs(3);
-/// Answers that every server is credited with, so that one failure condemns nobody.
+/// Answers credited to every server, so that a single failure excludes none.
 const PRIOR_ANSWERS: f64 = 3.0;
-/// Weight below which a record is forgotten.
+/// Weight below which the counts of a server are removed.
 const MIN_WEIGHT: f64 = 0.05;
 
 #[derive(Debug, Clone, Copy)]
@@ -42,22 +42,22 @@
     }
 }
 
-/// The answers of one service's servers.
+/// The answers of the servers of one service.
 #[derive(Debug, Default)]
 pub struct FailureRates {
     servers: HashMap<ServerId, AnswerCounts>,
 }
 
 impl FailureRates {
-    /// Notes an answer.
+    /// Records an answer.
     pub fn record_answer(&mut self, server: &ServerId, failed: bool, now: Instant) {
         let fresh = AnswerCounts { failures: 0.0, answers: 0.0, updated_at: now };
         let counts = self.servers.entry(server.clone()).or_insert(fresh);
         *counts = counts.with(failed, now);
     }
 
-    /// The part of its answers that `server` is expected to fail beyond what servers of the
-    /// service fail anyway, from 0 to 1.
+    /// Returns the share of answers that `server` is expected to fail beyond the failure rate of
+    /// the other servers of the service, from 0 to 1.
     pub fn excess_failures(&self, server: &ServerId, now: Instant) -> f64 {
         let Some(own) = self.servers.get(server) else { return 0.0 };
         let own = own.at(now);
@@ -74,7 +74,7 @@
         (expected - baseline).max(0.0)
     }
 
-    /// Forgets what has faded.
+    /// Removes servers whose counts have decayed.
     pub fn remove_decayed(&mut self, now: Instant) {
         self.servers.retain(|_, counts| counts.at(now).answers >= MIN_WEIGHT);
     }
--- a/crates/papayamux-coordination/src/fair_queue.rs
+++ b/crates/papayamux-coordination/src/fair_queue.rs
@@ -1,4 +1,4 @@
-//! A bounded queue: priority classes first, and within a class fair shares by organisation.
+//! A bounded queue: strict priority classes, and fair shares by organisation within a class.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 
 use crate::fair_share::{FairShare, FlowShare};
 
-/// Who waits.
+/// An entry to queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueueEntry<T> {
-    /// The priority class; a lower number goes first.
+    /// The priority class; lower numbers go first.
     pub priority: u32,
-    /// The organisation.
+    /// The organisation that the entry is queued for.
     pub organisation: OrganisationId,
     /// The organisation's weight; 0 counts as 1.
     pub share: u32,
-    /// What waits.
+    /// The queued item.
     pub item: T,
 }
 
@@ -25,18 +25,18 @@
     }
 }
 
-/// What came of adding an entry.
+/// The result of adding an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PushOutcome<T> {
-    /// It waits.
+    /// The entry is queued.
     Queued,
-    /// It waits in the place of another entry, which has to be refused.
+    /// The entry is queued and has displaced another one, which has to be refused.
     Displaced(T),
-    /// There is no place for it.
+    /// The queue is full and the entry was not added.
     Full(T),
 }
 
-/// The queue of an agent.
+/// The request queue of an agent.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     classes: BTreeMap<u32, FairShare<OrganisationId, T>>,
@@ -45,29 +45,29 @@
 }
 
 impl<T: PartialEq> FairQueue<T> {
-    /// A queue of at most `longest` entries.
+    /// Creates a queue of at most `max_length` entries.
     pub fn new(max_length: usize) -> Self {
         Self { classes: BTreeMap::new(), length: 0, max_length }
     }
 
-    /// Entries that wait.
+    /// Returns the number of queued entries.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Entries that would go before a new one of this class, at most.
+    /// Returns the maximum number of entries that would go before a new one of this class.
     pub fn ahead_of(&self, priority: u32) -> usize {
         self.classes.range(..=priority).map(|(_, class)| class.len()).sum()
     }
 
-    /// Adds an entry. A full queue makes place at the cost of a lower class, or of the
-    /// organisation that waits with the most for its weight, never of one with less than the
-    /// newcomer's.
+    /// Adds an entry. A full queue displaces an entry of a lower class, or of the organisation with
+    /// the most queued entries for its weight, but never of one that has fewer than the
+    /// organisation of the new entry.
     pub fn push(&mut self, entry: QueueEntry<T>) -> PushOutcome<T> {
         if self.length < self.max_length {
             self.insert(entry);
@@ -106,18 +106,18 @@
         Some(displaced)
     }
 
-    /// The class of the entry that goes next.
+    /// Returns the class of the next entry.
     pub fn next_priority(&self) -> Option<u32> {
         let mut classes = self.classes.iter();
         classes.find(|(_, class)| !class.is_empty()).map(|(priority, _)| *priority)
     }
 
-    /// The entry that goes next.
+    /// Returns the next entry.
     pub fn peek(&self) -> Option<&T> {
         self.classes.values().find_map(FairShare::peek)
     }
 
-    /// Takes out the entry that goes next.
+    /// Removes and returns the next entry.
     pub fn pop(&mut self) -> Option<T> {
         let item = self.classes.values_mut().find_map(FairShare::pop)?;
         self.length -= 1;
@@ -125,7 +125,7 @@
         Some(item)
     }
 
-    /// Takes out an entry that no longer waits; `false` where there is none.
+    /// Removes an entry. Returns `false` if it is not queued.
     pub fn remove(&mut self, item: &T) -> bool {
         let mut classes = self.classes.values_mut();
         let removed =
--- a/crates/papayamux-coordination/src/fair_share.rs
+++ b/crates/papayamux-coordination/src/fair_share.rs
@@ -1,18 +1,18 @@
-//! Start-time fair queueing: flows share what is served by their weights.
+//! Start-time fair queueing: flows share the service by weight.
 //!
-//! Of the flows that wait, the one whose next entry is due first in virtual time is served. Each
-//! entry moves its flow's due time on by its cost over the flow's weight, so that over time each
-//! flow gets its share, and one that sends nothing can't save up.
+//! The flow whose next entry has the lowest start tag, in virtual time, is served first. Each
+//! served entry advances its flow's start tag by its cost divided by the flow's weight. Over time
+//! each flow gets its share, and an idle flow saves nothing up.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// A flow's place among the others.
+/// The weight of a flow and the cost of one of its entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FlowShare {
-    /// The flow's weight, above zero.
+    /// The weight of the flow, above zero.
     pub weight: f64,
-    /// What the entry costs, in the unit of all entries.
+    /// The cost of the entry, in a unit that all entries share.
     pub cost: f64,
 }
 
@@ -29,7 +29,7 @@
     entries: VecDeque<FlowEntry<T>>,
 }
 
-/// The entries of all flows.
+/// The queued entries of all flows.
 #[derive(Debug)]
 pub struct FairShare<K, T> {
     virtual_time: f64,
@@ -43,12 +43,12 @@
 }
 
 impl<K: Clone + Eq + Hash + Ord, T> FairShare<K, T> {
-    /// Adds an entry behind all others of its flow.
+    /// Appends an entry to its flow.
     pub fn push(&mut self, key: K, share: FlowShare, item: T) {
         self.push_before(key, share, item, |_| false);
     }
 
-    /// Adds an entry to its flow, in front of the first one for which `before` holds.
+    /// Inserts an entry into its flow, before the first entry that matches `before`.
     pub fn push_before(&mut self, key: K, share: FlowShare, item: T, before: impl Fn(&T) -> bool) {
         let now = self.virtual_time;
         let flow = self.flows.entry(key).or_insert_with(|| Flow {
@@ -65,13 +65,13 @@
         flow.entries.insert(index, FlowEntry { cost: share.cost, item });
     }
 
-    /// The entry that goes next.
+    /// Returns the next entry.
     pub fn peek(&self) -> Option<&T> {
         let entry = self.flows.get(self.next_key()?)?.entries.front();
         entry.map(|entry| &entry.item)
     }
 
-    /// Takes out the entry that goes next.
+    /// Removes and returns the next entry.
     pub fn pop(&mut self) -> Option<T> {
         let next = self.next_key()?.clone();
         let flow = self.flows.get_mut(&next)?;
@@ -83,7 +83,7 @@
         Some(entry.item)
     }
 
-    /// Takes out the entries for which `gone` holds.
+    /// Removes and returns the entries that match `predicate`.
     pub fn remove_where(&mut self, mut predicate: impl FnMut(&T) -> bool) -> Vec<T> {
         let mut taken = Vec::new();
         for flow in self.flows.values_mut() {
@@ -96,12 +96,13 @@
         taken
     }
 
-    /// Takes out the last entry of a flow.
+    /// Removes and returns the last entry of a flow.
     pub fn pop_last(&mut self, key: &K) -> Option<T> {
         self.flows.get_mut(key)?.entries.pop_back().map(|entry| entry.item)
     }
 
-    /// The flow with the most entries for its weight.
+    /// Returns the flow with the most entries for its weight, and their number divided by the
+    /// weight.
     pub fn longest_flow(&self) -> Option<(&K, f64)> {
         let lengths = self.flows.iter().map(|(key, flow)| {
             let length = flow.entries.len() as f64 / flow.weight;
@@ -110,42 +111,42 @@
         lengths.max_by(|left, right| left.1.total_cmp(&right.1).then_with(|| left.0.cmp(right.0)))
     }
 
-    /// The entries of one flow for its weight, with one more.
+    /// Returns the number of entries of a flow after one more is added, divided by its weight.
     pub fn length_after_push(&self, key: &K, weight: f64) -> f64 {
         let flow = self.flows.get(key);
         flow.map_or(1.0 / weight, |flow| (flow.entries.len() + 1) as f64 / flow.weight)
     }
 
-    /// The weights of all flows that wait, other than `key`.
+    /// Returns the sum of the weights of all backlogged flows other than `key`.
     pub fn weight_of_others(&self, key: &K) -> f64 {
         let others = self.flows.iter().filter(|(other, _)| *other != key);
         let waiting = others.filter(|(_, flow)| !flow.entries.is_empty());
         waiting.map(|(_, flow)| flow.weight).sum()
     }
 
-    /// The cost of the entries of `key` for which `ahead` holds.
+    /// Returns the cost of the entries of `key` that match `ahead`.
     pub fn cost_where(&self, key: &K, ahead: impl Fn(&T) -> bool) -> f64 {
         let entries = self.flows.get(key).into_iter().flat_map(|flow| &flow.entries);
         entries.filter(|entry| ahead(&entry.item)).map(|entry| entry.cost).sum()
     }
 
-    /// The cost of all entries.
+    /// Returns the cost of all entries.
     pub fn total_cost(&self) -> f64 {
         let entries = self.flows.values().flat_map(|flow| &flow.entries);
         entries.map(|entry| entry.cost).sum()
     }
 
-    /// Entries that wait.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.flows.values().map(|flow| flow.entries.len()).sum()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.flows.values().all(|flow| flow.entries.is_empty())
     }
 
-    /// Whether nothing waits, and no flow is ahead of its share.
+    /// Returns whether there are no entries and no flow is ahead of its share.
     pub fn is_idle(&self) -> bool {
         self.flows.is_empty()
     }
--- a/crates/papayamux-coordination/src/link_delays.rs
+++ b/crates/papayamux-coordination/src/link_delays.rs
@@ -1,51 +1,50 @@
-//! Over which links messages are held up.
+//! Detects links that delay messages.
 //!
 //! A link that loses packets delivers most messages at once and some only after a retransmission,
-//! some 200 ms later. One such pause makes a whole stream late, and a stream of sixty events over a
-//! link that loses three packets in a hundred has several. After a retransmission all that was sent
-//! meanwhile arrives together, which tells it from a server that paused. It shows in every server
-//! behind the link, so that the delays are counted by failure domain.
+//! about 200 ms later. One such pause makes a whole stream late, and a stream of sixty events over
+//! a link that loses three packets in a hundred has several. After a retransmission everything sent
+//! meanwhile arrives together, which distinguishes it from a pause of the server. It affects every
+//! server behind the link, so delays are counted by failure domain.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use papayamux_state::ids::FailureDomain;
 
-/// A pause in a stream from which a retransmission is suspected. TCP sends a lost packet again after
-/// 200 ms at the least; most of that is seen.
+/// Minimum pause in a stream that may be a retransmission. TCP retransmits a lost packet after 200
+/// ms at the earliest, most of which shows as a pause.
 const MIN_PAUSE: Duration = Duration::from_millis(150);
-/// Events that arrive within this time of each other were delivered together: engines make one
-/// every 20 ms or so.
+/// Maximum gap between events that were delivered together: engines produce one about every 20 ms.
 const MAX_BATCH_GAP: Duration = Duration::from_millis(4);
-/// Events that must arrive together with the one that ended the pause.
+/// Number of events that must arrive together with the one that ended the pause.
 const FOLLOWING_EVENTS: u64 = 2;
 
 /// What the arrival of events shows of the link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventTiming {
-    /// They came as they were made.
+    /// The events arrived as they were produced.
     OnTime,
-    /// They were held up on the way.
+    /// The events were delayed by the link.
     Delayed,
-    /// The next events will tell.
+    /// The next events will decide.
     Undecided,
 }
 
-/// The rhythm in which one stream's events arrive.
+/// Detects delays in the arrival of one stream's events.
 #[derive(Debug, Clone, Copy)]
 pub struct DelayDetector {
     last: Instant,
-    /// Events that arrived together since a pause.
+    /// The number of events that arrived together since a pause.
     since_pause: Option<u64>,
 }
 
 impl DelayDetector {
-    /// A stream whose first event arrived at `now`.
+    /// Creates a detector for a stream whose first event arrived at `now`.
     pub fn new(now: Instant) -> Self {
         Self { last: now, since_pause: None }
     }
 
-    /// Notes events that arrived together.
+    /// Records events that arrived together.
     pub fn record(&mut self, events: u64, now: Instant) -> EventTiming {
         let gap = now.saturating_duration_since(std::mem::replace(&mut self.last, now));
         let batched = match self.since_pause.take() {
@@ -61,17 +60,18 @@
     }
 }
 
-/// Events over which the part that is held up is taken: a router gets a hundred from each domain in
-/// a fifth of a second, so that a link is found out within some tenths.
+/// Number of events over which the share of delayed ones is averaged. A router gets a hundred from
+/// each domain in a fifth of a second, so that a lossy link is detected within some tenths of a
+/// second.
 const AVERAGED_EVENTS: f64 = 150.0;
-/// Time after which what is known of a link counts half: what avoids a link learns nothing new of it,
-/// and has to try it again after some seconds.
+/// Half-life of what is known of a link. While a link is avoided nothing new is learned of it, and
+/// it has to be tried again after some seconds.
 const HALF_LIFE: Duration = Duration::from_secs(5);
-/// The part of events that may be held up without a link being to blame: one alone shows nothing, as
-/// a process that stands still for a moment also gets several together.
+/// Share of delayed events that blames no link. A single one shows nothing, since a process that
+/// pauses for a moment also gets several events together.
 const BASELINE_SHARE: f64 = 0.007;
-/// How many times as often events of one domain may be held up as those of the best one without its
-/// link being to blame.
+/// Factor by which the delayed share of a domain may exceed that of the best one without blaming
+/// its link.
 const BASELINE_FACTOR: f64 = 3.0;
 
 #[derive(Debug, Clone, Copy)]
@@ -93,16 +93,16 @@
     }
 }
 
-/// A link that has begun to hold messages up, or has stopped.
+/// A link that has started or stopped delaying messages.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LinkChange {
-    /// The domain behind it.
+    /// The domain behind the link.
     pub domain: FailureDomain,
-    /// The chance that an event is held up, beyond the usual; zero where it has stopped.
+    /// The probability that an event is delayed, beyond the baseline; zero if the link has stopped.
     pub excess: f64,
 }
 
-/// How events came from each failure domain lately.
+/// The recent delays of events from each failure domain.
 #[derive(Debug, Default)]
 pub struct LinkDelays {
     domains: HashMap<FailureDomain, DelayedShare>,
@@ -110,14 +110,14 @@
 }
 
 impl LinkDelays {
-    /// Notes an event from `domain`.
+    /// Records an event from `domain`.
     pub fn record(&mut self, domain: &FailureDomain, delayed: bool, now: Instant) {
         let fresh = DelayedShare { share: 0.0, updated_at: now };
         let known = self.domains.entry(domain.clone()).or_insert(fresh);
         *known = known.with(delayed, now);
     }
 
-    /// What has changed since this was asked last, for the log.
+    /// Returns the changes since the last call, for the log.
     pub fn changes(&mut self, now: Instant) -> Vec<LinkChange> {
         let all = self
             .domains
@@ -135,7 +135,7 @@
         changes
     }
 
-    /// The chance that an event from `domain` is held up, beyond the usual.
+    /// Returns the probability that an event from `domain` is delayed, beyond the baseline.
     pub fn excess(&self, domain: &FailureDomain, now: Instant) -> f64 {
         let Some(own) = self.domains.get(domain) else { return 0.0 };
         let shares = self.domains.values().map(|known| known.at(now));
--- a/crates/papayamux-coordination/src/log_limit.rs
+++ b/crates/papayamux-coordination/src/log_limit.rs
@@ -1,15 +1,15 @@
-//! How often a log says the same thing.
+//! Limits the rate of repeated log lines.
 //!
-//! Whoever writes bad entries may write thousands of them. One line in some seconds shows that; the
-//! counters show how many there were.
+//! A faulty writer of entries may write thousands of them. One line every few seconds shows that,
+//! and the counters show how many there were.
 
 use std::time::{Duration, Instant};
 
-/// Pause between two lines: a reader sees within seconds that it goes on, and a day of it takes a
-/// few megabytes.
+/// Interval between two lines: a reader sees within seconds that the fault persists, and a day of
+/// it takes a few megabytes.
 const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Lines of one kind.
+/// The log lines of one kind.
 #[derive(Debug, Default)]
 pub struct LogLimit {
     last_logged: Option<Instant>,
@@ -17,7 +17,8 @@
 }
 
 impl LogLimit {
-    /// Whether a line is due at `now`; with it, how many were left out since the one before.
+    /// Returns the number of lines suppressed since the last one if a line is due at `now`, and
+    /// `None` otherwise.
     pub fn next(&mut self, now: Instant) -> Option<u64> {
         let is_due = self
             .last_logged
--- a/crates/papayamux-coordination/src/recent_departures.rs
+++ b/crates/papayamux-coordination/src/recent_departures.rs
@@ -1,10 +1,10 @@
 //! Servers whose entries are gone while they still finish their work.
 //!
-//! A server that drains before it leaves has ended once its entry is gone. One may also leave by
-//! deleting its entry without a notice: it gets nothing new, but other engines can still copy parts
-//! of prompts from it until it ends. An entry that was renewed shortly before it went was deleted by
-//! a server that lives; one that went after a silence belongs to a server that crashed, from which
-//! nothing can be copied.
+//! A server that drains before it departs has finished once its entry is gone. A server may also
+//! depart by deleting its entry without a notice: it gets no new requests, but other engines can
+//! still copy cached prompt parts from it until it terminates. If the entry was renewed shortly
+//! before it disappeared, a live server deleted it. If it disappeared after a silence, the server
+//! has crashed, and nothing can be copied from it.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,20 +13,20 @@
 use papayamux_state::backend::{BackendServer, ServerPhase};
 use papayamux_state::ids::{ServerId, ServiceId};
 
-/// Renewals that a lapsed entry has missed at least, of the three after which it lapses: one may
-/// have been under way.
+/// Minimum number of renewals that an expired entry has missed, of the three after which it
+/// expires: one may have been in flight.
 const MIN_MISSED_RENEWALS: u32 = 2;
 
-/// How servers renew their entries and leave.
+/// How servers renew their entries and depart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DepartureBounds {
-    /// The pause between two renewals of an entry.
+    /// The interval between two renewals of an entry.
     pub renewal_interval: Duration,
-    /// How long a server that has left still finishes its work.
+    /// The time for which a departed server still finishes its work.
     pub termination_grace: Duration,
 }
 
-/// Servers that have left lately.
+/// Servers that have departed recently.
 #[derive(Debug)]
 pub struct RecentDepartures {
     bounds: DepartureBounds,
@@ -35,18 +35,19 @@
 }
 
 impl RecentDepartures {
-    /// No departures so far.
+    /// Creates a record without departures.
     pub fn new(bounds: DepartureBounds) -> Self {
         Self { bounds, renewed: HashMap::new(), departed: Vec::new() }
     }
 
-    /// Notes that a server renewed its entry.
+    /// Records that a server has renewed its entry.
     pub fn record_renewal(&mut self, id: &ServerId, now: Instant) {
         self.renewed.insert(id.clone(), now);
         self.departed.retain(|(server, _)| server.id != *id);
     }
 
-    /// Notes that a server's entry is gone; whether the server is believed to live on for a while.
+    /// Records that a server's entry is gone. Returns whether the server is assumed to be
+    /// terminating.
     pub fn record_departure(&mut self, server: &BackendServer, now: Instant) -> bool {
         let renewed = self.renewed.remove(&server.id);
         let silence = renewed.map(|renewed| now.saturating_duration_since(renewed));
@@ -59,24 +60,24 @@
         is_alive
     }
 
-    /// Notes that a server has left and lives on for a while, as another router saw by its renewals.
+    /// Records that a departed server is terminating, as another router has seen from its renewals.
     pub fn record_terminating(&mut self, server: &BackendServer, now: Instant) {
         self.renewed.remove(&server.id);
         let terminating = BackendServer { phase: ServerPhase::Draining, ..server.clone() };
         self.departed.push((Rc::new(terminating), now));
     }
 
-    /// Whether a server has left and is believed to live on.
+    /// Returns whether a server has departed and is assumed to be terminating.
     pub fn is_terminating(&self, server: &BackendServer) -> bool {
         self.departed.iter().any(|(departed, _)| departed.id == server.id)
     }
 
-    /// Forgets a server that is gone for good.
+    /// Forgets the renewals of a departed server.
     pub fn forget(&mut self, id: &ServerId) {
         self.renewed.remove(id);
     }
 
-    /// The servers of a service that have left and may still be copied from.
+    /// Returns the departed servers of a service that can still be copied from.
     pub fn of_service(&self, service: &ServiceId, now: Instant) -> Vec<Rc<BackendServer>> {
         let is_terminating = |departed_at: Instant| {
             now.saturating_duration_since(departed_at) < self.bounds.termination_grace
@@ -86,7 +87,7 @@
         servers.filter(|server| server.service == *service).cloned().collect()
     }
 
-    /// Forgets servers that have ended; returns them.
+    /// Removes and returns the servers that have terminated.
     pub fn expire(&mut self, now: Instant) -> Vec<ServerId> {
         let termination_grace = self.bounds.termination_grace;
         let finished = self.departed.extract_if(.., |(_, departed_at)| {
--- a/crates/papayamux-coordination/src/round_trips.rs
+++ b/crates/papayamux-coordination/src/round_trips.rs
@@ -1,8 +1,8 @@
-//! How far away the servers of each failure domain are.
+//! The distance to the servers of each failure domain.
 //!
-//! Within a failure domain a round trip takes some tenths of a millisecond, to the next one a millisecond
-//! or two, and to another region tens: as long as a prompt of a thousand tokens takes to read. Opening a
-//! connection takes one, so that each new connection shows it.
+//! A round trip takes some tenths of a millisecond within a failure domain, one or two milliseconds
+//! to the next one, and tens of milliseconds to another region: as long as the prefill of a
+//! thousand tokens. Opening a connection takes one round trip, so each new connection measures it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 use crate::server_profile::MedianEstimate;
 
-/// Priors, left with the first connections: a round trip within a failure domain, with a server's time
-/// to accept.
+/// Prior for a round trip within a failure domain, including the server's time to accept. The first
+/// connections replace it.
 const OWN_DOMAIN_PRIOR_MS: f64 = 1.0;
-/// The same to another failure domain of the region.
+/// Prior for a round trip to another failure domain of the region.
 const OTHER_DOMAIN_PRIOR_MS: f64 = 2.5;
 
-/// What new connections have shown.
+/// The round trips that new connections have shown.
 #[derive(Debug)]
 pub struct RoundTrips {
     own: FailureDomain,
@@ -25,19 +25,19 @@
 }
 
 impl RoundTrips {
-    /// What a process in the failure domain `own` knows at its start.
+    /// Creates the estimates of a process in the failure domain `own`, from the priors.
     pub fn new(own: FailureDomain) -> Self {
         Self { own, domains: HashMap::new() }
     }
 
-    /// Notes how long it took to open a connection to a server.
+    /// Records the time that it took to open a connection to a server.
     pub fn record(&mut self, domain: &FailureDomain, elapsed: Duration) {
         let prior = self.prior(domain);
         let known = self.domains.entry(domain.clone());
         known.or_insert_with(|| MedianEstimate::new(prior)).note(elapsed.as_secs_f64() * 1_000.0);
     }
 
-    /// The usual round trip, in milliseconds.
+    /// Returns the median round trip in milliseconds.
     pub fn median_ms(&self, domain: &FailureDomain) -> f64 {
         self.domains.get(domain).map_or_else(|| self.prior(domain), MedianEstimate::value)
     }
--- a/crates/papayamux-coordination/src/seen_requests.rs
+++ b/crates/papayamux-coordination/src/seen_requests.rs
@@ -1,11 +1,11 @@
-//! Ids of requests that an agent has seen.
+//! Identifiers of the requests that an agent has seen.
 
 use std::collections::{BTreeSet, HashSet};
 
 use papayamux_protocol::link::AgentClock;
 use papayamux_state::ids::RequestId;
 
-/// Ids of requests that were seen, each kept until its own deadline refuses it.
+/// The identifiers of seen requests. Each is kept until the deadline of its request refuses it.
 #[derive(Debug, Default)]
 pub struct SeenRequests {
     ids: HashSet<RequestId>,
@@ -13,7 +13,7 @@
 }
 
 impl SeenRequests {
-    /// Notes `id`; `false` where it was seen before.
+    /// Records `id`. Returns `false` if it has been seen before.
     pub fn record(&mut self, id: RequestId, start_before: AgentClock, now: AgentClock) -> bool {
         while let Some((expiry, expired)) = self.expiries.first().copied() {
             if expiry > now {
--- a/crates/papayamux-coordination/src/server_evidence.rs
+++ b/crates/papayamux-coordination/src/server_evidence.rs
@@ -1,50 +1,51 @@
-//! What a router has seen for itself of servers that fail, hang or leave.
+//! Failure evidence: what a router has itself observed of servers that fail, hang or drain.
 //!
-//! The evidence lowers a server for this router alone, and expires.
+//! The evidence ejects a server for this router alone, and expires.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use papayamux_state::ids::ServerId;
 
-/// The first time that a server is avoided after a failure.
+/// Duration of the first ejection after a failure.
 const FIRST_EJECTION: Duration = Duration::from_millis(250);
-/// The longest time that a server is avoided.
+/// Maximum duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(30);
-/// Time after which a failure counts half.
+/// Half-life of failures.
 const HALF_LIFE: Duration = Duration::from_secs(30);
-/// How long a server that is leaving is avoided; a later notice renews it.
+/// Duration for which a draining server is ejected; a later notice renews it.
 const DRAINING_EJECTION: Duration = Duration::from_secs(3);
-/// How long a server is avoided whose address another one has: longer than its entry lasts without it.
+/// Duration for which a server is ejected whose address belongs to another one: longer than its
+/// entry lasts without renewal.
 const DISPLACED_EJECTION: Duration = Duration::from_secs(30);
-/// How long one request may take to try out a server whose hold has passed.
+/// Time that one request has for a half-open trial before another one may try.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Unanswered probes in a row that count as one failure.
+/// Consecutive unanswered probes that count as one failure.
 const SILENCES_PER_FAILURE: u32 = 2;
-/// Servers beyond which expired evidence is forgotten.
+/// Number of servers at which expired evidence is removed.
 const MAX_SERVERS: usize = 4_096;
-/// How often the first hold is doubled at most.
+/// Maximum number of times that the first ejection is doubled.
 const MAX_DOUBLINGS: f64 = 16.0;
-/// Failures below which a server is neither held nor tried out.
+/// Failure count below which a server is neither ejected nor half-open.
 const MIN_FAILURES: f64 = 0.75;
 
-/// What was seen.
+/// The kind of evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvidenceKind {
-    /// No connection, or it was lost with a request on it.
+    /// The connection failed, or was lost during a request.
     Unreachable,
-    /// A probe was not answered in time, which a short stall explains too.
+    /// A probe was not answered in time, which may also be a short stall.
     Silent,
     /// The agent can't reach its server.
     ServerDown,
-    /// The agent takes no new work.
+    /// The agent refuses new requests.
     Draining,
     /// Another server has its address.
     Displaced,
 }
 
 impl EvidenceKind {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub fn label(self) -> &'static str {
         match self {
             EvidenceKind::Unreachable => "unreachable",
@@ -56,14 +57,14 @@
     }
 }
 
-/// How far a server can be relied on.
+/// The ejection state of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerStanding {
-    /// Nothing speaks against it.
+    /// There is no evidence against the server.
     Good,
-    /// Its hold has passed; one request at a time may try it out.
+    /// The ejection has passed, and one request at a time may try the server.
     HalfOpen,
-    /// It is avoided while there are others.
+    /// The server is avoided while others are available.
     Ejected,
 }
 
@@ -91,8 +92,8 @@
 }
 
 impl EvidenceTracker {
-    /// Notes what was seen of a server. Each failure after a return doubles the hold; failures of
-    /// requests that were under way at the same time count once.
+    /// Records evidence on a server. Each failure after a recovery doubles the ejection. Failures
+    /// of concurrent requests count once.
     pub fn record(&mut self, server: &ServerId, kind: EvidenceKind, now: Instant) {
         self.make_room(now);
         let fresh = ServerEvidence {
@@ -129,7 +130,7 @@
         evidence.recovered = false;
     }
 
-    /// Notes that a server answered. Past failures still count for the length of the next hold.
+    /// Records that a server has answered. Past failures still lengthen the next ejection.
     pub fn record_answer(&mut self, server: &ServerId, now: Instant) {
         if let Some(evidence) = self.servers.get_mut(server) {
             if now >= evidence.ejected_until {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// How far a server can be relied on at `now`.
+    /// Returns the ejection state of a server at `now`.
     pub fn standing(&self, server: &ServerId, now: Instant) -> ServerStanding {
         let Some(evidence) = self.servers.get(server) else {
             return ServerStanding::Good;
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Lets one request try out a server that is on trial; the others go elsewhere meanwhile.
+    /// Starts the trial of a half-open server by one request. Other requests avoid the server
+    /// meanwhile.
     pub fn begin_trial(&mut self, server: &ServerId, now: Instant) {
         if self.standing(server, now) == ServerStanding::HalfOpen {
             if let Some(evidence) = self.servers.get_mut(server) {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Forgets what has expired, once there is much of it.
+    /// Removes expired evidence once there are many servers.
     fn make_room(&mut self, now: Instant) {
         if self.servers.len() >= MAX_SERVERS {
             self.servers.retain(|_, evidence| {
--- a/crates/papayamux-coordination/src/server_liveness.rs
+++ b/crates/papayamux-coordination/src/server_liveness.rs
@@ -1,21 +1,21 @@
-//! Which servers have gone silent with requests under way.
+//! Detects servers that have become silent with requests in flight.
 //!
-//! A server that lost its power or its link closes no connection. It is told from a busy one by
-//! hearing nothing on any of its connections while others are heard.
+//! A server that has lost its power or its link closes no connection. It differs from a busy server
+//! in that nothing arrives on any of its connections while other servers respond.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use papayamux_state::ids::ServerId;
 
-/// How recently another server must have been heard. Where none was, the silence is our own: a
-/// paused process, or a link that is cut.
+/// Maximum time since the last contact with another server. If there was none, the router itself is
+/// the cause: its process was paused or its link is down.
 const OTHERS_CONTACT_TIMEOUT: Duration = Duration::from_millis(150);
-/// How many times as long as is usual among the servers at the moment a silence has to last. Where all
-/// have become slow at once, each one's silence is long before what is learnt of their pace tells so, and
-/// requests would leave engines that are at work for others just as slow.
+/// Minimum silence, as a multiple of the median silence of the servers. If all servers become slow
+/// at once, each of them exceeds its learned pace before the new pace is learned, and requests
+/// would leave working engines for others that are just as slow.
 const SILENCE_FACTOR: f64 = 4.0;
-/// Servers with requests under way from which something is usual.
+/// Minimum number of servers with requests in flight for a median.
 const MIN_SERVERS: usize = 3;
 
 #[derive(Debug, Clone, Copy)]
@@ -24,7 +24,7 @@
     waiting_since: Instant,
 }
 
-/// When servers were last heard, for one service.
+/// The last contact with the servers of one service.
 #[derive(Debug, Default)]
 pub struct LivenessTracker {
     servers: HashMap<ServerId, ServerLiveness>,
@@ -33,7 +33,7 @@
 }
 
 impl LivenessTracker {
-    /// Notes that a request was sent to `server` and an answer is awaited.
+    /// Records that a request was sent to `server` and awaits an answer.
     pub fn begin(&mut self, server: &ServerId, now: Instant) {
         let fresh = ServerLiveness { pending: 0, waiting_since: now };
         let liveness = self.servers.entry(server.clone()).or_insert(fresh);
@@ -43,7 +43,7 @@
         liveness.pending += 1;
     }
 
-    /// Notes that nothing more is awaited for one request.
+    /// Records that one request no longer awaits anything.
     pub fn end(&mut self, server: &ServerId) {
         if let Some(liveness) = self.servers.get_mut(server) {
             liveness.pending = liveness.pending.saturating_sub(1);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Notes that something arrived from `server`.
+    /// Records that data has arrived from `server`.
     pub fn record_contact(&mut self, server: &ServerId, now: Instant) {
         if let Some(liveness) = self.servers.get_mut(server) {
             liveness.waiting_since = now;
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The least silence that sets a server apart from the others: a few times the median of those
-    /// that owe a sign of life.
+    /// Returns the minimum silence that counts against a server: a multiple of the median silence
+    /// of the servers that have requests in flight.
     pub fn silence_threshold(&self, now: Instant) -> Duration {
         let silences = self.servers.values();
         let mut silences: Vec<_> = silences
@@ -83,7 +83,8 @@
         median.mul_f64(SILENCE_FACTOR)
     }
 
-    /// How long `server` has owed a sign of life while another server gave one.
+    /// Returns how long `server` has been silent with requests in flight, or `None` if no other
+    /// server was in contact meanwhile.
     pub fn silence(&self, server: &ServerId, now: Instant) -> Option<Duration> {
         let liveness = self.servers.get(server)?;
         let silence = now.saturating_duration_since(liveness.waiting_since);
--- a/crates/papayamux-coordination/src/server_notices.rs
+++ b/crates/papayamux-coordination/src/server_notices.rs
@@ -1,7 +1,7 @@
-//! What servers have said of themselves to this router, for as long as it counts.
+//! What servers have reported of themselves to this router.
 //!
-//! It is kept for a server's identifier, which names one start of it: neither its entry in the list of servers nor
-//! another server at its address changes it.
+//! A notice is kept under the server's identifier, which names one start of it. Neither the
+//! server's entry in the list nor another server at its address changes it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,22 +9,23 @@
 use papayamux_state::backend::ServerNotice;
 use papayamux_state::ids::ServerId;
 
-/// The longest rest that is kept. A server that asks for more would be lost to a mistake of its own for the rest
-/// of its life, and is asked again after this time.
+/// Maximum back-off that is kept. A server that asks for more by mistake would be lost for its
+/// whole life; it is tried again after this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(300);
-/// Servers beyond which those are forgotten whose rest is over, and those that have been leaving for longest.
+/// Number of servers at which elapsed back-offs are removed, and the servers that have been
+/// draining longest.
 const MAX_SERVERS: usize = 4_096;
 
-/// Which servers leave, and how long others want nothing.
+/// The servers that are draining, and those that asked for a back-off.
 #[derive(Debug, Default)]
 pub struct NoticeTable {
     backoff_until: HashMap<ServerId, Instant>,
-    /// Since when servers leave that have said so.
+    /// When servers announced that they are draining.
     draining_since: HashMap<ServerId, Instant>,
 }
 
 impl NoticeTable {
-    /// Takes in what a server said.
+    /// Records the notice of a server.
     pub fn record(&mut self, server: &ServerId, notice: ServerNotice, now: Instant) {
         if notice.leaves {
             self.record_draining(server, now);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// A server that leaves doesn't stay: an answer without the word was made before it.
+    /// Draining is final: an answer without the notice was sent before it.
     fn record_draining(&mut self, server: &ServerId, now: Instant) {
         if self.draining_since.len() >= MAX_SERVERS && !self.is_draining(server) {
             let first = self.draining_since.iter().min_by_key(|(_, since)| **since);
@@ -45,7 +46,7 @@
         self.draining_since.entry(server.clone()).or_insert(now);
     }
 
-    /// Of several rests the one that ends last counts: answers may overtake one another.
+    /// Of several back-offs the one that ends last counts, since answers may overtake each other.
     fn record_backoff(&mut self, server: &ServerId, rest: Duration, now: Instant) {
         if self.backoff_until.len() >= MAX_SERVERS {
             self.backoff_until.retain(|_, until| *until > now);
@@ -55,12 +56,12 @@
         *known = until.max(*known);
     }
 
-    /// Whether a server has said that it leaves.
+    /// Returns whether a server has announced that it is draining.
     pub fn is_draining(&self, server: &ServerId) -> bool {
         self.draining_since.contains_key(server)
     }
 
-    /// How long a server still rests; nothing where it doesn't.
+    /// Returns the remaining back-off of a server, or `None` if there is none.
     pub fn backoff_left(&self, server: &ServerId, now: Instant) -> Option<Duration> {
         let until = self.backoff_until.get(server)?;
         until.checked_duration_since(now).filter(|left| !left.is_zero())
--- a/crates/papayamux-coordination/src/server_presence.rs
+++ b/crates/papayamux-coordination/src/server_presence.rs
@@ -1,8 +1,8 @@
-//! Which backend servers are there, by a list whose entries lapse.
+//! Which backend servers are present, from a list whose entries expire.
 //!
-//! A server renews its entry; one that goes silent loses it. While the list itself is away no
-//! server can renew, so that entries lapse of servers that are well. Such a lapse counts as a
-//! departure only once the list has been back for long enough to be renewed.
+//! A server renews its entry, and a server that has failed lets it expire. While the list itself is
+//! unavailable no server can renew, so that entries of healthy servers expire too. Such an expiry
+//! counts as a departure only once the list has been back for long enough to renew them.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -10,52 +10,54 @@
 use papayamux_state::backend::{BackendServer, ServerCatalog, ServerPhase};
 use papayamux_state::ids::{ServerId, ServerName};
 
-/// How long after the list was heard again a lapsed entry may still come back. Servers renew
-/// within about two seconds of the list's return, which is a little earlier. A longer grace would
-/// send requests to servers that left while only this router was cut off.
+/// Time after the list is back in which an expired entry may still be renewed. Servers renew within
+/// about two seconds of the list's return, which is slightly before the router's first contact. A
+/// longer grace would send requests to servers that departed while only this router was
+/// disconnected.
 pub const RENEWAL_GRACE: Duration = Duration::from_millis(2_000);
-/// Silence of the list after which entries may have lapsed for want of it, also where no read has
-/// failed, as after a pause of this process: longer than the longest interval between two reads.
+/// Time without contact to the list after which entries may have expired for lack of it, even if no
+/// read has failed, as after a pause of this process. It exceeds the longest interval between two
+/// reads.
 pub const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2_500);
 
-/// What changed for a server.
+/// The change of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PresenceChange {
-    /// It is new.
+    /// The server is new.
     Arrived,
-    /// It is there as before.
+    /// The server is unchanged.
     Unchanged,
-    /// It finishes what it has.
+    /// The server is draining.
     Draining,
-    /// Its entry is gone, but it may be back.
+    /// The entry has expired, but may still be renewed.
     Expired,
-    /// It is gone.
+    /// The server has departed.
     Departed,
-    /// It is gone, and its name belongs to a later start.
+    /// The server has departed, and a later start has its name.
     Restarted,
-    /// What was said of it is from before its start and has no effect.
+    /// The entry is of an earlier start than the known one, and was ignored.
     Outdated,
 }
 
-/// The list of backend servers as a router believes it.
+/// The backend servers that a router knows.
 #[derive(Debug, Default)]
 pub struct ServerPresence {
     catalog: ServerCatalog,
     expired: HashMap<ServerId, Instant>,
-    /// Since when the entry of a name has shown an earlier start than the one that is known.
+    /// When the entry of a name was first seen to show an earlier start than the known one.
     outdated: HashMap<ServerName, Instant>,
     last_contact: Option<Instant>,
     grace_until: Option<Instant>,
 }
 
 impl ServerPresence {
-    /// The servers that are believed to be there.
+    /// Returns the servers that are present.
     pub fn catalog(&self) -> &ServerCatalog {
         &self.catalog
     }
 
-    /// Notes that the list answered at `now`. After an outage a grace begins; `failed` tells that
-    /// reads had failed since it answered last.
+    /// Records that the list answered at `now`. After an outage a grace period starts. `failed` is
+    /// `true` if reads have failed since the last answer.
     pub fn record_contact(&mut self, failed: bool, now: Instant) {
         let was_unavailable = failed
             || self.last_contact.is_some_and(|last_contact| now - last_contact > OUTAGE_THRESHOLD);
@@ -65,16 +67,17 @@
         self.last_contact = Some(now);
     }
 
-    /// When the list answered last.
+    /// Returns the time of the list's last answer.
     pub fn last_contact(&self) -> Option<Instant> {
         self.last_contact
     }
 
-    /// Takes in an entry. Returns what changed for its server, and for the one that had its name
+    /// Records an entry. Returns the changes of its server and of the server that had its name
     /// before.
     ///
-    /// A server that starts again under its name holds nothing of before. Where nobody noticed, what
-    /// its earlier start had cached would be asked of it, and its failures held against it.
+    /// A server that restarts under its name has lost its cache. If the restart went undetected,
+    /// requests would look for the cache of the earlier start, and its failures would still count
+    /// against the server.
     pub fn record_entry(
         &mut self,
         server: BackendServer,
@@ -94,23 +97,24 @@
         vec![(known.id.clone(), PresenceChange::Restarted), (id, change)]
     }
 
-    /// Whether a start that seems to be the earlier one is in force after all. A write may be done
-    /// late, and shows an earlier start for a moment; a server whose clock was set back renews its
-    /// entry while the other start no longer does.
+    /// Returns whether a start that appears to be earlier is in force after all. A late write shows
+    /// an earlier start only for a moment. A server whose clock was set back keeps renewing its
+    /// entry, while the other start no longer does.
     fn supersedes(&mut self, server: &BackendServer, now: Instant) -> bool {
         let since = *self.outdated.entry(server.name.clone()).or_insert(now);
         now.saturating_duration_since(since) >= RENEWAL_GRACE
     }
 
-    /// Notes an entry that was read. What is written after an outage is told again to whoever follows this
-    /// router, for whom it may have lapsed.
+    /// Records an entry of a start. An entry written after an outage is announced again to the
+    /// routers that follow this one, since it may have expired for them.
     fn record_start(&mut self, server: BackendServer, now: Instant) -> PresenceChange {
         let may_have_expired =
             self.expired.contains_key(&server.id) || !self.grace_left(now).is_zero();
         self.apply_entry(server, may_have_expired)
     }
 
-    /// Takes an entry into the catalog; where `tells_again`, as a new one also if it is as before.
+    /// Adds an entry to the catalog. With `announces_again`, an unchanged entry counts as a new
+    /// write.
     fn apply_entry(&mut self, server: BackendServer, announces_again: bool) -> PresenceChange {
         self.expired.remove(&server.id);
         let phase = server.phase;
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Takes in that the entry of a server is gone.
+    /// Records that the entry of a server is missing.
     pub fn record_removal(&mut self, id: &ServerId, now: Instant) -> PresenceChange {
         let Some(known) = self.catalog.get(id) else { return PresenceChange::Unchanged };
         let grace = self.grace_until.filter(|until| now < *until);
@@ -140,8 +144,8 @@
         }
     }
 
-    /// Takes in that the entry of a server no longer names one. Somebody wrote it while the list was
-    /// there, so that it is no lapse.
+    /// Records that an entry no longer names a server. It was overwritten while the list was
+    /// available, so it has not expired.
     pub fn record_overwrite(&mut self, id: &ServerId) -> PresenceChange {
         match self.catalog.get(id) {
             Some(_) => {
@@ -152,17 +156,17 @@
         }
     }
 
-    /// How long entries that lapse may still come back.
+    /// Returns the time for which expired entries may still be renewed.
     pub fn grace_left(&self, now: Instant) -> Duration {
         self.grace_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Takes over how long entries may still come back, from a router that knows the list as far as this
-    /// one does or farther. Returns the lapsed servers that are given up by that.
+    /// Adopts the grace period of a router whose view of the list is at least as recent. Returns
+    /// the expired servers that are removed by it.
     ///
-    /// A list that was away for this router alone was renewed all the while: who heard it knows that what
-    /// is missing has left. By its own grace this router would use a server for two seconds after its
-    /// first read behind a cut.
+    /// If the list was unavailable for this router alone, it was renewed all the while, and a
+    /// router that reached it knows that missing servers have departed. By its own grace period,
+    /// this router would use such a server for two seconds after its first read behind a partition.
     pub fn adopt_grace(&mut self, left: Duration, now: Instant) -> Vec<ServerId> {
         let until = now + left;
         self.grace_until = (!left.is_zero()).then_some(until);
@@ -170,8 +174,8 @@
         self.remove_expired(now)
     }
 
-    /// Takes over what another router believes of a server, which has weighed starts and lapses itself.
-    /// Returns what changed for the server, and for the one that had its name before.
+    /// Adopts the state of a server from another router, which has already checked starts and
+    /// expiry. Returns the changes of the server and of the server that had its name before.
     pub fn adopt(&mut self, server: BackendServer) -> Vec<(ServerId, PresenceChange)> {
         let id = server.id.clone();
         let other = self.catalog.named(&server.name).filter(|known| known.id != id).cloned();
@@ -179,18 +183,20 @@
         if let Some(known) = &other {
             self.forget(&known.id);
         }
-        // It may have changed and changed back. Whoever follows this router is told it again too.
+        // The entry may have changed and changed back, so it is announced again to the routers that
+        // follow this one.
         let change = self.apply_entry(server, true);
         let restarted = other.map(|known| (known.id.clone(), PresenceChange::Restarted));
         restarted.into_iter().chain([(id, change)]).collect()
     }
 
-    /// The identifier of the server that is listed under `name`.
+    /// Returns the identifier of the server that is listed under `name`.
     pub fn id_of(&self, name: &ServerName) -> Option<ServerId> {
         self.catalog.named(name).map(|server| server.id.clone())
     }
 
-    /// Takes in the whole list: what it lacks is gone. Returns what changed.
+    /// Records the whole list. Servers missing from it are recorded as removed. Returns the
+    /// changes.
     pub fn record_list(
         &mut self,
         servers: Vec<BackendServer>,
@@ -213,12 +219,12 @@
         changes
     }
 
-    /// Whether lapsed entries may still come back.
+    /// Returns whether expired entries may still be renewed.
     pub fn awaits_renewals(&self) -> bool {
         !self.expired.is_empty()
     }
 
-    /// Gives up lapsed servers whose grace has passed; returns them.
+    /// Removes and returns the expired servers whose grace period has passed.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<ServerId> {
         let due = self.expired.iter().filter(|(_, until)| **until <= now);
         let gone: Vec<_> = due.map(|(id, _)| id.clone()).collect();
--- a/crates/papayamux-coordination/src/service_queue/arrival_rate.rs
+++ b/crates/papayamux-coordination/src/service_queue/arrival_rate.rs
@@ -1,14 +1,13 @@
-//! How much work is asked for.
+//! The rate at which work arrives.
 
 use std::time::{Duration, Instant};
 
 use papayamux_state::quantities::TokenCount;
 
-/// Time after which what was asked for counts half: a surge shows within a second, and is forgotten as
-/// soon.
+/// Half-life of the arrivals in the mean: a surge shows within a second and is forgotten as fast.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// The rate at which work is asked for, as a mean that fades.
+/// The arrival rate of work, as an exponentially decaying mean.
 #[derive(Debug, Default)]
 pub struct ArrivalRate {
     decayed: f64,
@@ -16,13 +15,13 @@
 }
 
 impl ArrivalRate {
-    /// Notes a request that arrives.
+    /// Records an arriving request.
     pub fn record(&mut self, work: TokenCount, now: Instant) {
         self.decayed = self.decayed_at(now) + work.get() as f64;
         self.updated_at = Some(now);
     }
 
-    /// Work that is asked for in a second.
+    /// Returns the work that arrives per second.
     pub fn per_second(&self, now: Instant) -> f64 {
         self.decayed_at(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64()
     }
--- a/crates/papayamux-coordination/src/service_queue/caller_time.rs
+++ b/crates/papayamux-coordination/src/service_queue/caller_time.rs
@@ -1,48 +1,49 @@
-//! How much time a request has, and how much of it may pass in the line.
+//! The time that a request has, and how much of it may pass in the queue.
 
 use std::time::{Duration, Instant};
 
-/// Part of the time that is left until a request has to be sent that may pass in the line: the rest is
-/// for the server's own queue, and for estimates that are off.
+/// Share of the slack that a request may spend in the queue. The rest is left for the server's own
+/// queue and for estimation errors.
 const SLACK_SHARE: f64 = 0.6;
-/// Part of a caller's time that may pass in the line where the route has no objective.
+/// Share of the caller's remaining time that a request may spend in the queue if its route has no
+/// objective.
 const TIME_LEFT_SHARE: f64 = 0.25;
-/// Objectives for which a request may wait that is late anyway. Callers give up a stream that is silent
-/// for four objectives.
+/// Maximum wait of a late request, in objectives. Callers abandon a stream that is silent for four
+/// objectives.
 const LATE_WAIT_OBJECTIVES: f64 = 1.5;
-/// Part of its time for which a request may wait that is late anyway.
+/// Maximum wait of a late request, as a share of its caller's remaining time.
 const LATE_TIME_LEFT_SHARE: f64 = 0.5;
 
-/// The time that a request's caller has.
+/// The time constraints of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallerTime {
-    /// When it arrived.
+    /// The arrival of the request.
     pub arrived: Instant,
-    /// How long before that its caller first asked.
+    /// The time from the caller's first attempt to the arrival of this one.
     pub since_first_attempt: Duration,
-    /// Within which it should be answered, from the caller's first try; zero where there is none.
+    /// The target for the answer, from the caller's first attempt; zero if the route has none.
     pub objective: Duration,
-    /// Until its caller leaves.
+    /// The time until the caller gives up.
     pub time_left: Duration,
-    /// How long a server takes for it that has nothing else to do.
+    /// The time that an idle server takes for the request.
     pub service_time: Duration,
 }
 
 impl CallerTime {
-    /// When its answer is due, from the caller's first try: the order within a flow. One that comes back
-    /// so goes before newcomers.
+    /// Returns the time at which the answer is due, counted from the caller's first attempt.
+    /// Requests of a flow are ordered by it, so that a retry goes before new requests.
     pub fn answer_deadline(&self) -> Instant {
         let first_attempt =
             self.arrived.checked_sub(self.since_first_attempt).unwrap_or(self.arrived);
         first_attempt + self.objective
     }
 
-    /// Whether it can't be answered within its objective any more.
+    /// Returns whether the request can no longer be answered within its objective.
     pub fn is_late(&self) -> bool {
         !self.objective.is_zero() && self.slack().is_zero()
     }
 
-    /// How long it may wait.
+    /// Returns the maximum time that the request may wait in the queue.
     pub fn wait_budget(&self) -> Duration {
         if self.objective.is_zero() {
             return self.time_left.mul_f64(TIME_LEFT_SHARE);
@@ -54,7 +55,7 @@
         by_objective.min(self.time_left.mul_f64(by_time))
     }
 
-    /// The time until it has to be sent.
+    /// Returns the time until the request has to be dispatched to meet its objective.
     fn slack(&self) -> Duration {
         self.objective.saturating_sub(self.since_first_attempt).saturating_sub(self.service_time)
     }
--- a/crates/papayamux-coordination/src/service_queue/completion_rate.rs
+++ b/crates/papayamux-coordination/src/service_queue/completion_rate.rs
@@ -1,17 +1,18 @@
-//! How much work a service can finish.
+//! The rate at which a service completes work.
 
 use std::time::{Duration, Instant};
 
 use papayamux_state::quantities::TokenCount;
 
-/// Time after which a request that has ended counts half. How long requests take changes with the
-/// number of servers and the mix of requests, both within about a second; ten or more end in that
-/// time wherever a line can form.
+/// Half-life of completed requests in the mean. The time that requests take changes with the number
+/// of servers and the mix of requests, both within about a second. Wherever a queue can form, at
+/// least ten requests complete in that time.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// The rate at which the requests of one router end while its places are taken: by Little's law the
-/// work under way over the time that it takes. What ended lately would not do: before a surge that
-/// is what was asked for, not what can be served.
+/// The rate at which the requests of one router complete while its slots are taken: by Little's
+/// law, the work in flight divided by the time that it takes.
+///
+/// The work completed recently is no measure: before a surge it shows the demand, not the capacity.
 #[derive(Debug, Default)]
 pub struct CompletionRate {
     in_flight: u64,
@@ -22,13 +23,13 @@
 }
 
 impl CompletionRate {
-    /// Notes a request that is sent.
+    /// Records a dispatched request.
     pub fn record_dispatch(&mut self, work: TokenCount, now: Instant) {
         self.first_dispatch.get_or_insert(now);
         self.in_flight = self.in_flight.saturating_add(work.get());
     }
 
-    /// Notes the end of a request that took so long.
+    /// Records the completion of a request that took `elapsed`.
     pub fn record_completion(&mut self, work: TokenCount, elapsed: Duration, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(work.get());
         let age = self
@@ -41,8 +42,9 @@
         self.updated_at = Some(now);
     }
 
-    /// Work that ends in a second; `None` where nothing is under way. Before the first request has ended,
-    /// they take as long as they have taken so far at the least.
+    /// Returns the work that completes per second, or `None` if nothing is in flight. Until the
+    /// first completion, the time since the first dispatch is the lower bound of the time that
+    /// requests take.
     pub fn per_second(&self, now: Instant) -> Option<f64> {
         let work = self.in_flight as f64;
         let rate = if self.completed_seconds > 0.0 {
--- a/crates/papayamux-coordination/src/service_queue/mod.rs
+++ b/crates/papayamux-coordination/src/service_queue/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that wait at a router while all places of their service are taken.
+//! The queue of requests at a router while all slots of their service are taken.
 
 mod arrival_rate;
 mod caller_time;
--- a/crates/papayamux-coordination/src/service_queue/queue.rs
+++ b/crates/papayamux-coordination/src/service_queue/queue.rs
@@ -1,10 +1,11 @@
-//! Who goes, who waits and who is turned away.
+//! Decides which requests are admitted, queued or refused.
 //!
-//! The load that this answers: more requests than the servers of a service can run, by a surge of
-//! all organisations or of one, or since servers were lost. Without a line the servers' own queues
-//! fill until every answer is late, and whoever sends most gets most. With it, servers are kept
-//! just full; organisations get shares by weight; and a request that would wait for longer than it
-//! has is turned away when that is known, so that the others are answered in time.
+//! This is for an overload: more requests than the servers of a service can run, because of a surge
+//! of all organisations or of one, or because servers were lost. Without a queue in the router, the
+//! servers' own queues fill until every answer is late, and whoever sends most gets most. With it,
+//! the servers are kept just full, organisations get shares by weight, and a request that would
+//! wait longer than it can is refused as soon as that is known, so that the others are answered on
+//! time.
 
 use std::time::{Duration, Instant};
 
@@ -13,30 +14,30 @@
 use super::{ArrivalRate, CompletionRate, FlowKey, QueuedRequest};
 use crate::fair_share::{FairShare, FlowShare};
 
-/// Part of its patience that a newcomer's expected wait may take: the wait is an estimate, and
-/// callers that come back, or organisations that have had less, may still go before it.
+/// Maximum expected wait of a new request, as a share of its wait budget. The wait is an estimate,
+/// and retries or organisations that have had less than their share may still go first.
 const MAX_EXPECTED_SHARE: f64 = 0.6;
-/// Patiences after which a request that waits is turned away after all. Changing one's mind costs
-/// its caller more than an answer that is a little late.
+/// Number of wait budgets after which a queued request is refused after all. A late refusal costs
+/// the caller more than an answer that is slightly late.
 const MAX_WAIT_BUDGETS: f64 = 1.25;
 
-/// What becomes of a request that arrives.
+/// The decision on an arriving request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EnqueueOutcome {
-    /// There is a place for it now.
+    /// A slot is free.
     Admitted,
-    /// It waits for a place, this long as far as is known.
+    /// The request is queued. Holds the expected wait.
     Queued(Duration),
-    /// It would wait for longer than it has.
+    /// The request would wait longer than it can.
     Refused(QueueRefusal),
 }
 
-/// Why a request is turned away.
+/// The reason of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueRefusal {
-    /// How long it would have to wait, or has waited, from its arrival.
+    /// The expected or actual wait of the request, from its arrival.
     pub wait: Duration,
-    /// Requests in the line.
+    /// The number of queued requests.
     pub waiting: usize,
 }
 
@@ -48,17 +49,17 @@
 
 type WaitingFlows<T> = FairShare<FlowKey, WaitingRequest<T>>;
 
-/// The line of one service at one router.
+/// The queue of one service at one router.
 ///
-/// Those who can still be answered within their objective go before those who can't. If callers that come
-/// back late went first, each newcomer of a lasting overload would be turned away, come back late and be served
-/// late in its turn.
+/// Requests that can still meet their objective go before late ones. If late retries went first,
+/// each new request of a lasting overload would be refused, come back late and be served late in
+/// turn.
 #[derive(Debug)]
 pub struct ServiceQueue<T> {
     on_time: WaitingFlows<T>,
     late: WaitingFlows<T>,
     completion_rate: CompletionRate,
-    /// The work of those who ask in time.
+    /// The work of the requests that are on time.
     on_time_arrivals: ArrivalRate,
     reserved_slots: u32,
 }
@@ -76,8 +77,8 @@
 }
 
 impl<T: PartialEq> ServiceQueue<T> {
-    /// Decides on a request that arrives while the service has `places`. Where it waits,
-    /// `item` stands for it.
+    /// Admits, queues or refuses an arriving request while the service has `slots`. `item`
+    /// identifies the request in the queue.
     pub fn enqueue(&mut self, request: QueuedRequest, item: T, slots: u32) -> EnqueueOutcome {
         let work = request.work;
         if !request.time.is_late() {
@@ -102,7 +103,7 @@
         EnqueueOutcome::Queued(wait)
     }
 
-    /// Calls the requests for which there are places, at most `most` at a time.
+    /// Dequeues the requests for which slots are free, at most `limit`, and reserves their slots.
     pub fn dispatch(&mut self, slots: u32, limit: u32) -> Vec<T> {
         let free = slots.saturating_sub(self.reserved_slots).min(limit);
         let next = |_| self.on_time.pop().or_else(|| self.late.pop());
@@ -111,17 +112,18 @@
         dispatched.into_iter().map(|waiting| waiting.item).collect()
     }
 
-    /// Notes that a request that was called has taken its place, or needs none any more.
+    /// Releases the reservation of a dispatched request that has taken its slot or no longer needs
+    /// one.
     pub fn release_reservation(&mut self) {
         self.reserved_slots = self.reserved_slots.saturating_sub(1);
     }
 
-    /// Takes out a request whose caller has left; `false` where it no longer waits.
+    /// Removes a request whose caller has disconnected. Returns `false` if it is no longer queued.
     pub fn remove(&mut self, item: &T) -> bool {
         self.flows().any(|flows| !flows.remove_where(|waiting| waiting.item == *item).is_empty())
     }
 
-    /// Takes out the requests that have waited for too long after all, each with its wait.
+    /// Removes the requests that have exceeded their wait, each with the refusal to send.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<(T, QueueRefusal)> {
         let waiting = self.len();
         let waited = |request: &QueuedRequest| now.saturating_duration_since(request.time.arrived);
@@ -136,22 +138,22 @@
         refused.collect()
     }
 
-    /// Notes that a request of this router was sent.
+    /// Records that a request of this router was sent to a server.
     pub fn record_dispatch(&mut self, work: TokenCount, now: Instant) {
         self.completion_rate.record_dispatch(work, now);
     }
 
-    /// Notes that a request of this router has ended after so long.
+    /// Records that a request of this router has completed after `elapsed`.
     pub fn record_completion(&mut self, work: TokenCount, elapsed: Duration, now: Instant) {
         self.completion_rate.record_completion(work, elapsed, now);
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.on_time.len() + self.late.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.on_time.is_empty() && self.late.is_empty()
     }
@@ -160,7 +162,8 @@
         [&mut self.on_time, &mut self.late].into_iter()
     }
 
-    /// How long until it is a request's turn. Where nothing is under way, nothing speaks against waiting.
+    /// Returns the time until a request is expected to be dispatched. It is zero while nothing is
+    /// in flight, since the completion rate is unknown then.
     fn expected_wait(&self, request: &QueuedRequest) -> Duration {
         let arrived = request.time.arrived;
         let Some(completion_rate) = self.completion_rate.per_second(arrived) else {
@@ -177,7 +180,7 @@
     }
 }
 
-/// The work until a request of one of these flows is done, its own with it.
+/// Returns the work until a request of one of these flows is done, including its own.
 fn work_ahead<T>(flows: &WaitingFlows<T>, request: &QueuedRequest) -> f64 {
     let answer_deadline = request.time.answer_deadline();
     let ahead = flows
--- a/crates/papayamux-coordination/src/service_queue/queued_request.rs
+++ b/crates/papayamux-coordination/src/service_queue/queued_request.rs
@@ -1,44 +1,46 @@
-//! What the line knows of a request.
+//! A request as the queue sees it.
 
 use papayamux_state::ids::OrganisationId;
 use papayamux_state::quantities::TokenCount;
 
 use super::CallerTime;
 
-/// Requests that share one weight: those of an organisation with the same rank.
+/// A flow: the requests that share one weight, those of an organisation with the same priority.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
-    /// The organisation; none for callers without a key.
+    /// The organisation; `None` for callers without a key.
     pub organisation: Option<OrganisationId>,
-    /// The rank; 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u32,
 }
 
 impl FlowKey {
-    /// The flow's weight. Rank 1 gets half of what rank 0 gets, rank 2 a third: urgent requests go
-    /// first by far, and no rank is starved while another one has more than it can use.
+    /// Returns the flow's weight. Priority 1 gets half of what priority 0 gets, and priority 2 a
+    /// third: urgent requests are strongly preferred, but no priority is starved while another has
+    /// more than it can use.
     pub fn weight(&self) -> f64 {
         1.0 / (1.0 + f64::from(self.priority))
     }
 }
 
-/// A request that may have to wait.
+/// A request that may be queued.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuedRequest {
-    /// Whose it is.
+    /// The flow of the request.
     pub flow: FlowKey,
-    /// What it costs a server, in prompt tokens read.
+    /// The cost of the request for a server, in tokens of prefill.
     pub work: TokenCount,
-    /// When it came, and how much time it has.
+    /// The time constraints of the request.
     pub time: CallerTime,
 }
 
-/// What every request costs, of a plain service too: a place, and a step or two.
+/// Base cost of every request, including one to a plain service: a slot and one or two decoding
+/// steps.
 const BASE_REQUEST_WORK: u64 = 500;
 
-/// The work of a request: `own` tokens of its prompt are shared with nobody, and its answer is
-/// expected to have `answer` tokens, each of which costs as much as reading `token_work`. Shared parts
-/// are mostly cached.
+/// Returns the work of a request. `own` is the number of prompt tokens that are shared with no
+/// other request; shared parts are mostly cached. `answer` is the expected number of tokens in the
+/// answer, each of which costs as much as the prefill of `token_work` tokens.
 pub fn request_work(own: TokenCount, answer: TokenCount, token_work: f64) -> TokenCount {
     let answering = (answer.get() as f64 * token_work) as u64;
     TokenCount::new(own.get().saturating_add(answering).saturating_add(BASE_REQUEST_WORK))
--- a/crates/papayamux-coordination/src/service_retry_budget.rs
+++ b/crates/papayamux-coordination/src/service_retry_budget.rs
@@ -1,61 +1,61 @@
-//! How often requests may be sent again, for all routers together.
+//! The retry budget that all routers share.
 //!
-//! The fleet's budget in any window is a share of the requests plus a slack. Each router spends a
-//! share of its own requests, and an equal part of the slack, so that the sum holds also while
-//! routers can't hear one another.
+//! In any window, the fleet's budget is a share of the requests plus a burst allowance, the slack.
+//! Each router spends a share of its own requests and an equal part of the slack, so that the sum
+//! holds even while routers can't reach each other.
 //!
-//! The requests that count for a window are half of its own and half of those in the window before it, for
-//! every window that has not ended yet. Both terms add up over all routers, and over the starts of a router, so that
-//! neither a fall in load nor routers that restart can make the sum exceed the share. The window's own requests
-//! alone would leave nothing for a sudden loss of servers, those before alone nothing for a router that has just
-//! started.
+//! The requests that count for a window are half of its own and half of those in the previous
+//! window, for every window that has not ended yet. Both terms add up over all routers and over the
+//! starts of a router, so that neither a fall in load nor restarting routers can make the sum
+//! exceed the share. The window's own requests alone would leave nothing for a sudden loss of
+//! servers, and the previous ones alone nothing for a router that has just started.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use papayamux_state::ids::ServiceId;
 
-/// Counting buckets in a window. A bucket at a window's edge counts fully as repeats and not at all as
-/// requests.
+/// Number of buckets in a window. A bucket at the edge of a window counts fully as retries and not
+/// at all as requests.
 const BUCKETS: usize = 20;
-/// Buckets of two windows, and the current one.
+/// The buckets of two windows, and the current one.
 const KEPT_BUCKETS: usize = 2 * BUCKETS + 1;
-/// Routers that share the slack at least. Routers that are not heard of, and the ones that
+/// Minimum number of routers that share the slack. Routers that are out of contact, and those that
 /// replaced them, spend their part too.
 const MIN_SHARERS: u32 = 8;
-/// Part of the ratio that is spent: the rest covers requests that callers sent in another window than the one
-/// in which the router counts them.
+/// Share of the ratio that is spent. The rest covers requests that callers sent in another window
+/// than the one in which the router counts them.
 const RATIO_USED: f64 = 0.8;
-/// Weight of the requests of a window and of the one before it.
+/// Weight of the requests of a window and of the previous one.
 const REQUEST_WEIGHT: f64 = 0.5;
 
 /// The fleet's budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryAllowance {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats of all routers in a window beside that.
+    /// Additional retries of all routers in a window.
     pub slack: f64,
-    /// The window.
+    /// The length of a window.
     pub window: Duration,
 }
 
 impl Default for RetryAllowance {
-    /// A fifth of the requests and a small slack in ten seconds: the usual guard against retry
-    /// storms where the operator sets nothing.
+    /// A fifth of the requests and a small slack in ten seconds: the usual protection against retry
+    /// storms if the operator sets nothing.
     fn default() -> Self {
         Self { ratio: 0.2, slack: 16.0, window: Duration::from_secs(10) }
     }
 }
 
-/// What a router has counted for one service, for its log.
+/// The counts of a router for one service, for its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryUsage {
     /// Requests in the window.
     pub requests: u32,
-    /// Repeats in the window.
+    /// Retries in the window.
     pub retries: u32,
-    /// Routers that share the slack; `None` where they are not known yet.
+    /// Number of routers that share the slack; `None` while it is unknown.
     pub sharers: Option<u32>,
 }
 
@@ -72,37 +72,37 @@
     allowance: RetryAllowance,
     started: Instant,
     sharers: Option<u32>,
-    /// The bucket from which on the router takes its part of the slack.
+    /// The first bucket in which the router uses its part of the slack.
     slack_from: u64,
     services: HashMap<ServiceId, VecDeque<CountBucket>>,
 }
 
 impl ServiceRetryBudget {
-    /// A budget that is shared by an unknown number of routers, of a router that starts at `now`.
+    /// Creates the budget of a router that starts at `now` among an unknown number of routers.
     pub fn new(allowance: RetryAllowance, now: Instant) -> Self {
         let slack_from = BUCKETS as u64 + 1;
         Self { allowance, started: now, sharers: None, slack_from, services: HashMap::new() }
     }
 
-    /// The same for a router that has no others. As the slack is shared among several all the same, the starts
-    /// of it that fall into one window leave enough for one another.
+    /// Creates the budget of a router without others. The slack is still divided among several, so
+    /// that the starts of the router in one window leave enough for each other.
     pub fn alone(allowance: RetryAllowance, now: Instant) -> Self {
         Self { sharers: Some(MIN_SHARERS), slack_from: 0, ..Self::new(allowance, now) }
     }
 
-    /// Notes that all routers are known and how many they are, this one included. The most ever seen counts,
-    /// and half as many again for those not heard of.
+    /// Records that all routers are known and how many there are, including this one. The highest
+    /// number counts, plus half as many for routers that are out of contact.
     pub fn record_routers(&mut self, routers: u32) {
         let sharers = routers.saturating_add(routers / 2).max(MIN_SHARERS);
         self.sharers = self.sharers.max(Some(sharers));
     }
 
-    /// Counts the first sending of a request.
+    /// Counts the first attempt of a request.
     pub fn record_request(&mut self, service: &ServiceId, now: Instant) {
         self.bucket(service, now).requests += 1;
     }
 
-    /// Whether there is room for one more repeat in each window that contains this moment.
+    /// Returns whether one more retry fits into every window that contains `now`.
     pub fn allows_retry(&self, service: &ServiceId, now: Instant) -> bool {
         let recent = self.recent_buckets(service, now);
         let slack_retries = self.slack_share(now);
@@ -121,8 +121,9 @@
         true
     }
 
-    /// This router's part of the slack. An earlier start of the router may have spent it in any window that
-    /// began before this one's start. One that knows of no others may be cut off from very many.
+    /// Returns this router's part of the slack. An earlier start of the router may have spent it in
+    /// any window that began before this start. A router that knows of no others may be
+    /// disconnected from very many.
     fn slack_share(&self, now: Instant) -> f64 {
         match self.sharers {
             Some(sharers) if self.bucket_number(now) >= self.slack_from => {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes one repeat; `false` where the budget is used up.
+    /// Takes one retry from the budget. Returns `false` if it is exhausted.
     pub fn take_retry(&mut self, service: &ServiceId, now: Instant) -> bool {
         if !self.allows_retry(service, now) {
             return false;
@@ -141,7 +142,7 @@
         true
     }
 
-    /// What is counted in the window that ends now.
+    /// Returns the counts of the window that ends at `now`.
     pub fn usage(&self, service: &ServiceId, now: Instant) -> RetryUsage {
         let recent = self.recent_buckets(service, now);
         let window = &recent[..=BUCKETS];
@@ -152,7 +153,7 @@
         }
     }
 
-    /// The buckets of two windows, the current one first.
+    /// Returns the buckets of two windows, the current one first.
     fn recent_buckets(&self, service: &ServiceId, now: Instant) -> [CountBucket; KEPT_BUCKETS] {
         let current = self.bucket_number(now);
         let mut recent = [CountBucket::default(); KEPT_BUCKETS];
--- a/crates/papayamux-coordination/src/usual_deadline.rs
+++ b/crates/papayamux-coordination/src/usual_deadline.rs
@@ -1,19 +1,20 @@
-//! Whether a caller comes back after it was turned away.
+//! Detects retries of refused callers by their deadlines.
 //!
-//! A caller's second try has another identifier and reaches another router, but less time than the
-//! first: what is left of the deadline that the callers of a route set. That deadline is mostly one
-//! value, so the most frequent one stands for it.
+//! A retry has a new identifier and reaches another router, but it has less time than the first
+//! attempt: what is left of the deadline that the callers of a route set. That deadline is mostly a
+//! single value, so the most frequent one stands for it.
 
 use std::time::Duration;
 
-/// Values that are counted. Half of the requests or more carry the usual deadline, also while many
-/// come back, each with another one; the others only have to be told from it.
+/// Number of deadlines that are counted. At least half of the requests carry the usual deadline,
+/// even while many callers retry, each with a different remaining time; the other values only have
+/// to be distinguished from it.
 const MAX_COUNTED_DEADLINES: usize = 4;
-/// Requests after which the counts are halved, so that a changed deadline is learnt.
+/// Count at which all counts are halved, so that a changed deadline is learned.
 const MAX_COUNT: u32 = 1_024;
-/// Requests that must have carried a deadline before a shorter one means anything.
+/// Minimum count of a deadline before shorter ones are taken for retries.
 const MIN_COUNT: u32 = 8;
-/// Deadlines that differ by less are one: callers may take off what connecting cost.
+/// Tolerance within which deadlines are equal: callers may subtract the time to connect.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Clone, Copy)]
@@ -22,15 +23,15 @@
     count: u32,
 }
 
-/// The deadline that most callers of a route set (the summary of Misra and Gries).
+/// The deadline that most callers of a route set, by a Misra-Gries summary.
 #[derive(Debug, Default)]
 pub struct UsualDeadline {
     counted: Vec<CountedDeadline>,
 }
 
 impl UsualDeadline {
-    /// Notes the deadline of a request. Returns how long ago its caller first asked, as far as a
-    /// deadline that is shorter than the usual one tells; zero for a newcomer.
+    /// Records the deadline of a request. Returns the time since its caller's first attempt, as far
+    /// as a deadline shorter than the usual one shows it, or zero for a first attempt.
     pub fn record(&mut self, deadline: Duration) -> Duration {
         let known = self.counted.iter().position(|candidate| candidate.is_same(deadline));
         match known {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The usual deadline, once enough requests have carried it.
+    /// Returns the usual deadline, once enough requests have carried it.
     pub fn usual(&self) -> Option<Duration> {
         let most_frequent = self.counted.iter().max_by_key(|candidate| candidate.count)?;
         (most_frequent.count >= MIN_COUNT).then_some(most_frequent.deadline)
--- a/crates/papayamux-coordination/tests/admission_controller.rs
+++ b/crates/papayamux-coordination/tests/admission_controller.rs
@@ -1,4 +1,4 @@
-//! Which requests an agent takes, and when.
+//! Which requests an agent runs, queues and refuses.
 
 mod support;
 
@@ -18,7 +18,7 @@
 use papayamux_state::refusal::RefusalReason;
 use support::{mean_load, request, TestResult, AGENT};
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Inputs for each property: at least as many as run within a second in a debug build.
 const GENERATED_INPUTS: usize = 10_000;
 
 const NOW: AgentClock = AgentClock(1_000);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Takes what was granted; the others go on waiting.
+/// Collects the granted permits and keeps the tickets that are still queued.
 fn collect_grants(tickets: &mut Vec<AdmissionTicket>, permits: &mut Vec<AdmissionPermit>) {
     tickets.retain(|ticket| match poll(ticket) {
         Poll::Ready(Ok(permit)) => {
@@ -106,7 +106,7 @@
             let mean = f64::from(total) / f64::from(servers);
             let limit = LoadFactor::DEFAULT.limit(mean, servers).get();
             let slots = limit * u64::from(servers);
-            assert!(slots > u64::from(total), "{total} requests, {slots} places");
+            assert!(slots > u64::from(total), "{total} requests, {slots} slots");
             let share = f64::from(total + 1) / f64::from(servers);
             let margin = LoadFactor::DEFAULT.get() * ADMISSION_MARGIN;
             assert!(limit as f64 <= (margin * share).max(share.ceil()));
@@ -124,7 +124,7 @@
         open.placement.group_load = Some(alone);
         controller.record_mean_load(&alone, NOW);
         let Ok(Admission::Admitted(permit)) = controller.admit(&open, NOW) else {
-            return Err("full".into());
+            return Err("the request was not admitted".into());
         };
         permits.push(permit);
     }
@@ -144,7 +144,7 @@
         controller.record_mean_load(&mean_load(4.0), NOW);
         match controller.admit(&open, NOW) {
             Ok(Admission::Admitted(permit)) => permits.push(permit),
-            Ok(Admission::Waiting(_)) => return Err("it waits".into()),
+            Ok(Admission::Waiting(_)) => return Err("the request was queued".into()),
             Err(reason) => outcome = Err(reason),
         }
     }
@@ -154,9 +154,12 @@
     assert_eq!(outcome, Err(RefusalReason::OverBound));
     open.id.number = 11;
     open.placement.patience = Duration::from_secs(1);
-    let waiting = ticket(controller.admit(&open, NOW)).ok_or("no ticket")?;
+    let waiting = ticket(controller.admit(&open, NOW)).ok_or("the request was not queued")?;
     permits.pop();
-    assert!(is_granted(&waiting), "a patient one waits until it is within the bound");
+    assert!(
+        is_granted(&waiting),
+        "a request with a wait budget is queued until the bound admits it"
+    );
     Ok(())
 }
 
@@ -178,7 +181,8 @@
     let mut impatient = request(2, "yanchang")?;
     impatient.placement.patience = Duration::ZERO;
     assert_eq!(controller.admit(&impatient, NOW).err(), Some(RefusalReason::AtCapacity));
-    let waiting = ticket(controller.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
+    let waiting = ticket(controller.admit(&request(3, "yanchang")?, NOW))
+        .ok_or("the request was not queued")?;
     assert!(!is_granted(&waiting));
     drop(running);
     assert!(is_granted(&waiting));
@@ -189,8 +193,10 @@
 fn abandoned_queue_position_goes_to_the_next() -> TestResult {
     let controller = controller(1);
     let running = controller.admit(&request(1, "yanchang")?, NOW);
-    let first = ticket(controller.admit(&request(2, "yanchang")?, NOW)).ok_or("no ticket")?;
-    let second = ticket(controller.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
+    let first = ticket(controller.admit(&request(2, "yanchang")?, NOW))
+        .ok_or("the request was not queued")?;
+    let second = ticket(controller.admit(&request(3, "yanchang")?, NOW))
+        .ok_or("the request was not queued")?;
     drop(first);
     assert_eq!(controller.waiting(), RequestCount::new(1));
     drop(running);
@@ -202,8 +208,10 @@
 fn unclaimed_grant_goes_to_the_next() -> TestResult {
     let controller = controller(1);
     let running = controller.admit(&request(1, "yanchang")?, NOW);
-    let first = ticket(controller.admit(&request(2, "yanchang")?, NOW)).ok_or("no ticket")?;
-    let second = ticket(controller.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
+    let first = ticket(controller.admit(&request(2, "yanchang")?, NOW))
+        .ok_or("the request was not queued")?;
+    let second = ticket(controller.admit(&request(3, "yanchang")?, NOW))
+        .ok_or("the request was not queued")?;
     drop(running);
     drop(first);
     assert!(is_granted(&second));
@@ -221,14 +229,15 @@
     for number in 2..9 {
         running.push(controller.admit(&request(number, "itineraries")?, NOW)?);
     }
-    let waiting = ticket(controller.admit(&request(9, "itineraries")?, NOW)).ok_or("no ticket")?;
+    let waiting = ticket(controller.admit(&request(9, "itineraries")?, NOW))
+        .ok_or("the request was not queued")?;
     top.id.number = 10;
     let kept = controller.admit(&top, NOW)?;
-    assert!(matches!(kept, Admission::Admitted(_)), "a place was kept");
+    assert!(matches!(kept, Admission::Admitted(_)), "no slot was reserved");
     top.id.number = 11;
-    let next = ticket(controller.admit(&top, NOW)).ok_or("no ticket")?;
+    let next = ticket(controller.admit(&top, NOW)).ok_or("the request was not queued")?;
     running.pop();
-    assert!(is_granted(&next), "the top class goes before those that came first");
+    assert!(is_granted(&next), "the top class goes before earlier requests");
     assert!(!is_granted(&waiting));
     Ok(())
 }
--- a/crates/papayamux-coordination/tests/attempt_plan.rs
+++ b/crates/papayamux-coordination/tests/attempt_plan.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, and what a caller may be told.
+//! Which requests may be retried, and which outcomes are reported to callers.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use papayamux_coordination::attempt_plan::{AttemptHistory, AttemptLoss, NextStep};
@@ -23,7 +23,10 @@
             NextStep::Again { counts } => {
                 assert_eq!(counts, loss != AttemptLoss::NotSent);
                 assert!(runs < max_runs.max(1) || runs == 0, "{kind:?}: {runs} of {max_runs}");
-                assert!(runs == 0 || kind.may_repeat(), "{kind:?} ran and would run again");
+                assert!(
+                    runs == 0 || kind.may_repeat(),
+                    "{kind:?} may have run and would be retried"
+                );
                 follow(kind, max_runs, history, runs, depth + 1);
             }
             NextStep::TellNotRun => assert_eq!(runs, 0, "{kind:?} may have run"),
--- a/crates/papayamux-coordination/tests/crash_quarantine.rs
+++ b/crates/papayamux-coordination/tests/crash_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers end are kept from the others, and only those.
+//! Requests that crash servers are quarantined, and no others.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
     Duration::from_secs(number)
 }
 
-/// Sends the request, under which its server ends.
+/// Sends the request and crashes its server.
 fn crash(quarantine: &mut CrashQuarantine, now: Instant) {
     let sent = quarantine.begin_attempt(FATAL, now);
     quarantine.record_crash(FATAL, sent, 0.0, now);
@@ -25,7 +25,7 @@
     let (mut quarantine, now) = (CrashQuarantine::default(), Instant::now());
     assert_eq!(quarantine.quarantine_left(FATAL, now), None);
     crash(&mut quarantine, now);
-    assert_eq!(quarantine.quarantine_left(FATAL, now), None, "it may go elsewhere once");
+    assert_eq!(quarantine.quarantine_left(FATAL, now), None, "one retry is allowed");
     crash(&mut quarantine, now);
     assert_eq!(quarantine.quarantine_left(FATAL, now), Some(seconds(30)));
     assert_eq!(quarantine.quarantine_left(RequestFingerprint(2), now), None);
@@ -50,7 +50,7 @@
     assert_eq!(
         quarantine.record_crash(FATAL, before, 0.0, now),
         None,
-        "sent before it was cleared"
+        "it was sent before the clearing run"
     );
     let record = CrashRecord { cleared: 0, crashes: 2 };
     let stale = CrashNotice { fingerprint: FATAL, record, held: seconds(30) };
@@ -82,7 +82,11 @@
         now += seconds(held);
         assert_eq!(quarantine.quarantine_left(FATAL, now), None);
         let sent = quarantine.begin_attempt(FATAL, now);
-        assert_eq!(quarantine.quarantine_left(FATAL, now), Some(seconds(30)), "one at a time");
+        assert_eq!(
+            quarantine.quarantine_left(FATAL, now),
+            Some(seconds(30)),
+            "one trial at a time"
+        );
         quarantine.record_crash(FATAL, sent, 0.0, now);
     }
 }
@@ -93,13 +97,14 @@
     let record = CrashRecord { cleared: 0, crashes: 2 };
     let notice = |held| CrashNotice { fingerprint: FATAL, record, held: seconds(held) };
     assert!(quarantine.receive_notice(notice(20), 0.5, now));
-    assert!(!quarantine.receive_notice(notice(30), 0.0, now), "known already");
+    assert!(!quarantine.receive_notice(notice(30), 0.0, now), "already known");
     assert_eq!(
         quarantine.quarantine_left(FATAL, now),
         Some(seconds(30)),
-        "20 s, half as long again"
+        "20 s plus half of it as jitter"
     );
-    // It is told for the 20 s that all hold it, so that no router renews the hold of another one.
+    // The notice covers the 20 s for which all routers apply the quarantine, so that no router
+    // renews the quarantine of another.
     assert_eq!(quarantine.next_quarantined(4, now + seconds(5)), [notice(15)]);
     assert_eq!(quarantine.next_quarantined(4, now + seconds(20)), []);
 }
@@ -152,15 +157,15 @@
     format!("i-{number}").parse().unwrap()
 }
 
-/// Sends the request to a server, which ends under it.
+/// Sends the request to a server and crashes it.
 fn crash_at(quarantine: &mut CrashQuarantine, number: u32, now: Instant) {
     let sent = quarantine.begin_attempt(FATAL, now);
     quarantine.record_server_crash(&server(number), now);
     quarantine.record_crash(FATAL, sent, 0.0, now);
 }
 
-/// Callers of harmless requests were turned away that had been at two servers in a row which were killed,
-/// one after the other or with all of their failure domain, by something else.
+/// Guards against the refusal of harmless requests. They ran on two servers in a row that something
+/// else had killed, one after the other or together with their failure domain.
 #[test]
 fn two_crashes_do_not_quarantine_while_other_servers_crash() {
     let (mut quarantine, now) = (CrashQuarantine::default(), Instant::now());
@@ -171,12 +176,16 @@
     crash_at(&mut quarantine, 4, now + seconds(1));
     assert_eq!(quarantine.quarantine_left(FATAL, now + seconds(1)), None);
     let announced = quarantine.next_unannounced(NoticeOrigin::Observed, 8, now + seconds(1));
-    assert_eq!(announced[0].held, Duration::ZERO, "nor is any other router told to hold it");
+    assert_eq!(
+        announced[0].held,
+        Duration::ZERO,
+        "other routers are not asked to quarantine it either"
+    );
     crash_at(&mut quarantine, 5, now + seconds(2));
     assert_eq!(
         quarantine.quarantine_left(FATAL, now + seconds(2)),
         Some(seconds(120)),
-        "a third is enough"
+        "a third crash quarantines it"
     );
 }
 
@@ -186,12 +195,12 @@
     quarantine.record_server_crash(&server(9), now);
     let now = now + seconds(30);
     crash_at(&mut quarantine, 0, now);
-    // The same end is noticed by each request that was there.
+    // Each request that ran on the server records the same crash.
     quarantine.record_server_crash(&server(0), now);
     crash_at(&mut quarantine, 1, now);
     assert_eq!(
         quarantine.quarantine_left(FATAL, now),
         Some(seconds(30)),
-        "the end before is long ago"
+        "the earlier crash has expired"
     );
 }
--- a/crates/papayamux-coordination/tests/crash_spread.rs
+++ b/crates/papayamux-coordination/tests/crash_spread.rs
@@ -1,6 +1,6 @@
-//! A fleet whose routers tell one another of crashes, in simulated time: requests that end every server are
-//! sent again and again through any of them, datagrams are lost, routers forget all at their restarts, and
-//! servers end by other causes too.
+//! Simulates a fleet whose routers notify each other of crashes. Requests that crash every server
+//! are sent again and again through any router, datagrams are lost, routers lose all records when
+//! they restart, and servers also crash from other causes.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::cmp::Reverse;
@@ -15,37 +15,39 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Time from a sending to the end of its server.
+/// Time from the dispatch of a request to the crash of its server.
 const RUN_MS: u64 = 80;
-/// Time after the third server has ended, or after a restart, in which a router may still learn of it.
+/// Time after the third crash, or after a restart, in which a router may still learn of the
+/// request.
 const PROPAGATION_DEADLINE_MS: u64 = 3_000;
-/// How often the request may reach a server after that.
+/// Maximum number of times that the request may reach a server after that.
 const MAX_LATE_ATTEMPTS: usize = 3;
-/// Datagrams lost.
+/// Probability that a datagram is lost.
 const DATAGRAM_LOSS: f64 = 0.02;
-/// The longest way of a datagram.
+/// Maximum delay of a datagram.
 const MAX_DATAGRAM_DELAY_MS: u64 = 40;
-/// Pause between the regular reports of a router, and to how many others each one goes.
+/// Interval between the regular reports of a router; [`REPORT_FANOUT`] other routers get each of
+/// them.
 const REPORT_INTERVAL_MS: u64 = 250;
 const REPORT_FANOUT: usize = 12;
-/// Time between the first sendings of two requests.
+/// Time between the first calls of two requests.
 const FIRST_CALL_SPACING_MS: u64 = 130;
 
-/// What is played.
+/// The simulated scenario.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
     routers: usize,
-    /// Requests that end servers.
+    /// Number of requests that crash servers.
     fatals: usize,
-    /// Pause between two sendings of each of them.
+    /// Interval between two calls of each request.
     call_interval_ms: u64,
-    /// Servers that one call may reach.
+    /// Maximum number of servers that one call may reach.
     attempts: u32,
-    /// Pause between two restarts of a router.
+    /// Interval between two restarts of a router.
     restart_interval_ms: Option<u64>,
     /// When all routers restart at once.
     restart_all_at_ms: Option<u64>,
-    /// Pause between two ends of servers that no request causes, each seen by one router.
+    /// Interval between two crashes that no request causes, each observed by one router.
     other_crash_interval_ms: Option<u64>,
     until_ms: u64,
 }
@@ -72,18 +74,18 @@
     RestartAll,
 }
 
-/// A sending that is about to end its server.
+/// A request that is about to crash its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct FatalRun {
     fatal: usize,
     router: usize,
     incarnation: u32,
-    /// The record that it was sent with.
+    /// The record that the request was sent with.
     sent: (u32, u32),
     attempts_left: u32,
 }
 
-/// What one of the requests has done.
+/// The history of one request.
 #[derive(Debug, Clone, Copy, Default)]
 struct FatalHistory {
     crashes: usize,
@@ -115,14 +117,15 @@
     notice_datagrams: usize,
 }
 
-/// What came of a play.
+/// The result of a simulation.
 #[derive(Debug)]
 struct Outcome {
-    /// Servers that ended.
+    /// Number of crashed servers.
     crashes: usize,
-    /// How often one of the requests reached a server when routers should have known.
+    /// Maximum number of times that one of the requests reached a server after the routers should
+    /// have known of it.
     late: usize,
-    /// Datagrams with news that a router sent for each record, beside its reports.
+    /// Datagrams with notices that a router sent per record, besides its reports.
     datagrams_per_record: f64,
 }
 
@@ -237,7 +240,7 @@
         known.started_ms = self.now_ms;
     }
 
-    /// Lets a router see that another server has ended.
+    /// Lets a router observe the crash of another server.
     fn record_server_crash(&mut self, router: usize) {
         self.other_crashes += 1;
         let (server, now) = (format!("i-{}", self.other_crashes).parse().unwrap(), self.now());
@@ -283,7 +286,7 @@
         self.schedule(RUN_MS, Event::Crash(run));
     }
 
-    /// Passes on what a router has to tell.
+    /// Sends the notices that a router has not yet announced.
     fn announce(&mut self, router: usize) {
         let now = self.now();
         for origin in [NoticeOrigin::Observed, NoticeOrigin::Received] {
@@ -334,7 +337,10 @@
     for seed in seeds {
         let outcome = simulate(scenario, seed);
         assert!(outcome.late <= MAX_LATE_ATTEMPTS, "{scenario:?}, seed {seed}: {outcome:?}");
-        assert!(outcome.crashes >= 2, "{scenario:?}, seed {seed}: the request was held too soon");
+        assert!(
+            outcome.crashes >= 2,
+            "{scenario:?}, seed {seed}: the request was quarantined too soon"
+        );
     }
 }
 
--- a/crates/papayamux-coordination/tests/fair_queue.rs
+++ b/crates/papayamux-coordination/tests/fair_queue.rs
@@ -1,9 +1,9 @@
-//! Who goes next, and who has to give way.
+//! The order of the queue, and which entries it displaces.
 
 use papayamux_coordination::fair_queue::{FairQueue, PushOutcome, QueueEntry};
 use papayamux_state::ids::{IdError, OrganisationId};
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Inputs for each property: at least as many as run within a second in a debug build.
 const GENERATED_INPUTS: usize = 25_000;
 
 type Item = (&'static str, u32);
--- a/crates/papayamux-coordination/tests/link_delays.rs
+++ b/crates/papayamux-coordination/tests/link_delays.rs
@@ -1,4 +1,4 @@
-//! Links that lose packets, told from servers that pause.
+//! Detection of links that lose packets, as distinct from servers that pause.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
     name.parse().unwrap()
 }
 
-/// Feeds events that arrive at these milliseconds; the first one begins the stream.
+/// Returns the timings of events that arrive at these milliseconds of a stream.
 fn timings(arrivals: &[u64]) -> Vec<EventTiming> {
     let started_at = Instant::now();
     let mut detector = DelayDetector::new(started_at);
@@ -33,13 +33,13 @@
 #[test]
 fn pausing_server_is_not_mistaken_for_a_lossy_link() {
     use EventTiming::{OnTime, Undecided};
-    // The engine read a long prompt for 170 ms and went on in its usual rhythm.
+    // The engine prefilled a long prompt for 170 ms and continued at its usual rate.
     assert_eq!(timings(&[20, 190, 210, 230]), [OnTime, Undecided, OnTime, OnTime]);
     // Two events in one step, but no pause.
     assert_eq!(timings(&[20, 21, 40, 41, 42]), [OnTime; 5]);
 }
 
-/// `events` from a domain, of which one in `every` is held up.
+/// Records `events` events from a domain, every `every`th of them delayed.
 fn record_events(delays: &mut LinkDelays, name: &str, events: u32, every: u32, now: Instant) {
     for number in 1..=events {
         delays.record(&domain(name), number % every == 0, now);
@@ -71,7 +71,7 @@
 
 #[test]
 fn uniform_delays_blame_no_link() {
-    // The router itself stood still now and then.
+    // The router itself paused now and then.
     let now = Instant::now();
     let mut delays = LinkDelays::default();
     for (name, every) in [("one", 20), ("two", 30), ("three", 50)] {
--- a/crates/papayamux-coordination/tests/passive_health.rs
+++ b/crates/papayamux-coordination/tests/passive_health.rs
@@ -1,4 +1,4 @@
-//! Silence and failures of servers, as requests show them.
+//! Silence and failures of servers, as their answers to requests show them.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
     liveness.begin(&id("busy"), begun);
     liveness.record_contact(&id("busy"), after(begun, 300));
     assert_eq!(liveness.silence(&id("dark"), after(begun, 400)), Some(Duration::from_millis(400)));
-    // The process was paused: nobody has been heard for long.
+    // The process was paused: there was no contact with any server for long.
     assert_eq!(liveness.silence(&id("dark"), after(begun, 4_000)), None);
 }
 
@@ -55,7 +55,7 @@
     for name in ["a", "b", "c", "d", "e"] {
         liveness.begin(&id(name), begun);
     }
-    // Each is heard once in 600 ms, in turn; one is never heard again.
+    // Each server answers once in 600 ms, in turn, and one never does.
     for (number, name) in ["b", "c", "d", "e"].into_iter().enumerate() {
         liveness.record_contact(&id(name), after(begun, 1_000 + 150 * number as u64));
     }
@@ -63,7 +63,7 @@
     let threshold = liveness.silence_threshold(now);
     assert!(threshold > Duration::from_millis(600), "{threshold:?}");
     assert!(liveness.silence(&id("b"), now).unwrap() < threshold);
-    // The one that is dark stands out all the same.
+    // The silent server still exceeds the threshold.
     let later = after(begun, 2_500);
     for name in ["b", "c", "d", "e"] {
         liveness.record_contact(&id(name), after(begun, 2_400));
--- a/crates/papayamux-coordination/tests/recent_departures.rs
+++ b/crates/papayamux-coordination/tests/recent_departures.rs
@@ -1,4 +1,4 @@
-//! From which servers prompts can still be copied after their entries are gone.
+//! From which departed servers cached prompt parts can still be copied.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 mod backend_servers;
--- a/crates/papayamux-coordination/tests/retry_budget_fleet.rs
+++ b/crates/papayamux-coordination/tests/retry_budget_fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets of routers that share a retry budget, while they restart and while the load changes.
+//! Simulated fleets of routers that share a retry budget while they restart and while the load
+//! changes.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -14,19 +15,20 @@
     "llm".parse().unwrap()
 }
 
-/// Requests a second of a whole fleet, at a moment in milliseconds.
+/// Requests per second of a whole fleet, at a time in milliseconds.
 type FleetLoad = fn(u64) -> u64;
 
-/// What a fleet goes through.
+/// The simulated fleet and its faults.
 struct Scenario {
     routers: usize,
     slack: f64,
     load: FleetLoad,
-    /// Whether a request that is sent at this moment fails, again and again.
+    /// Returns whether a request that is sent at this time fails on every attempt.
     fails: fn(u64) -> bool,
-    /// Whether a router starts again at this moment.
+    /// Returns whether a router restarts at this time.
     restarts: fn(usize, u64) -> bool,
-    /// How long a router that has started takes to hear of the others; `None` where it never does.
+    /// The time after its start at which a router learns the number of routers; `None` if it never
+    /// does.
     learns_after: Option<u64>,
     millis: u64,
 }
@@ -42,8 +44,8 @@
         RetryAllowance { ratio: 0.2, slack: self.slack, window }
     }
 
-    /// Requests and repeats in each tick. A request that fails is repeated while there is room, twice at
-    /// most.
+    /// Returns the requests and retries in each tick. A failed request is retried while the budget
+    /// allows it, at most twice.
     fn run(&self) -> Counts {
         let started_at = Instant::now();
         let at = |millis: u64| started_at + Duration::from_millis(millis);
@@ -87,13 +89,15 @@
         counts[index(from)..index(to)].iter().sum()
     }
 
-    /// The window in which most repeats go beyond what is allowed: where it begins, repeats and allowance.
+    /// Returns the window with the most retries beyond the allowed number: its start, its retries
+    /// and the allowed number.
     fn worst(&self, slack: f64) -> (i64, u64, f64) {
         let window = WINDOW as i64;
         let windows = (0..self.retries.len() as i64 * TICK as i64 - window).step_by(50);
         let of = |from: i64| {
             let retries = Self::sum(&self.retries, from, from + window);
-            // The window's own requests, those of the one before or of the one half a window before.
+            // The window's own requests, those of the previous one, or those of the one half a
+            // window earlier.
             let requests = [from, from - window / 2, from - window]
                 .map(|from| Self::sum(&self.requests, from, from + window));
             let allowed = 0.2 * requests.into_iter().max().unwrap() as f64 + slack;
@@ -104,7 +108,7 @@
     }
 }
 
-/// A load and a slack for each size of a fleet.
+/// The number of routers, the slack and the load of each fleet.
 fn fleets() -> [(usize, f64, FleetLoad); 3] {
     [(6, 58.0, |_| 115), (24, 100.0, |_| 400), (300, 1_000.0, |_| 6_000)]
 }
@@ -114,10 +118,10 @@
     let (from, retries, allowed) = counts.worst(scenario.slack);
     assert!(
         retries as f64 <= allowed,
-        "{} routers: {retries} repeats from {from} ms, allowed {allowed}",
+        "{} routers: {retries} retries from {from} ms, allowed {allowed}",
         scenario.routers
     );
-    assert!(Counts::sum(&counts.retries, 0, scenario.millis as i64) > 0, "some are repeated");
+    assert!(Counts::sum(&counts.retries, 0, scenario.millis as i64) > 0, "no request was retried");
 }
 
 #[test]
--- a/crates/papayamux-coordination/tests/retry_delay.rs
+++ b/crates/papayamux-coordination/tests/retry_delay.rs
@@ -1,4 +1,4 @@
-//! Callers that are turned away come back in time, and not all at once.
+//! Refused callers retry within their deadline, and not all at once.
 
 use std::time::Duration;
 
--- a/crates/papayamux-coordination/tests/round_trips.rs
+++ b/crates/papayamux-coordination/tests/round_trips.rs
@@ -1,4 +1,4 @@
-//! How far away servers are, learnt from new connections.
+//! Round trips to servers, learned from new connections.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::time::Duration;
--- a/crates/papayamux-coordination/tests/server_evidence.rs
+++ b/crates/papayamux-coordination/tests/server_evidence.rs
@@ -1,11 +1,11 @@
-//! How a router avoids servers that failed, and comes back to them.
+//! Ejection of failed servers, and their return.
 
 use std::time::{Duration, Instant};
 
 use papayamux_coordination::server_evidence::{EvidenceKind, EvidenceTracker, ServerStanding};
 use papayamux_state::ids::{IdError, ServerId};
 
-/// How long the server is held after a failure at `now`.
+/// Returns the duration of the ejection after a failure at `now`.
 fn ejection_after(tracker: &mut EvidenceTracker, server: &ServerId, now: Instant) -> Duration {
     tracker.record(server, EvidenceKind::Unreachable, now);
     let step = Duration::from_millis(50);
@@ -33,7 +33,7 @@
     let much_later = now + Duration::from_secs(600);
     assert!(
         ejection_after(&mut tracker, &server, much_later) < ejections[1],
-        "it is forgiven in time"
+        "past failures decay"
     );
     Ok(())
 }
--- a/crates/papayamux-coordination/tests/server_notices.rs
+++ b/crates/papayamux-coordination/tests/server_notices.rs
@@ -1,4 +1,4 @@
-//! What counts of what servers say of themselves.
+//! Which notices of servers are kept, and for how long.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
     table.record(&id("a"), backoff(4_000), later);
     assert_eq!(table.backoff_left(&id("a"), later), Some(Duration::from_millis(4_000)));
     assert_eq!(table.backoff_left(&id("a"), later + Duration::from_millis(4_000)), None);
-    assert_eq!(table.backoff_left(&id("b"), later), None, "another start knows nothing of it");
+    assert_eq!(table.backoff_left(&id("b"), later), None, "another start has no back-off");
 }
 
 #[test]
@@ -56,8 +56,8 @@
     table.record(&id("a"), draining, now);
     table.record(&id("a"), ServerNotice::default(), now + Duration::from_secs(60));
     assert!(table.is_draining(&id("a")));
-    assert!(!table.is_draining(&id("b")), "another start stays");
-    // Those that have been leaving for longest are forgotten first.
+    assert!(!table.is_draining(&id("b")), "another start is not draining");
+    // The servers that have been draining longest are evicted first.
     for number in 0..5_000 {
         table.record(&id(&format!("later-{number}")), draining, now + Duration::from_secs(61));
     }
--- a/crates/papayamux-coordination/tests/server_presence.rs
+++ b/crates/papayamux-coordination/tests/server_presence.rs
@@ -1,4 +1,4 @@
-//! Which servers are believed to be there through outages of the list.
+//! Which servers are present through outages of the list.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 mod backend_servers;
@@ -46,7 +46,7 @@
     let expired = presence.record_list(Vec::new(), back);
     assert!(expired.iter().all(|(_, change)| *change == PresenceChange::Expired));
     assert_eq!(known(&presence), ["a", "b"]);
-    // One renews within the grace, the other doesn't.
+    // One server renews within the grace period, the other one doesn't.
     let renewed = back + Duration::from_secs(1);
     presence.record_contact(false, renewed);
     presence.record_entry(server("b", ServerPhase::Serving), renewed);
@@ -64,7 +64,7 @@
     let soon = now + Duration::from_millis(300);
     assert_eq!(presence.adopt_grace(Duration::ZERO, soon), ["a".parse().unwrap()]);
     assert_eq!(known(&presence), ["b"]);
-    // What leaves from now on has left.
+    // A later removal counts as a departure at once.
     assert_eq!(presence.record_removal(&"b".parse().unwrap(), soon), PresenceChange::Departed);
 }
 
@@ -84,7 +84,7 @@
         PresenceChange::Expired
     );
     assert_eq!(follower.remove_expired(received_at + left), ["a".parse().unwrap()]);
-    // A longer one doesn't hold what was to be given up sooner.
+    // A longer grace period doesn't keep a server that was to be removed sooner.
     presence.adopt_grace(Duration::from_secs(9), received_at);
     assert_eq!(presence.remove_expired(now + RENEWAL_GRACE), ["a".parse().unwrap()]);
 }
@@ -118,14 +118,14 @@
     assert_eq!(presence.record_removal(&"a".parse().unwrap(), back), PresenceChange::Departed);
 }
 
-/// The server "a" as it says after it started at `start`.
+/// Returns the server "a" as it reports itself after it started at `start`.
 fn started(start: u64) -> BackendServer {
     let server = server("a", ServerPhase::Serving);
     let start = Some(ServerStart(start));
     BackendServer { id: ServerId::of_start(&server.name, start), start, ..server }
 }
 
-/// How often the servers of these tests renew their entries.
+/// The interval at which the servers of these tests renew their entries.
 const RENEWAL: Duration = Duration::from_millis(1_200);
 
 #[test]
@@ -138,7 +138,7 @@
         [(started(5).id, PresenceChange::Restarted), (started(9).id, PresenceChange::Arrived)];
     assert_eq!(changes, expected);
     assert_eq!(known(&presence), ["a#9"]);
-    // A list that shows it says the same.
+    // A list that shows the new start has the same effect.
     let changes = presence.record_list(vec![started(12)], now + RENEWAL * 2);
     assert_eq!(changes[0], (started(9).id, PresenceChange::Restarted));
     assert_eq!(known(&presence), ["a#12"]);
@@ -150,7 +150,7 @@
     let mut presence = begin(now);
     presence.record_entry(started(5), now);
     assert_eq!(known(&presence), ["a#5", "b"]);
-    // Who doesn't tell a start any more is not believed over one that did.
+    // An entry without a start has no effect once a start is known.
     let changes = presence.record_entry(server("a", ServerPhase::Draining), now);
     assert_eq!(changes[0].1, PresenceChange::Outdated);
     assert_eq!(known(&presence), ["a#5", "b"]);
--- a/crates/papayamux-coordination/tests/service_queue.rs
+++ b/crates/papayamux-coordination/tests/service_queue.rs
@@ -1,4 +1,4 @@
-//! The waiting line under the loads that it is for, replayed against the decision alone.
+//! Simulates overloads against the service queue alone.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -8,7 +8,8 @@
 };
 use papayamux_state::quantities::TokenCount;
 
-/// Slots of the replayed service, and the time that each request takes there: 160 a second.
+/// Slots of the simulated service. Each request takes [`SERVICE_TIME`], so 160 requests complete
+/// per second.
 const SLOTS: usize = 16;
 const SERVICE_TIME: Duration = Duration::from_millis(100);
 const OBJECTIVE: Duration = Duration::from_millis(500);
@@ -20,13 +21,13 @@
     organisation: &'static str,
     priority: u32,
     arrives: Duration,
-    /// How long before its arrival it asked first.
+    /// The time from the caller's first attempt to this arrival.
     since_first_attempt: Duration,
     started: Option<Duration>,
     refused: Option<Duration>,
 }
 
-/// `rate` callers a second of one organisation.
+/// Creates `rate` callers per second of one organisation.
 fn callers(organisation: &'static str, priority: u32, rate: u32, seconds: u32) -> Vec<Caller> {
     let gap = Duration::from_secs(1) / rate;
     let caller = |number| Caller {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Plays the callers before a service with [`SLOTS`] slots; returns what became of each.
+/// Simulates the callers at a service with [`SLOTS`] slots and returns their outcomes.
 fn replay(mut callers: Vec<Caller>) -> Vec<Caller> {
     callers.sort_by_key(|caller| caller.arrives);
     let started_at = Instant::now() + Duration::from_secs(60);
@@ -109,7 +110,7 @@
     caller.started.is_some_and(|started| started + SERVICE_TIME - caller.arrives <= OBJECTIVE)
 }
 
-/// The part of the callers for which `check` holds.
+/// Returns the share of the callers that match `check`.
 fn part(callers: &[Caller], check: impl Fn(&Caller) -> bool) -> f64 {
     callers.iter().filter(|caller| check(caller)).count() as f64 / callers.len() as f64
 }
@@ -128,7 +129,7 @@
 
 #[test]
 fn surge_of_all_organisations_is_served_on_time_or_refused() {
-    // Twice and a half what the service can run, from ten organisations.
+    // Two and a half times the capacity of the service, from ten organisations.
     let names = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"];
     let all = names.into_iter().flat_map(|name| callers(name, 1, 40, 6)).collect();
     let simulated = replay(all);
@@ -151,7 +152,8 @@
 
 #[test]
 fn sudden_surge_is_not_refused_by_the_low_rate_before_it() {
-    // Five a second for a while, then 36 at once: all of them can be served within 300 ms.
+    // Five requests per second for a while, then 36 at once, all of which can be served within 300
+    // ms.
     let mut all = callers("calm", 1, 5, 3);
     let at_once = callers("surge", 1, 36, 1).into_iter();
     all.extend(at_once.map(|caller| Caller { arrives: Duration::from_secs(2), ..caller }));
@@ -161,7 +163,7 @@
 
 #[test]
 fn surge_of_one_organisation_leaves_others_their_share() {
-    // One of five organisations sends eight times its usual.
+    // One of five organisations sends eight times its usual rate.
     let names = ["b", "c", "d", "e"];
     let mut all = callers("surging", 1, 200, 6);
     all.extend(names.into_iter().flat_map(|name| callers(name, 1, 25, 6)));
@@ -171,7 +173,7 @@
         assert!(served > 0.95, "{name}: {served}");
     }
     let surging = part(&of(&simulated, "surging"), on_time);
-    assert!(surging > 0.2, "the rest of the service is the surging organisation's: {surging}");
+    assert!(surging > 0.2, "the surging organisation gets the remaining capacity: {surging}");
 }
 
 #[test]
@@ -187,13 +189,13 @@
     assert!(batch > mean / 4.0, "{batch} of {mean}");
 }
 
-/// `rate` callers a second that come back, so long after they first asked.
+/// Creates `rate` retries per second, each this long after its first attempt.
 fn returning(rate: u32, seconds: u32, since_first_attempt: Duration) -> Vec<Caller> {
     let back = callers("all", 1, rate, seconds).into_iter();
     back.map(|caller| Caller { since_first_attempt, ..caller }).collect()
 }
 
-/// The part of those that came back, or of the newcomers, that was served.
+/// Returns the share of the retries, or of the new requests, that was served.
 fn served(simulated: &[Caller], is_retry: bool) -> f64 {
     let group = simulated.iter().filter(|one| one.since_first_attempt.is_zero() != is_retry);
     let group: Vec<_> = group.cloned().collect();
@@ -211,14 +213,14 @@
 
 #[test]
 fn late_retries_take_no_slots_from_on_time_requests() {
-    // As many as the service can run come back late, and more than that are newcomers.
+    // Late retries alone use the whole capacity, and even more requests are new.
     let mut all = callers("all", 1, 240, 6);
     all.extend(returning(160, 6, Duration::from_secs(3)));
     let simulated = replay(all);
     let newcomers = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
     let newcomers: Vec<_> = newcomers.cloned().collect();
     let served_on_time = part(&newcomers, on_time);
-    // 160 a second can be run.
+    // 160 requests per second can be served.
     assert!(served_on_time > 0.6, "{served_on_time}");
     let told = |caller: &Caller| {
         caller.started.is_some()
@@ -231,7 +233,7 @@
 
 #[test]
 fn late_retries_are_served_with_the_remaining_capacity() {
-    // Newcomers use three quarters of the service.
+    // New requests use three quarters of the capacity.
     let mut all = callers("all", 1, 120, 6);
     all.extend(returning(30, 6, Duration::from_secs(3)));
     let simulated = replay(all);
@@ -251,7 +253,7 @@
     assert!(queue.remove(&1));
     assert!(!queue.remove(&1));
     assert_eq!(queue.dispatch(1, 1), [2]);
-    // The place is promised until it is taken: nobody else gets it meanwhile.
+    // The slot stays reserved until it is taken, so no other request gets it.
     assert_ne!(queue.enqueue(request(caller, now), 3, 1), EnqueueOutcome::Admitted);
     queue.release_reservation();
     assert_eq!(queue.dispatch(1, 1), [3]);
@@ -259,7 +261,7 @@
 
 #[test]
 fn queue_drains_when_slots_become_free() {
-    // The service stands still for a while: what waited too long is refused, the rest is called.
+    // The service stops for a while: overdue requests are refused, and the rest is dispatched.
     let now = Instant::now();
     let mut queue = ServiceQueue::default();
     let caller = &callers("all", 1, 1, 1)[0];
--- a/crates/papayamux-coordination/tests/service_retry_budget.rs
+++ b/crates/papayamux-coordination/tests/service_retry_budget.rs
@@ -1,4 +1,4 @@
-//! Repeats of all routers together stay within the fleet's budget.
+//! The retries of all routers together stay within the fleet's budget.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -13,7 +13,8 @@
     "plain".parse().unwrap()
 }
 
-/// Routers that don't hear one another, each with a share of the requests, all of which fail.
+/// Simulates routers without contact to each other. Each has a share of the requests, all of which
+/// fail. Returns the retries and requests of the window with the most retries.
 fn retries_in_window(routers: usize, requests_per_second: usize) -> (usize, usize) {
     let started_at = Instant::now();
     let mut budgets: Vec<_> =
@@ -53,9 +54,9 @@
     let now = Instant::now();
     let mut budget = ServiceRetryBudget::new(ALLOWANCE, now);
     budget.record_routers(40);
-    assert!(!budget.take_retry(&service(), now), "56 over 60 routers is less than one");
+    assert!(!budget.take_retry(&service(), now), "56 divided by 60 routers is less than one");
     budget.record_routers(2);
-    assert!(!budget.take_retry(&service(), now), "routers that fell silent spend on");
+    assert!(!budget.take_retry(&service(), now), "silent routers keep their share");
 }
 
 #[test]
--- a/crates/papayamux-coordination/tests/usual_deadline.rs
+++ b/crates/papayamux-coordination/tests/usual_deadline.rs
@@ -1,4 +1,4 @@
-//! Who comes back, by the deadlines that callers set.
+//! Detection of retries by the deadlines that callers set.
 
 use std::time::Duration;
 
