--- a/crates/papayamux-coordination/src/crash_quarantine.rs
+++ b/crates/papayamux-coordination/src/crash_quarantine.rs
@@ -250,7 +250,7 @@
     /// Returns at most `limit` of the quarantined requests, in rotation: a router that has just
     /// started knows none of them.
     pub fn next_quarantined(&mut self, limit: usize, now: Instant) -> Vec<CrashNotice> {
-        let held: Vec<_> = self
+        let quarantined: Vec<_> = self
             .requests
             .iter()
             .filter(|(_, suspect)| now < suspect.quarantined_until)
@@ -258,9 +258,9 @@
             .collect();
         let start = self
             .last_repeated
-            .map_or(0, |last| held.partition_point(|notice| notice.fingerprint <= last));
-        let count = limit.min(held.len());
-        let batch: Vec<_> = held.iter().cycle().skip(start).take(count).copied().collect();
+            .map_or(0, |last| quarantined.partition_point(|notice| notice.fingerprint <= last));
+        let count = limit.min(quarantined.len());
+        let batch: Vec<_> = quarantined.iter().cycle().skip(start).take(count).copied().collect();
         self.last_repeated = batch.last().map(|notice| notice.fingerprint);
         batch
     }
--- a/crates/papayamux-coordination/src/failure_rates.rs
+++ b/crates/papayamux-coordination/src/failure_rates.rs
@@ -51,8 +51,8 @@
 impl FailureRates {
     /// Records an answer.
     pub fn record_answer(&mut self, server: &ServerId, failed: bool, now: Instant) {
-        let fresh = AnswerCounts { failures: 0.0, answers: 0.0, updated_at: now };
-        let counts = self.servers.entry(server.clone()).or_insert(fresh);
+        let initial = AnswerCounts { failures: 0.0, answers: 0.0, updated_at: now };
+        let counts = self.servers.entry(server.clone()).or_insert(initial);
         *counts = counts.with(failed, now);
     }
 
--- a/crates/papayamux-coordination/src/link_delays.rs
+++ b/crates/papayamux-coordination/src/link_delays.rs
@@ -112,8 +112,8 @@
 impl LinkDelays {
     /// Records an event from `domain`.
     pub fn record(&mut self, domain: &FailureDomain, delayed: bool, now: Instant) {
-        let fresh = DelayedShare { share: 0.0, updated_at: now };
-        let known = self.domains.entry(domain.clone()).or_insert(fresh);
+        let initial = DelayedShare { share: 0.0, updated_at: now };
+        let known = self.domains.entry(domain.clone()).or_insert(initial);
         *known = known.with(delayed, now);
     }
 
--- a/crates/papayamux-coordination/src/server_evidence.rs
+++ b/crates/papayamux-coordination/src/server_evidence.rs
@@ -96,7 +96,7 @@
     /// of concurrent requests count once.
     pub fn record(&mut self, server: &ServerId, kind: EvidenceKind, now: Instant) {
         self.make_room(now);
-        let fresh = ServerEvidence {
+        let initial = ServerEvidence {
             failures: 0.0,
             silences: 0,
             updated_at: now,
@@ -104,7 +104,7 @@
             trial_until: None,
             recovered: true,
         };
-        let evidence = self.servers.entry(server.clone()).or_insert(fresh);
+        let evidence = self.servers.entry(server.clone()).or_insert(initial);
         let announced = match kind {
             EvidenceKind::Draining => Some(DRAINING_EJECTION),
             EvidenceKind::Displaced => Some(DISPLACED_EJECTION),
--- a/crates/papayamux-coordination/src/server_liveness.rs
+++ b/crates/papayamux-coordination/src/server_liveness.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ServerLiveness {
     pending: u32,
-    waiting_since: Instant,
+    silent_since: Instant,
 }
 
 /// The last contact with the servers of one service.
@@ -35,10 +35,10 @@
 impl LivenessTracker {
     /// Records that a request was sent to `server` and awaits an answer.
     pub fn begin(&mut self, server: &ServerId, now: Instant) {
-        let fresh = ServerLiveness { pending: 0, waiting_since: now };
-        let liveness = self.servers.entry(server.clone()).or_insert(fresh);
+        let initial = ServerLiveness { pending: 0, silent_since: now };
+        let liveness = self.servers.entry(server.clone()).or_insert(initial);
         if liveness.pending == 0 {
-            liveness.waiting_since = now;
+            liveness.silent_since = now;
         }
         liveness.pending += 1;
     }
@@ -56,7 +56,7 @@
     /// Records that data has arrived from `server`.
     pub fn record_contact(&mut self, server: &ServerId, now: Instant) {
         if let Some(liveness) = self.servers.get_mut(server) {
-            liveness.waiting_since = now;
+            liveness.silent_since = now;
         }
         match &mut self.last_contact {
             Some((last, contact_at)) if last == server => *contact_at = now,
@@ -72,9 +72,8 @@
     /// of the servers that have requests in flight.
     pub fn silence_threshold(&self, now: Instant) -> Duration {
         let silences = self.servers.values();
-        let mut silences: Vec<_> = silences
-            .map(|liveness| now.saturating_duration_since(liveness.waiting_since))
-            .collect();
+        let mut silences: Vec<_> =
+            silences.map(|liveness| now.saturating_duration_since(liveness.silent_since)).collect();
         if silences.len() < MIN_SERVERS {
             return Duration::ZERO;
         }
@@ -87,7 +86,7 @@
     /// server was in contact meanwhile.
     pub fn silence(&self, server: &ServerId, now: Instant) -> Option<Duration> {
         let liveness = self.servers.get(server)?;
-        let silence = now.saturating_duration_since(liveness.waiting_since);
+        let silence = now.saturating_duration_since(liveness.silent_since);
         let other = match &self.last_contact {
             Some((last, contact_at)) if last != server => Some(*contact_at),
             _ => self.last_other_contact,
--- a/crates/papayamux-coordination/src/server_presence.rs
+++ b/crates/papayamux-coordination/src/server_presence.rs
@@ -227,9 +227,9 @@
     /// Removes and returns the expired servers whose grace period has passed.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<ServerId> {
         let due = self.expired.iter().filter(|(_, until)| **until <= now);
-        let gone: Vec<_> = due.map(|(id, _)| id.clone()).collect();
-        gone.iter().for_each(|id| self.forget(id));
-        gone
+        let removed: Vec<_> = due.map(|(id, _)| id.clone()).collect();
+        removed.iter().for_each(|id| self.forget(id));
+        removed
     }
 
     fn forget(&mut self, id: &ServerId) {
--- a/crates/papayamux-coordination/src/service_retry_budget.rs
+++ b/crates/papayamux-coordination/src/service_retry_budget.rs
@@ -73,21 +73,27 @@
     started: Instant,
     sharers: Option<u32>,
     /// The first bucket in which the router uses its part of the slack.
-    slack_from: u64,
+    first_slack_bucket: u64,
     services: HashMap<ServiceId, VecDeque<CountBucket>>,
 }
 
 impl ServiceRetryBudget {
     /// Creates the budget of a router that starts at `now` among an unknown number of routers.
     pub fn new(allowance: RetryAllowance, now: Instant) -> Self {
-        let slack_from = BUCKETS as u64 + 1;
-        Self { allowance, started: now, sharers: None, slack_from, services: HashMap::new() }
+        let first_slack_bucket = BUCKETS as u64 + 1;
+        Self {
+            allowance,
+            started: now,
+            sharers: None,
+            first_slack_bucket,
+            services: HashMap::new(),
+        }
     }
 
     /// Creates the budget of a router without others. The slack is still divided among several, so
     /// that the starts of the router in one window leave enough for each other.
     pub fn alone(allowance: RetryAllowance, now: Instant) -> Self {
-        Self { sharers: Some(MIN_SHARERS), slack_from: 0, ..Self::new(allowance, now) }
+        Self { sharers: Some(MIN_SHARERS), first_slack_bucket: 0, ..Self::new(allowance, now) }
     }
 
     /// Records that all routers are known and how many there are, including this one. The highest
@@ -126,7 +132,7 @@
     /// disconnected from very many.
     fn slack_share(&self, now: Instant) -> f64 {
         match self.sharers {
-            Some(sharers) if self.bucket_number(now) >= self.slack_from => {
+            Some(sharers) if self.bucket_number(now) >= self.first_slack_bucket => {
                 self.allowance.slack / f64::from(sharers)
             }
             _ => 0.0,
--- a/crates/papayamux-coordination/tests/admission_controller.rs
+++ b/crates/papayamux-coordination/tests/admission_controller.rs
@@ -178,9 +178,9 @@
 fn full_agent_refuses_or_queues_by_the_wait_budget_of_the_router() -> TestResult {
     let controller = controller(1);
     let running = controller.admit(&request(1, "yanchang")?, NOW);
-    let mut impatient = request(2, "yanchang")?;
-    impatient.placement.patience = Duration::ZERO;
-    assert_eq!(controller.admit(&impatient, NOW).err(), Some(RefusalReason::AtCapacity));
+    let mut without_wait = request(2, "yanchang")?;
+    without_wait.placement.patience = Duration::ZERO;
+    assert_eq!(controller.admit(&without_wait, NOW).err(), Some(RefusalReason::AtCapacity));
     let waiting = ticket(controller.admit(&request(3, "yanchang")?, NOW))
         .ok_or("the request was not queued")?;
     assert!(!is_granted(&waiting));
@@ -232,8 +232,8 @@
     let waiting = ticket(controller.admit(&request(9, "itineraries")?, NOW))
         .ok_or("the request was not queued")?;
     top.id.number = 10;
-    let kept = controller.admit(&top, NOW)?;
-    assert!(matches!(kept, Admission::Admitted(_)), "no slot was reserved");
+    let reserved = controller.admit(&top, NOW)?;
+    assert!(matches!(reserved, Admission::Admitted(_)), "no slot was reserved");
     top.id.number = 11;
     let next = ticket(controller.admit(&top, NOW)).ok_or("the request was not queued")?;
     running.pop();
--- a/crates/papayamux-coordination/tests/crash_spread.rs
+++ b/crates/papayamux-coordination/tests/crash_spread.rs
@@ -89,8 +89,8 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct FatalHistory {
     crashes: usize,
-    third_ms: Option<u64>,
-    late: usize,
+    third_crash_ms: Option<u64>,
+    late_attempts: usize,
 }
 
 struct Router {
@@ -124,7 +124,7 @@
     crashes: usize,
     /// Maximum number of times that one of the requests reached a server after the routers should
     /// have known of it.
-    late: usize,
+    late_attempts: usize,
     /// Datagrams with notices that a router sent per record, besides its reports.
     datagrams_per_record: f64,
 }
@@ -152,8 +152,9 @@
     let crashes: usize = fleet.fatals.iter().map(|fatal| fatal.crashes).sum();
     let datagrams_per_record =
         fleet.notice_datagrams as f64 / (crashes.max(1) * scenario.routers) as f64;
-    let late = fleet.fatals.iter().map(|fatal| fatal.late).max().unwrap_or_default();
-    Outcome { crashes, late, datagrams_per_record }
+    let late_attempts =
+        fleet.fatals.iter().map(|fatal| fatal.late_attempts).max().unwrap_or_default();
+    Outcome { crashes, late_attempts, datagrams_per_record }
 }
 
 impl Fleet {
@@ -252,7 +253,7 @@
         let history = &mut self.fatals[fatal];
         history.crashes += 1;
         if history.crashes == 3 {
-            history.third_ms = Some(self.now_ms);
+            history.third_crash_ms = Some(self.now_ms);
         }
         if self.routers[router].incarnation != incarnation {
             return;
@@ -275,12 +276,12 @@
         }
         let sent = known.quarantine.begin_attempt(fingerprint(fatal), now);
         let (incarnation, started_ms) = (known.incarnation, known.started_ms);
-        let should_know = self.fatals[fatal].third_ms.is_some_and(|third| {
+        let should_know = self.fatals[fatal].third_crash_ms.is_some_and(|third| {
             let has_run_for = self.now_ms - started_ms;
             let is_settled = started_ms == 0 || has_run_for > PROPAGATION_DEADLINE_MS;
             self.now_ms > third + PROPAGATION_DEADLINE_MS && is_settled
         });
-        self.fatals[fatal].late += usize::from(should_know);
+        self.fatals[fatal].late_attempts += usize::from(should_know);
         let sent = (sent.cleared, sent.crashes);
         let run = FatalRun { fatal, router, incarnation, sent, attempts_left: attempts - 1 };
         self.schedule(RUN_MS, Event::Crash(run));
@@ -336,7 +337,10 @@
 fn check(scenario: Scenario, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let outcome = simulate(scenario, seed);
-        assert!(outcome.late <= MAX_LATE_ATTEMPTS, "{scenario:?}, seed {seed}: {outcome:?}");
+        assert!(
+            outcome.late_attempts <= MAX_LATE_ATTEMPTS,
+            "{scenario:?}, seed {seed}: {outcome:?}"
+        );
         assert!(
             outcome.crashes >= 2,
             "{scenario:?}, seed {seed}: the request was quarantined too soon"
@@ -411,7 +415,7 @@
                 ..DEFAULT
             };
             let outcome = simulate(scenario, 1);
-            assert!(outcome.late <= MAX_LATE_ATTEMPTS, "{scenario:?}: {outcome:?}");
+            assert!(outcome.late_attempts <= MAX_LATE_ATTEMPTS, "{scenario:?}: {outcome:?}");
             assert!(outcome.datagrams_per_record <= 5.0, "{scenario:?}: {outcome:?}");
         }
     }
--- a/crates/papayamux-coordination/tests/recent_departures.rs
+++ b/crates/papayamux-coordination/tests/recent_departures.rs
@@ -38,10 +38,10 @@
     let started_at = Instant::now();
     let mut departures = RecentDepartures::new(BOUNDS);
     departures.record_renewal(&"i-1".parse().unwrap(), started_at);
-    let lapsed = started_at + BOUNDS.renewal_interval * 3;
-    assert!(!departures.record_departure(&server("i-1", ServerPhase::Serving), lapsed));
-    assert!(terminating(&departures, lapsed).is_empty());
-    assert!(!departures.record_departure(&server("i-unknown", ServerPhase::Serving), lapsed));
+    let expired_at = started_at + BOUNDS.renewal_interval * 3;
+    assert!(!departures.record_departure(&server("i-1", ServerPhase::Serving), expired_at));
+    assert!(terminating(&departures, expired_at).is_empty());
+    assert!(!departures.record_departure(&server("i-unknown", ServerPhase::Serving), expired_at));
 }
 
 #[test]
--- a/crates/papayamux-coordination/tests/server_presence.rs
+++ b/crates/papayamux-coordination/tests/server_presence.rs
@@ -12,12 +12,12 @@
 use papayamux_state::backend::{BackendServer, ServerPhase};
 use papayamux_state::ids::{ServerId, ServerStart};
 
-fn known(presence: &ServerPresence) -> Vec<String> {
+fn present_servers(presence: &ServerPresence) -> Vec<String> {
     let service = "llm".parse().unwrap();
     presence.catalog().of_service(&service).map(|server| server.id.to_string()).collect()
 }
 
-fn begin(now: Instant) -> ServerPresence {
+fn presence_of_two_servers(now: Instant) -> ServerPresence {
     let mut presence = ServerPresence::default();
     presence.record_contact(false, now);
     for id in ["a", "b"] {
@@ -29,41 +29,41 @@
 #[test]
 fn removal_while_the_list_is_available_is_a_departure() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     let later = now + Duration::from_millis(700);
     presence.record_contact(false, later);
     let change = presence.record_removal(&"a".parse().unwrap(), later);
     assert_eq!(change, PresenceChange::Departed);
-    assert_eq!(known(&presence), ["b"]);
+    assert_eq!(present_servers(&presence), ["b"]);
 }
 
 #[test]
 fn expiry_during_an_outage_is_revoked_by_a_renewal() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     let back = now + OUTAGE_THRESHOLD + Duration::from_secs(3);
     presence.record_contact(false, back);
     let expired = presence.record_list(Vec::new(), back);
     assert!(expired.iter().all(|(_, change)| *change == PresenceChange::Expired));
-    assert_eq!(known(&presence), ["a", "b"]);
+    assert_eq!(present_servers(&presence), ["a", "b"]);
     // One server renews within the grace period, the other one doesn't.
     let renewed = back + Duration::from_secs(1);
     presence.record_contact(false, renewed);
     presence.record_entry(server("b", ServerPhase::Serving), renewed);
     let over = back + RENEWAL_GRACE;
     assert_eq!(presence.remove_expired(over), ["a".parse().unwrap()]);
-    assert_eq!(known(&presence), ["b"]);
+    assert_eq!(present_servers(&presence), ["b"]);
 }
 
 #[test]
 fn grace_of_a_router_without_an_outage_is_adopted() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     presence.record_contact(true, now);
     presence.record_removal(&"a".parse().unwrap(), now);
     let soon = now + Duration::from_millis(300);
     assert_eq!(presence.adopt_grace(Duration::ZERO, soon), ["a".parse().unwrap()]);
-    assert_eq!(known(&presence), ["b"]);
+    assert_eq!(present_servers(&presence), ["b"]);
     // A later removal counts as a departure at once.
     assert_eq!(presence.record_removal(&"b".parse().unwrap(), soon), PresenceChange::Departed);
 }
@@ -71,12 +71,12 @@
 #[test]
 fn adopted_grace_is_never_extended() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     presence.record_contact(true, now);
     presence.record_removal(&"a".parse().unwrap(), now);
     let left = presence.grace_left(now + Duration::from_millis(500));
     assert_eq!(left, RENEWAL_GRACE - Duration::from_millis(500));
-    let mut follower = begin(now);
+    let mut follower = presence_of_two_servers(now);
     let received_at = now + Duration::from_millis(510);
     assert!(follower.adopt_grace(left, received_at).is_empty());
     assert_eq!(
@@ -92,7 +92,7 @@
 #[test]
 fn draining_server_gets_no_grace() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     presence.record_entry(server("a", ServerPhase::Draining), now);
     let back = now + OUTAGE_THRESHOLD * 3;
     presence.record_contact(false, back);
@@ -103,7 +103,7 @@
 #[test]
 fn failed_read_is_an_outage_however_short() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     let back = now + Duration::from_millis(900);
     presence.record_contact(true, back);
     assert_eq!(presence.record_removal(&"a".parse().unwrap(), back), PresenceChange::Expired);
@@ -112,7 +112,7 @@
 #[test]
 fn short_silence_is_no_outage() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     let back = now + OUTAGE_THRESHOLD;
     presence.record_contact(false, back);
     assert_eq!(presence.record_removal(&"a".parse().unwrap(), back), PresenceChange::Departed);
@@ -137,23 +137,23 @@
     let expected =
         [(started(5).id, PresenceChange::Restarted), (started(9).id, PresenceChange::Arrived)];
     assert_eq!(changes, expected);
-    assert_eq!(known(&presence), ["a#9"]);
+    assert_eq!(present_servers(&presence), ["a#9"]);
     // A list that shows the new start has the same effect.
     let changes = presence.record_list(vec![started(12)], now + RENEWAL * 2);
     assert_eq!(changes[0], (started(9).id, PresenceChange::Restarted));
-    assert_eq!(known(&presence), ["a#12"]);
+    assert_eq!(present_servers(&presence), ["a#12"]);
 }
 
 #[test]
 fn first_reported_start_is_a_new_server() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     presence.record_entry(started(5), now);
-    assert_eq!(known(&presence), ["a#5", "b"]);
+    assert_eq!(present_servers(&presence), ["a#5", "b"]);
     // An entry without a start has no effect once a start is known.
     let changes = presence.record_entry(server("a", ServerPhase::Draining), now);
     assert_eq!(changes[0].1, PresenceChange::Outdated);
-    assert_eq!(known(&presence), ["a#5", "b"]);
+    assert_eq!(present_servers(&presence), ["a#5", "b"]);
 }
 
 #[test]
@@ -176,7 +176,7 @@
     presence.record_entry(started(9), now);
     let shown = (0..4).map(|renewal| {
         presence.record_entry(started(5), now + RENEWAL * renewal);
-        known(&presence).remove(0)
+        present_servers(&presence).remove(0)
     });
     assert_eq!(shown.collect::<Vec<_>>(), ["a#9", "a#9", "a#5", "a#5"]);
 }
@@ -184,9 +184,9 @@
 #[test]
 fn overwritten_entry_is_a_departure() {
     let now = Instant::now();
-    let mut presence = begin(now);
+    let mut presence = presence_of_two_servers(now);
     presence.record_contact(true, now);
     assert_eq!(presence.record_overwrite(&"a".parse().unwrap()), PresenceChange::Departed);
-    assert_eq!(known(&presence), ["b"]);
+    assert_eq!(present_servers(&presence), ["b"]);
     assert_eq!(presence.record_overwrite(&"a".parse().unwrap()), PresenceChange::Unchanged);
 }
--- a/crates/papayamux-coordination/tests/service_queue.rs
+++ b/crates/papayamux-coordination/tests/service_queue.rs
@@ -111,7 +111,7 @@
 }
 
 /// Returns the share of the callers that match `check`.
-fn part(callers: &[Caller], check: impl Fn(&Caller) -> bool) -> f64 {
+fn share_of(callers: &[Caller], check: impl Fn(&Caller) -> bool) -> f64 {
     callers.iter().filter(|caller| check(caller)).count() as f64 / callers.len() as f64
 }
 
@@ -124,7 +124,7 @@
     let simulated = replay(callers("calm", 1, 140, 4));
     let at_once =
         |caller: &Caller| caller.started.is_some_and(|started| started - caller.arrives < 2 * TICK);
-    assert!(part(&simulated, at_once) > 0.999);
+    assert!(share_of(&simulated, at_once) > 0.999);
 }
 
 #[test]
@@ -133,10 +133,11 @@
     let names = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"];
     let all = names.into_iter().flat_map(|name| callers(name, 1, 40, 6)).collect();
     let simulated = replay(all);
-    let served = part(&simulated, |caller| caller.started.is_some());
+    let served = share_of(&simulated, |caller| caller.started.is_some());
     assert!((0.35..0.5).contains(&served), "{served}");
-    assert!(part(&simulated, on_time) > 0.9 * served, "{}", part(&simulated, on_time));
-    let answered = part(&simulated, |caller| caller.started.is_some() != caller.refused.is_some());
+    assert!(share_of(&simulated, on_time) > 0.9 * served, "{}", share_of(&simulated, on_time));
+    let answered =
+        share_of(&simulated, |caller| caller.started.is_some() != caller.refused.is_some());
     assert_eq!(answered, 1.0);
 }
 
@@ -147,7 +148,7 @@
     let at_once = |caller: &Caller| {
         caller.refused.is_some_and(|refused| refused - caller.arrives < OBJECTIVE / 8)
     };
-    assert!(part(&refused, at_once) > 0.95, "{}", part(&refused, at_once));
+    assert!(share_of(&refused, at_once) > 0.95, "{}", share_of(&refused, at_once));
 }
 
 #[test]
@@ -158,7 +159,7 @@
     let at_once = callers("surge", 1, 36, 1).into_iter();
     all.extend(at_once.map(|caller| Caller { arrives: Duration::from_secs(2), ..caller }));
     let simulated = replay(all);
-    assert_eq!(part(&simulated, on_time), 1.0);
+    assert_eq!(share_of(&simulated, on_time), 1.0);
 }
 
 #[test]
@@ -169,10 +170,10 @@
     all.extend(names.into_iter().flat_map(|name| callers(name, 1, 25, 6)));
     let simulated = replay(all);
     for name in names {
-        let served = part(&of(&simulated, name), on_time);
+        let served = share_of(&of(&simulated, name), on_time);
         assert!(served > 0.95, "{name}: {served}");
     }
-    let surging = part(&of(&simulated, "surging"), on_time);
+    let surging = share_of(&of(&simulated, "surging"), on_time);
     assert!(surging > 0.2, "the surging organisation gets the remaining capacity: {surging}");
 }
 
@@ -182,7 +183,7 @@
     all.extend(callers("usual", 1, 150, 6));
     all.extend(callers("batch", 2, 150, 6));
     let simulated = replay(all);
-    let served = |name: &str| part(&of(&simulated, name), |caller| caller.started.is_some());
+    let served = |name: &str| share_of(&of(&simulated, name), |caller| caller.started.is_some());
     let (urgent, usual, batch) = (served("urgent"), served("usual"), served("batch"));
     assert!(urgent > usual && usual > batch, "{urgent} {usual} {batch}");
     let mean = (urgent + usual + batch) / 3.0;
@@ -190,7 +191,7 @@
 }
 
 /// Creates `rate` retries per second, each this long after its first attempt.
-fn returning(rate: u32, seconds: u32, since_first_attempt: Duration) -> Vec<Caller> {
+fn retries(rate: u32, seconds: u32, since_first_attempt: Duration) -> Vec<Caller> {
     let back = callers("all", 1, rate, seconds).into_iter();
     back.map(|caller| Caller { since_first_attempt, ..caller }).collect()
 }
@@ -199,13 +200,13 @@
 fn served(simulated: &[Caller], is_retry: bool) -> f64 {
     let group = simulated.iter().filter(|one| one.since_first_attempt.is_zero() != is_retry);
     let group: Vec<_> = group.cloned().collect();
-    part(&group, |caller| caller.started.is_some())
+    share_of(&group, |caller| caller.started.is_some())
 }
 
 #[test]
 fn on_time_retries_are_served_before_new_requests() {
     let mut all = callers("all", 1, 380, 6);
-    all.extend(returning(20, 6, Duration::from_millis(200)));
+    all.extend(retries(20, 6, Duration::from_millis(200)));
     let simulated = replay(all);
     assert!(served(&simulated, true) > 0.95, "{}", served(&simulated, true));
     assert!(served(&simulated, false) > 0.3, "{}", served(&simulated, false));
@@ -215,32 +216,32 @@
 fn late_retries_take_no_slots_from_on_time_requests() {
     // Late retries alone use the whole capacity, and even more requests are new.
     let mut all = callers("all", 1, 240, 6);
-    all.extend(returning(160, 6, Duration::from_secs(3)));
+    all.extend(retries(160, 6, Duration::from_secs(3)));
     let simulated = replay(all);
-    let newcomers = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
-    let newcomers: Vec<_> = newcomers.cloned().collect();
-    let served_on_time = part(&newcomers, on_time);
+    let new_requests = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
+    let new_requests: Vec<_> = new_requests.cloned().collect();
+    let served_on_time = share_of(&new_requests, on_time);
     // 160 requests per second can be served.
     assert!(served_on_time > 0.6, "{served_on_time}");
-    let told = |caller: &Caller| {
+    let is_decided_early = |caller: &Caller| {
         caller.started.is_some()
             || caller.refused.is_some_and(|refused| refused - caller.arrives < OBJECTIVE / 8)
     };
     let late: Vec<_> =
         simulated.into_iter().filter(|one| !one.since_first_attempt.is_zero()).collect();
-    assert!(part(&late, told) > 0.9, "{}", part(&late, told));
+    assert!(share_of(&late, is_decided_early) > 0.9, "{}", share_of(&late, is_decided_early));
 }
 
 #[test]
 fn late_retries_are_served_with_the_remaining_capacity() {
     // New requests use three quarters of the capacity.
     let mut all = callers("all", 1, 120, 6);
-    all.extend(returning(30, 6, Duration::from_secs(3)));
+    all.extend(retries(30, 6, Duration::from_secs(3)));
     let simulated = replay(all);
     assert!(served(&simulated, true) > 0.95, "{}", served(&simulated, true));
-    let newcomers = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
-    let newcomers: Vec<_> = newcomers.cloned().collect();
-    assert!(part(&newcomers, on_time) > 0.99, "{}", part(&newcomers, on_time));
+    let new_requests = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
+    let new_requests: Vec<_> = new_requests.cloned().collect();
+    assert!(share_of(&new_requests, on_time) > 0.99, "{}", share_of(&new_requests, on_time));
 }
 
 #[test]
--- a/crates/papayamux-coordination/tests/usual_deadline.rs
+++ b/crates/papayamux-coordination/tests/usual_deadline.rs
@@ -6,7 +6,7 @@
 
 const USUAL: Duration = Duration::from_secs(15);
 
-fn known() -> UsualDeadline {
+fn learned_deadline() -> UsualDeadline {
     let mut deadlines = UsualDeadline::default();
     for _ in 0..50 {
         assert_eq!(deadlines.record(USUAL), Duration::ZERO);
@@ -16,7 +16,7 @@
 
 #[test]
 fn shorter_deadline_shows_the_time_since_the_first_attempt() {
-    let mut deadlines = known();
+    let mut deadlines = learned_deadline();
     assert_eq!(deadlines.record(USUAL - Duration::from_secs(4)), Duration::from_secs(4));
     assert_eq!(deadlines.record(USUAL - Duration::from_millis(5)), Duration::ZERO);
     assert_eq!(deadlines.record(USUAL * 3), Duration::ZERO);
@@ -31,7 +31,7 @@
 
 #[test]
 fn usual_deadline_survives_many_retries() {
-    let mut deadlines = known();
+    let mut deadlines = learned_deadline();
     for number in 1..400u64 {
         deadlines.record(USUAL);
         deadlines.record(USUAL - Duration::from_millis(number * 30));
@@ -41,7 +41,7 @@
 
 #[test]
 fn changed_deadline_is_learned() {
-    let mut deadlines = known();
+    let mut deadlines = learned_deadline();
     for _ in 0..2_000 {
         deadlines.record(Duration::from_secs(5));
     }
