--- a/crates/papayamux-coordination/src/crash_quarantine.rs
+++ b/crates/papayamux-coordination/src/crash_quarantine.rs
@@ -15,8 +15,8 @@
 /// Consecutive crashes after which a request is quarantined. Other requests that were on the same
 /// server once must still be able to run elsewhere.
 const CRASHES_TO_QUARANTINE: u32 = 2;
-/// The same while other servers crash without the request. They have another cause, which may also
-/// have crashed both servers that ran it.
+/// Consecutive crashes after which a request is quarantined while other servers crash without it.
+/// Those have another cause, which may also have crashed both servers that ran the request.
 const CRASHES_TO_QUARANTINE_AMONG_OTHERS: u32 = 3;
 /// Time for which the crash of a server counts as a sign of another cause.
 const SERVER_CRASH_TTL: Duration = Duration::from_secs(10);
--- a/crates/papayamux-coordination/src/service_queue/queue.rs
+++ b/crates/papayamux-coordination/src/service_queue/queue.rs
@@ -32,7 +32,7 @@
     Refused(QueueRefusal),
 }
 
-/// The reason of a refusal.
+/// The details of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueRefusal {
     /// The expected or actual wait of the request, from its arrival.
