--- a/crates/papayamux-coordination/src/admission_ticket.rs
+++ b/crates/papayamux-coordination/src/admission_ticket.rs
@@ -1,4 +1,4 @@
-//! The wait of a request that has no place yet.
+//! The wait of a request that has no slot yet.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -10,9 +10,9 @@
 use papayamux_state::load::GroupId;
 use papayamux_state::refusal::RefusalReason;
 
-use crate::admission::{AdmissionBook, AdmissionPermit};
+use crate::admission::{AdmissionController, AdmissionPermit};
 
-/// What a waiting request is told.
+/// The result of a queued request.
 type TicketOutcome = Result<AdmissionPermit, RefusalReason>;
 
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     waker: Option<Waker>,
 }
 
-/// What the book and the ticket share.
+/// The state that the controller and the ticket share.
 #[derive(Debug)]
 pub(crate) struct TicketState {
     pub(crate) group: Option<GroupId>,
@@ -33,7 +33,7 @@
         Self { group, wait: RefCell::default() }
     }
 
-    pub(crate) fn settle(&self, outcome: TicketOutcome) {
+    pub(crate) fn resolve(&self, outcome: TicketOutcome) {
         let mut wait = self.wait.borrow_mut();
         wait.outcome = Some(outcome);
         if let Some(waker) = wait.waker.take() {
@@ -53,10 +53,10 @@
     }
 }
 
-/// A request's place in the queue; dropping it gives the place up.
+/// A position in the queue. Dropping it removes the request from the queue.
 #[derive(Debug)]
 pub struct AdmissionTicket {
-    book: Rc<AdmissionBook>,
+    controller: Rc<AdmissionController>,
     id: RequestId,
     state: Rc<TicketState>,
     deadline: AgentClock,
@@ -64,20 +64,20 @@
 
 impl AdmissionTicket {
     pub(crate) fn new(
-        book: Rc<AdmissionBook>,
+        controller: Rc<AdmissionController>,
         id: RequestId,
         state: Rc<TicketState>,
         deadline: AgentClock,
     ) -> Self {
-        Self { book, id, state, deadline }
+        Self { controller, id, state, deadline }
     }
 
-    /// When the request has to have a place at the latest.
+    /// Returns the time by which the request needs a slot.
     pub fn deadline(&self) -> AgentClock {
         self.deadline
     }
 
-    /// Waits for a place, or for the refusal where another request took the place in the queue.
+    /// Waits for a slot, or for the refusal if another request displaces this one.
     pub async fn granted(&self) -> Result<AdmissionPermit, RefusalReason> {
         poll_fn(|context| self.state.poll(context)).await
     }
@@ -85,6 +85,6 @@
 
 impl Drop for AdmissionTicket {
     fn drop(&mut self) {
-        self.book.withdraw(&self.id);
+        self.controller.withdraw(&self.id);
     }
 }
--- a/crates/papayamux-coordination/src/placement/placer.rs
+++ b/crates/papayamux-coordination/src/placement/placer.rs
@@ -103,8 +103,8 @@
 fn usable_candidates(candidates: &[PlacementCandidate]) -> Vec<IndexedCandidate<'_>> {
     let mut usable: Vec<_> =
         candidates.iter().enumerate().filter(|(_, candidate)| candidate.accepts).collect();
-    if usable.iter().any(|(_, candidate)| candidate.standing != ServerStanding::Held) {
-        usable.retain(|(_, candidate)| candidate.standing != ServerStanding::Held);
+    if usable.iter().any(|(_, candidate)| candidate.standing != ServerStanding::Ejected) {
+        usable.retain(|(_, candidate)| candidate.standing != ServerStanding::Ejected);
     }
     usable
 }
@@ -114,7 +114,7 @@
 /// domain, the others carry more, and the least loaded of them take the excess.
 fn load_bound(candidates: &[PlacementCandidate], factor: f64) -> f64 {
     let sound = |candidate: &&PlacementCandidate| {
-        candidate.serves && candidate.standing != ServerStanding::Held
+        candidate.serves && candidate.standing != ServerStanding::Ejected
     };
     let counted: Vec<_> = candidates.iter().filter(sound).collect();
     let requests: f64 = counted.iter().map(|candidate| f64::from(candidate.load.requests)).sum();
--- a/crates/papayamux-coordination/src/usual_deadline.rs
+++ b/crates/papayamux-coordination/src/usual_deadline.rs
@@ -1,20 +1,21 @@
-//! Whether a caller comes back after it was turned away.
+//! Detects retries of refused callers by their deadlines.
 //!
-//! A caller's second try has another identifier and reaches another router, but less time than the
-//! first: what is left of the deadline that the callers of a route set. That deadline is mostly one
-//! value, so the most frequent one stands for it.
+//! A retry has a new identifier and reaches another router, but it has less time than the first
+//! attempt: what is left of the deadline that the callers of a route set. That deadline is mostly a
+//! single value, so the most frequent one stands for it.
 
 use std::time::Duration;
 
-/// Values that are counted. Half of the requests or more carry the usual deadline, also while many
-/// come back, each with another one; the others only have to be told from it.
-const COUNTED_VALUES: usize = 4;
-/// Requests after which the counts are halved, so that a changed deadline is learnt.
-const MOST_COUNTED: u32 = 1_024;
-/// Requests that must have carried a deadline before a shorter one means anything.
-const FEWEST_COUNTED: u32 = 8;
-/// Deadlines that differ by less are one: callers may take off what connecting cost.
-const SAME_WITHIN: Duration = Duration::from_millis(20);
+/// Number of deadlines that are counted. At least half of the requests carry the usual deadline,
+/// even while many callers retry, each with a different remaining time; the other values only have
+/// to be distinguished from it.
+const MAX_COUNTED_DEADLINES: usize = 4;
+/// Count at which all counts are halved, so that a changed deadline is learned.
+const MAX_COUNT: u32 = 1_024;
+/// Minimum count of a deadline before shorter ones are taken for retries.
+const MIN_COUNT: u32 = 8;
+/// Tolerance within which deadlines are equal: callers may subtract the time to connect.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(20);
 
 #[derive(Debug, Clone, Copy)]
 struct CountedDeadline {
@@ -22,49 +23,49 @@
     count: u32,
 }
 
-/// The deadline that most callers of a route set (the summary of Misra and Gries).
+/// The deadline that most callers of a route set, by a Misra-Gries summary.
 #[derive(Debug, Default)]
 pub struct UsualDeadline {
     counted: Vec<CountedDeadline>,
 }
 
 impl UsualDeadline {
-    /// Notes the deadline of a request. Returns how long ago its caller first asked, as far as a
-    /// deadline that is shorter than the usual one tells; zero for a newcomer.
-    pub fn note(&mut self, deadline: Duration) -> Duration {
-        let known = self.counted.iter().position(|one| one.is_same(deadline));
+    /// Records the deadline of a request. Returns the time since its caller's first attempt, as far
+    /// as a deadline shorter than the usual one shows it, or zero for a first attempt.
+    pub fn record(&mut self, deadline: Duration) -> Duration {
+        let known = self.counted.iter().position(|candidate| candidate.is_same(deadline));
         match known {
             Some(known) => self.counted[known].count += 1,
-            None if self.counted.len() < COUNTED_VALUES => {
+            None if self.counted.len() < MAX_COUNTED_DEADLINES => {
                 self.counted.push(CountedDeadline { deadline, count: 1 });
             }
-            None => self.lower(|count| count - 1),
+            None => self.update_counts(|count| count - 1),
         }
-        if self.counted.iter().any(|one| one.count >= MOST_COUNTED) {
-            self.lower(|count| count / 2);
+        if self.counted.iter().any(|candidate| candidate.count >= MAX_COUNT) {
+            self.update_counts(|count| count / 2);
         }
-        let used = self.usual().unwrap_or_default().saturating_sub(deadline);
-        if used < SAME_WITHIN {
+        let elapsed = self.usual().unwrap_or_default().saturating_sub(deadline);
+        if elapsed < DEADLINE_TOLERANCE {
             Duration::ZERO
         } else {
-            used
+            elapsed
         }
     }
 
-    /// The usual deadline, once enough requests have carried it.
+    /// Returns the usual deadline, once enough requests have carried it.
     pub fn usual(&self) -> Option<Duration> {
-        let most = self.counted.iter().max_by_key(|one| one.count)?;
-        (most.count >= FEWEST_COUNTED).then_some(most.deadline)
+        let most_frequent = self.counted.iter().max_by_key(|candidate| candidate.count)?;
+        (most_frequent.count >= MIN_COUNT).then_some(most_frequent.deadline)
     }
 
-    fn lower(&mut self, change: impl Fn(u32) -> u32) {
-        self.counted.iter_mut().for_each(|one| one.count = change(one.count));
-        self.counted.retain(|one| one.count > 0);
+    fn update_counts(&mut self, change: impl Fn(u32) -> u32) {
+        self.counted.iter_mut().for_each(|candidate| candidate.count = change(candidate.count));
+        self.counted.retain(|candidate| candidate.count > 0);
     }
 }
 
 impl CountedDeadline {
     fn is_same(&self, deadline: Duration) -> bool {
-        self.deadline.abs_diff(deadline) < SAME_WITHIN
+        self.deadline.abs_diff(deadline) < DEADLINE_TOLERANCE
     }
 }
--- a/crates/papayamux-coordination/tests/constants.rs
+++ b/crates/papayamux-coordination/tests/constants.rs
@@ -10,10 +10,10 @@
 const FILES: [&str; 14] = [
     "link_delays.rs",
     "part_prefills.rs",
-    "return_time.rs",
+    "retry_delay.rs",
     "server_slots.rs",
     "server_liveness.rs",
-    "server_record.rs",
+    "failure_rates.rs",
     "usual_deadline.rs",
     "recent_departures.rs",
     "cache_survey.rs",
@@ -25,7 +25,7 @@
 ];
 /// Folders with decisions on the direct path.
 const FOLDERS: [&str; 5] =
-    ["placement", "server_profile", "service_line", "fleet_knowledge", "cold_servers"];
+    ["placement", "server_profile", "service_queue", "fleet_knowledge", "cold_servers"];
 
 fn sources() -> Vec<PathBuf> {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
--- a/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
+++ b/crates/papayamux-coordination/tests/fleet_knowledge/server_changes.rs
@@ -50,14 +50,14 @@
         // A start that replaces another one is adopted at once here.
         match self.presence.id_of(&server.name).is_some_and(|known| known != server.id) {
             true => drop(self.presence.adopt(server)),
-            false => drop(self.presence.note_entry(server, Instant::now())),
+            false => drop(self.presence.record_entry(server, Instant::now())),
         }
     }
 
     fn remove(&mut self, name: &str) {
         let name = name.parse().unwrap();
         if let Some(id) = self.presence.id_of(&name) {
-            self.presence.note_overwritten(&id);
+            self.presence.record_overwrite(&id);
         }
         self.change_log.record_departure(name);
     }
@@ -107,8 +107,8 @@
     reader.put(serving("i-1"));
     reader.record(10);
     let id = reader.presence.id_of(&"i-1".parse().unwrap()).unwrap();
-    reader.presence.note_contact(true, back);
-    assert_eq!(reader.presence.note_removal(&id, back), PresenceChange::Lapsed);
+    reader.presence.record_contact(true, back);
+    assert_eq!(reader.presence.record_removal(&id, back), PresenceChange::Expired);
     reader.record(12);
     let mut follower = RouterModel::default();
     follower.put(serving("i-1"));
@@ -128,12 +128,12 @@
     let mut reader = RouterModel::default();
     reader.put(serving("i-1"));
     reader.record(10);
-    reader.presence.note_contact(true, back);
+    reader.presence.record_contact(true, back);
     let mut follower = RouterModel::default();
     follower.put(serving("i-1"));
-    follower.presence.note_contact(true, back);
+    follower.presence.record_contact(true, back);
     let id = follower.presence.id_of(&"i-1".parse().unwrap()).unwrap();
-    assert_eq!(follower.presence.note_removal(&id, back), PresenceChange::Lapsed);
+    assert_eq!(follower.presence.record_removal(&id, back), PresenceChange::Expired);
     follower.record(12);
     reader.put(serving("i-1"));
     reader.record(14);
--- a/crates/papayamux-coordination/tests/fleet_replay/mod.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/mod.rs
@@ -12,12 +12,12 @@
     place, LoadLedger, PlacementCandidate, PlacementPolicy, PlacementRequest, PlacementTuning,
     ServerLoad,
 };
-use papayamux_coordination::return_time::return_time;
+use papayamux_coordination::retry_delay::retry_delay;
 use papayamux_coordination::server_evidence::ServerStanding;
 use papayamux_coordination::server_profile::{FirstEvent, ProfileTracker, StreamEnd};
 use papayamux_coordination::server_slots::{free_slots, ServerWork};
-use papayamux_coordination::service_line::{
-    request_work, CallerTime, FlowKey, LineArrival, LineRequest, ServiceLine,
+use papayamux_coordination::service_queue::{
+    request_work, CallerTime, EnqueueOutcome, FlowKey, QueuedRequest, ServiceQueue,
 };
 use papayamux_state::ids::{ServerId, ServiceId};
 use papayamux_state::prompt::{PromptChain, WarmParts};
@@ -56,7 +56,7 @@
     OnTime,
     Late,
     /// It was refused, this long after its last attempt was sent.
-    TurnedAway(Duration),
+    Refused(Duration),
     /// Its deadline passed in the queue or on an engine.
     Expired,
 }
@@ -86,7 +86,7 @@
     }
 
     pub fn turned_away(&self) -> f64 {
-        self.part(|outcome| matches!(outcome, Outcome::TurnedAway(_)))
+        self.part(|outcome| matches!(outcome, Outcome::Refused(_)))
     }
 
     pub fn expired(&self) -> f64 {
@@ -96,7 +96,7 @@
     /// Returns the time within which nine in ten refused requests were refused, in milliseconds.
     pub fn refused_within_ms(&self) -> u128 {
         let refused_after = self.outcomes.iter().filter_map(|outcome| match outcome {
-            Outcome::TurnedAway(after) => Some(after.as_millis()),
+            Outcome::Refused(after) => Some(after.as_millis()),
             _ => None,
         });
         let mut refused_after: Vec<_> = refused_after.collect();
@@ -165,7 +165,7 @@
     ids: Vec<ServerId>,
     service: ServiceId,
     requests: Vec<Request>,
-    line: ServiceLine<usize>,
+    line: ServiceQueue<usize>,
     ledger: LoadLedger,
     profiles: ProfileTracker,
     warm: Vec<WarmParts>,
@@ -187,7 +187,7 @@
         ids: (0..ENGINES).map(|index| format!("i-{index}").parse().unwrap()).collect(),
         service: "llm".parse().unwrap(),
         requests: Vec::new(),
-        line: ServiceLine::default(),
+        line: ServiceQueue::default(),
         ledger: LoadLedger::default(),
         profiles: ProfileTracker::default(),
         warm: (0..ENGINES).map(|_| WarmParts::new(TokenCount::new(capacity))).collect(),
@@ -239,7 +239,7 @@
         }
         if tick.is_multiple_of(QUEUE_CHECK_INTERVAL_MS) {
             for (request, _) in self.line.take_overdue(now) {
-                self.turn_away(request);
+                self.refuse(request);
             }
             self.expire_requests();
             self.call();
@@ -281,22 +281,22 @@
             return;
         }
         let speed = self.profiles.service_speed(&self.service);
-        let asked = LineRequest {
+        let asked = QueuedRequest {
             flow: FlowKey { organisation: None, priority: 0 },
             work,
             time: CallerTime {
                 arrived: now,
-                asked_before: now - first_asked,
+                since_first_attempt: now - first_asked,
                 objective: OBJECTIVE,
-                left,
-                serving: speed.time_to_first_event(TokenCount::new(OWN_TOKENS)),
+                time_left: left,
+                service_time: speed.time_to_first_event(TokenCount::new(OWN_TOKENS)),
             },
         };
         let total_free_slots = self.total_free_slots();
-        match self.line.arrive(asked, index, total_free_slots) {
-            LineArrival::Goes => self.send(index),
-            LineArrival::Waits(_) => {}
-            LineArrival::TurnedAway(_) => self.turn_away(index),
+        match self.line.enqueue(asked, index, total_free_slots) {
+            EnqueueOutcome::Admitted => self.send(index),
+            EnqueueOutcome::Queued(_) => {}
+            EnqueueOutcome::Refused(_) => self.refuse(index),
         }
     }
 
@@ -319,22 +319,22 @@
             return;
         }
         let total_free_slots = self.total_free_slots();
-        for request in self.line.call(total_free_slots, total_free_slots) {
+        for request in self.line.dispatch(total_free_slots, total_free_slots) {
             self.send(request);
-            self.line.note_taken();
+            self.line.release_reservation();
         }
     }
 
-    fn turn_away(&mut self, index: usize) {
+    fn refuse(&mut self, index: usize) {
         let sample = self.random.random_range(0.0..1.0);
         let now = self.now;
         let request = &mut self.requests[index];
         let left = (request.first_asked + DEADLINE).saturating_duration_since(now);
         if request.attempts > 1 {
-            request.outcome = Some(Outcome::TurnedAway(now - request.asked));
+            request.outcome = Some(Outcome::Refused(now - request.asked));
             return;
         }
-        self.retries.push((now + return_time(left, sample), index));
+        self.retries.push((now + retry_delay(left, sample), index));
     }
 
     fn chain(&self, index: usize) -> PromptChain {
@@ -369,7 +369,7 @@
         let slot_wait = speed.slot_wait(self.load.engines.slots, requests, answer);
         let first = slot_wait + speed.time_to_first_event(cold + TokenCount::new(backlog));
         if self.load.has_queue && backlog > 0 && first > left {
-            self.turn_away(index);
+            self.refuse(index);
             return;
         }
         let load = ServerLoad { requests: 1, backlog: cold.get() };
@@ -383,7 +383,7 @@
         );
         self.warm[engine].note_use(&chain);
         let work = self.work();
-        self.line.note_begin(work, self.now);
+        self.line.record_dispatch(work, self.now);
         let is_copied = placement.fetch_from.is_some_and(|source| self.engines[source].holds(part));
         self.engines[engine].take(EngineWork {
             request: index,
@@ -450,7 +450,7 @@
         let Some(placed) = self.requests[index].placed.take() else { return };
         let id = &self.ids[placed.engine];
         self.ledger.end(id, placed.load);
-        self.line.note_end(placed.work, self.now - placed.sent, self.now);
+        self.line.record_completion(placed.work, self.now - placed.sent, self.now);
         if let Some(first) = placed.first {
             let duration = self.now - first;
             let answer = TokenCount::new(EVENTS * EVENT_TOKENS);
@@ -482,7 +482,7 @@
                 self.record_end(index, false);
                 self.engines[engine].stop(index);
             }
-            self.line.leave(&index);
+            self.line.remove(&index);
             self.requests[index].outcome.get_or_insert(Outcome::Expired);
         }
     }
--- a/crates/papayamux-coordination/tests/part_owners.rs
+++ b/crates/papayamux-coordination/tests/part_owners.rs
@@ -144,7 +144,7 @@
             .map(|engine| {
                 let standing = match is_sound(engine) {
                     true => ServerStanding::Good,
-                    false => ServerStanding::Held,
+                    false => ServerStanding::Ejected,
                 };
                 PlacementCandidate {
                     accepts: true,
--- /dev/null
+++ b/crates/papayamux-coordination/tests/service_queue.rs
@@ -0,0 +1,276 @@
+//! Simulates overloads against the service queue alone.
+#![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
+
+use std::time::{Duration, Instant};
+
+use papayamux_coordination::service_queue::{
+    request_work, CallerTime, EnqueueOutcome, FlowKey, QueuedRequest, ServiceQueue,
+};
+use papayamux_state::quantities::TokenCount;
+
+/// Slots of the simulated service. Each request takes [`SERVICE_TIME`], so 160 requests complete
+/// per second.
+const SLOTS: usize = 16;
+const SERVICE_TIME: Duration = Duration::from_millis(100);
+const OBJECTIVE: Duration = Duration::from_millis(500);
+const DEADLINE: Duration = Duration::from_secs(15);
+const TICK: Duration = Duration::from_millis(5);
+
+#[derive(Debug, Clone)]
+struct Caller {
+    organisation: &'static str,
+    priority: u32,
+    arrives: Duration,
+    /// The time from the caller's first attempt to this arrival.
+    since_first_attempt: Duration,
+    started: Option<Duration>,
+    refused: Option<Duration>,
+}
+
+/// Creates `rate` callers per second of one organisation.
+fn callers(organisation: &'static str, priority: u32, rate: u32, seconds: u32) -> Vec<Caller> {
+    let gap = Duration::from_secs(1) / rate;
+    let caller = |number| Caller {
+        organisation,
+        priority,
+        arrives: gap * number,
+        since_first_attempt: Duration::ZERO,
+        started: None,
+        refused: None,
+    };
+    (0..rate * seconds).map(caller).collect()
+}
+
+fn request(caller: &Caller, now: Instant) -> QueuedRequest {
+    QueuedRequest {
+        flow: FlowKey {
+            organisation: Some(caller.organisation.parse().unwrap()),
+            priority: caller.priority,
+        },
+        work: request_work(TokenCount::new(500), TokenCount::new(200), 6.0),
+        time: CallerTime {
+            arrived: now,
+            since_first_attempt: caller.since_first_attempt,
+            objective: OBJECTIVE,
+            time_left: DEADLINE - caller.since_first_attempt,
+            service_time: SERVICE_TIME,
+        },
+    }
+}
+
+/// Simulates the callers at a service with [`SLOTS`] slots and returns their outcomes.
+fn replay(mut callers: Vec<Caller>) -> Vec<Caller> {
+    callers.sort_by_key(|caller| caller.arrives);
+    let started_at = Instant::now() + Duration::from_secs(60);
+    let mut queue = ServiceQueue::<usize>::default();
+    let mut running: Vec<(Duration, TokenCount)> = Vec::new();
+    let mut next = 0;
+    let end = callers.last().unwrap().arrives + DEADLINE;
+    let work = request_work(TokenCount::new(500), TokenCount::new(200), 6.0);
+    let mut time = Duration::ZERO;
+    while time < end {
+        let now = started_at + time;
+        running.retain(|(until, work)| {
+            if *until <= time {
+                queue.record_completion(*work, SERVICE_TIME, now);
+            }
+            *until > time
+        });
+        for (index, _) in queue.take_overdue(now) {
+            let caller: &mut Caller = &mut callers[index];
+            caller.refused = Some(time);
+        }
+        let free = (SLOTS - running.len()) as u32;
+        for index in queue.dispatch(free, free) {
+            queue.release_reservation();
+            callers[index].started = Some(time);
+            queue.record_dispatch(work, now);
+            running.push((time + SERVICE_TIME, work));
+        }
+        while next < callers.len() && callers[next].arrives <= time {
+            let free = (SLOTS - running.len()) as u32;
+            let caller = &mut callers[next];
+            match queue.enqueue(request(caller, now), next, free) {
+                EnqueueOutcome::Admitted => {
+                    caller.started = Some(time);
+                    queue.record_dispatch(work, now);
+                    running.push((time + SERVICE_TIME, work));
+                }
+                EnqueueOutcome::Queued(_) => {}
+                EnqueueOutcome::Refused(_) => caller.refused = Some(time),
+            }
+            next += 1;
+        }
+        time += TICK;
+    }
+    callers
+}
+
+fn on_time(caller: &Caller) -> bool {
+    caller.started.is_some_and(|started| started + SERVICE_TIME - caller.arrives <= OBJECTIVE)
+}
+
+/// Returns the share of the callers that match `check`.
+fn share_of(callers: &[Caller], check: impl Fn(&Caller) -> bool) -> f64 {
+    callers.iter().filter(|caller| check(caller)).count() as f64 / callers.len() as f64
+}
+
+fn of(callers: &[Caller], organisation: &str) -> Vec<Caller> {
+    callers.iter().filter(|caller| caller.organisation == organisation).cloned().collect()
+}
+
+#[test]
+fn no_request_queues_while_slots_are_free() {
+    let simulated = replay(callers("calm", 1, 140, 4));
+    let at_once =
+        |caller: &Caller| caller.started.is_some_and(|started| started - caller.arrives < 2 * TICK);
+    assert!(share_of(&simulated, at_once) > 0.999);
+}
+
+#[test]
+fn surge_of_all_organisations_is_served_on_time_or_refused() {
+    // Two and a half times the capacity of the service, from ten organisations.
+    let names = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"];
+    let all = names.into_iter().flat_map(|name| callers(name, 1, 40, 6)).collect();
+    let simulated = replay(all);
+    let served = share_of(&simulated, |caller| caller.started.is_some());
+    assert!((0.35..0.5).contains(&served), "{served}");
+    assert!(share_of(&simulated, on_time) > 0.9 * served, "{}", share_of(&simulated, on_time));
+    let answered =
+        share_of(&simulated, |caller| caller.started.is_some() != caller.refused.is_some());
+    assert_eq!(answered, 1.0);
+}
+
+#[test]
+fn unservable_requests_are_refused_at_once() {
+    let simulated = replay(callers("all", 1, 400, 6));
+    let refused: Vec<_> = simulated.into_iter().filter(|caller| caller.refused.is_some()).collect();
+    let at_once = |caller: &Caller| {
+        caller.refused.is_some_and(|refused| refused - caller.arrives < OBJECTIVE / 8)
+    };
+    assert!(share_of(&refused, at_once) > 0.95, "{}", share_of(&refused, at_once));
+}
+
+#[test]
+fn sudden_surge_is_not_refused_by_the_low_rate_before_it() {
+    // Five requests per second for a while, then 36 at once, all of which can be served within 300
+    // ms.
+    let mut all = callers("calm", 1, 5, 3);
+    let at_once = callers("surge", 1, 36, 1).into_iter();
+    all.extend(at_once.map(|caller| Caller { arrives: Duration::from_secs(2), ..caller }));
+    let simulated = replay(all);
+    assert_eq!(share_of(&simulated, on_time), 1.0);
+}
+
+#[test]
+fn surge_of_one_organisation_leaves_others_their_share() {
+    // One of five organisations sends eight times its usual rate.
+    let names = ["b", "c", "d", "e"];
+    let mut all = callers("surging", 1, 200, 6);
+    all.extend(names.into_iter().flat_map(|name| callers(name, 1, 25, 6)));
+    let simulated = replay(all);
+    for name in names {
+        let served = share_of(&of(&simulated, name), on_time);
+        assert!(served > 0.95, "{name}: {served}");
+    }
+    let surging = share_of(&of(&simulated, "surging"), on_time);
+    assert!(surging > 0.2, "the surging organisation gets the remaining capacity: {surging}");
+}
+
+#[test]
+fn urgent_requests_are_dispatched_first_without_starvation() {
+    let mut all = callers("urgent", 0, 150, 6);
+    all.extend(callers("usual", 1, 150, 6));
+    all.extend(callers("batch", 2, 150, 6));
+    let simulated = replay(all);
+    let served = |name: &str| share_of(&of(&simulated, name), |caller| caller.started.is_some());
+    let (urgent, usual, batch) = (served("urgent"), served("usual"), served("batch"));
+    assert!(urgent > usual && usual > batch, "{urgent} {usual} {batch}");
+    let mean = (urgent + usual + batch) / 3.0;
+    assert!(batch > mean / 4.0, "{batch} of {mean}");
+}
+
+/// Creates `rate` retries per second, each this long after its first attempt.
+fn retries(rate: u32, seconds: u32, since_first_attempt: Duration) -> Vec<Caller> {
+    let back = callers("all", 1, rate, seconds).into_iter();
+    back.map(|caller| Caller { since_first_attempt, ..caller }).collect()
+}
+
+/// Returns the share of the retries, or of the new requests, that was served.
+fn served(simulated: &[Caller], is_retry: bool) -> f64 {
+    let group = simulated.iter().filter(|one| one.since_first_attempt.is_zero() != is_retry);
+    let group: Vec<_> = group.cloned().collect();
+    share_of(&group, |caller| caller.started.is_some())
+}
+
+#[test]
+fn on_time_retries_are_served_before_new_requests() {
+    let mut all = callers("all", 1, 380, 6);
+    all.extend(retries(20, 6, Duration::from_millis(200)));
+    let simulated = replay(all);
+    assert!(served(&simulated, true) > 0.95, "{}", served(&simulated, true));
+    assert!(served(&simulated, false) > 0.3, "{}", served(&simulated, false));
+}
+
+#[test]
+fn late_retries_take_no_slots_from_on_time_requests() {
+    // Late retries alone use the whole capacity, and even more requests are new.
+    let mut all = callers("all", 1, 240, 6);
+    all.extend(retries(160, 6, Duration::from_secs(3)));
+    let simulated = replay(all);
+    let new_requests = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
+    let new_requests: Vec<_> = new_requests.cloned().collect();
+    let served_on_time = share_of(&new_requests, on_time);
+    // 160 requests per second can be served.
+    assert!(served_on_time > 0.6, "{served_on_time}");
+    let is_decided_early = |caller: &Caller| {
+        caller.started.is_some()
+            || caller.refused.is_some_and(|refused| refused - caller.arrives < OBJECTIVE / 8)
+    };
+    let late: Vec<_> =
+        simulated.into_iter().filter(|one| !one.since_first_attempt.is_zero()).collect();
+    assert!(share_of(&late, is_decided_early) > 0.9, "{}", share_of(&late, is_decided_early));
+}
+
+#[test]
+fn late_retries_are_served_with_the_remaining_capacity() {
+    // New requests use three quarters of the capacity.
+    let mut all = callers("all", 1, 120, 6);
+    all.extend(retries(30, 6, Duration::from_secs(3)));
+    let simulated = replay(all);
+    assert!(served(&simulated, true) > 0.95, "{}", served(&simulated, true));
+    let new_requests = simulated.iter().filter(|one| one.since_first_attempt.is_zero());
+    let new_requests: Vec<_> = new_requests.cloned().collect();
+    assert!(share_of(&new_requests, on_time) > 0.99, "{}", share_of(&new_requests, on_time));
+}
+
+#[test]
+fn slot_of_a_disconnected_caller_goes_to_the_next() {
+    let now = Instant::now();
+    let mut queue = ServiceQueue::default();
+    let caller = &callers("all", 1, 1, 1)[0];
+    assert_eq!(queue.enqueue(request(caller, now), 1, 0), EnqueueOutcome::Queued(Duration::ZERO));
+    assert_eq!(queue.enqueue(request(caller, now), 2, 0), EnqueueOutcome::Queued(Duration::ZERO));
+    assert!(queue.remove(&1));
+    assert!(!queue.remove(&1));
+    assert_eq!(queue.dispatch(1, 1), [2]);
+    // The slot stays reserved until it is taken, so no other request gets it.
+    assert_ne!(queue.enqueue(request(caller, now), 3, 1), EnqueueOutcome::Admitted);
+    queue.release_reservation();
+    assert_eq!(queue.dispatch(1, 1), [3]);
+}
+
+#[test]
+fn queue_drains_when_slots_become_free() {
+    // The service stops for a while: overdue requests are refused, and the rest is dispatched.
+    let now = Instant::now();
+    let mut queue = ServiceQueue::default();
+    let caller = &callers("all", 1, 1, 1)[0];
+    queue.enqueue(request(caller, now), 1, 0);
+    let later = now + OBJECTIVE;
+    queue.enqueue(request(caller, later), 2, 0);
+    let refused: Vec<_> = queue.take_overdue(later).into_iter().map(|(item, _)| item).collect();
+    assert_eq!(refused, [1]);
+    assert_eq!(queue.dispatch(u32::MAX, u32::MAX), [2]);
+    assert!(queue.is_empty());
+}
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -112,7 +112,7 @@
     let mut named = None;
     let organisation = frontend.settings.organisation(&offer.organisation);
     plan = plan.with_share(organisation.share).with_offers(frontend.settings.most_offers);
-    frontend.planner.retries().note_request();
+    frontend.planner.retries().record_request();
     let quarantine = &frontend.directory.updates().quarantine;
     while let Some(candidate) = plan.next(named.as_ref()) {
         named = None;
@@ -239,7 +239,7 @@
     match reason {
         RefusalReason::NoAgentReachable => Some(EvidenceKind::Unreachable),
         RefusalReason::ServerUnreachable => Some(EvidenceKind::ServerDown),
-        RefusalReason::Leaving => Some(EvidenceKind::Leaving),
+        RefusalReason::Leaving => Some(EvidenceKind::Draining),
         _ => None,
     }
 }
--- a/crates/papayamux-router/src/direct/active_request.rs
+++ b/crates/papayamux-router/src/direct/active_request.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use papayamux_coordination::link_delays::{EventRhythm, EventTiming};
+use papayamux_coordination::link_delays::{DelayDetector, EventTiming};
 use papayamux_coordination::part_prefills::prefill_wait_budget;
 use papayamux_coordination::placement::ServerLoad;
 use papayamux_coordination::server_evidence::EvidenceKind;
@@ -27,7 +27,7 @@
     sent: Instant,
     /// `true` once the request was sent, so that its server owes a response.
     is_awaited: bool,
-    rhythm: Option<EventRhythm>,
+    rhythm: Option<DelayDetector>,
     prefill: Option<OwnPrefill>,
     /// Tokens that the server had to prefill before the first event, including those of this
     /// request.
@@ -145,15 +145,15 @@
         self.events += events;
         self.last_event = Some(now);
         let Some(rhythm) = &mut self.rhythm else {
-            self.rhythm = Some(EventRhythm::new(now));
+            self.rhythm = Some(DelayDetector::new(now));
             self.first_event = Some(now);
             self.record_first_event(now);
             self.finish_own_prefill();
             return;
         };
-        match rhythm.note(events, now) {
-            EventTiming::InTime => self.fleet.record_event(&self.server, false),
-            EventTiming::HeldUp => self.fleet.record_event(&self.server, true),
+        match rhythm.record(events, now) {
+            EventTiming::OnTime => self.fleet.record_event(&self.server, false),
+            EventTiming::Delayed => self.fleet.record_event(&self.server, true),
             EventTiming::Undecided => {}
         }
     }
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -150,7 +150,7 @@
             false => speed.call_silence(),
         };
         let standing = match self.is_silent(server, limit, now) {
-            true => ServerStanding::Held,
+            true => ServerStanding::Ejected,
             false => self.evidence.borrow().standing(&server.id, now),
         };
         let room = self.send_quota(server, now);
@@ -172,7 +172,7 @@
             excess_delay_rate: self.link_excess(server, now),
             speed,
             standing,
-            round_trip_ms: self.round_trips.borrow().usual_ms(&server.domain),
+            round_trip_ms: self.round_trips.borrow().median_ms(&server.domain),
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -145,7 +145,7 @@
         let mut router_count = self.router_count.borrow_mut();
         router_count.update(now);
         if router_count.is_settled() {
-            self.budget.borrow_mut().note_routers(router_count.count());
+            self.budget.borrow_mut().record_routers(router_count.count());
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/fleet_state.rs
+++ b/crates/papayamux-router/src/direct/fleet/fleet_state.rs
@@ -8,6 +8,7 @@
 use papayamux_coordination::cold_servers::{ColdTracker, KnownRouters};
 use papayamux_coordination::crash_quarantine::CrashQuarantine;
 use papayamux_coordination::domain_evacuations::DomainEvacuations;
+use papayamux_coordination::failure_rates::FailureRates;
 use papayamux_coordination::key_freshness::KeyFreshness;
 use papayamux_coordination::link_delays::LinkDelays;
 use papayamux_coordination::log_limit::LogLimit;
@@ -16,14 +17,13 @@
 use papayamux_coordination::placement::{LoadLedger, RecentHolders};
 use papayamux_coordination::recent_departures::RecentDepartures;
 use papayamux_coordination::round_trips::RoundTrips;
-use papayamux_coordination::server_evidence::EvidenceBook;
-use papayamux_coordination::server_liveness::LivenessBook;
-use papayamux_coordination::server_notices::NoticeBook;
+use papayamux_coordination::server_evidence::EvidenceTracker;
+use papayamux_coordination::server_liveness::LivenessTracker;
+use papayamux_coordination::server_notices::NoticeTable;
 use papayamux_coordination::server_presence::ServerPresence;
 use papayamux_coordination::server_profile::ProfileTracker;
-use papayamux_coordination::server_record::AnswerRecord;
 use papayamux_coordination::server_slots::QueueReports;
-use papayamux_coordination::service_line::ServiceLine;
+use papayamux_coordination::service_queue::ServiceQueue;
 use papayamux_coordination::service_retry_budget::ServiceRetryBudget;
 use papayamux_coordination::usual_deadline::UsualDeadline;
 use papayamux_state::ids::{RouteId, ServerId, ServiceId};
@@ -34,7 +34,7 @@
 
 use super::part_inquiries::OwnerOutbox;
 use super::part_prefills::PrefillUpdate;
-use super::queued_requests::QueuedRequest;
+use super::queued_requests::QueueTicket;
 use super::server_checks::ServerChecks;
 use super::source_knowledge::SourceKnowledge;
 use crate::direct::attempt_watch::AttemptWatch;
@@ -57,15 +57,15 @@
     pub(super) cold_tracker: RefCell<ColdTracker>,
     pub(super) router_count: RefCell<KnownRouters>,
     pub(super) ledger: RefCell<LoadLedger>,
-    pub(super) evidence: RefCell<EvidenceBook>,
-    pub(super) notices: RefCell<NoticeBook>,
-    pub(super) liveness: RefCell<HashMap<ServiceId, LivenessBook>>,
+    pub(super) evidence: RefCell<EvidenceTracker>,
+    pub(super) notices: RefCell<NoticeTable>,
+    pub(super) liveness: RefCell<HashMap<ServiceId, LivenessTracker>>,
     pub(super) budget: RefCell<ServiceRetryBudget>,
-    pub(super) records: RefCell<HashMap<ServiceId, AnswerRecord>>,
+    pub(super) records: RefCell<HashMap<ServiceId, FailureRates>>,
     pub(super) profiles: RefCell<ProfileTracker>,
     pub(super) warm: RefCell<HashMap<ServerId, WarmParts>>,
     pub(super) holders: RefCell<RecentHolders>,
-    pub(super) queues: RefCell<HashMap<ServiceId, ServiceLine<Rc<QueuedRequest>>>>,
+    pub(super) queues: RefCell<HashMap<ServiceId, ServiceQueue<Rc<QueueTicket>>>>,
     pub(super) links: RefCell<LinkDelays>,
     pub(super) round_trips: RefCell<RoundTrips>,
     pub(super) queue_reports: RefCell<QueueReports>,
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -14,7 +14,7 @@
 impl Fleet {
     /// Records that the list of servers answered; `failed` tells that reads had failed before.
     pub fn record_list_contact(&self, failed: bool, now: Instant) {
-        self.presence.borrow_mut().note_contact(failed, now);
+        self.presence.borrow_mut().record_contact(failed, now);
     }
 
     /// Returns whether servers with expired entries may still renew them.
@@ -30,7 +30,7 @@
         if !self.awaits_renewals() {
             return;
         }
-        let expired = self.presence.borrow_mut().expire_lapsed(Instant::now());
+        let expired = self.presence.borrow_mut().remove_expired(Instant::now());
         self.remove_expired(&expired);
     }
 
@@ -50,7 +50,7 @@
     /// Records an entry of the list.
     pub fn record_server(&self, server: BackendServer, now: Instant) {
         let (id, cold_left) = (server.id.clone(), server.cold_left);
-        let changes = self.presence.borrow_mut().note_entry(server, now);
+        let changes = self.presence.borrow_mut().record_entry(server, now);
         self.record_entry_renewal(&id, now);
         self.record_coldness(&id, cold_left, now);
         self.record_changes(&changes);
@@ -70,7 +70,7 @@
     /// Records that an entry was removed.
     pub fn record_departed_server(&self, name: &ServerName, now: Instant) {
         let Some(known) = self.listed_server(name) else { return };
-        let change = self.presence.borrow_mut().note_removal(&known.id, now);
+        let change = self.presence.borrow_mut().record_removal(&known.id, now);
         self.record_server_departure(&known, change, now);
     }
 
@@ -86,7 +86,7 @@
         }
         let known = fault.name.as_ref().and_then(|name| self.listed_server(name));
         if let Some(known) = known {
-            let change = self.presence.borrow_mut().note_overwritten(&known.id);
+            let change = self.presence.borrow_mut().record_overwrite(&known.id);
             self.record_server_departure(&known, change, now);
         }
     }
@@ -104,10 +104,10 @@
     /// terminating: it still finishes its work.
     pub(super) fn adopt_departure(&self, name: &ServerName, is_terminating: bool, now: Instant) {
         let Some(known) = self.listed_server(name) else { return };
-        let change = self.presence.borrow_mut().note_overwritten(&known.id);
+        let change = self.presence.borrow_mut().record_overwrite(&known.id);
         match is_terminating && known.phase == ServerPhase::Serving {
             true => {
-                self.departures.borrow_mut().note_lingering(&known, now);
+                self.departures.borrow_mut().record_terminating(&known, now);
                 log::info!(server:% = known.id; "server has left and finishes its work");
             }
             false => self.record_presence(&known.id, change),
@@ -123,7 +123,7 @@
 
     fn record_server_departure(&self, known: &BackendServer, change: PresenceChange, now: Instant) {
         let is_terminating = change == PresenceChange::Departed
-            && self.departures.borrow_mut().note_departure(known, now);
+            && self.departures.borrow_mut().record_departure(known, now);
         match is_terminating {
             true => log::info!(server:% = known.id; "server has left and finishes its work"),
             false => self.record_presence(&known.id, change),
@@ -134,7 +134,7 @@
     pub fn record_server_list(&self, servers: Vec<BackendServer>, now: Instant) {
         let listed = servers.iter().map(|server| (server.id.clone(), server.cold_left));
         let listed: Vec<_> = listed.collect();
-        let changes = self.presence.borrow_mut().note_list(servers, now);
+        let changes = self.presence.borrow_mut().record_list(servers, now);
         for (id, cold_left) in listed {
             self.record_entry_renewal(&id, now);
             self.record_coldness(&id, cold_left, now);
@@ -148,7 +148,7 @@
     /// renewal.
     fn record_entry_renewal(&self, id: &ServerId, now: Instant) {
         if self.presence.borrow().catalog().get(id).is_some() {
-            self.departures.borrow_mut().note_renewal(id, now);
+            self.departures.borrow_mut().record_renewal(id, now);
         }
     }
 
@@ -171,7 +171,7 @@
                 log::info!(server:% = id; "server is there");
             }
             PresenceChange::Draining => log::info!(server:% = id; "server is draining"),
-            PresenceChange::Lapsed => log::info!(server:% = id; "server's entry has lapsed"),
+            PresenceChange::Expired => log::info!(server:% = id; "server's entry has lapsed"),
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/queued_requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/queued_requests.rs
@@ -7,7 +7,7 @@
 use papayamux_coordination::mechanism::Mechanism;
 use papayamux_coordination::server_evidence::ServerStanding;
 use papayamux_coordination::server_slots::{free_slots, ServerWork};
-use papayamux_coordination::service_line::{LineArrival, LineRefusal, LineRequest};
+use papayamux_coordination::service_queue::{EnqueueOutcome, QueueRefusal, QueuedRequest};
 use papayamux_state::backend::BackendServer;
 use papayamux_state::ids::{RouteId, ServiceId};
 use papayamux_transport::shutdown::ShutdownSignal;
@@ -16,13 +16,13 @@
 
 /// A request in the queue.
 #[derive(Debug, Default)]
-pub(in crate::direct) struct QueuedRequest {
+pub(in crate::direct) struct QueueTicket {
     outcome: Cell<Option<QueueOutcome>>,
     decided: ShutdownSignal,
 }
 
 /// Two entries are equal only if they are the same entry.
-impl PartialEq for QueuedRequest {
+impl PartialEq for QueueTicket {
     fn eq(&self, other: &Self) -> bool {
         std::ptr::eq(self, other)
     }
@@ -31,10 +31,10 @@
 #[derive(Debug, Clone, Copy)]
 enum QueueOutcome {
     Dispatched,
-    TurnedAway(LineRefusal),
+    Refused(QueueRefusal),
 }
 
-impl QueuedRequest {
+impl QueueTicket {
     fn decide(&self, outcome: QueueOutcome) {
         self.outcome.set(Some(outcome));
         self.decided.give();
@@ -45,18 +45,18 @@
 struct QueueGuard<'a> {
     fleet: &'a Fleet,
     service: &'a ServiceId,
-    queued: &'a Rc<QueuedRequest>,
+    ticket: &'a Rc<QueueTicket>,
 }
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let mut queues = self.fleet.queues.borrow_mut();
         let Some(service_queue) = queues.get_mut(self.service) else { return };
-        match self.queued.outcome.get() {
-            Some(QueueOutcome::Dispatched) => service_queue.note_taken(),
-            Some(QueueOutcome::TurnedAway(_)) => {}
+        match self.ticket.outcome.get() {
+            Some(QueueOutcome::Dispatched) => service_queue.release_reservation(),
+            Some(QueueOutcome::Refused(_)) => {}
             None => {
-                service_queue.leave(self.queued);
+                service_queue.remove(self.ticket);
             }
         }
     }
@@ -68,29 +68,29 @@
     pub(in crate::direct) async fn wait_for_slot(
         &self,
         service: &ServiceId,
-        request: LineRequest,
-    ) -> Result<Option<Duration>, LineRefusal> {
+        request: QueuedRequest,
+    ) -> Result<Option<Duration>, QueueRefusal> {
         if !self.uses(Mechanism::Line) {
             return Ok(None);
         }
         let now = Instant::now();
-        let queued = Rc::new(QueuedRequest::default());
+        let ticket = Rc::new(QueueTicket::default());
         let arrival = {
             let open_slots = self.free_slots(service, now);
             let mut queues = self.queues.borrow_mut();
             let service_queue = queues.entry(service.clone()).or_default();
-            service_queue.arrive(request, queued.clone(), open_slots)
+            service_queue.enqueue(request, ticket.clone(), open_slots)
         };
         let expected = match arrival {
-            LineArrival::Goes => return Ok(None),
-            LineArrival::TurnedAway(refusal) => return Err(refusal),
-            LineArrival::Waits(wait) => wait,
+            EnqueueOutcome::Admitted => return Ok(None),
+            EnqueueOutcome::Refused(refusal) => return Err(refusal),
+            EnqueueOutcome::Queued(wait) => wait,
         };
-        let guard = QueueGuard { fleet: self, service, queued: &queued };
-        queued.decided.given().await;
+        let guard = QueueGuard { fleet: self, service, ticket: &ticket };
+        ticket.decided.given().await;
         drop(guard);
-        match queued.outcome.get() {
-            Some(QueueOutcome::TurnedAway(refusal)) => Err(refusal),
+        match ticket.outcome.get() {
+            Some(QueueOutcome::Refused(refusal)) => Err(refusal),
             Some(QueueOutcome::Dispatched) | None => {
                 self.metrics.record_wait_ratio(expected, now.elapsed());
                 Ok(Some(now.elapsed()))
@@ -100,11 +100,15 @@
 
     /// Returns how long ago a caller on a route first sent its request, as far as the deadline
     /// shows.
-    pub(in crate::direct) fn asked_before(&self, route: &RouteId, deadline: Duration) -> Duration {
+    pub(in crate::direct) fn since_first_attempt(
+        &self,
+        route: &RouteId,
+        deadline: Duration,
+    ) -> Duration {
         if !self.uses(Mechanism::UsualDeadline) {
             return Duration::ZERO;
         }
-        self.deadlines.borrow_mut().entry(route.clone()).or_default().note(deadline)
+        self.deadlines.borrow_mut().entry(route.clone()).or_default().record(deadline)
     }
 
     /// Dispatches the queued requests of a service to free slots.
@@ -118,8 +122,8 @@
         let open_slots = self.free_slots(service, Instant::now());
         // Other routers see the same free slots: each takes its share and checks again soon.
         let routers = u32::try_from(self.ledger.borrow().reporting() + 1).unwrap_or(u32::MAX);
-        for queued in service_queue.call(open_slots, open_slots.div_ceil(routers)) {
-            queued.decide(QueueOutcome::Dispatched);
+        for ticket in service_queue.dispatch(open_slots, open_slots.div_ceil(routers)) {
+            ticket.decide(QueueOutcome::Dispatched);
         }
     }
 
@@ -128,8 +132,8 @@
         let now = Instant::now();
         let mut waiting = Vec::new();
         for (service, service_queue) in self.queues.borrow_mut().iter_mut() {
-            for (queued, refusal) in service_queue.take_overdue(now) {
-                queued.decide(QueueOutcome::TurnedAway(refusal));
+            for (ticket, refusal) in service_queue.take_overdue(now) {
+                ticket.decide(QueueOutcome::Refused(refusal));
             }
             if !service_queue.is_empty() {
                 waiting.push(service.clone());
@@ -152,8 +156,8 @@
             }
             let open_slots = self.free_slots_at(server, now);
             let sum = match self.evidence.borrow().standing(&server.id, now) {
-                ServerStanding::Held => &mut ejected,
-                ServerStanding::Good | ServerStanding::OnTrial => &mut healthy,
+                ServerStanding::Ejected => &mut ejected,
+                ServerStanding::Good | ServerStanding::HalfOpen => &mut healthy,
             };
             *sum = Some(sum.unwrap_or(0u32).saturating_add(open_slots));
         }
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -54,7 +54,7 @@
             .borrow_mut()
             .entry(server.service.clone())
             .or_default()
-            .note_begin(work, Instant::now());
+            .record_dispatch(work, Instant::now());
         self.ledger.borrow_mut().begin(&server.id, chosen.load);
         if !prompt.parts().is_empty() {
             let capacity = self.cache_capacity(&server.service);
@@ -86,7 +86,7 @@
             }
         }
         if let Some(service_queue) = self.queues.borrow_mut().get_mut(&server.service) {
-            service_queue.note_end(work, elapsed, Instant::now());
+            service_queue.record_completion(work, elapsed, Instant::now());
         }
         self.dispatch_queued(&server.service);
     }
@@ -95,15 +95,15 @@
     pub(in crate::direct) fn record_server_contact(&self, server: &BackendServer) {
         let now = Instant::now();
         if let Some(liveness) = self.liveness.borrow_mut().get_mut(&server.service) {
-            liveness.hear(&server.id, now);
+            liveness.record_contact(&server.id, now);
         }
-        self.evidence.borrow_mut().note_answer(&server.id, now);
+        self.evidence.borrow_mut().record_answer(&server.id, now);
     }
 
     /// Records failure evidence against a server.
     pub(in crate::direct) fn record_evidence(&self, server: &BackendServer, kind: EvidenceKind) {
         if self.uses(Mechanism::Evidence) {
-            self.evidence.borrow_mut().note(&server.id, kind, Instant::now());
+            self.evidence.borrow_mut().record(&server.id, kind, Instant::now());
         }
         if kind == EvidenceKind::Unreachable {
             self.pool.forget(server.address);
@@ -112,13 +112,13 @@
 
     /// Records whether the link delayed an event of a server.
     pub(in crate::direct) fn record_event(&self, server: &BackendServer, held_up: bool) {
-        self.links.borrow_mut().note(&server.domain, held_up, Instant::now());
+        self.links.borrow_mut().record(&server.domain, held_up, Instant::now());
     }
 
     /// Records the time that it took to connect to a server.
     pub(in crate::direct) fn record_connection(&self, server: &BackendServer, elapsed: Duration) {
         if self.uses(Mechanism::LearntProfile) {
-            self.round_trips.borrow_mut().note(&server.domain, elapsed);
+            self.round_trips.borrow_mut().record(&server.domain, elapsed);
         }
     }
 
@@ -177,7 +177,7 @@
     pub(in crate::direct) fn record_answer_status(&self, server: &BackendServer, failed: bool) {
         let mut records = self.records.borrow_mut();
         let record = records.entry(server.service.clone()).or_default();
-        record.note(&server.id, failed, Instant::now());
+        record.record_answer(&server.id, failed, Instant::now());
     }
 
     /// Returns whether a server has owed a response for longer than `limit`, and for longer than is
@@ -189,7 +189,7 @@
         let liveness = self.liveness.borrow();
         let Some(liveness) = liveness.get(&server.service) else { return false };
         let silence = liveness.silence(&server.id, now).filter(|silence| *silence >= limit);
-        silence.is_some_and(|silence| silence >= liveness.usual_silence(now))
+        silence.is_some_and(|silence| silence >= liveness.silence_threshold(now))
     }
 
     /// Removes outdated records.
@@ -198,7 +198,7 @@
         if self.deadlines.borrow().len() > MAX_ROUTES {
             self.deadlines.borrow_mut().clear();
         }
-        self.records.borrow_mut().values_mut().for_each(|record| record.forget_faded(now));
+        self.records.borrow_mut().values_mut().for_each(|record| record.remove_decayed(now));
         self.queue_reports.borrow_mut().forget_old(now);
         self.flights.borrow_mut().forget_old(now);
         self.quarantine.borrow_mut().forget_old(now);
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -262,7 +262,7 @@
         let Some(position) = self.source_position() else { return };
         let (presence, departures) = (self.presence.borrow(), self.departures.borrow());
         let mut journal = self.knowledge.journal.borrow_mut();
-        journal.record(presence.catalog(), position, |server| departures.lingers(server));
+        journal.record(presence.catalog(), position, |server| departures.is_terminating(server));
     }
 
     fn notify_followers(&self) {
--- a/crates/papayamux-router/src/direct/peers/crash_updates.rs
+++ b/crates/papayamux-router/src/direct/peers/crash_updates.rs
@@ -19,8 +19,8 @@
     pub(super) async fn announce_crashes(self: Rc<Self>) {
         loop {
             let CrashUpdate { observed, received } = self.fleet.next_crash_update().await;
-            let bytes = self.send_crashes(observed, NoticeOrigin::Seen.fanout()).await
-                + self.send_crashes(received, NoticeOrigin::Heard.fanout()).await;
+            let bytes = self.send_crashes(observed, NoticeOrigin::Observed.fanout()).await
+                + self.send_crashes(received, NoticeOrigin::Received.fanout()).await;
             let pause = Duration::from_secs_f64(bytes as f64 / MAX_CRASH_BYTES_PER_SECOND);
             monoio::time::sleep(pause).await;
         }
--- a/crates/papayamux-router/src/direct/settings.rs
+++ b/crates/papayamux-router/src/direct/settings.rs
@@ -79,7 +79,7 @@
     /// Returns how servers renew their entries and depart.
     pub fn departure_bounds(&self) -> DepartureBounds {
         let linger = self.drain_within.unwrap_or_default();
-        DepartureBounds { renewal: self.renewal_every, linger }
+        DepartureBounds { renewal_interval: self.renewal_every, termination_grace: linger }
     }
 
     /// Returns the maximum age of a configuration by which a request may be refused for its key or
