--- a/crates/papayamux-agent/src/claims/witness.rs
+++ b/crates/papayamux-agent/src/claims/witness.rs
@@ -6,7 +6,7 @@
 use papayamux_protocol::link::{
     AgentClock, ClaimChange, ClaimNotice, ClaimReply, ClaimRequest, RefusalNotice,
 };
-use papayamux_state::claims::{ClaimObjection, ClaimTable, HeldClaim};
+use papayamux_state::claims::{ClaimRefusal, ClaimTable, HeldClaim};
 use papayamux_state::ids::Incarnation;
 use papayamux_state::refusal::RefusalReason;
 
@@ -68,16 +68,16 @@
     }
 }
 
-fn object(objection: ClaimObjection) -> ClaimReply {
+fn object(objection: ClaimRefusal) -> ClaimReply {
     match objection {
-        ClaimObjection::Young { ready_in } => {
+        ClaimRefusal::NotReady { ready_in } => {
             let millis = u32::try_from(ready_in.as_millis()).unwrap_or(u32::MAX);
             refuse(RefusalReason::WitnessYoung, millis, None)
         }
-        ClaimObjection::OtherFleet => refuse(RefusalReason::OtherFleet, WITNESS_RETRY_MS, None),
-        ClaimObjection::Held(held) => refuse(RefusalReason::KeyHeld, HELD_RETRY_MS, Some(held)),
-        ClaimObjection::OtherCall => refuse(RefusalReason::KeyReused, 0, None),
-        ClaimObjection::Full => refuse(RefusalReason::ClaimsFull, WITNESS_RETRY_MS, None),
+        ClaimRefusal::OtherFleet => refuse(RefusalReason::OtherFleet, WITNESS_RETRY_MS, None),
+        ClaimRefusal::Held(held) => refuse(RefusalReason::KeyHeld, HELD_RETRY_MS, Some(held)),
+        ClaimRefusal::OtherCall => refuse(RefusalReason::KeyReused, 0, None),
+        ClaimRefusal::Full => refuse(RefusalReason::ClaimsFull, WITNESS_RETRY_MS, None),
     }
 }
 
--- a/crates/papayamux-agent/src/engine_follower.rs
+++ b/crates/papayamux-agent/src/engine_follower.rs
@@ -9,7 +9,7 @@
     CacheChange, CacheEventPage, CacheSnapshot, EngineLoad, CACHE_BLOCKS_PATH, CACHE_EVENTS_PATH,
     LOAD_PATH, LONGEST_EVENT_PAGE,
 };
-use papayamux_state::cache_index::{BlockChange, EventStretch};
+use papayamux_state::cache_index::{BlockChange, EventBatch};
 use papayamux_state::quantities::RequestCount;
 use papayamux_transport::timer::TimerService;
 use serde::de::DeserializeOwned;
@@ -127,7 +127,7 @@
     }
 }
 
-fn stretch_of(page: CacheEventPage) -> EventStretch {
+fn stretch_of(page: CacheEventPage) -> EventBatch {
     let changes = page.events.into_iter().map(|event| {
         let change = match event.change {
             CacheChange::Stored(hash) => BlockChange::Stored(hash),
@@ -136,9 +136,5 @@
         };
         (event.number, change)
     });
-    EventStretch {
-        incarnation: page.incarnation,
-        through: page.through,
-        changes: changes.collect(),
-    }
+    EventBatch { incarnation: page.incarnation, through: page.through, changes: changes.collect() }
 }
--- a/crates/papayamux-agent/src/engine_view.rs
+++ b/crates/papayamux-agent/src/engine_view.rs
@@ -94,7 +94,7 @@
 
     /// A chat of which this is the home was served elsewhere.
     pub fn note_moved(&self, moved: MovedChat) {
-        self.moved.borrow_mut().note(moved.chat, moved.server, Instant::now());
+        self.moved.borrow_mut().record(moved.chat, moved.server, Instant::now());
     }
 
     /// Where the context of a request is, when it was served elsewhere and is not cached here.
--- a/crates/papayamux-coordination/tests/claim_model/mod.rs
+++ b/crates/papayamux-coordination/tests/claim_model/mod.rs
@@ -7,7 +7,7 @@
 use papayamux_coordination::claims::{ClaimRound, ClaimVerdict, FleetWindow};
 use papayamux_protocol::link::{ClaimReply, RefusalNotice};
 use papayamux_state::claims::{
-    CallFingerprint, ClaimAsk, ClaimId, ClaimKey, ClaimObjection, ClaimTable, DeclaredServer,
+    CallFingerprint, ClaimId, ClaimKey, ClaimQuery, ClaimRefusal, ClaimTable, DeclaredServer,
     FleetView,
 };
 use papayamux_state::ids::{Incarnation, RequestId, ServerId};
@@ -24,7 +24,7 @@
 /// A message on its way, or an agent that has taken a call and has yet to act.
 #[derive(Debug, Clone)]
 pub enum Pending {
-    Claim { attempt: usize, witness: usize, ask: ClaimAsk },
+    Claim { attempt: usize, witness: usize, ask: ClaimQuery },
     Reply { attempt: usize, witness: usize, reply: ClaimReply },
     Release { attempt: usize, witness: usize },
     Open { attempt: usize, deadline: Duration },
@@ -115,7 +115,7 @@
         let asked: Vec<_> = round.asked().iter().map(index).collect();
         let attempt = self.attempts.len();
         for witness in asked.iter().copied() {
-            let ask = ClaimAsk { key: key(), fingerprint, claim, views: views.clone() };
+            let ask = ClaimQuery { key: key(), fingerprint, claim, views: views.clone() };
             self.pending.push(Pending::Claim { attempt, witness, ask });
         }
         self.attempts.push(Attempt { claim, round, asked, started: self.now, decided: false });
@@ -280,12 +280,12 @@
     }
 }
 
-fn reply_to(claimed: Result<(), ClaimObjection>) -> ClaimReply {
+fn reply_to(claimed: Result<(), ClaimRefusal>) -> ClaimReply {
     match claimed {
         Ok(()) => ClaimReply::Granted,
         Err(objection) => {
             let held = match objection {
-                ClaimObjection::Held(held) => Some(held),
+                ClaimRefusal::Held(held) => Some(held),
                 _ => None,
             };
             let reason = RefusalReason::KeyHeld;
--- a/crates/papayamux-coordination/tests/fleet_replay/mod.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/mod.rs
@@ -370,7 +370,7 @@
         let ahead = TokenCount::new(
             self.ledger.total(&self.ids[engine], self.now, self.read_speed(engine)).backlog,
         );
-        self.warm[engine].note_use(&chain);
+        self.warm[engine].record_use(&chain);
         let work = self.work();
         self.line.note_begin(work, self.now);
         let is_copied = placement.fetch_from.is_some_and(|source| self.engines[source].holds(part));
--- a/crates/papayamux-protocol/src/link.rs
+++ b/crates/papayamux-protocol/src/link.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use papayamux_state::claims::{CallFingerprint, ClaimAsk, ClaimId, ClaimKey, HeldClaim, RunPlace};
+use papayamux_state::claims::{
+    CallFingerprint, ClaimId, ClaimKey, ClaimQuery, HeldClaim, RunLocation,
+};
 use papayamux_state::crash_record::{CrashNotice, CrashRecord};
 use papayamux_state::ids::{
     AdapterId, ChatKey, FailureDomain, IdempotencyKey, Incarnation, ModelId, OrganisationId,
@@ -176,7 +178,7 @@
     /// The claim may be granted only before this time on the witness's own clock.
     pub grant_before: AgentClock,
     /// What is claimed.
-    pub ask: ClaimAsk,
+    pub ask: ClaimQuery,
 }
 
 /// A witness's answer to a claim.
@@ -208,7 +210,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimChange {
     /// It is being brought to a server.
-    Placed(RunPlace),
+    Placed(RunLocation),
     /// It was not run, which is proved, and never will be.
     Released,
 }
--- a/crates/papayamux-protocol/src/wire/claim_messages.rs
+++ b/crates/papayamux-protocol/src/wire/claim_messages.rs
@@ -41,7 +41,7 @@
     pub place: Option<WirePlace>,
 }
 
-/// The wire form of [`papayamux_state::claims::RunPlace`].
+/// The wire form of [`papayamux_state::claims::RunLocation`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WirePlace {
     /// The server.
--- a/crates/papayamux-protocol/src/wire/convert_claim.rs
+++ b/crates/papayamux-protocol/src/wire/convert_claim.rs
@@ -1,7 +1,7 @@
 //! Claims to and from their wire form.
 
 use bytes::Bytes;
-use papayamux_state::claims::{ClaimAsk, ClaimId, HeldClaim, RunPlace};
+use papayamux_state::claims::{ClaimId, ClaimQuery, HeldClaim, RunLocation};
 
 use super::claim_messages::*;
 use super::{identifier, required, WireError};
@@ -41,7 +41,7 @@
         if claim.views.len() > MOST_VIEWS {
             return Err(WireError::Length { part: "views", length: claim.views.len() });
         }
-        let ask = ClaimAsk {
+        let ask = ClaimQuery {
             key: read_hash("key", &claim.key)?,
             fingerprint: read_hash("fingerprint", &claim.fingerprint)?,
             claim: ClaimId(required("claim", claim.claim)?.into()),
@@ -76,13 +76,13 @@
     }
 }
 
-impl From<RunPlace> for WirePlace {
-    fn from(place: RunPlace) -> Self {
+impl From<RunLocation> for WirePlace {
+    fn from(place: RunLocation) -> Self {
         Self { server: place.server.to_string(), agent: place.agent.to_string() }
     }
 }
 
-impl TryFrom<WirePlace> for RunPlace {
+impl TryFrom<WirePlace> for RunLocation {
     type Error = WireError;
 
     fn try_from(place: WirePlace) -> Result<Self, WireError> {
--- a/crates/papayamux-protocol/tests/round_trip.rs
+++ b/crates/papayamux-protocol/tests/round_trip.rs
@@ -12,7 +12,9 @@
 };
 use papayamux_protocol::proof::{ProofNonce, ProofTag};
 use papayamux_protocol::wire::{AgentFrame, FrameCodec, RouterFrame};
-use papayamux_state::claims::{CallFingerprint, ClaimAsk, ClaimId, ClaimKey, HeldClaim, RunPlace};
+use papayamux_state::claims::{
+    CallFingerprint, ClaimId, ClaimKey, ClaimQuery, HeldClaim, RunLocation,
+};
 use papayamux_state::crash_record::CrashRecord;
 use papayamux_state::ids::{Incarnation, RequestId, ServerId};
 use papayamux_state::load::{GroupId, GroupLoad, LoadReport};
@@ -92,14 +94,14 @@
     ClaimId(RequestId { incarnation: Incarnation::from(7), number: 10 })
 }
 
-fn place() -> RunPlace {
-    RunPlace { server: "service-1".parse().unwrap(), agent: "127.0.0.1:9".parse().unwrap() }
+fn place() -> RunLocation {
+    RunLocation { server: "service-1".parse().unwrap(), agent: "127.0.0.1:9".parse().unwrap() }
 }
 
 #[test]
 fn claims_keep_all_their_parts() {
     let fingerprint = CallFingerprint::new("POST", "/book", b"{}");
-    let ask = ClaimAsk {
+    let ask = ClaimQuery {
         key: ClaimKey::from(u128::MAX - 3),
         fingerprint,
         claim: claim(),
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -10,7 +10,7 @@
     content_fingerprint, AgentClock, AnswerHead, ChatTarget, HeaderField, OpenRequest,
     RefusalNotice, RepeatRule,
 };
-use papayamux_state::claims::RunPlace;
+use papayamux_state::claims::RunLocation;
 use papayamux_state::crash_record::CrashRecord;
 use papayamux_state::ids::{OrganisationId, RequestId, ServerId};
 use papayamux_state::refusal::RefusalReason;
@@ -135,7 +135,7 @@
                 }
                 desk.metrics.refusals.count(notice.reason.label());
                 refusal = notice;
-                if !refusal.reason.may_ask_elsewhere() {
+                if !refusal.reason.may_try_elsewhere() {
                     break;
                 }
                 desk.metrics.retries.count(refusal.reason.label());
@@ -209,7 +209,7 @@
         sent_after: offer.begin_attempt(&desk.directory.news().quarantine),
     };
     if let Some(hold) = &offer.claim {
-        hold.place(RunPlace { server: peer.server().clone(), agent: peer.address() });
+        hold.place(RunLocation { server: peer.server().clone(), agent: peer.address() });
     }
     let place = Some(desk.planner.loads().occupy(peer.server()));
     let Some(mut stream) = link.open_stream(open) else {
--- a/crates/papayamux-router/src/claims/claim_hold.rs
+++ b/crates/papayamux-router/src/claims/claim_hold.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use papayamux_protocol::link::{AgentClock, ClaimChange, ClaimNotice};
-use papayamux_state::claims::{ClaimId, ClaimKey, RunPlace};
+use papayamux_state::claims::{ClaimId, ClaimKey, RunLocation};
 
 use crate::agents::AgentLink;
 
@@ -52,7 +52,7 @@
     }
 
     /// Tells the witnesses where the attempt is brought to.
-    pub fn place(&self, place: RunPlace) {
+    pub fn place(&self, place: RunLocation) {
         self.tell(ClaimChange::Placed(place));
     }
 
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -4,7 +4,7 @@
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
 use papayamux_protocol::headers::IDEMPOTENCY_REPLAYED;
 use papayamux_protocol::link::{HeaderField, RecallRequest};
-use papayamux_state::claims::RunPlace;
+use papayamux_state::claims::RunLocation;
 use papayamux_state::refusal::RefusalReason;
 
 use super::KeyedCall;
@@ -25,7 +25,11 @@
 }
 
 /// Asks the agent at `place`.
-pub async fn recall_answer(desk: &CallerDesk, call: &KeyedCall, place: &RunPlace) -> RecallOutcome {
+pub async fn recall_answer(
+    desk: &CallerDesk,
+    call: &KeyedCall,
+    place: &RunLocation,
+) -> RecallOutcome {
     let known = desk.fleets.peer(&place.server);
     let peer = known.unwrap_or_else(|| desk.directory.peer_at(&place.server, place.agent));
     let unreachable = || RecallOutcome::Failed(key_in_use("the first run's agent is out of reach"));
--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -7,7 +7,7 @@
 use futures_util::StreamExt;
 use papayamux_coordination::claims::{ClaimRound, ClaimVerdict};
 use papayamux_protocol::link::{ClaimReply, ClaimRequest, RefusalNotice};
-use papayamux_state::claims::{ClaimAsk, HeldClaim};
+use papayamux_state::claims::{ClaimQuery, HeldClaim};
 use papayamux_state::ids::ServerId;
 use papayamux_state::refusal::RefusalReason;
 
@@ -45,7 +45,7 @@
         let refusal = RefusalNotice::new(reason, NO_FLEET_RETRY_MS);
         return RoundOutcome::Lost { held: None, refusal };
     };
-    let ask = ClaimAsk {
+    let ask = ClaimQuery {
         key: call.key,
         fingerprint: call.fingerprint,
         claim: hold.claim(),
@@ -86,7 +86,7 @@
 async fn ask_witness(
     keeper: &FleetKeeper,
     witness: &ServerId,
-    ask: ClaimAsk,
+    ask: ClaimQuery,
     hold: &ClaimHold,
     start_within: Duration,
 ) -> Option<ClaimReply> {
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -290,7 +290,7 @@
         let capacity = self.cache_capacity(&server.service);
         let mut warm = self.warm.borrow_mut();
         let parts = warm.entry(server.id.clone()).or_insert_with(|| WarmParts::new(capacity));
-        parts.note_prefixes(note.prefixes.iter().copied());
+        parts.record_prefixes(note.prefixes.iter().copied());
     }
 
     /// Takes in what an engine lists of its cache.
@@ -301,7 +301,7 @@
         let capacity = self.cache_capacity(&server.service);
         let mut warm = self.warm.borrow_mut();
         let parts = warm.entry(server.id.clone()).or_insert_with(|| WarmParts::new(capacity));
-        parts.note_listed(listing.parts.iter().copied());
+        parts.record_listed(listing.parts.iter().copied());
     }
 
     /// The servers that have caches of prompts, take requests and don't rest.
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -60,7 +60,7 @@
             let capacity = self.cache_capacity(&server.service);
             let mut warm = self.warm.borrow_mut();
             let parts = warm.entry(server.id.clone()).or_insert_with(|| WarmParts::new(capacity));
-            parts.note_use(prompt);
+            parts.record_use(prompt);
             self.holders.borrow_mut().note_use(&server.id, prompt, Instant::now());
         }
     }
--- a/crates/papayamux-router/src/direct/source_follower.rs
+++ b/crates/papayamux-router/src/direct/source_follower.rs
@@ -190,9 +190,9 @@
                 if failed {
                     log::info!("source regained");
                 }
-                let may_go_on = read.may_go_on();
+                let may_have_more = read.may_have_more();
                 self.take(read, failed);
-                if may_go_on {
+                if may_have_more {
                     return ReadResult::Again;
                 }
                 if self.fleet.wanted_version().is_none() {
@@ -247,8 +247,8 @@
                 self.fleet.apply_configuration(configuration);
             }
             SourceChange::Server(server) => self.fleet.note_server(server, now),
-            SourceChange::ServerGone(name) => self.fleet.note_server_gone(&name, now),
-            SourceChange::EvacuationBegun(order) => self.fleet.begin_evacuation(order),
+            SourceChange::ServerRemoved(name) => self.fleet.note_server_gone(&name, now),
+            SourceChange::EvacuationStarted(order) => self.fleet.begin_evacuation(order),
             SourceChange::EvacuationEnded(domain) => self.fleet.end_evacuation(&domain),
             SourceChange::Fault(fault) => self.fleet.note_entry_fault(&fault, now),
         }
@@ -280,7 +280,7 @@
 }
 
 impl Read {
-    fn may_go_on(&self) -> bool {
-        matches!(self, Read::Changes(changes) if changes.may_go_on)
+    fn may_have_more(&self) -> bool {
+        matches!(self, Read::Changes(changes) if changes.may_have_more)
     }
 }
--- a/crates/papayamux-router/src/routing/baselines.rs
+++ b/crates/papayamux-router/src/routing/baselines.rs
@@ -30,7 +30,7 @@
             servers.iter().map(|record| record.entry.server.clone()).collect();
         names.sort_unstable();
         let mut rings = self.rings.borrow_mut();
-        if let Some(ring) = rings.get(&group).filter(|ring| ring.is_of(&names)) {
+        if let Some(ring) = rings.get(&group).filter(|ring| ring.has_servers(&names)) {
             return ring.clone();
         }
         if rings.len() >= MOST_RINGS {
--- a/crates/papayamux-router/src/routing/load_book.rs
+++ b/crates/papayamux-router/src/routing/load_book.rs
@@ -7,7 +7,7 @@
 
 use papayamux_state::ids::ServerId;
 use papayamux_state::load::{GroupId, GroupLoad, LoadReport};
-use papayamux_state::load_table::{DatedLoad, LoadTable};
+use papayamux_state::load_table::{LoadTable, TimestampedLoad};
 
 use crate::directory::ServerRecord;
 
@@ -21,7 +21,7 @@
 impl LoadBook {
     /// Notes a report.
     pub fn note(&self, server: &ServerId, report: LoadReport, now: Instant) {
-        self.table.borrow_mut().note(server, report, now);
+        self.table.borrow_mut().record(server, report, now);
     }
 
     /// Counts a request that was taken into the last report, until the next one comes.
@@ -35,7 +35,7 @@
     }
 
     /// The last report of a server.
-    pub fn get(&self, server: &ServerId, now: Instant) -> Option<DatedLoad> {
+    pub fn get(&self, server: &ServerId, now: Instant) -> Option<TimestampedLoad> {
         self.table.borrow().get(server, now)
     }
 
--- a/crates/papayamux-router/src/routing/service_call.rs
+++ b/crates/papayamux-router/src/routing/service_call.rs
@@ -64,7 +64,7 @@
     let (mut open, mut closed) = (Vec::new(), Vec::new());
     for (record, reply) in order.drain(..).zip(replies) {
         planner.note_probe(&record.entry.server, reply.is_some());
-        match reply.map(|reply| reply.load).filter(|load| load.has_place()) {
+        match reply.map(|reply| reply.load).filter(|load| load.has_free_slot()) {
             Some(load) => open.push((load.running, record)),
             None => closed.push(record),
         }
--- a/crates/papayamux-state/src/address_range.rs
+++ b/crates/papayamux-state/src/address_range.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn longest_prefix(address: IpAddr) -> u32 {
+fn max_prefix_length(address: IpAddr) -> u32 {
     match address {
         IpAddr::V4(_) => u32::BITS,
         IpAddr::V6(_) => u128::BITS,
@@ -73,7 +73,7 @@
             None => (text, None),
         };
         let base: IpAddr = address.parse().map_err(|_| RangeError)?;
-        let longest = longest_prefix(base);
+        let longest = max_prefix_length(base);
         let prefix = match prefix {
             Some(prefix) => prefix.parse().map_err(|_| RangeError)?,
             None => longest,
--- a/crates/papayamux-state/src/cache_index.rs
+++ b/crates/papayamux-state/src/cache_index.rs
@@ -4,15 +4,15 @@
 use std::time::{Duration, Instant};
 
 /// Blocks that an index holds at most.
-const MOST_BLOCKS: usize = 262_144;
+const MAX_BLOCKS: usize = 262_144;
 /// Blocks that are expected at most.
-const MOST_EXPECTED: usize = 65_536;
+const MAX_EXPECTED_BLOCKS: usize = 65_536;
 /// How long a block is expected before an event has to have confirmed it.
-const EXPECTED_FOR: Duration = Duration::from_secs(3);
+const EXPECTED_BLOCK_TTL: Duration = Duration::from_secs(3);
 /// How long an index with a gap is believed while it waits to be rebuilt.
-const SUSPECT_FOR: Duration = Duration::from_secs(2);
+const MAX_SUSPECT_AGE: Duration = Duration::from_secs(2);
 /// How long an index is believed after the last page of events.
-const SILENT_FOR: Duration = Duration::from_secs(5);
+const MAX_EVENT_SILENCE: Duration = Duration::from_secs(5);
 
 /// One change of the engine's cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 
 /// A stretch of an engine's events.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EventStretch {
+pub struct EventBatch {
     /// The engine's life.
     pub incarnation: u64,
     /// The number that the stretch reaches to.
@@ -42,7 +42,7 @@
     /// Nothing is known yet.
     Unbuilt,
     /// No event is missing.
-    Whole,
+    Complete,
     /// An event is missing since then.
     Suspect { since: Instant },
 }
@@ -55,7 +55,7 @@
     expected_order: VecDeque<(u32, Instant)>,
     incarnation: u64,
     position: u64,
-    heard: Option<Instant>,
+    last_received: Option<Instant>,
     trust: IndexTrust,
 }
 
@@ -67,7 +67,7 @@
             expected_order: VecDeque::new(),
             incarnation: 0,
             position: 0,
-            heard: None,
+            last_received: None,
             trust: IndexTrust::Unbuilt,
         }
     }
@@ -86,7 +86,7 @@
 
     /// Whether the index must be rebuilt from a snapshot.
     pub fn needs_rebuild(&self) -> bool {
-        self.trust != IndexTrust::Whole
+        self.trust != IndexTrust::Complete
     }
 
     /// Puts a snapshot in place of all blocks known before.
@@ -100,24 +100,24 @@
         if incarnation != self.incarnation {
             self.forget_expected();
         }
-        self.blocks = blocks.map(short_hash).take(MOST_BLOCKS).collect();
+        self.blocks = blocks.map(short_hash).take(MAX_BLOCKS).collect();
         self.incarnation = incarnation;
         self.position = event;
-        self.heard = Some(now);
-        self.trust = IndexTrust::Whole;
+        self.last_received = Some(now);
+        self.trust = IndexTrust::Complete;
     }
 
     /// Applies a stretch of events. Another life of the engine empties the index; a missing number
     /// makes it suspect.
-    pub fn apply(&mut self, stretch: &EventStretch, now: Instant) {
-        if stretch.incarnation != self.incarnation {
+    pub fn apply(&mut self, batch: &EventBatch, now: Instant) {
+        if batch.incarnation != self.incarnation {
             self.blocks.clear();
             self.forget_expected();
-            (self.incarnation, self.position) = (stretch.incarnation, 0);
+            (self.incarnation, self.position) = (batch.incarnation, 0);
             self.suspect(now);
         }
-        self.heard = Some(now);
-        for (number, change) in &stretch.changes {
+        self.last_received = Some(now);
+        for (number, change) in &batch.changes {
             if *number <= self.position {
                 continue;
             }
@@ -127,15 +127,15 @@
             self.position = *number;
             self.apply_change(*change);
         }
-        if stretch.through > self.position {
-            self.position = stretch.through;
+        if batch.through > self.position {
+            self.position = batch.through;
             self.suspect(now);
         }
     }
 
     fn apply_change(&mut self, change: BlockChange) {
         match change {
-            BlockChange::Stored(hash) if self.blocks.len() < MOST_BLOCKS => {
+            BlockChange::Stored(hash) if self.blocks.len() < MAX_BLOCKS => {
                 self.blocks.insert(short_hash(hash));
             }
             BlockChange::Stored(_) => {}
@@ -152,7 +152,7 @@
 
     /// Notes that events are missing, unless that is known.
     pub fn suspect(&mut self, now: Instant) {
-        if self.trust == IndexTrust::Whole {
+        if self.trust == IndexTrust::Complete {
             self.trust = IndexTrust::Suspect { since: now };
         }
     }
@@ -161,7 +161,7 @@
     pub fn expect(&mut self, hashes: &[u64], now: Instant) {
         self.drop_expired(now);
         for hash in hashes.iter().map(|hash| short_hash(*hash)) {
-            if self.expected_order.len() >= MOST_EXPECTED {
+            if self.expected_order.len() >= MAX_EXPECTED_BLOCKS {
                 break;
             }
             self.expected.insert(hash, now);
@@ -171,7 +171,7 @@
 
     fn drop_expired(&mut self, now: Instant) {
         while let Some((hash, since)) = self.expected_order.front().copied() {
-            if now.saturating_duration_since(since) < EXPECTED_FOR {
+            if now.saturating_duration_since(since) < EXPECTED_BLOCK_TTL {
                 break;
             }
             self.expected_order.pop_front();
@@ -187,24 +187,26 @@
     }
 
     /// Whether what events and snapshots said is believed at `now`.
-    pub fn is_believed(&self, now: Instant) -> bool {
+    pub fn is_trusted(&self, now: Instant) -> bool {
         let within = |since: Instant, limit| now.saturating_duration_since(since) < limit;
         match self.trust {
             IndexTrust::Unbuilt => false,
-            IndexTrust::Whole => self.heard.is_some_and(|heard| within(heard, SILENT_FOR)),
-            IndexTrust::Suspect { since } => within(since, SUSPECT_FOR),
+            IndexTrust::Complete => self
+                .last_received
+                .is_some_and(|last_received| within(last_received, MAX_EVENT_SILENCE)),
+            IndexTrust::Suspect { since } => within(since, MAX_SUSPECT_AGE),
         }
     }
 
     /// How many of the leading `hashes` are cached, as far as is known.
     pub fn warm_prefix(&self, hashes: impl Iterator<Item = u32>, now: Instant) -> usize {
-        let believed = self.is_believed(now);
+        let trusted = self.is_trusted(now);
         let is_expected = |hash: &u32| {
             let since = self.expected.get(hash);
-            since.is_some_and(|since| now.saturating_duration_since(*since) < EXPECTED_FOR)
+            since.is_some_and(|since| now.saturating_duration_since(*since) < EXPECTED_BLOCK_TTL)
         };
         hashes
-            .take_while(|hash| (believed && self.blocks.contains(hash)) || is_expected(hash))
+            .take_while(|hash| (trusted && self.blocks.contains(hash)) || is_expected(hash))
             .count()
     }
 }
--- a/crates/papayamux-state/src/claims/claim_table.rs
+++ b/crates/papayamux-state/src/claims/claim_table.rs
@@ -10,7 +10,7 @@
 
 /// Where an attempt was brought to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunPlace {
+pub struct RunLocation {
     /// The server.
     pub server: ServerId,
     /// Where its agent listens.
@@ -19,7 +19,7 @@
 
 /// A claim as a witness judges it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimAsk {
+pub struct ClaimQuery {
     /// The key.
     pub key: ClaimKey,
     /// The call.
@@ -37,14 +37,14 @@
     /// The attempt.
     pub claim: ClaimId,
     /// Where it was brought to last, as far as the witness knows.
-    pub place: Option<RunPlace>,
+    pub place: Option<RunLocation>,
 }
 
 /// Why a witness grants nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimObjection {
+pub enum ClaimRefusal {
     /// The witness may have had a predecessor that granted the key.
-    Young {
+    NotReady {
         /// Time until it remembers a whole window.
         ready_in: Duration,
     },
@@ -63,7 +63,7 @@
     claim: ClaimId,
     fingerprint: CallFingerprint,
     until: Duration,
-    place: Option<RunPlace>,
+    place: Option<RunLocation>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone)]
 pub struct ClaimTable {
     retention: Duration,
-    most_claims: usize,
+    max_claims: usize,
     ready: Duration,
     own_view: Option<FleetDigest>,
     views: ViewHistory,
@@ -88,10 +88,10 @@
 impl ClaimTable {
     /// An empty table that remembers each of at most `most_claims` claims for `retention`, and
     /// grants none before it has lived that long: a predecessor may have granted them.
-    pub fn new(retention: Duration, most_claims: usize) -> Self {
+    pub fn new(retention: Duration, max_claims: usize) -> Self {
         Self {
             retention,
-            most_claims,
+            max_claims,
             ready: retention,
             own_view: None,
             views: ViewHistory::default(),
@@ -116,7 +116,7 @@
             }
             _ => {}
         }
-        self.views.note(view, Duration::MAX, now);
+        self.views.record(view, Duration::MAX, now);
     }
 
     /// Time until the witness grants claims.
@@ -136,23 +136,23 @@
 
     /// Grants the key to the attempt, for the retention from `now`, or says why not. An attempt
     /// that asks again is granted again.
-    pub fn claim(&mut self, ask: &ClaimAsk, now: Duration) -> Result<(), ClaimObjection> {
+    pub fn claim(&mut self, query: &ClaimQuery, now: Duration) -> Result<(), ClaimRefusal> {
         self.expire(now);
-        self.check_held(ask)?;
+        self.check_held(query)?;
         let ready_in = self.ready_in(now);
         if !ready_in.is_zero() {
-            return Err(ClaimObjection::Young { ready_in });
+            return Err(ClaimRefusal::NotReady { ready_in });
         }
-        self.check_views(ask, now)?;
-        if self.expiries.len() >= self.most_claims {
-            return Err(ClaimObjection::Full);
+        self.check_views(query, now)?;
+        if self.expiries.len() >= self.max_claims {
+            return Err(ClaimRefusal::Full);
         }
-        self.grant(ask, now + self.retention);
+        self.grant(query, now + self.retention);
         Ok(())
     }
 
     /// Notes where the attempt was brought to.
-    pub fn place(&mut self, key: ClaimKey, claim: ClaimId, place: RunPlace) {
+    pub fn place(&mut self, key: ClaimKey, claim: ClaimId, place: RunLocation) {
         if let Some(grant) = self.grants.get_mut(&key).filter(|grant| grant.claim == claim) {
             grant.place = Some(place);
         }
@@ -167,12 +167,12 @@
         }
     }
 
-    fn check_held(&self, ask: &ClaimAsk) -> Result<(), ClaimObjection> {
-        match self.grants.get(&ask.key) {
+    fn check_held(&self, query: &ClaimQuery) -> Result<(), ClaimRefusal> {
+        match self.grants.get(&query.key) {
             None => Ok(()),
-            Some(grant) if grant.fingerprint != ask.fingerprint => Err(ClaimObjection::OtherCall),
-            Some(grant) if grant.claim == ask.claim => Ok(()),
-            Some(grant) => Err(ClaimObjection::Held(HeldClaim {
+            Some(grant) if grant.fingerprint != query.fingerprint => Err(ClaimRefusal::OtherCall),
+            Some(grant) if grant.claim == query.claim => Ok(()),
+            Some(grant) => Err(ClaimRefusal::Held(HeldClaim {
                 claim: grant.claim,
                 place: grant.place.clone(),
             })),
@@ -181,22 +181,22 @@
 
     /// The attempt must ask under each view that this witness has known within the window: else
     /// another attempt may hold a majority under a view that this one does not ask under.
-    fn check_views(&mut self, ask: &ClaimAsk, now: Duration) -> Result<(), ClaimObjection> {
-        if !self.views.is_covered_by(&ask.views, now) {
-            return Err(ClaimObjection::OtherFleet);
+    fn check_views(&mut self, query: &ClaimQuery, now: Duration) -> Result<(), ClaimRefusal> {
+        if !self.views.is_covered_by(&query.views, now) {
+            return Err(ClaimRefusal::OtherFleet);
         }
-        let Some(current) = ask.views.first() else { return Err(ClaimObjection::OtherFleet) };
-        match self.views.note(*current, now + self.retention, now) {
+        let Some(current) = query.views.first() else { return Err(ClaimRefusal::OtherFleet) };
+        match self.views.record(*current, now + self.retention, now) {
             true => Ok(()),
-            false => Err(ClaimObjection::OtherFleet),
+            false => Err(ClaimRefusal::OtherFleet),
         }
     }
 
-    fn grant(&mut self, ask: &ClaimAsk, until: Duration) {
-        let (claim, fingerprint) = (ask.claim, ask.fingerprint);
-        let place = self.grants.get(&ask.key).and_then(|grant| grant.place.clone());
-        self.grants.insert(ask.key, Grant { claim, fingerprint, until, place });
-        self.expiries.push_back(GrantExpiry { key: ask.key, claim, until });
+    fn grant(&mut self, query: &ClaimQuery, until: Duration) {
+        let (claim, fingerprint) = (query.claim, query.fingerprint);
+        let place = self.grants.get(&query.key).and_then(|grant| grant.place.clone());
+        self.grants.insert(query.key, Grant { claim, fingerprint, until, place });
+        self.expiries.push_back(GrantExpiry { key: query.key, claim, until });
     }
 
     fn expire(&mut self, now: Duration) {
--- a/crates/papayamux-state/src/claims/mod.rs
+++ b/crates/papayamux-state/src/claims/mod.rs
@@ -8,6 +8,6 @@
 mod view_history;
 
 pub use claim_key::{CallFingerprint, ClaimId, ClaimKey};
-pub use claim_table::{ClaimAsk, ClaimObjection, ClaimTable, HeldClaim, RunPlace};
+pub use claim_table::{ClaimQuery, ClaimRefusal, ClaimTable, HeldClaim, RunLocation};
 pub use fleet_view::{DeclaredServer, FleetDigest, FleetView, FleetViewError};
 pub use view_history::ViewHistory;
--- a/crates/papayamux-state/src/claims/view_history.rs
+++ b/crates/papayamux-state/src/claims/view_history.rs
@@ -5,7 +5,7 @@
 use super::FleetDigest;
 
 /// Views remembered at most; more changes than this within one window are not told apart.
-const MOST_VIEWS: usize = 32;
+const MAX_VIEWS: usize = 32;
 
 /// One view with the time until which it must be reckoned with.
 #[derive(Debug, Clone, Copy)]
@@ -22,13 +22,13 @@
 
 impl ViewHistory {
     /// Notes that `digest` counts until `until`; `false` where too many are known.
-    pub fn note(&mut self, digest: FleetDigest, until: Duration, now: Duration) -> bool {
+    pub fn record(&mut self, digest: FleetDigest, until: Duration, now: Duration) -> bool {
         self.views.retain(|view| view.until > now);
         if let Some(view) = self.views.iter_mut().find(|view| view.digest == digest) {
             view.until = view.until.max(until);
             return true;
         }
-        if self.views.len() >= MOST_VIEWS {
+        if self.views.len() >= MAX_VIEWS {
             return false;
         }
         self.views.push(KnownView { digest, until });
--- a/crates/papayamux-state/src/hash_ring.rs
+++ b/crates/papayamux-state/src/hash_ring.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the ring has exactly these servers, which must be sorted.
-    pub fn is_of(&self, sorted: &[ServerId]) -> bool {
+    pub fn has_servers(&self, sorted: &[ServerId]) -> bool {
         self.servers == sorted
     }
 
@@ -40,10 +40,10 @@
     pub fn walk(&self, chat: &ChatKey) -> Vec<&ServerId> {
         let start = xxh3_64_with_seed(chat.as_str().as_bytes(), 0);
         let first = self.points.partition_point(|(point, _)| *point < start);
-        let mut met = vec![false; self.servers.len()];
+        let mut visited = vec![false; self.servers.len()];
         let mut walked = Vec::with_capacity(self.servers.len());
         for (_, index) in self.points[first..].iter().chain(&self.points[..first]) {
-            if !std::mem::replace(&mut met[*index], true) {
+            if !std::mem::replace(&mut visited[*index], true) {
                 walked.push(&self.servers[*index]);
                 if walked.len() == self.servers.len() {
                     break;
--- a/crates/papayamux-state/src/ids/text.rs
+++ b/crates/papayamux-state/src/ids/text.rs
@@ -3,14 +3,14 @@
 use super::{IdError, ServerStart};
 
 /// Bytes that a text identifier may have at most.
-pub const LONGEST_ID: usize = 128;
+pub const MAX_ID_BYTES: usize = 128;
 
 fn checked(text: &str) -> Result<String, IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
-    if text.len() > LONGEST_ID {
-        return Err(IdError::TooLong { length: text.len(), limit: LONGEST_ID });
+    if text.len() > MAX_ID_BYTES {
+        return Err(IdError::TooLong { length: text.len(), limit: MAX_ID_BYTES });
     }
     match text.chars().find(|character| !character.is_ascii_graphic()) {
         Some(character) => Err(IdError::Character { character }),
@@ -19,12 +19,12 @@
 }
 
 /// Bytes that a server's name may have at most: its identifier has room for the time of its start.
-const LONGEST_NAME: usize = 96;
+const MAX_NAME_BYTES: usize = 96;
 
 fn checked_name(text: &str) -> Result<String, IdError> {
     let text = checked(text)?;
-    if text.len() > LONGEST_NAME {
-        return Err(IdError::TooLong { length: text.len(), limit: LONGEST_NAME });
+    if text.len() > MAX_NAME_BYTES {
+        return Err(IdError::TooLong { length: text.len(), limit: MAX_NAME_BYTES });
     }
     let allowed = |character: char| {
         character.is_ascii_alphanumeric() || matches!(character, '-' | '.' | '_' | ':')
--- a/crates/papayamux-state/src/load.rs
+++ b/crates/papayamux-state/src/load.rs
@@ -23,7 +23,7 @@
 
 impl LoadReport {
     /// Whether one more request would find a place at once.
-    pub fn has_place(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.running < self.limit && self.waiting == RequestCount::default()
     }
 }
@@ -60,12 +60,12 @@
 
 /// The text is no load factor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a load factor is a number above 1 and at most {HIGHEST_FACTOR}")]
+#[error("a load factor is a number above 1 and at most {MAX_LOAD_FACTOR}")]
 pub struct LoadFactorError;
 
 /// The part of the load factor up to which requests are admitted.
 pub const ADMISSION_MARGIN: f64 = 0.75;
-const HIGHEST_FACTOR: u32 = 100;
+const MAX_LOAD_FACTOR: u32 = 100;
 
 impl LoadFactor {
     /// The factor that is used where none is set.
@@ -101,7 +101,7 @@
 
     fn from_str(text: &str) -> Result<Self, LoadFactorError> {
         let factor: f64 = text.parse().map_err(|_| LoadFactorError)?;
-        let fits = factor > 1.0 && factor <= f64::from(HIGHEST_FACTOR);
+        let fits = factor > 1.0 && factor <= f64::from(MAX_LOAD_FACTOR);
         let thousandths = (factor * 1_000.0).round() as u32;
         fits.then_some(Self { thousandths }).ok_or(LoadFactorError)
     }
--- a/crates/papayamux-state/src/load_table.rs
+++ b/crates/papayamux-state/src/load_table.rs
@@ -14,7 +14,7 @@
 
 /// A report and when it was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DatedLoad {
+pub struct TimestampedLoad {
     /// The report.
     pub report: LoadReport,
     /// When it arrived.
@@ -24,25 +24,25 @@
 /// The last report of each server; it is as large as the list of servers.
 #[derive(Debug, Default)]
 pub struct LoadTable {
-    reports: HashMap<ServerId, DatedLoad>,
+    reports: HashMap<ServerId, TimestampedLoad>,
 }
 
 impl LoadTable {
     /// Notes a report that arrived at `now`.
-    pub fn note(&mut self, server: &ServerId, report: LoadReport, now: Instant) {
-        let dated = DatedLoad { report, arrived: now };
+    pub fn record(&mut self, server: &ServerId, report: LoadReport, now: Instant) {
+        let timestamped = TimestampedLoad { report, arrived: now };
         match self.reports.get_mut(server) {
-            Some(known) => *known = dated,
+            Some(known) => *known = timestamped,
             None => {
-                self.reports.insert(server.clone(), dated);
+                self.reports.insert(server.clone(), timestamped);
             }
         }
     }
 
     /// Counts one request more into a server's last report.
     pub fn add_request(&mut self, server: &ServerId) {
-        if let Some(dated) = self.reports.get_mut(server) {
-            dated.report.running += RequestCount::new(1);
+        if let Some(timestamped) = self.reports.get_mut(server) {
+            timestamped.report.running += RequestCount::new(1);
         }
     }
 
@@ -52,9 +52,9 @@
     }
 
     /// The last report of a server, unless it is too old to be believed.
-    pub fn get(&self, server: &ServerId, now: Instant) -> Option<DatedLoad> {
-        let dated = self.reports.get(server)?;
-        (now.saturating_duration_since(dated.arrived) < REPORT_EXPIRY).then_some(*dated)
+    pub fn get(&self, server: &ServerId, now: Instant) -> Option<TimestampedLoad> {
+        let timestamped = self.reports.get(server)?;
+        (now.saturating_duration_since(timestamped.arrived) < REPORT_EXPIRY).then_some(*timestamped)
     }
 
     /// The mean over `servers`, each report counted less the older it is; `None` where there is
@@ -68,10 +68,10 @@
         let (mut declared, mut sum, mut samples) = (0, 0.0, 0.0);
         for server in servers {
             declared += 1;
-            let Some(dated) = self.get(server, now) else { continue };
-            let age = now.saturating_duration_since(dated.arrived);
+            let Some(timestamped) = self.get(server, now) else { continue };
+            let age = now.saturating_duration_since(timestamped.arrived);
             let weight = (-age.as_secs_f64() / MEAN_DECAY.as_secs_f64()).exp();
-            sum += weight * dated.report.running.get() as f64;
+            sum += weight * timestamped.report.running.get() as f64;
             samples += weight;
         }
         (samples > 0.0).then(|| GroupLoad {
--- a/crates/papayamux-state/src/moved_chats.rs
+++ b/crates/papayamux-state/src/moved_chats.rs
@@ -6,9 +6,9 @@
 use crate::ids::ServerId;
 
 /// Chats that are remembered at most.
-const MOST_CHATS: usize = 16_384;
+const MAX_CHATS: usize = 16_384;
 /// How long a chat is remembered.
-const REMEMBERED_FOR: Duration = Duration::from_secs(3_600);
+const CHAT_RETENTION: Duration = Duration::from_secs(3_600);
 
 #[derive(Debug, Clone)]
 struct MovedEntry {
@@ -26,7 +26,7 @@
 
 impl MovedChats {
     /// Notes where a chat was served.
-    pub fn note(&mut self, chat: u64, server: ServerId, now: Instant) {
+    pub fn record(&mut self, chat: u64, server: ServerId, now: Instant) {
         self.chats.insert(chat, MovedEntry { server, since: now });
         self.order.push_back((chat, now));
         self.drop_expired(now);
@@ -40,14 +40,14 @@
     /// Where a chat was served last, where that is known.
     pub fn get(&self, chat: u64, now: Instant) -> Option<&ServerId> {
         let entry = self.chats.get(&chat)?;
-        let fresh = now.saturating_duration_since(entry.since) < REMEMBERED_FOR;
+        let fresh = now.saturating_duration_since(entry.since) < CHAT_RETENTION;
         fresh.then_some(&entry.server)
     }
 
     fn drop_expired(&mut self, now: Instant) {
         while let Some((chat, since)) = self.order.front().copied() {
-            let expired = now.saturating_duration_since(since) >= REMEMBERED_FOR;
-            if !expired && self.order.len() <= MOST_CHATS {
+            let expired = now.saturating_duration_since(since) >= CHAT_RETENTION;
+            if !expired && self.order.len() <= MAX_CHATS {
                 break;
             }
             self.order.pop_front();
--- a/crates/papayamux-state/src/prompt/prompt_chain.rs
+++ b/crates/papayamux-state/src/prompt/prompt_chain.rs
@@ -8,7 +8,7 @@
 use crate::quantities::TokenCount;
 
 /// Parts that a prompt may have at most.
-const MOST_PARTS: usize = 256;
+const MAX_PARTS: usize = 256;
 
 /// Names a part of a prompt; equal names stand for equal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -60,7 +60,7 @@
         index: usize,
     },
     /// There are too many parts.
-    #[error("a prompt has at most {MOST_PARTS} parts")]
+    #[error("a prompt has at most {MAX_PARTS} parts")]
     TooMany,
 }
 
@@ -136,7 +136,7 @@
     fn from_str(text: &str) -> Result<Self, ChainError> {
         let mut parts = Vec::new();
         for (index, entry) in text.split(',').map(str::trim).enumerate() {
-            if index >= MOST_PARTS {
+            if index >= MAX_PARTS {
                 return Err(ChainError::TooMany);
             }
             parts.push(read_part(entry).ok_or(ChainError::Part { index })?);
--- a/crates/papayamux-state/src/prompt/warm_parts.rs
+++ b/crates/papayamux-state/src/prompt/warm_parts.rs
@@ -12,14 +12,14 @@
 /// Prefixes remembered for one server. At about 55 bytes each, 600 servers take 26 MB of the 32 MB
 /// that a router may use for control; a server that begins ten requests a second, each with a part
 /// of its own, has its last 80 seconds remembered.
-const MOST_PREFIXES: usize = 800;
+const MAX_PREFIXES: usize = 800;
 
 /// Listed parts remembered for one server: the largest are listed first, and what isn't among them
 /// is read again in some milliseconds.
-const MOST_LISTED: usize = 64;
+const MAX_LISTED_PARTS: usize = 64;
 
 /// The part of its capacity from which a cache counts as nearly full.
-const NEARLY_FULL: f64 = 0.9;
+const NEARLY_FULL_RATIO: f64 = 0.9;
 
 #[derive(Debug, Clone, Copy)]
 struct WarmPrefix {
@@ -77,42 +77,42 @@
 
     /// Whether the cache is nearly full: what comes evicts about as much.
     pub fn is_nearly_full(&self) -> bool {
-        self.held.get() as f64 >= self.capacity.get() as f64 * NEARLY_FULL
+        self.held.get() as f64 >= self.capacity.get() as f64 * NEARLY_FULL_RATIO
     }
 
     /// Notes that the server reads `chain`.
-    pub fn note_use(&mut self, chain: &PromptChain) {
+    pub fn record_use(&mut self, chain: &PromptChain) {
         for part in chain.parts() {
             self.forget_listed(part.id);
         }
-        self.note_prefixes(chain.prefixes());
+        self.record_prefixes(chain.prefixes());
     }
 
     /// Notes that the server lists these parts of its cache, the largest first. One list is taken:
     /// the same one is told several times, and what was placed since is known better.
-    pub fn note_listed(&mut self, parts: impl IntoIterator<Item = PromptPart>) {
+    pub fn record_listed(&mut self, parts: impl IntoIterator<Item = PromptPart>) {
         if std::mem::replace(&mut self.was_listed, true) {
             return;
         }
-        for part in parts.into_iter().take(MOST_LISTED) {
+        for part in parts.into_iter().take(MAX_LISTED_PARTS) {
             if self.listed.insert(part.id, part.tokens).is_none() {
                 self.held += part.tokens;
             }
         }
-        self.make_room();
+        self.evict_excess();
     }
 
     /// Notes that the server holds these prefixes.
-    pub fn note_prefixes(&mut self, prefixes: impl Iterator<Item = (PartId, TokenCount)>) {
+    pub fn record_prefixes(&mut self, prefixes: impl Iterator<Item = (PartId, TokenCount)>) {
         for (prefix, tokens) in prefixes {
             self.touch(prefix, tokens);
         }
-        self.make_room();
+        self.evict_excess();
     }
 
     /// Gives up what the server has replaced by now.
-    fn make_room(&mut self) {
-        while self.held > self.capacity || self.prefixes.len() > MOST_PREFIXES {
+    fn evict_excess(&mut self) {
+        while self.held > self.capacity || self.prefixes.len() > MAX_PREFIXES {
             if !self.forget_oldest() {
                 break;
             }
--- a/crates/papayamux-state/src/refusal.rs
+++ b/crates/papayamux-state/src/refusal.rs
@@ -97,7 +97,7 @@
 
 impl RefusalReason {
     /// Whether the same request may be asked of another server.
-    pub const fn may_ask_elsewhere(self) -> bool {
+    pub const fn may_try_elsewhere(self) -> bool {
         !matches!(
             self,
             RefusalReason::DeadlinePassed
--- a/crates/papayamux-state/src/service_config/api_key.rs
+++ b/crates/papayamux-state/src/service_config/api_key.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// Bytes that a key may have at most; longer ones are refused before they are looked up.
-const LONGEST_KEY: usize = 512;
+const MAX_KEY_BYTES: usize = 512;
 
 /// Why a text is not an API key. The text itself is a secret and is not repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -15,7 +15,7 @@
     #[error("an API key must not be empty")]
     Empty,
     /// The text is too long.
-    #[error("an API key has at most {LONGEST_KEY} bytes")]
+    #[error("an API key has at most {MAX_KEY_BYTES} bytes")]
     TooLong,
 }
 
@@ -29,7 +29,7 @@
     fn from_str(text: &str) -> Result<Self, ApiKeyError> {
         match text.len() {
             0 => Err(ApiKeyError::Empty),
-            length if length > LONGEST_KEY => Err(ApiKeyError::TooLong),
+            length if length > MAX_KEY_BYTES => Err(ApiKeyError::TooLong),
             _ => Ok(Self(text.to_string())),
         }
     }
--- a/crates/papayamux-state/src/source.rs
+++ b/crates/papayamux-state/src/source.rs
@@ -45,9 +45,9 @@
     /// A server's entry as it is now.
     Server(BackendServer),
     /// A server's entry is gone.
-    ServerGone(ServerName),
+    ServerRemoved(ServerName),
     /// A failure domain is evacuated.
-    EvacuationBegun(EvacuationOrder),
+    EvacuationStarted(EvacuationOrder),
     /// The evacuation of a failure domain has ended.
     EvacuationEnded(FailureDomain),
     /// An entry names no server, or no longer one.
@@ -98,7 +98,7 @@
     /// The point up to which they go.
     pub position: SourcePosition,
     /// Whether there may be more behind them, so that they don't show what is newest.
-    pub may_go_on: bool,
+    pub may_have_more: bool,
 }
 
 /// Why a source did not answer.
--- a/crates/papayamux-state/tests/cache_index.rs
+++ b/crates/papayamux-state/tests/cache_index.rs
@@ -2,12 +2,12 @@
 
 use std::time::{Duration, Instant};
 
-use papayamux_state::cache_index::{short_hash, BlockChange, CacheIndex, EventStretch};
+use papayamux_state::cache_index::{short_hash, BlockChange, CacheIndex, EventBatch};
 
-fn stored(incarnation: u64, through: u64, blocks: &[(u64, u64)]) -> EventStretch {
+fn stored(incarnation: u64, through: u64, blocks: &[(u64, u64)]) -> EventBatch {
     let changes =
         blocks.iter().map(|(number, block)| (*number, BlockChange::Stored(*block))).collect();
-    EventStretch { incarnation, through, changes }
+    EventBatch { incarnation, through, changes }
 }
 
 fn warm(index: &CacheIndex, blocks: &[u64], now: Instant) -> usize {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_gap_at_the_end_of_a_stretch_counts_too() {
+fn gap_at_the_end_of_a_batch_makes_the_index_suspect() {
     let (mut index, now) = (CacheIndex::default(), Instant::now());
     index.rebuild(1, 10, [].into_iter(), now);
     index.apply(&stored(1, 12, &[(11, 102)]), now);
@@ -45,7 +45,7 @@
 fn events_that_a_snapshot_includes_change_nothing() {
     let (mut index, now) = (CacheIndex::default(), Instant::now());
     index.rebuild(1, 10, [100].into_iter(), now);
-    let late = EventStretch {
+    let late = EventBatch {
         incarnation: 1,
         through: 10,
         changes: vec![(9, BlockChange::Evicted(100)), (10, BlockChange::Stored(100))],
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_silent_engine_is_not_believed_for_ever() {
+fn silent_engine_is_trusted_for_a_limited_time() {
     let (mut index, now) = (CacheIndex::default(), Instant::now());
     index.rebuild(1, 10, [100].into_iter(), now);
     assert_eq!(warm(&index, &[100], now + Duration::from_secs(6)), 0);
--- a/crates/papayamux-state/tests/prompts_and_routes.rs
+++ b/crates/papayamux-state/tests/prompts_and_routes.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn broken_chains_name_the_place() {
+fn malformed_chains_report_the_part_index() {
     for text in ["", "12", "x:1", "12:", ":3", "1:2,", "1:2,zz:4", "1:-2"] {
         let error = text.parse::<PromptChain>().unwrap_err();
         assert!(matches!(error, ChainError::Part { .. }), "{text}: {error}");
@@ -39,26 +39,26 @@
 #[test]
 fn listed_part_is_warm_with_all_before_it() {
     let mut warm = WarmParts::new(TokenCount::new(10_000));
-    warm.note_listed([part(2, 200)]);
+    warm.record_listed([part(2, 200)]);
     assert_eq!(warm.warm_tokens(&chain("1:100,2:200,3:30")), TokenCount::new(300));
     assert_eq!(warm.warm_tokens(&chain("1:100,4:200")), TokenCount::new(0));
 }
 
 #[test]
-fn listed_part_yields_before_what_was_placed_since() {
+fn listed_part_is_evicted_before_parts_used_later() {
     let mut warm = WarmParts::new(TokenCount::new(1_000));
-    warm.note_listed([part(9, 600)]);
-    warm.note_use(&chain("1:400,a:100"));
+    warm.record_listed([part(9, 600)]);
+    warm.record_use(&chain("1:400,a:100"));
     assert_eq!(warm.warm_tokens(&chain("9:600,b:10")), TokenCount::new(0));
     assert_eq!(warm.warm_tokens(&chain("1:400,b:10")), TokenCount::new(400));
 }
 
 #[test]
-fn list_that_is_told_again_changes_nothing() {
+fn repeated_list_changes_nothing() {
     let mut warm = WarmParts::new(TokenCount::new(1_400));
-    warm.note_listed([part(1, 600)]);
-    warm.note_use(&chain("1:600,a:100"));
-    warm.note_listed([part(1, 600)]);
+    warm.record_listed([part(1, 600)]);
+    warm.record_use(&chain("1:600,a:100"));
+    warm.record_listed([part(1, 600)]);
     assert!(!warm.is_nearly_full(), "700 of 1,400 tokens are held");
     assert_eq!(warm.warm_tokens(&chain("1:600,b:10")), TokenCount::new(600));
 }
@@ -66,8 +66,8 @@
 #[test]
 fn listed_part_that_is_used_counts_once() {
     let mut warm = WarmParts::new(TokenCount::new(1_000));
-    warm.note_listed([part(1, 600)]);
-    warm.note_use(&chain("1:600,a:100"));
+    warm.record_listed([part(1, 600)]);
+    warm.record_use(&chain("1:600,a:100"));
     assert!(!warm.is_nearly_full());
     assert_eq!(warm.warm_tokens(&chain("1:600,b:10")), TokenCount::new(600));
 }
@@ -75,18 +75,18 @@
 #[test]
 fn part_is_warm_only_behind_the_same_parts() {
     let mut warm = WarmParts::new(TokenCount::new(10_000));
-    warm.note_use(&chain("1:100,2:200,3:30"));
+    warm.record_use(&chain("1:100,2:200,3:30"));
     assert_eq!(warm.warm_tokens(&chain("1:100,2:200,9:50")), TokenCount::new(300));
     assert_eq!(warm.warm_tokens(&chain("7:100,2:200,3:30")), TokenCount::new(0));
 }
 
 #[test]
-fn least_recently_used_parts_yield() {
+fn least_recently_used_parts_are_evicted_first() {
     let mut warm = WarmParts::new(TokenCount::new(1_000));
-    warm.note_use(&chain("1:400,a:10"));
-    warm.note_use(&chain("2:400,b:10"));
-    warm.note_use(&chain("1:400,c:10"));
-    warm.note_use(&chain("3:400,d:10"));
+    warm.record_use(&chain("1:400,a:10"));
+    warm.record_use(&chain("2:400,b:10"));
+    warm.record_use(&chain("1:400,c:10"));
+    warm.record_use(&chain("3:400,d:10"));
     assert_eq!(warm.warm_tokens(&chain("2:400")), TokenCount::new(0));
     assert_eq!(warm.warm_tokens(&chain("1:400")), TokenCount::new(400));
 }
