--- a/crates/papayamux-state/src/address_range.rs
+++ b/crates/papayamux-state/src/address_range.rs
@@ -1,4 +1,4 @@
-//! Ranges of IP addresses that may connect.
+//! Ranges of IP addresses, used to restrict who may connect.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -6,12 +6,12 @@
 
 use thiserror::Error;
 
-/// Why a text is not a range of addresses.
+/// The error of parsing an [`AddressRange`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("a range is an IP address, or one with a slash and its prefix length behind it")]
+#[error("an address range is an IP address, optionally followed by a slash and a prefix length")]
 pub struct RangeError;
 
-/// All addresses that share the leading bits of one address.
+/// A range of addresses in CIDR notation: all addresses with the same leading bits.
 ///
 /// ```
 /// use papayamux_state::address_range::AddressRange;
@@ -25,7 +25,7 @@
     prefix: u32,
 }
 
-/// The bits of an address, left aligned.
+/// Returns the bits of an address, left-aligned.
 fn bits(address: IpAddr) -> u128 {
     match address {
         IpAddr::V4(address) => u128::from(address.to_bits()) << (u128::BITS - u32::BITS),
@@ -41,8 +41,7 @@
 }
 
 impl AddressRange {
-    /// Whether `address` is in the range. An IPv4 address that came mapped into IPv6 counts as
-    /// IPv4.
+    /// Returns whether `address` is in the range. An IPv4-mapped IPv6 address counts as IPv4.
     pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         if address.is_ipv4() != self.base.is_ipv4() {
@@ -53,7 +52,7 @@
     }
 }
 
-/// Whether `address` may connect: an empty list admits all.
+/// Returns whether `address` may connect. An empty list of ranges admits every address.
 pub fn admits(ranges: &[AddressRange], address: IpAddr) -> bool {
     ranges.is_empty() || ranges.iter().any(|range| range.contains(address))
 }
--- a/crates/papayamux-state/src/backend/backend_server.rs
+++ b/crates/papayamux-state/src/backend/backend_server.rs
@@ -1,40 +1,40 @@
-//! One backend server.
+//! A backend server as the list of servers describes it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::ids::{FailureDomain, ServerId, ServerName, ServerStart, ServiceId};
 
-/// Where a server is in its life.
+/// The lifecycle phase of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerPhase {
-    /// It takes new requests.
+    /// The server accepts new requests.
     Serving,
-    /// It finishes what it has and will leave.
+    /// The server completes its current requests and will then depart.
     Draining,
 }
 
-/// One start of a backend server. A restarted one has another identifier, also at the same address and
-/// under the same name.
+/// One start of a backend server. A restarted server has another identifier, even if its address and
+/// name are the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendServer {
-    /// Names this start of the server: [`ServerId::of_start`] of name and start.
+    /// Identifies this start of the server: [`ServerId::of_start`] of name and start.
     pub id: ServerId,
-    /// The name under which it is listed.
+    /// The name under which the server is listed.
     pub name: ServerName,
-    /// When it started, where it tells that.
+    /// When the server started, if it reports that.
     pub start: Option<ServerStart>,
-    /// The service it belongs to.
+    /// The service that the server belongs to.
     pub service: ServiceId,
-    /// Where it listens. The address may be used by another server later.
+    /// The address on which the server listens. Another server may use it later.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The server's failure domain.
     pub domain: FailureDomain,
-    /// Requests it runs at once; 0 where it doesn't say.
+    /// The number of requests that the server runs concurrently; 0 if it doesn't report that.
     pub slots: u32,
-    /// Where it is in its life.
+    /// The server's lifecycle phase.
     pub phase: ServerPhase,
-    /// How much longer it bears few requests, as it said when it renewed its entry last; zero where it is
-    /// warm.
+    /// The remaining time for which the server is cold and can run only few requests, as it reported with
+    /// the last renewal of its entry; zero if it is warm.
     pub cold_left: Duration,
 }
--- a/crates/papayamux-state/src/backend/mod.rs
+++ b/crates/papayamux-state/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Backend servers as a list of servers describes them.
+//! Backend servers: their entries in the list of servers and their own reports.
 
 mod backend_server;
 mod reported_queue;
--- a/crates/papayamux-state/src/backend/reported_queue.rs
+++ b/crates/papayamux-state/src/backend/reported_queue.rs
@@ -1,12 +1,12 @@
-//! What a server says of its queue.
+//! The state of a server's queue as the server reports it.
 
-/// Requests at a server, from all routers, as it said with an answer.
+/// The number of requests at a server, from all routers, as it reported with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedQueue {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Requests that are queued for a slot.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// The maximum number of requests that the server runs concurrently.
     pub slots: u32,
 }
--- a/crates/papayamux-state/src/backend/server_catalog.rs
+++ b/crates/papayamux-state/src/backend/server_catalog.rs
@@ -1,4 +1,4 @@
-//! All backend servers that are known.
+//! The catalog of all known backend servers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -6,8 +6,8 @@
 use super::BackendServer;
 use crate::ids::{ServerId, ServerKey, ServerName, ServiceId};
 
-/// The known servers, by identifier, by name and by service. Servers of a service are kept in the order of
-/// their identifiers, so that all routers walk them alike.
+/// The known servers, indexed by identifier, key, name and service. The servers of a service are sorted
+/// by identifier, so that all routers iterate over them in the same order.
 #[derive(Debug, Default)]
 pub struct ServerCatalog {
     by_id: HashMap<ServerId, Rc<BackendServer>>,
@@ -18,7 +18,7 @@
 }
 
 impl ServerCatalog {
-    /// Adds a server or replaces what was known of it; returns what was known before.
+    /// Adds a server or replaces its entry, and returns the previous entry.
     pub fn upsert(&mut self, server: BackendServer) -> Option<Rc<BackendServer>> {
         let server = Rc::new(server);
         self.changes += 1;
@@ -35,7 +35,7 @@
         previous
     }
 
-    /// Forgets a server.
+    /// Removes a server and returns its entry.
     pub fn remove(&mut self, id: &ServerId) -> Option<Rc<BackendServer>> {
         let server = self.by_id.remove(id)?;
         self.changes += 1;
@@ -47,42 +47,43 @@
         Some(server)
     }
 
-    /// The server with this identifier.
+    /// Returns the server with this identifier.
     pub fn get(&self, id: &ServerId) -> Option<&Rc<BackendServer>> {
         self.by_id.get(id)
     }
 
-    /// The server that is listed under this name.
+    /// Returns the server that is listed under this name.
     pub fn named(&self, name: &ServerName) -> Option<&Rc<BackendServer>> {
         self.by_id.get(self.by_name.get(name)?)
     }
 
-    /// The server with this short name.
+    /// Returns the server with this key.
     pub fn by_key(&self, key: ServerKey) -> Option<&Rc<BackendServer>> {
         self.by_key.get(&key)
     }
 
-    /// The servers of a service, in the order of their identifiers.
+    /// Returns the servers of a service, sorted by identifier.
     pub fn of_service(&self, service: &ServiceId) -> impl Iterator<Item = &Rc<BackendServer>> {
         self.by_service.get(service).into_iter().flat_map(BTreeMap::values)
     }
 
-    /// All servers.
+    /// Returns all servers, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<BackendServer>> {
         self.by_id.values()
     }
 
-    /// Counts every change, so that who has looked at it before sees whether to look again.
+    /// Returns the number of changes so far, which lets a reader detect whether the catalog has
+    /// changed since its last read.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// The number of servers.
+    /// Returns the number of servers.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether no server is known.
+    /// Returns whether no server is known.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/crates/papayamux-state/src/backend/server_notice.rs
+++ b/crates/papayamux-state/src/backend/server_notice.rs
@@ -1,12 +1,13 @@
-//! What a server says of itself with an answer, whatever the answer is.
+//! The notice about itself that a server sends with any of its answers.
 
 use std::time::Duration;
 
-/// A server's own word on whether it wants requests.
+/// A server's report of whether it accepts further requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerNotice {
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub leaves: bool,
-    /// How long it wants nothing from the router that it says this to.
+    /// The back-off that the server requests: how long the router that receives this is to send it
+    /// nothing.
     pub rest: Option<Duration>,
 }
--- a/crates/papayamux-state/src/cache_index.rs
+++ b/crates/papayamux-state/src/cache_index.rs
@@ -1,53 +1,54 @@
-//! What an agent believes its engine's prefix cache to hold.
+//! An agent's view of the blocks in its engine's prefix cache.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Blocks that an index holds at most.
+/// Maximum number of blocks in an index.
 const MAX_BLOCKS: usize = 262_144;
-/// Blocks that are expected at most.
+/// Maximum number of expected blocks that no event has confirmed yet.
 const MAX_EXPECTED_BLOCKS: usize = 65_536;
-/// How long a block is expected before an event has to have confirmed it.
+/// The duration for which a block counts as cached without an event that confirms it.
 const EXPECTED_BLOCK_TTL: Duration = Duration::from_secs(3);
-/// How long an index with a gap is believed while it waits to be rebuilt.
+/// The duration for which an index that misses an event is still trusted while it waits to be
+/// rebuilt.
 const MAX_SUSPECT_AGE: Duration = Duration::from_secs(2);
-/// How long an index is believed after the last page of events.
+/// The duration for which an index is trusted after the last batch of events or snapshot.
 const MAX_EVENT_SILENCE: Duration = Duration::from_secs(5);
 
-/// One change of the engine's cache.
+/// A change to the engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BlockChange {
-    /// The block was stored.
+    /// A block was stored, named by its hash.
     Stored(u64),
-    /// The block was evicted.
+    /// A block was evicted, named by its hash.
     Evicted(u64),
-    /// All blocks were dropped.
+    /// The cache was cleared.
     Cleared,
 }
 
-/// A stretch of an engine's events.
+/// A batch of consecutive cache events of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EventBatch {
-    /// The engine's life.
+    /// The engine's incarnation.
     pub incarnation: u64,
-    /// The number that the stretch reaches to.
+    /// The number of the last event that the batch covers.
     pub through: u64,
-    /// Numbered changes, the lowest first.
+    /// The changes with their event numbers, in ascending order.
     pub changes: Vec<(u64, BlockChange)>,
 }
 
-/// Whether the index can be believed.
+/// How far the events in an index can be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum IndexTrust {
-    /// Nothing is known yet.
+    /// The index has not been built from a snapshot.
     Unbuilt,
-    /// No event is missing.
+    /// The index includes every event up to its position.
     Complete,
-    /// An event is missing since then.
+    /// At least one event is missing, which was noticed at `since`.
     Suspect { since: Instant },
 }
 
-/// An index of blocks, by the lower 32 bits of their hashes.
+/// An index of an engine's cached blocks, keyed by the lower 32 bits of their hashes.
 #[derive(Debug)]
 pub struct CacheIndex {
     blocks: HashSet<u32>,
@@ -73,23 +74,24 @@
     }
 }
 
-/// A hash as the index and probes carry it.
+/// Returns the lower 32 bits of a block hash, the form used in the index and in probes.
 pub fn short_hash(hash: u64) -> u32 {
     hash as u32
 }
 
 impl CacheIndex {
-    /// The number of the last event that the index includes.
+    /// Returns the number of the last event that the index includes.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Whether the index must be rebuilt from a snapshot.
+    /// Returns whether the index must be rebuilt from a snapshot.
     pub fn needs_rebuild(&self) -> bool {
         self.trust != IndexTrust::Complete
     }
 
-    /// Puts a snapshot in place of all blocks known before.
+    /// Replaces all known blocks with those of a snapshot. Blocks expected of another incarnation are
+    /// dropped.
     pub fn rebuild(
         &mut self,
         incarnation: u64,
@@ -107,8 +109,8 @@
         self.trust = IndexTrust::Complete;
     }
 
-    /// Applies a stretch of events. Another life of the engine empties the index; a missing number
-    /// makes it suspect.
+    /// Applies a batch of events. Events up to the current position are skipped. A new incarnation of
+    /// the engine clears the index; a gap in the event numbers makes it suspect.
     pub fn apply(&mut self, batch: &EventBatch, now: Instant) {
         if batch.incarnation != self.incarnation {
             self.blocks.clear();
@@ -150,14 +152,14 @@
         }
     }
 
-    /// Notes that events are missing, unless that is known.
+    /// Marks a complete index as suspect because events are missing.
     pub fn suspect(&mut self, now: Instant) {
         if self.trust == IndexTrust::Complete {
             self.trust = IndexTrust::Suspect { since: now };
         }
     }
 
-    /// Expects blocks of a prompt that was given to the engine just now.
+    /// Records the blocks of a prompt that was just sent to the engine as expected in its cache.
     pub fn expect(&mut self, hashes: &[u64], now: Instant) {
         self.drop_expired(now);
         for hash in hashes.iter().map(|hash| short_hash(*hash)) {
@@ -186,7 +188,7 @@
         self.expected_order.clear();
     }
 
-    /// Whether what events and snapshots said is believed at `now`.
+    /// Returns whether the blocks known from events and snapshots can be trusted at `now`.
     pub fn is_trusted(&self, now: Instant) -> bool {
         let within = |since: Instant, limit| now.saturating_duration_since(since) < limit;
         match self.trust {
@@ -198,7 +200,7 @@
         }
     }
 
-    /// How many of the leading `hashes` are cached, as far as is known.
+    /// Returns the number of leading `hashes` that are known or expected to be cached.
     pub fn warm_prefix(&self, hashes: impl Iterator<Item = u32>, now: Instant) -> usize {
         let trusted = self.is_trusted(now);
         let is_expected = |hash: &u32| {
--- a/crates/papayamux-state/src/chat_key.rs
+++ b/crates/papayamux-state/src/chat_key.rs
@@ -1,23 +1,24 @@
-//! How the turns of one chat get the same key.
+//! Derives the key that all turns of one chat have in common.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::ids::{AdapterId, ChatKey, ModelId, OrganisationId};
 
-/// What a chat key is derived from where the caller sends no conversation id.
+/// The data from which a chat key is derived if the caller sends no conversation id.
 #[derive(Debug, Clone, Copy)]
 pub struct ChatOpening<'a> {
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: &'a OrganisationId,
-    /// The model asked for.
+    /// The requested model.
     pub model: &'a ModelId,
-    /// The adapter asked for.
+    /// The requested adapter.
     pub adapter: Option<&'a AdapterId>,
-    /// The text up to and including the first turn of the user, which later turns repeat.
+    /// The text up to and including the user's first turn. The prompts of later turns repeat it.
     pub first_turns: &'a [&'a str],
 }
 
-/// Derives the key: a longer prompt of the same chat keeps its opening and so its key.
+/// Derives the key of a chat from its opening. Longer prompts of the same chat have the same opening
+/// and therefore the same key.
 pub fn derive_chat_key(opening: ChatOpening<'_>) -> ChatKey {
     let mut hasher = Xxh3::new();
     let adapter = opening.adapter.map_or("", AdapterId::as_str);
@@ -29,8 +30,9 @@
     hashed_key(hasher.digest128())
 }
 
-/// The key of a chat that the caller names: bound to its organisation, so that one organisation
-/// can't guess its way into the placement of another's chats.
+/// Returns the key of a chat that the caller names with a conversation id. The key depends on the
+/// organisation, so that an organisation can't influence the placement of another's chats by guessing
+/// their ids.
 pub fn named_chat_key(organisation: &OrganisationId, conversation: &str) -> ChatKey {
     let mut hasher = Xxh3::new();
     hasher.update(&(organisation.as_str().len() as u64).to_le_bytes());
@@ -46,7 +48,7 @@
     }
 }
 
-/// A chat's key as one number, for messages and tables that can't hold the whole key.
+/// Returns a 64-bit hash of a chat's key, for messages and tables that can't hold the whole key.
 pub fn chat_hash(chat: &ChatKey) -> u64 {
     xxhash_rust::xxh3::xxh3_64(chat.as_str().as_bytes())
 }
--- a/crates/papayamux-state/src/claims/claim_key.rs
+++ b/crates/papayamux-state/src/claims/claim_key.rs
@@ -1,4 +1,4 @@
-//! What a claim is about: the key, the call, and the attempt that claims.
+//! The parts of a claim: the key, the call, and the attempt that claims it.
 
 use std::fmt;
 
@@ -11,12 +11,12 @@
 pub struct ClaimKey(u128);
 
 impl ClaimKey {
-    /// The hash of `key` as `organisation` uses it.
+    /// Hashes `key` together with its organisation.
     pub fn new(organisation: &OrganisationId, key: &IdempotencyKey) -> Self {
         Self(hash_parts(&[organisation.as_str().as_bytes(), key.as_str().as_bytes()]))
     }
 
-    /// The number as sent on the wire.
+    /// Returns the number as sent on the wire.
     pub const fn get(self) -> u128 {
         self.0
     }
@@ -34,17 +34,17 @@
     }
 }
 
-/// Method, path and body of a call, hashed to 128 bits: a repeat must have the same.
+/// A 128-bit hash of a call's method, path and body. A retry must have the same fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CallFingerprint(u128);
 
 impl CallFingerprint {
-    /// The fingerprint of a call.
+    /// Computes the fingerprint of a call.
     pub fn new(method: &str, path: &str, body: &[u8]) -> Self {
         Self(hash_parts(&[method.as_bytes(), path.as_bytes(), body]))
     }
 
-    /// The number as sent on the wire.
+    /// Returns the number as sent on the wire.
     pub const fn get(self) -> u128 {
         self.0
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// One attempt at claiming a key: never used for a second one.
+/// Identifies one attempt at claiming a key. It is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimId(pub RequestId);
 
--- a/crates/papayamux-state/src/claims/claim_table.rs
+++ b/crates/papayamux-state/src/claims/claim_table.rs
@@ -1,4 +1,4 @@
-//! A witness's memory of which attempt it has granted each key to.
+//! A witness's table of the attempts to which it granted keys.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -8,53 +8,53 @@
 use super::{CallFingerprint, ClaimId, ClaimKey, FleetDigest, ViewHistory};
 use crate::ids::ServerId;
 
-/// Where an attempt was brought to.
+/// The server to which an attempt was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunLocation {
     /// The server.
     pub server: ServerId,
-    /// Where its agent listens.
+    /// The address on which the server's agent listens.
     pub agent: SocketAddr,
 }
 
-/// A claim as a witness judges it.
+/// An attempt's query for a key, as a witness checks it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimQuery {
-    /// The key.
+    /// The key to be claimed.
     pub key: ClaimKey,
-    /// The call.
+    /// The fingerprint of the call.
     pub fingerprint: CallFingerprint,
-    /// The attempt.
+    /// The attempt that claims the key.
     pub claim: ClaimId,
-    /// The views of the fleet under which the attempt asks for majorities, the one in force
+    /// The views of the fleet under each of which the attempt needs a majority, the one in force
     /// first.
     pub views: Vec<FleetDigest>,
 }
 
-/// A key that another attempt holds.
+/// A grant of a key to another attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldClaim {
-    /// The attempt.
+    /// The attempt that holds the key.
     pub claim: ClaimId,
-    /// Where it was brought to last, as far as the witness knows.
+    /// The server to which the attempt was sent last, if the witness knows it.
     pub place: Option<RunLocation>,
 }
 
-/// Why a witness grants nothing.
+/// The reason for which a witness refuses a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimRefusal {
-    /// The witness may have had a predecessor that granted the key.
+    /// The witness has started so recently that a previous incarnation may have granted the key.
     NotReady {
-        /// Time until it remembers a whole window.
+        /// The time until the witness grants claims.
         ready_in: Duration,
     },
-    /// The witness knows a view of the fleet that the attempt does not reckon with.
+    /// The witness knows a view of the fleet that the query doesn't list.
     OtherFleet,
-    /// The key is held by another attempt at the same call.
+    /// Another attempt at the same call holds the key.
     Held(HeldClaim),
-    /// The key is held by another call.
+    /// The key was granted for a different call.
     OtherCall,
-    /// No further claim can be remembered.
+    /// The table is full.
     Full,
 }
 
@@ -73,7 +73,7 @@
     until: Duration,
 }
 
-/// The claims of one life of a witness. All times are since that life began.
+/// The claims granted by one incarnation of a witness. All times are relative to its start.
 #[derive(Debug, Clone)]
 pub struct ClaimTable {
     retention: Duration,
@@ -86,8 +86,10 @@
 }
 
 impl ClaimTable {
-    /// An empty table that remembers each of at most `most_claims` claims for `retention`, and
-    /// grants none before it has lived that long: a predecessor may have granted them.
+    /// Creates an empty table that keeps each of at most `max_claims` claims for `retention`.
+    ///
+    /// The table grants no claim before that time has passed, because a previous incarnation of
+    /// the witness may have granted the same keys.
     pub fn new(retention: Duration, max_claims: usize) -> Self {
         Self {
             retention,
@@ -100,15 +102,15 @@
         }
     }
 
-    /// Grants from `ready` on. Only for a witness that can't have had a predecessor which
-    /// granted anything less than a retention before `ready`.
+    /// Makes the table grant claims from `ready` on. Use it only for a witness without a previous
+    /// incarnation that could have granted claims less than a retention before `ready`.
     pub fn ready_from(mut self, ready: Duration) -> Self {
         self.ready = ready;
         self
     }
 
-    /// Puts a view of the declared fleet in force for this witness. The one before it counts
-    /// for one retention more.
+    /// Puts a view of the declared fleet in force for this witness. The previous view must still
+    /// be covered by queries for one more retention.
     pub fn declare_view(&mut self, view: FleetDigest, now: Duration) {
         match self.own_view.replace(view) {
             Some(previous) if previous != view => {
@@ -119,23 +121,23 @@
         self.views.record(view, Duration::MAX, now);
     }
 
-    /// Time until the witness grants claims.
+    /// Returns the time until the witness grants claims.
     pub fn ready_in(&self, now: Duration) -> Duration {
         self.ready.saturating_sub(now)
     }
 
-    /// Keys held at present, counting those that expire only with the next claim.
+    /// Returns the number of granted keys, including expired ones that the next claim will remove.
     pub fn len(&self) -> usize {
         self.grants.len()
     }
 
-    /// Whether no key is held.
+    /// Returns whether no key is granted.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
 
-    /// Grants the key to the attempt, for the retention from `now`, or says why not. An attempt
-    /// that asks again is granted again.
+    /// Grants the key to the attempt for one retention from `now`, or returns the reason for
+    /// refusing it. An attempt that already holds the key is granted it again.
     pub fn claim(&mut self, query: &ClaimQuery, now: Duration) -> Result<(), ClaimRefusal> {
         self.expire(now);
         self.check_held(query)?;
@@ -151,14 +153,14 @@
         Ok(())
     }
 
-    /// Notes where the attempt was brought to.
+    /// Records the server to which the attempt was sent, if it holds the key.
     pub fn place(&mut self, key: ClaimKey, claim: ClaimId, place: RunLocation) {
         if let Some(grant) = self.grants.get_mut(&key).filter(|grant| grant.claim == claim) {
             grant.place = Some(place);
         }
     }
 
-    /// Frees the key of an attempt that is proved not run and never will.
+    /// Releases the key of an attempt that is proven never to have run and never to run.
     pub fn release(&mut self, key: ClaimKey, claim: ClaimId) {
         if let Entry::Occupied(entry) = self.grants.entry(key) {
             if entry.get().claim == claim {
@@ -179,8 +181,9 @@
         }
     }
 
-    /// The attempt must ask under each view that this witness has known within the window: else
-    /// another attempt may hold a majority under a view that this one does not ask under.
+    /// Checks that the query lists each view that this witness has known within the retention.
+    /// Otherwise another attempt could hold a majority under a view that this query doesn't list.
+    /// The query's first view is recorded as known.
     fn check_views(&mut self, query: &ClaimQuery, now: Duration) -> Result<(), ClaimRefusal> {
         if !self.views.is_covered_by(&query.views, now) {
             return Err(ClaimRefusal::OtherFleet);
--- a/crates/papayamux-state/src/claims/fleet_view.rs
+++ b/crates/papayamux-state/src/claims/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The declared fleet as claims see it, and the witnesses that it gives to a key.
+//! The declared fleet and its choice of the witnesses for a key.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -12,19 +12,19 @@
 use super::ClaimKey;
 use crate::ids::{FailureDomain, IdError, ServerId};
 
-/// A declared server with the failure domain that is declared for it.
+/// A server of the declared fleet with its declared failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeclaredServer {
     /// The server, whose agent is the witness.
     pub server: ServerId,
-    /// Its failure domain, where one is declared.
+    /// The server's failure domain, if one is declared.
     pub domain: Option<FailureDomain>,
 }
 
 impl FromStr for DeclaredServer {
     type Err = IdError;
 
-    /// Reads `SERVER` or `SERVER@DOMAIN`.
+    /// Parses `SERVER` or `SERVER@DOMAIN`.
     fn from_str(text: &str) -> Result<Self, IdError> {
         match text.rsplit_once('@') {
             None => Ok(Self { server: text.parse()?, domain: None }),
@@ -44,12 +44,12 @@
     }
 }
 
-/// A hash of all that decides who a key's witnesses are and how long they remember.
+/// A hash of everything that determines the witnesses of a key and how long they keep a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FleetDigest(u64);
 
 impl FleetDigest {
-    /// The number as sent on the wire.
+    /// Returns the number as sent on the wire.
     pub const fn get(self) -> u64 {
         self.0
     }
@@ -67,16 +67,16 @@
     }
 }
 
-/// Why a fleet can't give witnesses.
+/// The error of creating a [`FleetView`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FleetViewError {
-    /// The number of witnesses is even or zero.
+    /// The number of witnesses is even (or zero).
     #[error("the number of witnesses must be odd, not {0}")]
     Even(usize),
 }
 
-/// The declared fleet in one revision. Its digest covers the number of witnesses and the
-/// retention too: two processes that differ in them may not work together on claims.
+/// One revision of the declared fleet. Its digest also covers the number of witnesses and the
+/// retention, because processes that differ in them must not cooperate on claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetView {
     servers: Vec<DeclaredServer>,
@@ -85,8 +85,8 @@
 }
 
 impl FleetView {
-    /// The view of `servers` that gives each key `witnesses` witnesses, each of which remembers
-    /// it for `retention`.
+    /// Creates a view of `servers` with `witnesses` witnesses for each key, each of which keeps a
+    /// claim for `retention`.
     pub fn new(
         mut servers: Vec<DeclaredServer>,
         witnesses: usize,
@@ -101,18 +101,19 @@
         Ok(Self { servers, witnesses, digest })
     }
 
-    /// The view's digest.
+    /// Returns the digest of the view.
     pub const fn digest(&self) -> FleetDigest {
         self.digest
     }
 
-    /// The declared servers, in the order of their names.
+    /// Returns the declared servers, sorted by name.
     pub fn servers(&self) -> &[DeclaredServer] {
         &self.servers
     }
 
-    /// The witnesses of `key`: the highest rendezvous weights, at first one from each failure
-    /// domain, as often round as it takes.
+    /// Returns the witnesses of `key`: the servers with the highest rendezvous weights, chosen in
+    /// rounds that take at most one server from each failure domain. Servers without a declared
+    /// failure domain are not limited by this.
     pub fn witnesses(&self, key: ClaimKey) -> Vec<ServerId> {
         let mut ranked: Vec<_> = self.servers.iter().collect();
         ranked.sort_by_cached_key(|declared| Reverse(weight(key, &declared.server)));
--- a/crates/papayamux-state/src/claims/mod.rs
+++ b/crates/papayamux-state/src/claims/mod.rs
@@ -1,4 +1,4 @@
-//! Claims: how a key is given to one attempt at most.
+//! Claims, which grant an idempotency key to at most one attempt.
 //!
 //! See `docs/design/at-most-once.md`.
 
--- a/crates/papayamux-state/src/claims/view_history.rs
+++ b/crates/papayamux-state/src/claims/view_history.rs
@@ -1,27 +1,30 @@
-//! The views of the declared fleet that a process has known within the retention window.
+//! The views of the declared fleet that a process has known within the retention.
 
 use std::time::Duration;
 
 use super::FleetDigest;
 
-/// Views remembered at most; more changes than this within one window are not told apart.
+/// Maximum number of views. With more changes than this within one retention, further views can't
+/// be recorded.
 const MAX_VIEWS: usize = 32;
 
-/// One view with the time until which it must be reckoned with.
+/// A view and the time until which it must be covered.
 #[derive(Debug, Clone, Copy)]
 struct KnownView {
     digest: FleetDigest,
     until: Duration,
 }
 
-/// Digests by the time until which they count. Times are since the process started.
+/// The digests of known views with their expiry times. All times are relative to the start of the
+/// process.
 #[derive(Debug, Clone, Default)]
 pub struct ViewHistory {
     views: Vec<KnownView>,
 }
 
 impl ViewHistory {
-    /// Notes that `digest` counts until `until`; `false` where too many are known.
+    /// Records that `digest` is valid until `until`, or later if it was recorded so. Returns
+    /// `false` if too many views are known.
     pub fn record(&mut self, digest: FleetDigest, until: Duration, now: Duration) -> bool {
         self.views.retain(|view| view.until > now);
         if let Some(view) = self.views.iter_mut().find(|view| view.digest == digest) {
@@ -35,14 +38,14 @@
         true
     }
 
-    /// Has `digest` count no longer than until `until`.
+    /// Sets the expiry time of `digest` to `until`.
     pub fn retire(&mut self, digest: FleetDigest, until: Duration) {
         if let Some(view) = self.views.iter_mut().find(|view| view.digest == digest) {
             view.until = until;
         }
     }
 
-    /// Whether each view that still counts at `now` is among `digests`.
+    /// Returns whether `digests` contains each view that is still valid at `now`.
     pub fn is_covered_by(&self, digests: &[FleetDigest], now: Duration) -> bool {
         let mut counting = self.views.iter().filter(|view| view.until > now);
         counting.all(|view| digests.contains(&view.digest))
--- a/crates/papayamux-state/src/crash_record.rs
+++ b/crates/papayamux-state/src/crash_record.rs
@@ -1,38 +1,39 @@
-//! What routers know, and tell one another, of servers that ended under a request.
+//! Records of servers that crashed under a request, which routers send to one another.
 
 use std::time::Duration;
 
 use crate::request_fingerprint::RequestFingerprint;
 
-/// How servers fared under one request. Of two records the greater one knows more: a run to its end
-/// outweighs all crashes before it.
+/// How often servers completed one request or crashed under it. Of two records of a request the
+/// greater one includes more events: a completed run outweighs all crashes before it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CrashRecord {
-    /// How often a server that ran it to the end has cleared it.
+    /// The number of times a completed run has cleared the request.
     pub cleared: u32,
-    /// Servers that ended under it since, each of which got it after the one before had ended.
+    /// The number of servers that crashed under the request since it was last cleared. Each received
+    /// the request after the previous one had crashed.
     pub crashes: u32,
 }
 
 impl CrashRecord {
-    /// The record after one more server has ended.
+    /// Returns the record after one more server has crashed.
     pub fn after_crash(self) -> Self {
         Self { crashes: self.crashes.saturating_add(1), ..self }
     }
 
-    /// The record after a server has run the request to its end.
+    /// Returns the record after a server has completed the request.
     pub fn after_run(self) -> Self {
         Self { cleared: self.cleared.saturating_add(1), crashes: 0 }
     }
 }
 
-/// One request's record on its way between routers.
+/// The crash record of one request as sent between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashNotice {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Its record.
+    /// The crash record of the request.
     pub record: CrashRecord,
-    /// For how long it is still kept from servers.
+    /// The remaining time for which the request is quarantined.
     pub held: Duration,
 }
--- a/crates/papayamux-state/src/hash_ring.rs
+++ b/crates/papayamux-state/src/hash_ring.rs
@@ -1,13 +1,13 @@
-//! A hash ring with virtual points, as plain consistent hashing uses it.
+//! A hash ring with virtual points for plain consistent hashing.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::{ChatKey, ServerId};
 
-/// Points of each server on the ring.
+/// The number of virtual points of each server on the ring.
 const POINTS_PER_SERVER: u64 = 100;
 
-/// Servers on a ring.
+/// A consistent hash ring of servers.
 #[derive(Debug, Clone)]
 pub struct HashRing {
     servers: Vec<ServerId>,
@@ -15,7 +15,7 @@
 }
 
 impl HashRing {
-    /// A ring of `servers`, whose order has no influence.
+    /// Creates a ring of `servers`. Their order doesn't matter.
     pub fn new(mut servers: Vec<ServerId>) -> Self {
         servers.sort_unstable();
         servers.dedup();
@@ -31,12 +31,12 @@
         Self { servers, points }
     }
 
-    /// Whether the ring has exactly these servers, which must be sorted.
+    /// Returns whether the ring consists of exactly the servers in `sorted`, which must be sorted.
     pub fn has_servers(&self, sorted: &[ServerId]) -> bool {
         self.servers == sorted
     }
 
-    /// All servers in the order in which a walk from the chat's point meets them.
+    /// Returns all servers in ring order, starting from the chat's point.
     pub fn walk(&self, chat: &ChatKey) -> Vec<&ServerId> {
         let start = xxh3_64_with_seed(chat.as_str().as_bytes(), 0);
         let first = self.points.partition_point(|(point, _)| *point < start);
--- a/crates/papayamux-state/src/ids/incarnation.rs
+++ b/crates/papayamux-state/src/ids/incarnation.rs
@@ -1,4 +1,4 @@
-//! Incarnations: one number for each life of a process.
+//! Incarnations: a number for each run of a process.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,14 +8,14 @@
 
 const RANDOM_BITS: u32 = 20;
 
-/// One life of a process. A later life of the same process has a higher number as long as the
-/// instance's clock does not step back by more than the time between the two starts.
+/// One incarnation of a process. A later incarnation of the same process has a higher number unless
+/// the instance's clock steps back by more than the time between the two starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Draws the incarnation of a process that starts now: milliseconds of the wall clock above,
-    /// random bits below.
+    /// Generates the incarnation of a process that starts now, with the milliseconds of the wall
+    /// clock in the high bits and random low bits.
     pub fn draw() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let millis = since_epoch.as_millis() as u64;
@@ -23,7 +23,7 @@
         Self((millis << RANDOM_BITS) | noise)
     }
 
-    /// The number as sent on the wire.
+    /// Returns the number as sent on the wire.
     pub fn get(self) -> u64 {
         self.0
     }
--- a/crates/papayamux-state/src/ids/mod.rs
+++ b/crates/papayamux-state/src/ids/mod.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a type of its own.
+//! Identifiers, each with a type of its own.
 
 mod incarnation;
 mod request_id;
@@ -17,21 +17,21 @@
 
 use thiserror::Error;
 
-/// Why a text is not an identifier.
+/// The error of parsing an identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum IdError {
     /// The text is empty.
     #[error("an identifier may not be empty")]
     Empty,
-    /// The text is longer than its bound in bytes.
+    /// The text is too long.
     #[error("an identifier may have at most {limit} bytes, this has {length}")]
     TooLong {
-        /// Bytes the text has.
+        /// The length of the text in bytes.
         length: usize,
-        /// Bytes it may have.
+        /// The maximum length in bytes.
         limit: usize,
     },
-    /// A character that is not allowed.
+    /// The text contains a character that is not allowed.
     #[error("character {character:?} is not allowed in an identifier")]
     Character {
         /// The character.
@@ -40,9 +40,9 @@
     /// The text is not a number of the expected form.
     #[error("{text:?} is not of the form {form}")]
     Form {
-        /// The text as given.
+        /// The text that was parsed.
         text: String,
-        /// What was expected.
+        /// The expected form.
         form: &'static str,
     },
 }
--- a/crates/papayamux-state/src/ids/request_id.rs
+++ b/crates/papayamux-state/src/ids/request_id.rs
@@ -1,4 +1,4 @@
-//! Request ids: one for each attempt, never used again.
+//! Request ids, unique to each attempt.
 
 use std::cell::Cell;
 use std::fmt;
@@ -8,8 +8,8 @@
 
 const FORM: &str = "INCARNATION-NUMBER in hexadecimal";
 
-/// One attempt at a request: the incarnation of the router that made it and a number that this
-/// incarnation counts up.
+/// Identifies one attempt at a request by the incarnation of the router that made it and a number
+/// that this incarnation increments.
 ///
 /// ```
 /// use papayamux_state::ids::RequestId;
@@ -19,7 +19,7 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
-    /// The incarnation of the router that drew the id.
+    /// The incarnation of the router that generated the id.
     pub incarnation: Incarnation,
     /// The attempt's number within that incarnation.
     pub number: u64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Draws the request ids of one router.
+/// Generates the request ids of one router.
 #[derive(Debug)]
 pub struct RequestIdSource {
     incarnation: Incarnation,
@@ -51,12 +51,12 @@
 }
 
 impl RequestIdSource {
-    /// A source for the given life of a router.
+    /// Creates a source for the given incarnation of a router.
     pub fn new(incarnation: Incarnation) -> Self {
         Self { incarnation, next: Cell::new(1) }
     }
 
-    /// A new id.
+    /// Generates a new id.
     pub fn draw(&self) -> RequestId {
         let number = self.next.get();
         self.next.set(number + 1);
--- a/crates/papayamux-state/src/ids/server_key.rs
+++ b/crates/papayamux-state/src/ids/server_key.rs
@@ -1,4 +1,4 @@
-//! Short names of servers between routers.
+//! Short server keys for messages between routers.
 
 use std::fmt;
 
@@ -6,8 +6,8 @@
 
 use super::ServerId;
 
-/// A server's identifier reduced to 32 bits, for messages that name many servers. Among 600 servers
-/// two have the same key once in 24,000 fleets; their loads are then taken for one another's.
+/// A 32-bit hash of a server's identifier, for messages that name many servers. Two of 600 servers
+/// have the same key in one of 24,000 fleets; their loads are then mistaken for each other's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerKey(pub u32);
 
--- a/crates/papayamux-state/src/ids/server_start.rs
+++ b/crates/papayamux-state/src/ids/server_start.rs
@@ -1,11 +1,11 @@
-//! When a server started.
+//! The start time of a server.
 
 use std::fmt;
 use std::str::FromStr;
 
 use super::IdError;
 
-/// The start of a server in milliseconds since the Unix epoch, by its own clock. Of two starts
+/// The start time of a server in milliseconds since the Unix epoch, by its own clock. Of two starts
 /// under one name the later one is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerStart(pub u64);
--- a/crates/papayamux-state/src/ids/text.rs
+++ b/crates/papayamux-state/src/ids/text.rs
@@ -1,8 +1,8 @@
-//! Identifiers that are text: graphic ASCII, bounded in length.
+//! Text identifiers: graphic ASCII characters with a maximum length.
 
 use super::{IdError, ServerStart};
 
-/// Bytes that a text identifier may have at most.
+/// Maximum length of a text identifier in bytes.
 pub const MAX_ID_BYTES: usize = 128;
 
 fn checked(text: &str) -> Result<String, IdError> {
@@ -18,7 +18,8 @@
     }
 }
 
-/// Bytes that a server's name may have at most: its identifier has room for the time of its start.
+/// Maximum length of a server name in bytes. It leaves room for the start time that follows the name
+/// in the server's identifier.
 const MAX_NAME_BYTES: usize = 96;
 
 fn checked_name(text: &str) -> Result<String, IdError> {
@@ -36,10 +37,11 @@
 }
 
 impl ServerId {
-    /// The identifier of the start of `name` at `start`, where the server tells that.
+    /// Returns the identifier of the start of server `name` at `start`, which is `None` if the
+    /// server doesn't report its start time.
     pub fn of_start(name: &ServerName, start: Option<ServerStart>) -> Self {
         match start {
-            // Names hold no `#`, so that no name is taken for a start of another one.
+            // Names can't contain `#`, so no name is mistaken for a start of another server.
             Some(start) => Self(format!("{name}#{start}")),
             None => Self(name.as_str().to_string()),
         }
@@ -57,7 +59,7 @@
     OrganisationId
 );
 text_id!(
-    /// A model that callers name in a request.
+    /// A model, as named by callers in a request.
     ModelId
 );
 text_id!(
@@ -65,13 +67,13 @@
     AdapterId
 );
 text_id!(
-    /// One start of a backend server: a model engine or a plain service. A server that starts again
-    /// under the same name has another identifier, since it holds nothing of before.
+    /// One start of a backend server, which is a model engine or a plain service. A server that
+    /// restarts under the same name gets another identifier, since it has lost its earlier state.
     ServerId
 );
 crate::text_newtype!(
-    /// The name under which a backend server is listed, and by which it knows itself. A server that
-    /// starts again may keep it. Letters, digits and `-._:`.
+    /// The name under which a backend server is listed and which it uses for itself. A server may
+    /// keep its name when it restarts. Consists of letters, digits and `-._:`.
     ServerName, IdError, checked_name
 );
 text_id!(
@@ -79,15 +81,15 @@
     FailureDomain
 );
 text_id!(
-    /// A region: failure domains near one another.
+    /// A region: a group of nearby failure domains.
     Region
 );
 text_id!(
-    /// The key under which the turns of one chat come back.
+    /// The key that all turns of one chat have in common.
     ChatKey
 );
 text_id!(
-    /// The key under which a caller repeats a non-idempotent call.
+    /// The key that a caller sends with a non-idempotent call and each retry of it.
     IdempotencyKey
 );
 text_id!(
@@ -95,6 +97,6 @@
     ServiceId
 );
 text_id!(
-    /// A route: one way from a host and path to a service.
+    /// A route from a host and path prefix to services.
     RouteId
 );
--- a/crates/papayamux-state/src/load.rs
+++ b/crates/papayamux-state/src/load.rs
@@ -1,4 +1,4 @@
-//! What servers carry, as they report it and as routers sum it up.
+//! The load of servers: their reports, group means, and the load bound.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,81 +8,82 @@
 
 use crate::quantities::RequestCount;
 
-/// What a server carries, counted by its agent and not by the engine's late report.
+/// The load of a server. The agent counts the requests itself, because the engine's own report
+/// lags behind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests admitted and not finished.
+    /// Requests that were admitted and have not finished.
     pub running: RequestCount,
-    /// Requests that wait at the agent for a place.
+    /// Requests that are queued at the agent for a slot.
     pub waiting: RequestCount,
-    /// Requests that the agent would let run at once now; 0 where it takes none.
+    /// Maximum number of concurrent requests that the agent currently admits; 0 if it admits none.
     pub limit: RequestCount,
-    /// How long the engine needs for the prompts that it was given before.
+    /// The time that the engine needs for the prompts that it was already given.
     pub backlog: Duration,
 }
 
 impl LoadReport {
-    /// Whether one more request would find a place at once.
+    /// Returns whether one more request would be admitted without queueing.
     pub fn has_free_slot(&self) -> bool {
         self.running < self.limit && self.waiting == RequestCount::default()
     }
 }
 
-/// Servers that share a load bound: those of one model, or of one path.
+/// Identifies a group of servers that share a load bound: those of one model or of one path prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u32);
 
 impl GroupId {
-    /// The group of a model or of a path prefix.
+    /// Returns the group of a model or path prefix with this name.
     pub fn named(name: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32)
     }
 }
 
-/// The mean load over the servers of a group, as one router has sampled it.
+/// The mean load over the servers of a group, from the reports that one router received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GroupLoad {
     /// The group.
     pub group: GroupId,
-    /// The mean of requests admitted and not finished.
+    /// The weighted mean of requests that were admitted and have not finished.
     pub mean: f64,
-    /// Fresh reports that the mean is made of, each counted less the older it is.
+    /// The sum of the weights of the reports in the mean; a report's weight decays with its age.
     pub samples: f64,
-    /// Servers declared in the group.
+    /// The number of servers declared in the group.
     pub servers: u32,
 }
 
-/// How far a server's load may lie above the mean: the set multiple, above 1.
+/// The multiple of the mean load that a server may reach. It is always above 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoadFactor {
     thousandths: u32,
 }
 
-/// The text is no load factor.
+/// The error of parsing a [`LoadFactor`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a load factor is a number above 1 and at most {MAX_LOAD_FACTOR}")]
 pub struct LoadFactorError;
 
-/// The part of the load factor up to which requests are admitted.
+/// The share of the load factor that [`LoadFactor::limit`] uses for admission.
 pub const ADMISSION_MARGIN: f64 = 0.75;
 const MAX_LOAD_FACTOR: u32 = 100;
 
 impl LoadFactor {
-    /// The factor that is used where none is set.
+    /// The factor that applies if none is configured.
     pub const DEFAULT: LoadFactor = LoadFactor { thousandths: 2_000 };
 
-    /// The bare number.
+    /// Returns the factor as a number.
     pub fn get(self) -> f64 {
         f64::from(self.thousandths) / 1_000.0
     }
 
-    /// The most requests of a server in a group whose mean is `mean` over `servers`, counting the
-    /// request that asks for a place.
+    /// Returns the maximum number of requests that a server may run in a group of `servers` servers
+    /// with the mean load `mean`. The request to be admitted counts towards the limit.
     ///
-    /// Only [`ADMISSION_MARGIN`] of the multiple is given out, because the mean may fall while the
-    /// requests that were admitted by it still run. The rest is rounded down, so that the bound
-    /// holds to the request. Where that leaves less than the mean itself, rounded up, the latter
-    /// counts: else there could be requests that no server may take.
+    /// Only the share [`ADMISSION_MARGIN`] of the multiple is used, because the mean may fall while
+    /// requests admitted under it still run. The result is rounded down, so that the bound holds
+    /// exactly. The limit is never below the mean rounded up: otherwise there could be requests that
+    /// no server may admit.
     pub fn limit(self, mean: f64, servers: u32) -> RequestCount {
         let share = mean.max(0.0) + 1.0 / f64::from(servers.max(1));
         let multiple = (self.get() * ADMISSION_MARGIN * share).floor();
--- a/crates/papayamux-state/src/load_table.rs
+++ b/crates/papayamux-state/src/load_table.rs
@@ -1,4 +1,4 @@
-//! A router's memory of the loads that servers reported to it.
+//! The loads that servers reported to a router.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,28 +7,28 @@
 use crate::load::{GroupId, GroupLoad, LoadReport};
 use crate::quantities::RequestCount;
 
-/// Age at which a report counts for 1/e of a fresh one in a mean.
+/// The age at which a report's weight in a mean has decayed to 1/e of that of a fresh one.
 const MEAN_DECAY: Duration = Duration::from_millis(400);
-/// Age at which a report is no longer believed.
+/// The age at which a report expires.
 pub const REPORT_EXPIRY: Duration = Duration::from_secs(5);
 
-/// A report and when it was made.
+/// A load report with the time of its receipt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimestampedLoad {
     /// The report.
     pub report: LoadReport,
-    /// When it arrived.
+    /// When the report was received.
     pub arrived: Instant,
 }
 
-/// The last report of each server; it is as large as the list of servers.
+/// The last report of each server. The table has at most one entry for each listed server.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     reports: HashMap<ServerId, TimestampedLoad>,
 }
 
 impl LoadTable {
-    /// Notes a report that arrived at `now`.
+    /// Records a report that was received at `now`.
     pub fn record(&mut self, server: &ServerId, report: LoadReport, now: Instant) {
         let timestamped = TimestampedLoad { report, arrived: now };
         match self.reports.get_mut(server) {
@@ -39,26 +39,26 @@
         }
     }
 
-    /// Counts one request more into a server's last report.
+    /// Adds one running request to a server's last report.
     pub fn add_request(&mut self, server: &ServerId) {
         if let Some(timestamped) = self.reports.get_mut(server) {
             timestamped.report.running += RequestCount::new(1);
         }
     }
 
-    /// Forgets all servers but those in `keep`.
+    /// Removes the reports of all servers for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&ServerId) -> bool) {
         self.reports.retain(|server, _| keep(server));
     }
 
-    /// The last report of a server, unless it is too old to be believed.
+    /// Returns the last report of a server, unless it has expired.
     pub fn get(&self, server: &ServerId, now: Instant) -> Option<TimestampedLoad> {
         let timestamped = self.reports.get(server)?;
         (now.saturating_duration_since(timestamped.arrived) < REPORT_EXPIRY).then_some(*timestamped)
     }
 
-    /// The mean over `servers`, each report counted less the older it is; `None` where there is
-    /// no report to be believed.
+    /// Returns the mean load over `servers`, or `None` if all of their reports have expired. Each
+    /// report is weighted by its age.
     pub fn group_load<'a>(
         &self,
         group: GroupId,
--- a/crates/papayamux-state/src/moved_chats.rs
+++ b/crates/papayamux-state/src/moved_chats.rs
@@ -1,13 +1,13 @@
-//! A home agent's memory of chats that were served elsewhere.
+//! A home agent's table of chats that were served by other servers.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use crate::ids::ServerId;
 
-/// Chats that are remembered at most.
+/// Maximum number of recorded moves, repeated moves of one chat included.
 const MAX_CHATS: usize = 16_384;
-/// How long a chat is remembered.
+/// The duration for which a moved chat is kept.
 const CHAT_RETENTION: Duration = Duration::from_secs(3_600);
 
 #[derive(Debug, Clone)]
@@ -16,8 +16,8 @@
     since: Instant,
 }
 
-/// Chats by the hash of their key, each with the server that had it last. Losing an entry costs a
-/// prompt that has to be computed again, nothing else.
+/// Chats by the hash of their key, each with the server that served it last. Losing an entry only
+/// costs another prefill of the chat's prompt.
 #[derive(Debug, Default)]
 pub struct MovedChats {
     chats: HashMap<u64, MovedEntry>,
@@ -25,19 +25,19 @@
 }
 
 impl MovedChats {
-    /// Notes where a chat was served.
+    /// Records the server that served a chat.
     pub fn record(&mut self, chat: u64, server: ServerId, now: Instant) {
         self.chats.insert(chat, MovedEntry { server, since: now });
         self.order.push_back((chat, now));
         self.drop_expired(now);
     }
 
-    /// Forgets a chat that has come home.
+    /// Removes a chat that is served by its home server again.
     pub fn forget(&mut self, chat: u64) {
         self.chats.remove(&chat);
     }
 
-    /// Where a chat was served last, where that is known.
+    /// Returns the server that served a chat last, if it is known.
     pub fn get(&self, chat: u64, now: Instant) -> Option<&ServerId> {
         let entry = self.chats.get(&chat)?;
         let fresh = now.saturating_duration_since(entry.since) < CHAT_RETENTION;
--- a/crates/papayamux-state/src/placement.rs
+++ b/crates/papayamux-state/src/placement.rs
@@ -1,24 +1,25 @@
-//! Rendezvous hashing: which declared servers a chat prefers, in order.
+//! Rendezvous hashing: ranks the declared servers for a chat.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::ids::{ChatKey, ServerId};
 
-/// A hash of a name, equal in all processes.
+/// Returns the hash of a name, which is the same in all processes.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), 0)
 }
 
-/// The weight of `server` for `chat`; the highest weight is the chat's home.
+/// Returns the rendezvous weight of `server` for `chat`. The server with the highest weight is the
+/// chat's home.
 pub fn rendezvous_weight(chat: &ChatKey, server: &ServerId) -> u64 {
     let seed = name_hash(server.as_str());
     xxh3_64_with_seed(chat.as_str().as_bytes(), seed)
 }
 
-/// Sorts `servers` by their weight for `chat`, the home first.
+/// Returns `servers` in descending order of their weight for `chat`, the chat's home first.
 ///
-/// Taking a server away leaves the order of the others as it was, so that a disagreement about
-/// the list moves only the chats of the servers in dispute.
+/// Removing a server doesn't change the order of the others. Routers whose server lists differ
+/// therefore disagree only on the chats of the servers by which the lists differ.
 ///
 /// ```
 /// use papayamux_state::placement::rank_servers;
--- a/crates/papayamux-state/src/prompt/mod.rs
+++ b/crates/papayamux-state/src/prompt/mod.rs
@@ -1,4 +1,4 @@
-//! Prompts as chains of parts, and which server was given which of them.
+//! Prompts as chains of parts, and models of which parts a server has cached.
 
 mod prompt_chain;
 mod warm_parts;
--- a/crates/papayamux-state/src/prompt/prompt_chain.rs
+++ b/crates/papayamux-state/src/prompt/prompt_chain.rs
@@ -1,4 +1,4 @@
-//! The parts of a prompt, in order.
+//! The sequence of parts that make up a prompt.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 
 use crate::quantities::TokenCount;
 
-/// Parts that a prompt may have at most.
+/// Maximum number of parts in a prompt.
 const MAX_PARTS: usize = 256;
 
-/// Names a part of a prompt; equal names stand for equal text.
+/// Identifies a part of a prompt. Parts with equal ids have equal text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartId(pub u64);
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A text is no name of a part.
+/// The error of parsing a [`PartId`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the name of a part is hexadecimal")]
 pub struct PartIdError;
@@ -28,7 +28,7 @@
 impl FromStr for PartId {
     type Err = PartIdError;
 
-    /// Reads a hexadecimal name; a longer one is reduced to 64 bits.
+    /// Parses a hexadecimal id. An id that doesn't fit into 64 bits is hashed to 64 bits.
     fn from_str(text: &str) -> Result<Self, PartIdError> {
         if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(PartIdError);
@@ -44,19 +44,19 @@
 /// A part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// The part's name.
+    /// The id of the part.
     pub id: PartId,
-    /// Its length.
+    /// The length of the part.
     pub tokens: TokenCount,
 }
 
-/// Why a text is not a chain of parts.
+/// The error of parsing a [`PromptChain`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ChainError {
     /// A part is not of the form ID:TOKENS with a hexadecimal ID.
     #[error("part {index} is not of the form ID:TOKENS")]
     Part {
-        /// The part's place, from 0.
+        /// The index of the part, from 0.
         index: usize,
     },
     /// There are too many parts.
@@ -64,52 +64,54 @@
     TooMany,
 }
 
-/// A prompt as a chain of parts. A part is cached only behind all parts before it; the last part
-/// belongs to one session.
+/// A prompt as a chain of parts. An engine can use a cached part only after all parts before it. The
+/// last part belongs to a single session.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptChain {
     parts: Vec<PromptPart>,
 }
 
 impl PromptChain {
-    /// The parts, in order.
+    /// Returns the parts in order.
     pub fn parts(&self) -> &[PromptPart] {
         &self.parts
     }
 
-    /// The length of the whole prompt.
+    /// Returns the length of the whole prompt.
     pub fn tokens(&self) -> TokenCount {
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// The longest part that other sessions share: the one by which prompts are grouped.
+    /// Returns the longest part that is shared between sessions. Prompts are grouped by it.
     pub fn longest_shared(&self) -> Option<&PromptPart> {
         let (_, shared) = self.parts.split_last()?;
         shared.iter().max_by_key(|part| part.tokens)
     }
 
-    /// The length of the prompt up to the end of its longest shared part.
+    /// Returns the length of the prompt up to the end of its longest shared part.
     pub fn shared_tokens(&self) -> TokenCount {
         let Some(longest) = self.longest_shared() else { return TokenCount::default() };
         let end = self.parts.iter().position(|part| part.id == longest.id).unwrap_or(0);
         self.parts[..=end].iter().map(|part| part.tokens).sum()
     }
 
-    /// The prompt up to the end of its longest shared part.
+    /// Returns the prompt up to the end of its longest shared part.
     pub fn shared_part(&self) -> PromptChain {
         let Some(longest) = self.longest_shared() else { return PromptChain::default() };
         let end = self.parts.iter().position(|part| part.id == longest.id).unwrap_or(0);
         PromptChain { parts: self.parts[..=end].to_vec() }
     }
 
-    /// The names of the prefixes up to the end of the longest shared part.
+    /// Returns the ids of the prefixes up to the end of the longest shared part, each with the
+    /// length of its last part.
     pub fn shared_prefixes(&self) -> Vec<(PartId, TokenCount)> {
         let Some(longest) = self.longest_shared() else { return Vec::new() };
         let end = self.parts.iter().position(|part| part.id == longest.id).unwrap_or(0);
         self.prefixes().take(end + 1).collect()
     }
 
-    /// The names of all prefixes: each stands for a part together with all parts before it.
+    /// Returns the ids of all prefixes, each with the length of its last part. A prefix id
+    /// identifies a part together with all parts before it.
     pub fn prefixes(&self) -> impl Iterator<Item = (PartId, TokenCount)> + '_ {
         self.parts.iter().scan(0u64, |state, part| {
             *state = xxhash_rust::xxh3::xxh3_64_with_seed(&part.id.0.to_le_bytes(), *state);
@@ -132,7 +134,8 @@
 impl FromStr for PromptChain {
     type Err = ChainError;
 
-    /// Reads `ID:TOKENS,ID:TOKENS`, with hexadecimal IDs. A longer ID is reduced to 64 bits.
+    /// Parses `ID:TOKENS,ID:TOKENS` with hexadecimal IDs. An ID that doesn't fit into 64 bits is
+    /// hashed to 64 bits.
     fn from_str(text: &str) -> Result<Self, ChainError> {
         let mut parts = Vec::new();
         for (index, entry) in text.split(',').map(str::trim).enumerate() {
--- a/crates/papayamux-state/src/prompt/warm_parts.rs
+++ b/crates/papayamux-state/src/prompt/warm_parts.rs
@@ -1,24 +1,24 @@
-//! Which prefixes of prompts a server probably holds in its cache.
+//! A model of the prompt prefixes that a server probably has in its cache.
 //!
-//! What routers placed is known as prefixes. What an engine lists of its cache is known as parts
-//! without their order; a listed part is taken to be held with all that comes before it in a prompt,
-//! since each use of a part is one of those before it.
+//! Prompts that routers placed on the server are recorded as prefixes. The list that an engine gives
+//! of its cache contains parts without their order. A listed part is assumed to be cached together
+//! with all parts before it in a prompt, since each use of a part also uses those before it.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::{PartId, PromptChain, PromptPart};
 use crate::quantities::TokenCount;
 
-/// Prefixes remembered for one server. At about 55 bytes each, 600 servers take 26 MB of the 32 MB
-/// that a router may use for control; a server that begins ten requests a second, each with a part
-/// of its own, has its last 80 seconds remembered.
+/// Maximum number of prefixes kept for one server. At about 55 bytes each, 600 servers take 26 MB of
+/// the 32 MB that a router may use for control. For a server that starts ten requests per second,
+/// each with a part of its own, this covers the last 80 seconds.
 const MAX_PREFIXES: usize = 800;
 
-/// Listed parts remembered for one server: the largest are listed first, and what isn't among them
-/// is read again in some milliseconds.
+/// Maximum number of listed parts kept for one server. The largest are listed first; the prefill of
+/// any other part takes only some milliseconds.
 const MAX_LISTED_PARTS: usize = 64;
 
-/// The part of its capacity from which a cache counts as nearly full.
+/// The share of its capacity from which a cache counts as nearly full.
 const NEARLY_FULL_RATIO: f64 = 0.9;
 
 #[derive(Debug, Clone, Copy)]
@@ -27,8 +27,7 @@
     used: u64,
 }
 
-/// A model of one server's cache: what it was given, the least recently used given up first once
-/// the server's memory is full.
+/// A model of one server's cache with least-recently-used eviction once its capacity is exceeded.
 #[derive(Debug)]
 pub struct WarmParts {
     capacity: TokenCount,
@@ -41,7 +40,7 @@
 }
 
 impl WarmParts {
-    /// A cache of `capacity` tokens that holds nothing yet.
+    /// Creates an empty cache of `capacity` tokens.
     pub fn new(capacity: TokenCount) -> Self {
         Self {
             capacity,
@@ -54,19 +53,20 @@
         }
     }
 
-    /// Tokens of `chain` that are expected to be cached.
+    /// Returns the number of leading tokens of `chain` that are expected to be cached.
     pub fn warm_tokens(&self, chain: &PromptChain) -> TokenCount {
         let known = chain.prefixes().take_while(|(prefix, _)| self.prefixes.contains_key(prefix));
         let placed: TokenCount = known.map(|(_, tokens)| tokens).sum();
         placed.max(self.listed_tokens(chain))
     }
 
-    /// Whether the part that ends this prefix is expected to be cached, with all before it.
+    /// Returns whether the server was given this prefix and is expected to have all of it cached.
     pub fn holds(&self, prefix: PartId) -> bool {
         self.prefixes.contains_key(&prefix)
     }
 
-    /// Tokens up to the end of the last part of `chain` that the server listed.
+    /// Returns the number of tokens up to the end of the last part of `chain` that the server
+    /// listed.
     fn listed_tokens(&self, chain: &PromptChain) -> TokenCount {
         let parts = chain.parts();
         let last = parts.iter().rposition(|part| self.listed.contains_key(&part.id));
@@ -75,12 +75,13 @@
         })
     }
 
-    /// Whether the cache is nearly full: what comes evicts about as much.
+    /// Returns whether the cache is nearly full, so that new parts evict about as many tokens as
+    /// they add.
     pub fn is_nearly_full(&self) -> bool {
         self.held.get() as f64 >= self.capacity.get() as f64 * NEARLY_FULL_RATIO
     }
 
-    /// Notes that the server reads `chain`.
+    /// Records that the server was given `chain`.
     pub fn record_use(&mut self, chain: &PromptChain) {
         for part in chain.parts() {
             self.forget_listed(part.id);
@@ -88,8 +89,9 @@
         self.record_prefixes(chain.prefixes());
     }
 
-    /// Notes that the server lists these parts of its cache, the largest first. One list is taken:
-    /// the same one is told several times, and what was placed since is known better.
+    /// Records the parts that the server lists of its cache, the largest first. Only the first list
+    /// is used: the same list is received several times, and the prefixes recorded since then are
+    /// more accurate.
     pub fn record_listed(&mut self, parts: impl IntoIterator<Item = PromptPart>) {
         if std::mem::replace(&mut self.was_listed, true) {
             return;
@@ -102,7 +104,7 @@
         self.evict_excess();
     }
 
-    /// Notes that the server holds these prefixes.
+    /// Records that the server holds these prefixes.
     pub fn record_prefixes(&mut self, prefixes: impl Iterator<Item = (PartId, TokenCount)>) {
         for (prefix, tokens) in prefixes {
             self.touch(prefix, tokens);
@@ -110,7 +112,8 @@
         self.evict_excess();
     }
 
-    /// Gives up what the server has replaced by now.
+    /// Removes the entries that the server is assumed to have evicted, until the model is within
+    /// its limits.
     fn evict_excess(&mut self) {
         while self.held > self.capacity || self.prefixes.len() > MAX_PREFIXES {
             if !self.forget_oldest() {
@@ -140,7 +143,8 @@
         }
     }
 
-    /// Forgets a listed part, which is older than all that was placed since, or the oldest prefix.
+    /// Removes a listed part if there is one, since those are older than all recorded prefixes;
+    /// otherwise removes the least recently used prefix. Returns `false` if nothing is left.
     fn forget_oldest(&mut self) -> bool {
         if let Some(part) = self.listed.keys().next().copied() {
             self.forget_listed(part);
--- a/crates/papayamux-state/src/quantities.rs
+++ b/crates/papayamux-state/src/quantities.rs
@@ -1,4 +1,4 @@
-//! Sizes, counts and rates, each a type of its own.
+//! Quantities, each with a type of its own.
 
 use std::fmt;
 use std::iter::Sum;
@@ -7,13 +7,13 @@
 
 use thiserror::Error;
 
-/// Why a text is not a quantity.
+/// The error of parsing a quantity.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is not a quantity of the form {form}")]
 pub struct QuantityError {
-    /// The text as given.
+    /// The text that was parsed.
     pub text: String,
-    /// What was expected.
+    /// The expected form.
     pub form: &'static str,
 }
 
@@ -24,17 +24,17 @@
         pub struct $name(u64);
 
         impl $name {
-            /// A quantity of `count`.
+            /// Creates a quantity of `count`.
             pub const fn new(count: u64) -> Self {
                 Self(count)
             }
 
-            /// The bare number.
+            /// Returns the quantity as a number.
             pub const fn get(self) -> u64 {
                 self.0
             }
 
-            /// The difference, or zero where `other` is the greater.
+            /// Returns the difference, or zero if `other` is greater.
             pub const fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
--- a/crates/papayamux-state/src/request_fingerprint.rs
+++ b/crates/papayamux-state/src/request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same to a backend server.
+//! Fingerprints of requests: equal for requests that look the same to a backend server.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,24 +8,26 @@
 
 use crate::ids::OrganisationId;
 
-/// What a backend server is asked, and by whom.
+/// The content of a request that a backend server sees, with the calling organisation.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host.
+    /// The requested host.
     pub host: &'a str,
-    /// Path and query.
+    /// The path and the query.
     pub target: &'a str,
-    /// Whose key the request bears.
+    /// The organisation whose API key the request carries.
     pub organisation: Option<&'a OrganisationId>,
-    /// The body.
+    /// The request body.
     pub body: &'a [u8],
 }
 
-/// A request's content reduced to 64 bits of its SHA-256, so that no caller can write a request that is
-/// taken for another caller's. It is the same in every process, and unlike a request's id it
-/// is the same again when a caller repeats the request.
+/// The first 64 bits of the SHA-256 of a request's content. A cryptographic hash keeps callers from
+/// crafting a request that is mistaken for another caller's.
+///
+/// The fingerprint is the same in every process. Unlike the request id, it is also the same for
+/// each retry by the caller.
 ///
 /// ```
 /// use papayamux_state::request_fingerprint::RequestFingerprint;
@@ -48,7 +50,7 @@
         ];
         let mut hasher = Sha256::new();
         for field in fields {
-            // The length keeps the end of one field apart from the beginning of the next.
+            // The length prefix marks where one field ends and the next begins.
             hasher.update((field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
@@ -65,7 +67,7 @@
     }
 }
 
-/// A text is no fingerprint.
+/// The error of parsing a [`RequestFingerprint`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a fingerprint is a hexadecimal number of up to 16 digits")]
 pub struct FingerprintError;
--- a/crates/papayamux-state/src/service_config/api_key.rs
+++ b/crates/papayamux-state/src/service_config/api_key.rs
@@ -1,17 +1,17 @@
-//! The key by which a caller proves its organisation.
+//! The API key by which a caller authenticates as an organisation.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// Bytes that a key may have at most; longer ones are refused before they are looked up.
+/// Maximum length of a key in bytes. Longer keys are refused without a lookup.
 const MAX_KEY_BYTES: usize = 512;
 
-/// Why a text is not an API key. The text itself is a secret and is not repeated.
+/// The error of parsing an [`ApiKey`]. It doesn't contain the text, which is a secret.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ApiKeyError {
-    /// There is no text.
+    /// The text is empty.
     #[error("an API key must not be empty")]
     Empty,
     /// The text is too long.
@@ -19,7 +19,7 @@
     TooLong,
 }
 
-/// An API key. Its text appears neither in `Debug` nor in logs.
+/// An API key. Its text is kept out of the `Debug` output and logs.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(String);
 
--- a/crates/papayamux-state/src/service_config/caller_limits.rs
+++ b/crates/papayamux-state/src/service_config/caller_limits.rs
@@ -1,24 +1,25 @@
-//! What a caller may send, and how long it may take.
+//! Limits on the size and duration of callers' requests.
 
 use std::time::Duration;
 
 use crate::quantities::ByteCount;
 
-/// Bounds on requests of callers.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head.
     pub head_bytes: ByteCount,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body.
     pub body_bytes: ByteCount,
-    /// How long a request's head may take to arrive.
+    /// The timeout for receiving a request's head.
     pub head_within: Duration,
-    /// How long a connection may stay idle between two requests.
+    /// The timeout of a connection that is idle between two requests.
     pub idle_within: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Bounds until a configuration is known: generous enough for every proper caller.
+    /// Returns the limits that apply until a configuration is known. They are generous enough for
+    /// every well-behaved caller.
     fn default() -> Self {
         Self {
             head_bytes: ByteCount::new(32 * 1024),
--- a/crates/papayamux-state/src/service_config/home_regions.rs
+++ b/crates/papayamux-state/src/service_config/home_regions.rs
@@ -1,21 +1,22 @@
-//! The regions that requests may not leave.
+//! The regions to which requests are restricted.
 
 use std::collections::BTreeSet;
 
 use crate::ids::Region;
 
-/// The regions in which requests of a route or an organisation may run.
+/// The regions in which requests of a route or an organisation may run. An empty set doesn't restrict
+/// them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HomeRegions(BTreeSet<Region>);
 
 impl HomeRegions {
-    /// Whether requests may run in `region`, `None` where that isn't known. Without regions of their own they
-    /// may run anywhere.
+    /// Returns whether requests may run in `region`, which is `None` if it isn't known. An unknown
+    /// region is admitted only if there is no restriction.
     pub fn admit(&self, region: Option<&Region>) -> bool {
         self.0.is_empty() || region.is_some_and(|region| self.0.contains(region))
     }
 
-    /// Whether there are any, so that something is bound.
+    /// Returns whether requests are restricted to certain regions.
     pub fn bind(&self) -> bool {
         !self.0.is_empty()
     }
--- a/crates/papayamux-state/src/service_config/mod.rs
+++ b/crates/papayamux-state/src/service_config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration of services: which request goes to which service, and who may send it.
+//! The configuration of services: the routes of requests to services, and who may send them.
 
 mod api_key;
 mod caller_limits;
--- a/crates/papayamux-state/src/service_config/organisation_keys.rs
+++ b/crates/papayamux-state/src/service_config/organisation_keys.rs
@@ -1,4 +1,4 @@
-//! Which organisation holds which API key.
+//! The API keys of organisations.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -6,18 +6,18 @@
 use super::{ApiKey, HomeRegions};
 use crate::ids::OrganisationId;
 
-/// The organisation that holds a key.
+/// The organisation that holds a key, with its settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyHolder {
-    /// The organisation.
+    /// The organisation's identifier.
     pub organisation: OrganisationId,
-    /// Its priority, which goes before the route's; 0 is the most urgent.
+    /// The organisation's priority, which overrides the route's; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// Where its requests may run.
+    /// The regions in which the organisation's requests may run.
     pub homes: HomeRegions,
 }
 
-/// All keys of a configuration.
+/// All API keys of a configuration.
 #[derive(Debug, Clone, Default)]
 pub struct OrganisationKeys {
     holders: HashMap<ApiKey, Rc<KeyHolder>>,
@@ -30,7 +30,7 @@
         self.holders.extend(keys.into_iter().map(|key| (key, holder.clone())));
     }
 
-    /// Who holds `key`.
+    /// Returns the holder of `key`.
     pub fn holder(&self, key: &ApiKey) -> Option<&Rc<KeyHolder>> {
         self.holders.get(key)
     }
--- a/crates/papayamux-state/src/service_config/route.rs
+++ b/crates/papayamux-state/src/service_config/route.rs
@@ -1,46 +1,47 @@
-//! One route.
+//! A route and its choice of a service.
 
 use std::time::Duration;
 
 use super::{HomeRegions, RequestKind};
 use crate::ids::{RouteId, ServiceId};
 
-/// A service's part of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceShare {
-    /// The service.
+    /// The service that receives the share.
     pub service: ServiceId,
-    /// Its weight against the route's other services.
+    /// The service's weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// Where requests with a host and a path prefix go, and what they may cost.
+/// The services and the limits for requests with a certain host and path prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The route's name.
+    /// The identifier of the route.
     pub id: RouteId,
-    /// The services that run its requests, with their weights.
+    /// The services that run the route's requests, with their weights.
     pub shares: Vec<ServiceShare>,
-    /// What may be repeated.
+    /// The kind of the route's requests, which determines whether they may be retried.
     pub kind: RequestKind,
-    /// The longest time that a request may be held.
+    /// Maximum duration of a request.
     pub timeout: Duration,
     /// The time within which an answer, or a stream's first event, is on time.
     pub objective: Duration,
-    /// The longest pause between two events of a stream that is still on time.
+    /// Maximum pause between two events of a stream that is on time.
     pub gap_objective: Option<Duration>,
-    /// Servers that one request may run on.
+    /// Maximum number of servers on which one request may run.
     pub attempts: u32,
-    /// Rank among the service's requests; 0 is the most urgent.
+    /// The priority among the service's requests; 0 is the most urgent.
     pub priority: u32,
-    /// Whether requests need no API key.
+    /// Whether requests are accepted without an API key.
     pub anonymous: bool,
-    /// Where its requests may run.
+    /// The regions in which the route's requests may run.
     pub homes: HomeRegions,
 }
 
 impl Route {
-    /// The service for a request, picked by `draw`, a number from 0 up to but not including 1.
+    /// Returns the service for a request, chosen by weight with the random sample `draw` from the
+    /// range 0 (inclusive) to 1 (exclusive).
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceId> {
         let total: u32 = self.shares.iter().map(|share| share.weight).sum();
         let mut left = draw * f64::from(total);
--- a/crates/papayamux-state/src/service_config/route_table.rs
+++ b/crates/papayamux-state/src/service_config/route_table.rs
@@ -1,11 +1,11 @@
-//! Finding the route of a request.
+//! The table that finds the route of a request.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use super::Route;
 
-/// Routes by host and path prefix.
+/// Routes, indexed by host and path prefix.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     hosts: HashMap<String, HashMap<String, Rc<Route>>>,
@@ -13,16 +13,15 @@
 }
 
 impl RouteTable {
-    /// Adds a route for `host` (compared without regard to case) and paths that begin with
-    /// `prefix`, which ends with a slash.
+    /// Adds a route for `host`, which is case-insensitive, and paths that start with `prefix`, which
+    /// must end with a slash.
     pub fn add(&mut self, host: &str, prefix: &str, route: Rc<Route>) {
         let prefixes = self.hosts.entry(host.to_ascii_lowercase()).or_default();
         prefixes.insert(prefix.to_string(), route);
         self.routes += 1;
     }
 
-    /// The route with the longest prefix of `path` among those of `host`. A port behind the host
-    /// is left out of account.
+    /// Returns the route of `host` with the longest prefix of `path`. A port in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let prefixes = match self.hosts.get(name) {
@@ -33,12 +32,12 @@
         slashes.map(|(index, _)| &path[..=index]).find_map(|prefix| prefixes.get(prefix))
     }
 
-    /// The number of routes.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.routes
     }
 
-    /// Whether there are no routes.
+    /// Returns whether there are no routes.
     pub fn is_empty(&self) -> bool {
         self.routes == 0
     }
--- a/crates/papayamux-state/src/service_config/service.rs
+++ b/crates/papayamux-state/src/service_config/service.rs
@@ -1,36 +1,37 @@
-//! What a configuration says of a service.
+//! The configuration of a service.
 
 use std::time::Duration;
 
 use crate::quantities::TokenCount;
 
-/// What a model engine can hold and do.
+/// The capacity of a model engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineProfile {
-    /// Requests that one engine runs at once.
+    /// The number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into one engine's key-value cache.
+    /// The number of tokens that fit into one engine's key-value cache.
     pub cache_tokens: TokenCount,
-    /// Cached tokens that one engine can hand another in a millisecond; `None` where it can't.
+    /// The number of cached tokens that one engine can transfer to another per millisecond; `None` if
+    /// it can't transfer any.
     pub transfer_tokens_per_ms: Option<f64>,
 }
 
-/// What a server bears after its start.
+/// The limit on requests to a server that has recently started.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// How long a server is cold after it has started.
+    /// The duration for which a server is cold after its start.
     pub lasts: Duration,
-    /// Requests in a second that it bears meanwhile.
+    /// The number of requests per second that a cold server can run.
     pub per_second: f64,
 }
 
-/// A service.
+/// The settings of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Service {
-    /// Connections that one server accepts from all callers together.
+    /// The number of connections that one server accepts from all callers together.
     pub connection_limit: Option<u32>,
-    /// The engine's figures; `None` for a service that runs no models.
+    /// The capacity of the service's engines; `None` for a service that runs no models.
     pub engine: Option<EngineProfile>,
-    /// What its servers bear after their start; `None` where they are never cold.
+    /// The limit on the service's servers after their start; `None` if they are never cold.
     pub cold_start: Option<ColdStart>,
 }
--- a/crates/papayamux-state/src/service_config/snapshot.rs
+++ b/crates/papayamux-state/src/service_config/snapshot.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration.
+//! A snapshot of the configuration at one version.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -6,7 +6,7 @@
 use super::{CallerLimits, OrganisationKeys, RouteTable, Service};
 use crate::ids::ServiceId;
 
-/// The version of a configuration; a higher one replaces a lower one.
+/// The version of a configuration. A higher version replaces a lower one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigVersion(pub u64);
 
@@ -16,17 +16,17 @@
     }
 }
 
-/// A whole configuration. It is replaced as a whole, never changed.
+/// A complete configuration. It is immutable and only replaced as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigurationSnapshot {
-    /// Its version.
+    /// The version of the configuration.
     pub version: ConfigVersion,
-    /// Where requests go.
+    /// The routes of requests to services.
     pub routes: RouteTable,
-    /// The services that routes name.
+    /// The services that the routes refer to.
     pub services: HashMap<ServiceId, Service>,
-    /// Bounds on callers.
+    /// The limits on callers.
     pub limits: CallerLimits,
-    /// The API keys; `None` where requests need none.
+    /// The API keys of organisations; `None` if requests need none.
     pub organisations: Option<OrganisationKeys>,
 }
--- a/crates/papayamux-state/src/source.rs
+++ b/crates/papayamux-state/src/source.rs
@@ -1,4 +1,4 @@
-//! What a source of the configuration and of the list of servers returns.
+//! The data read from a source of the configuration and of the list of servers.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 use crate::ids::{FailureDomain, ServerName};
 use crate::service_config::ConfigurationSnapshot;
 
-/// A point in a source's history.
+/// A position in a source's history.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourcePosition(pub u64);
 
@@ -19,54 +19,55 @@
     }
 }
 
-/// All that a source holds.
+/// The complete contents of a source.
 #[derive(Debug, Default)]
 pub struct SourceContents {
-    /// The newest configuration, where there is one.
+    /// The latest configuration, if there is one.
     pub configuration: Option<ConfigurationSnapshot>,
-    /// All servers.
+    /// All listed servers.
     pub servers: Vec<BackendServer>,
-    /// All evacuations in force.
+    /// All evacuation orders in force.
     pub evacuations: Vec<EvacuationOrder>,
-    /// Entries that name no server.
+    /// The entries that don't describe a server.
     pub faults: Vec<EntryFault>,
-    /// The point behind which changes have to be read.
+    /// The position after which changes have to be read.
     pub position: SourcePosition,
-    /// The point up to which some of it may already be. Where that is a later one, all this is what the source
-    /// held at no single point, until the changes between the two are known too.
+    /// The latest position that any of the contents may include. If it is later than `position`, the
+    /// contents don't match the source at any single position until the changes between the two have been
+    /// applied.
     pub latest: SourcePosition,
 }
 
-/// One change.
+/// A change in the contents of a source.
 #[derive(Debug)]
 pub enum SourceChange {
-    /// A new configuration.
+    /// There is a new configuration.
     Configuration(ConfigurationSnapshot),
-    /// A server's entry as it is now.
+    /// A server's entry was added or changed.
     Server(BackendServer),
-    /// A server's entry is gone.
+    /// A server's entry was removed.
     ServerRemoved(ServerName),
-    /// A failure domain is evacuated.
+    /// The evacuation of a failure domain has started.
     EvacuationStarted(EvacuationOrder),
     /// The evacuation of a failure domain has ended.
     EvacuationEnded(FailureDomain),
-    /// An entry names no server, or no longer one.
+    /// An entry doesn't describe a server, or no longer does.
     Fault(EntryFault),
 }
 
-/// What is wrong with an entry that should name a server.
+/// The kind of fault in an entry that should describe a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum EntryFaultKind {
-    /// Its key is no name of a server.
+    /// The entry's key is not a valid server name.
     Name,
-    /// Its contents can't be read, or lack a field or have one of another type.
+    /// The entry can't be parsed, or a field is missing or of the wrong type.
     Form,
-    /// One of its fields holds what isn't known.
+    /// One of the entry's fields has an unknown value.
     Value,
 }
 
 impl EntryFaultKind {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub fn label(self) -> &'static str {
         match self {
             EntryFaultKind::Name => "name",
@@ -76,38 +77,40 @@
     }
 }
 
-/// An entry that names no server. Whoever wrote it, it says nothing of any other entry.
+/// An entry that doesn't describe a server. The fault has no bearing on any other entry, whoever wrote
+/// the faulty one.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{key:?}: {cause}")]
 pub struct EntryFault {
-    /// The entry's key, for people.
+    /// The entry's key, for display.
     pub key: String,
-    /// The name that the key has, where it has one.
+    /// The server name in the key, if it has a valid one.
     pub name: Option<ServerName>,
-    /// What is wrong.
+    /// The kind of fault.
     pub kind: EntryFaultKind,
-    /// The same, for people.
+    /// A description of the fault, for display.
     pub cause: String,
 }
 
-/// Changes in their order.
+/// A sequence of changes read from a source.
 #[derive(Debug)]
 pub struct SourceChanges {
-    /// The changes.
+    /// The changes in order.
     pub changes: Vec<SourceChange>,
-    /// The point up to which they go.
+    /// The position up to which the changes reach.
     pub position: SourcePosition,
-    /// Whether there may be more behind them, so that they don't show what is newest.
+    /// Whether there may be more changes after these, in which case they don't show the latest state.
     pub may_have_more: bool,
 }
 
-/// Why a source did not answer.
+/// The error of reading from a source.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SourceError {
-    /// The changes behind the given point are no longer there; everything has to be read again.
-    #[error("the history behind the last read is gone")]
+    /// The source no longer has the changes after the given position. Its complete contents have to be
+    /// read again.
+    #[error("the source no longer has the history after the last read")]
     HistoryLost,
-    /// The source can't be reached, refuses, or answers with something else.
-    #[error("the source is not available: {0}")]
+    /// The source is unreachable, refuses the request, or sends an unexpected answer.
+    #[error("the source is unavailable: {0}")]
     Unavailable(String),
 }
--- a/crates/papayamux-state/src/text_newtype.rs
+++ b/crates/papayamux-state/src/text_newtype.rs
@@ -1,7 +1,6 @@
-//! Types of their own for checked text.
+//! A macro for newtypes of validated text.
 
-/// Defines a type that holds text which `$check` has accepted, with `as_str`, `Display` and
-/// `FromStr`.
+/// Defines a newtype for text that `$check` has accepted, with `as_str`, `Display` and `FromStr`.
 ///
 /// ```
 /// papayamux_state::text_newtype!(
@@ -22,7 +21,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// The text.
+            /// Returns the text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/papayamux-state/src/weights.rs
+++ b/crates/papayamux-state/src/weights.rs
@@ -1,10 +1,10 @@
-//! Models and adapters as things that an engine loads.
+//! The weights that an engine loads: models and adapters.
 
 use std::fmt;
 
 use crate::ids::{AdapterId, ModelId};
 
-/// What weights are for.
+/// The kind of weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum WeightsKind {
     /// A model.
@@ -14,7 +14,7 @@
 }
 
 impl WeightsKind {
-    /// The stable word for metrics, logs and settings.
+    /// Returns the stable label for metrics, logs and settings.
     pub const fn label(self) -> &'static str {
         match self {
             WeightsKind::Model => "model",
@@ -23,22 +23,22 @@
     }
 }
 
-/// A model or an adapter, whatever its version. Models sort before adapters.
+/// A reference to a model or an adapter, regardless of its version. Models sort before adapters.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WeightsRef {
-    /// What it is.
+    /// Whether it is a model or an adapter.
     pub kind: WeightsKind,
-    /// Its name.
+    /// The name of the model or adapter.
     pub name: String,
 }
 
 impl WeightsRef {
-    /// The weights of a model.
+    /// Returns a reference to the weights of a model.
     pub fn model(model: &ModelId) -> Self {
         Self { kind: WeightsKind::Model, name: model.to_string() }
     }
 
-    /// The weights of an adapter.
+    /// Returns a reference to the weights of an adapter.
     pub fn adapter(adapter: &AdapterId) -> Self {
         Self { kind: WeightsKind::Adapter, name: adapter.to_string() }
     }
--- a/crates/papayamux-state/tests/cache_index.rs
+++ b/crates/papayamux-state/tests/cache_index.rs
@@ -1,4 +1,4 @@
-//! When an index of a cache is believed.
+//! When an agent trusts its index of the engine's prefix cache.
 
 use std::time::{Duration, Instant};
 
@@ -23,10 +23,10 @@
     assert_eq!(warm(&index, &[100, 101, 102, 103], now), 3);
     index.apply(&stored(1, 13, &[(13, 103)]), now);
     assert!(index.needs_rebuild());
-    assert_eq!(warm(&index, &[100], now), 1, "believed for a while");
+    assert_eq!(warm(&index, &[100], now), 1, "a suspect index is trusted for a limited time");
     let later = now + Duration::from_secs(3);
     index.apply(&stored(1, 14, &[(14, 104)]), later);
-    assert_eq!(warm(&index, &[100], later), 0, "not for ever, whatever else comes");
+    assert_eq!(warm(&index, &[100], later), 0, "later events don't extend that time");
     index.rebuild(1, 14, [100].into_iter(), later);
     assert!(!index.needs_rebuild());
     assert_eq!(warm(&index, &[100], later), 1);
--- a/crates/papayamux-state/tests/hash_ring.rs
+++ b/crates/papayamux-state/tests/hash_ring.rs
@@ -1,4 +1,4 @@
-//! Walking a hash ring.
+//! The order of servers on a hash ring.
 
 use papayamux_state::hash_ring::HashRing;
 use papayamux_state::ids::{ChatKey, IdError, ServerId};
--- a/crates/papayamux-state/tests/prompts_and_routes.rs
+++ b/crates/papayamux-state/tests/prompts_and_routes.rs
@@ -1,5 +1,5 @@
-//! Chains of prompt parts, what servers hold of them, and the choice of routes.
-#![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
+//! Prompt chains, the model of a server's cached parts, and the choice of routes.
+#![allow(clippy::unwrap_used, clippy::panic, reason = "test helpers may panic")]
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     warm.record_listed([part(1, 600)]);
     warm.record_use(&chain("1:600,a:100"));
     warm.record_listed([part(1, 600)]);
-    assert!(!warm.is_nearly_full(), "700 of 1,400 tokens are held");
+    assert!(!warm.is_nearly_full(), "700 of 1,400 tokens are cached");
     assert_eq!(warm.warm_tokens(&chain("1:600,b:10")), TokenCount::new(600));
 }
 
--- a/crates/papayamux-state/tests/request_fingerprint.rs
+++ b/crates/papayamux-state/tests/request_fingerprint.rs
@@ -1,5 +1,5 @@
-//! Requests are the same only where all that a server gets of them is.
-#![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
+//! Fingerprints are equal only for requests that look the same to a server.
+#![allow(clippy::unwrap_used, reason = "test helpers may panic")]
 
 use papayamux_state::ids::OrganisationId;
 use papayamux_state::request_fingerprint::{RequestContent, RequestFingerprint};
@@ -27,7 +27,7 @@
         RequestContent { organisation: Some(&museum), ..content },
         RequestContent { organisation: None, ..content },
         RequestContent { body: b"drafts", ..content },
-        // The same bytes in a row, with another border between path and body.
+        // The same sequence of bytes with another boundary between path and body.
         RequestContent { target: "/chat/a?bd", body: b"raft", ..content },
     ];
     for other in others {
@@ -42,10 +42,10 @@
     assert_eq!(RequestFingerprint::from(content).to_string(), "0ca45f732480855c");
 }
 
-/// Keys of the hash XXH3 for the first words of its third and fourth stripe of 64 bytes.
+/// The secret words that XXH3 uses for the first words of its third and fourth 64-byte stripes.
 const KEYS: [u64; 2] = [0xdb97_9083_e96d_d4de, 0x1f67_b3b7_a4a4_4072];
 
-/// A body of zeros but for these words at their places.
+/// Returns a body of zeros, except for `words` at their offsets.
 fn body_with(words: [(usize, u64); 2]) -> Vec<u8> {
     let mut body = vec![0; 1_024];
     for (place, word) in words {
@@ -54,12 +54,13 @@
     body
 }
 
-/// A caller could write bodies that are different and have the same fingerprint, and so have a request held
-/// that is not its own: a hash for tables adds up what it makes of a body's words, and words can be chosen
-/// that add up to the same. Here the low half of each word is that of the hash's key at its place.
+/// Guards against crafted collisions, with which a caller could get another caller's request quarantined.
+/// A non-cryptographic hash such as XXH3 sums up a value computed from each word of the body, so that a caller
+/// can choose words with the same sum. Here the low half of each word equals that of the hash's secret at its
+/// offset.
 #[test]
 fn bodies_that_were_made_to_collide_in_a_table_have_fingerprints_of_their_own() {
-    // Places in the body are at whole stripes of the hash, which comes to it behind 64 bytes of other fields.
+    // The words are at the start of a stripe, because the other fields take up the 64 bytes before the body.
     let content = |body| RequestContent {
         method: "POST",
         host: "tickets.example",
