--- a/crates/papayamux-coordination/src/attempt_plan.rs
+++ b/crates/papayamux-coordination/src/attempt_plan.rs
@@ -49,7 +49,7 @@
             self.unknown = true;
         }
         let may_run_again = match self.unknown {
-            true => kind.may_repeat() && self.runs < attempts.max(1),
+            true => kind.may_retry() && self.runs < attempts.max(1),
             false => true,
         };
         if may_run_again && self.offers < MOST_OFFERS {
@@ -68,7 +68,7 @@
 
     /// Whether the request may go to another server while this attempt's outcome is unknown.
     pub fn may_leave(&self, kind: RequestKind, attempts: u32) -> bool {
-        kind.may_repeat() && self.runs + 1 < attempts.max(1) && self.offers + 1 < MOST_OFFERS
+        kind.may_retry() && self.runs + 1 < attempts.max(1) && self.offers + 1 < MOST_OFFERS
     }
 
     /// Whether an earlier attempt may have run.
--- a/crates/papayamux-coordination/tests/attempt_plan.rs
+++ b/crates/papayamux-coordination/tests/attempt_plan.rs
@@ -23,7 +23,7 @@
             NextStep::Again { counts } => {
                 assert_eq!(counts, loss != AttemptLoss::NotSent);
                 assert!(runs < attempts.max(1) || runs == 0, "{kind:?}: {runs} of {attempts}");
-                assert!(runs == 0 || kind.may_repeat(), "{kind:?} ran and would run again");
+                assert!(runs == 0 || kind.may_retry(), "{kind:?} ran and would run again");
                 follow(kind, attempts, history, runs, depth + 1);
             }
             NextStep::TellNotRun => assert_eq!(runs, 0, "{kind:?} may have run"),
--- a/crates/papayamux-router/src/direct/attempt.rs
+++ b/crates/papayamux-router/src/direct/attempt.rs
@@ -104,7 +104,7 @@
 fn patience(plan: &CallPlan, active: &ActiveRequest) -> Option<Duration> {
     let kind = plan.kind();
     let speed = plan.fleet.speed(active.server());
-    match (kind.may_repeat(), kind.is_stream()) {
+    match (kind.may_retry(), kind.is_stream()) {
         (false, _) => None,
         (true, false) => Some(speed.call_silence()),
         (true, true) if active.has_begun() => Some(speed.stream_silence()),
--- a/crates/papayamux-router/src/direct/call_handler.rs
+++ b/crates/papayamux-router/src/direct/call_handler.rs
@@ -127,7 +127,7 @@
             };
             let response = self.whole_answer(&plan, attempt, body);
             let failed = response.status().is_server_error();
-            if !failed || !plan.kind().may_repeat() {
+            if !failed || !plan.kind().may_retry() {
                 return Ok(response);
             }
             match plan.after_loss(&LostAttempt::unknown("the server failed")) {
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -83,7 +83,7 @@
         let servers = presence.catalog().iter().filter(|server| server.domain == *domain);
         for server in servers {
             let Some(start) = self.cold_start(&server.service) else { continue };
-            self.cold_book.borrow_mut().presume(&server.id, start.lasts, now);
+            self.cold_book.borrow_mut().presume(&server.id, start.duration, now);
         }
     }
 
--- a/crates/papayamux-router/src/routing/first_token.rs
+++ b/crates/papayamux-router/src/routing/first_token.rs
@@ -148,7 +148,7 @@
         let Some(load) = self.planner.loads().get(home, now) else { return false };
         let mean = self.group_load.map_or(0.0, |load| load.mean);
         is_open
-            && now.saturating_duration_since(load.arrived) < FRESH
+            && now.saturating_duration_since(load.received_at) < FRESH
             && load.report.has_free_slot()
             && load.report.backlog < SHORT_BACKLOG
             && load.report.running.get() as f64 <= mean + 1.0
--- a/crates/papayamux-router/src/routing/service_call.rs
+++ b/crates/papayamux-router/src/routing/service_call.rs
@@ -50,7 +50,7 @@
 fn was_heard(planner: &RoutePlanner, record: &ServerRecord) -> bool {
     let now = Instant::now();
     let known = planner.loads().get(&record.entry.server, now);
-    known.is_some_and(|load| now.saturating_duration_since(load.arrived) < HEARD_WITHIN)
+    known.is_some_and(|load| now.saturating_duration_since(load.received_at) < HEARD_WITHIN)
 }
 
 /// Asks the first servers for their loads. Those with a place go first, and those without an answer
@@ -88,7 +88,7 @@
     let expected_load = |record: &Rc<ServerRecord>| {
         let server = &record.entry.server;
         let known = loads.get(server, now);
-        let fresh = known.filter(|load| now.saturating_duration_since(load.arrived) < FRESH);
+        let fresh = known.filter(|load| now.saturating_duration_since(load.received_at) < FRESH);
         let own = loads.in_flight(server) as f64;
         let reported =
             fresh.map_or(mean, |load| (load.report.running + load.report.waiting).get() as f64);
--- a/crates/papayamux-state/src/address_range.rs
+++ b/crates/papayamux-state/src/address_range.rs
@@ -72,12 +72,12 @@
             None => (text, None),
         };
         let base: IpAddr = address.parse().map_err(|_| RangeError)?;
-        let longest = max_prefix_length(base);
+        let max_length = max_prefix_length(base);
         let prefix = match prefix {
             Some(prefix) => prefix.parse().map_err(|_| RangeError)?,
-            None => longest,
+            None => max_length,
         };
-        if prefix > longest {
+        if prefix > max_length {
             return Err(RangeError);
         }
         Ok(Self { base, prefix })
--- a/crates/papayamux-state/src/claims/claim_table.rs
+++ b/crates/papayamux-state/src/claims/claim_table.rs
@@ -62,7 +62,7 @@
 struct Grant {
     claim: ClaimId,
     fingerprint: CallFingerprint,
-    until: Duration,
+    expires_at: Duration,
     place: Option<RunLocation>,
 }
 
@@ -70,7 +70,7 @@
 struct GrantExpiry {
     key: ClaimKey,
     claim: ClaimId,
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// The claims granted by one incarnation of a witness. All times are relative to its start.
@@ -195,21 +195,21 @@
         }
     }
 
-    fn grant(&mut self, query: &ClaimQuery, until: Duration) {
+    fn grant(&mut self, query: &ClaimQuery, expires_at: Duration) {
         let (claim, fingerprint) = (query.claim, query.fingerprint);
         let place = self.grants.get(&query.key).and_then(|grant| grant.place.clone());
-        self.grants.insert(query.key, Grant { claim, fingerprint, until, place });
-        self.expiries.push_back(GrantExpiry { key: query.key, claim, until });
+        self.grants.insert(query.key, Grant { claim, fingerprint, expires_at, place });
+        self.expiries.push_back(GrantExpiry { key: query.key, claim, expires_at });
     }
 
     fn expire(&mut self, now: Duration) {
         while let Some(expiry) = self.expiries.front().copied() {
-            if expiry.until > now {
+            if expiry.expires_at > now {
                 break;
             }
             self.expiries.pop_front();
             if let Entry::Occupied(entry) = self.grants.entry(expiry.key) {
-                if entry.get().claim == expiry.claim && entry.get().until <= now {
+                if entry.get().claim == expiry.claim && entry.get().expires_at <= now {
                     entry.remove();
                 }
             }
--- a/crates/papayamux-state/src/claims/view_history.rs
+++ b/crates/papayamux-state/src/claims/view_history.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy)]
 struct KnownView {
     digest: FleetDigest,
-    until: Duration,
+    expires_at: Duration,
 }
 
 /// The digests of known views with their expiry times. All times are relative to the start of the
@@ -25,29 +25,29 @@
 impl ViewHistory {
     /// Records that `digest` is valid until `until`, or later if it was recorded so. Returns
     /// `false` if too many views are known.
-    pub fn record(&mut self, digest: FleetDigest, until: Duration, now: Duration) -> bool {
-        self.views.retain(|view| view.until > now);
+    pub fn record(&mut self, digest: FleetDigest, expires_at: Duration, now: Duration) -> bool {
+        self.views.retain(|view| view.expires_at > now);
         if let Some(view) = self.views.iter_mut().find(|view| view.digest == digest) {
-            view.until = view.until.max(until);
+            view.expires_at = view.expires_at.max(expires_at);
             return true;
         }
         if self.views.len() >= MAX_VIEWS {
             return false;
         }
-        self.views.push(KnownView { digest, until });
+        self.views.push(KnownView { digest, expires_at });
         true
     }
 
     /// Sets the expiry time of `digest` to `until`.
-    pub fn retire(&mut self, digest: FleetDigest, until: Duration) {
+    pub fn retire(&mut self, digest: FleetDigest, expires_at: Duration) {
         if let Some(view) = self.views.iter_mut().find(|view| view.digest == digest) {
-            view.until = until;
+            view.expires_at = expires_at;
         }
     }
 
     /// Returns whether `digests` contains each view that is still valid at `now`.
     pub fn is_covered_by(&self, digests: &[FleetDigest], now: Duration) -> bool {
-        let mut counting = self.views.iter().filter(|view| view.until > now);
-        counting.all(|view| digests.contains(&view.digest))
+        let mut valid = self.views.iter().filter(|view| view.expires_at > now);
+        valid.all(|view| digests.contains(&view.digest))
     }
 }
--- a/crates/papayamux-state/src/ids/incarnation.rs
+++ b/crates/papayamux-state/src/ids/incarnation.rs
@@ -19,8 +19,8 @@
     pub fn draw() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let millis = since_epoch.as_millis() as u64;
-        let noise = rand::random::<u64>() >> (u64::BITS - RANDOM_BITS);
-        Self((millis << RANDOM_BITS) | noise)
+        let random_bits = rand::random::<u64>() >> (u64::BITS - RANDOM_BITS);
+        Self((millis << RANDOM_BITS) | random_bits)
     }
 
     /// Returns the number as sent on the wire.
--- a/crates/papayamux-state/src/ids/text.rs
+++ b/crates/papayamux-state/src/ids/text.rs
@@ -5,7 +5,7 @@
 /// Maximum length of a text identifier in bytes.
 pub const MAX_ID_BYTES: usize = 128;
 
-fn checked(text: &str) -> Result<String, IdError> {
+fn validate_id(text: &str) -> Result<String, IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
@@ -22,8 +22,8 @@
 /// in the server's identifier.
 const MAX_NAME_BYTES: usize = 96;
 
-fn checked_name(text: &str) -> Result<String, IdError> {
-    let text = checked(text)?;
+fn validate_name(text: &str) -> Result<String, IdError> {
+    let text = validate_id(text)?;
     if text.len() > MAX_NAME_BYTES {
         return Err(IdError::TooLong { length: text.len(), limit: MAX_NAME_BYTES });
     }
@@ -50,7 +50,7 @@
 
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
-        $crate::text_newtype!($(#[$doc])* $name, IdError, checked);
+        $crate::text_newtype!($(#[$doc])* $name, IdError, validate_id);
     };
 }
 
@@ -74,7 +74,7 @@
 crate::text_newtype!(
     /// The name under which a backend server is listed and which it uses for itself. A server may
     /// keep its name when it restarts. Consists of letters, digits and `-._:`.
-    ServerName, IdError, checked_name
+    ServerName, IdError, validate_name
 );
 text_id!(
     /// A failure domain (zone).
--- a/crates/papayamux-state/src/load_table.rs
+++ b/crates/papayamux-state/src/load_table.rs
@@ -18,7 +18,7 @@
     /// The report.
     pub report: LoadReport,
     /// When the report was received.
-    pub arrived: Instant,
+    pub received_at: Instant,
 }
 
 /// The last report of each server. The table has at most one entry for each listed server.
@@ -30,7 +30,7 @@
 impl LoadTable {
     /// Records a report that was received at `now`.
     pub fn record(&mut self, server: &ServerId, report: LoadReport, now: Instant) {
-        let timestamped = TimestampedLoad { report, arrived: now };
+        let timestamped = TimestampedLoad { report, received_at: now };
         match self.reports.get_mut(server) {
             Some(known) => *known = timestamped,
             None => {
@@ -54,7 +54,8 @@
     /// Returns the last report of a server, unless it has expired.
     pub fn get(&self, server: &ServerId, now: Instant) -> Option<TimestampedLoad> {
         let timestamped = self.reports.get(server)?;
-        (now.saturating_duration_since(timestamped.arrived) < REPORT_EXPIRY).then_some(*timestamped)
+        (now.saturating_duration_since(timestamped.received_at) < REPORT_EXPIRY)
+            .then_some(*timestamped)
     }
 
     /// Returns the mean load over `servers`, or `None` if all of their reports have expired. Each
@@ -69,7 +70,7 @@
         for server in servers {
             declared += 1;
             let Some(timestamped) = self.get(server, now) else { continue };
-            let age = now.saturating_duration_since(timestamped.arrived);
+            let age = now.saturating_duration_since(timestamped.received_at);
             let weight = (-age.as_secs_f64() / MEAN_DECAY.as_secs_f64()).exp();
             sum += weight * timestamped.report.running.get() as f64;
             samples += weight;
--- a/crates/papayamux-state/src/moved_chats.rs
+++ b/crates/papayamux-state/src/moved_chats.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone)]
 struct MovedEntry {
     server: ServerId,
-    since: Instant,
+    recorded_at: Instant,
 }
 
 /// Chats by the hash of their key, each with the server that served it last. Losing an entry only
@@ -27,7 +27,7 @@
 impl MovedChats {
     /// Records the server that served a chat.
     pub fn record(&mut self, chat: u64, server: ServerId, now: Instant) {
-        self.chats.insert(chat, MovedEntry { server, since: now });
+        self.chats.insert(chat, MovedEntry { server, recorded_at: now });
         self.order.push_back((chat, now));
         self.drop_expired(now);
     }
@@ -40,18 +40,18 @@
     /// Returns the server that served a chat last, if it is known.
     pub fn get(&self, chat: u64, now: Instant) -> Option<&ServerId> {
         let entry = self.chats.get(&chat)?;
-        let fresh = now.saturating_duration_since(entry.since) < CHAT_RETENTION;
+        let fresh = now.saturating_duration_since(entry.recorded_at) < CHAT_RETENTION;
         fresh.then_some(&entry.server)
     }
 
     fn drop_expired(&mut self, now: Instant) {
-        while let Some((chat, since)) = self.order.front().copied() {
-            let expired = now.saturating_duration_since(since) >= CHAT_RETENTION;
+        while let Some((chat, recorded_at)) = self.order.front().copied() {
+            let expired = now.saturating_duration_since(recorded_at) >= CHAT_RETENTION;
             if !expired && self.order.len() <= MAX_CHATS {
                 break;
             }
             self.order.pop_front();
-            if self.chats.get(&chat).is_some_and(|entry| entry.since == since) {
+            if self.chats.get(&chat).is_some_and(|entry| entry.recorded_at == recorded_at) {
                 self.chats.remove(&chat);
             }
         }
--- a/crates/papayamux-state/src/prompt/warm_parts.rs
+++ b/crates/papayamux-state/src/prompt/warm_parts.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy)]
 struct WarmPrefix {
     tokens: TokenCount,
-    used: u64,
+    last_use: u64,
 }
 
 /// A model of one server's cache with least-recently-used eviction once its capacity is exceeded.
@@ -126,11 +126,11 @@
         self.uses += 1;
         match self.prefixes.get_mut(&prefix) {
             Some(known) => {
-                self.by_use.remove(&known.used);
-                known.used = self.uses;
+                self.by_use.remove(&known.last_use);
+                known.last_use = self.uses;
             }
             None => {
-                self.prefixes.insert(prefix, WarmPrefix { tokens, used: self.uses });
+                self.prefixes.insert(prefix, WarmPrefix { tokens, last_use: self.uses });
                 self.held += tokens;
             }
         }
--- a/crates/papayamux-state/src/service_config/caller_limits.rs
+++ b/crates/papayamux-state/src/service_config/caller_limits.rs
@@ -12,9 +12,9 @@
     /// Maximum size of a request's body.
     pub body_bytes: ByteCount,
     /// The timeout for receiving a request's head.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// The timeout of a connection that is idle between two requests.
-    pub idle_within: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
@@ -24,8 +24,8 @@
         Self {
             head_bytes: ByteCount::new(32 * 1024),
             body_bytes: ByteCount::new(4 * 1024 * 1024),
-            head_within: Duration::from_secs(15),
-            idle_within: Duration::from_secs(60),
+            head_timeout: Duration::from_secs(15),
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
--- a/crates/papayamux-state/src/service_config/request_kind.rs
+++ b/crates/papayamux-state/src/service_config/request_kind.rs
@@ -17,7 +17,7 @@
 
 impl RequestKind {
     /// Returns whether a request whose outcome is unknown may be sent to another server.
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, RequestKind::Idempotent | RequestKind::Stream { resumable: true })
     }
 
--- a/crates/papayamux-state/src/service_config/route.rs
+++ b/crates/papayamux-state/src/service_config/route.rs
@@ -42,9 +42,9 @@
 impl Route {
     /// Returns the service for a request, chosen by weight with the random sample `draw` from the
     /// range 0 (inclusive) to 1 (exclusive).
-    pub fn pick_service(&self, draw: f64) -> Option<&ServiceId> {
+    pub fn pick_service(&self, sample: f64) -> Option<&ServiceId> {
         let total: u32 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut left = sample * f64::from(total);
         let chosen = self.shares.iter().find(|share| {
             left -= f64::from(share.weight);
             left < 0.0
--- a/crates/papayamux-state/src/service_config/service.rs
+++ b/crates/papayamux-state/src/service_config/service.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
     /// The duration for which a server is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// The number of requests per second that a cold server can run.
     pub per_second: f64,
 }
--- a/crates/papayamux-state/tests/hash_ring.rs
+++ b/crates/papayamux-state/tests/hash_ring.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_walk_meets_each_server_once_and_a_missing_one_moves_nobody_else() -> Result<(), IdError> {
+fn walk_visits_each_server_once_and_removal_keeps_the_order_of_the_others() -> Result<(), IdError> {
     let all = servers(12)?;
     let full = HashRing::new(all.clone());
     let without = HashRing::new(all[1..].to_vec());
--- a/crates/papayamux-state/tests/prompts_and_routes.rs
+++ b/crates/papayamux-state/tests/prompts_and_routes.rs
@@ -128,7 +128,7 @@
 #[test]
 fn services_are_picked_by_weight() {
     let route = route("split");
-    let picked = |draw| route.pick_service(draw).unwrap().to_string();
+    let picked = |sample| route.pick_service(sample).unwrap().to_string();
     assert_eq!((picked(0.0), picked(0.899), picked(0.901)), ("a".into(), "a".into(), "b".into()));
 }
 
--- a/crates/papayamux-state/tests/request_fingerprint.rs
+++ b/crates/papayamux-state/tests/request_fingerprint.rs
@@ -59,7 +59,7 @@
 /// can choose words with the same sum. Here the low half of each word equals that of the hash's secret at its
 /// offset.
 #[test]
-fn bodies_that_were_made_to_collide_in_a_table_have_fingerprints_of_their_own() {
+fn bodies_crafted_to_collide_in_xxh3_have_different_fingerprints() {
     // The words are at the start of a stripe, because the other fields take up the 64 bytes before the body.
     let content = |body| RequestContent {
         method: "POST",
