--- a/crates/papayamux-state/src/claims/view_history.rs
+++ b/crates/papayamux-state/src/claims/view_history.rs
@@ -23,7 +23,7 @@
 }
 
 impl ViewHistory {
-    /// Records that `digest` is valid until `until`, or later if it was recorded so. Returns
+    /// Records that `digest` is valid until `expires_at`, or until the recorded time if that is later. Returns
     /// `false` if too many views are known.
     pub fn record(&mut self, digest: FleetDigest, expires_at: Duration, now: Duration) -> bool {
         self.views.retain(|view| view.expires_at > now);
@@ -38,7 +38,7 @@
         true
     }
 
-    /// Sets the expiry time of `digest` to `until`.
+    /// Sets the expiry time of `digest`, if it is known, to `expires_at`.
     pub fn retire(&mut self, digest: FleetDigest, expires_at: Duration) {
         if let Some(view) = self.views.iter_mut().find(|view| view.digest == digest) {
             view.expires_at = expires_at;
--- a/crates/papayamux-state/src/service_config/route.rs
+++ b/crates/papayamux-state/src/service_config/route.rs
@@ -40,7 +40,7 @@
 }
 
 impl Route {
-    /// Returns the service for a request, chosen by weight with the random sample `draw` from the
+    /// Returns the service for a request, chosen by weight with the random number `sample` in the
     /// range 0 (inclusive) to 1 (exclusive).
     pub fn pick_service(&self, sample: f64) -> Option<&ServiceId> {
         let total: u32 = self.shares.iter().map(|share| share.weight).sum();
