--- a/crates/papayamux-coordination/src/attempt_plan.rs
+++ b/crates/papayamux-coordination/src/attempt_plan.rs
@@ -49,7 +49,7 @@
             self.outcome_unknown = true;
         }
         let may_run_again = match self.outcome_unknown {
-            true => kind.may_repeat() && self.runs < max_runs.max(1),
+            true => kind.may_retry() && self.runs < max_runs.max(1),
             false => true,
         };
         if may_run_again && self.attempts < MAX_ATTEMPTS {
@@ -69,7 +69,7 @@
     /// Returns whether the request may go to another server while the outcome of this attempt is
     /// unknown.
     pub fn may_fail_over(&self, kind: RequestKind, max_runs: u32) -> bool {
-        kind.may_repeat() && self.runs + 1 < max_runs.max(1) && self.attempts + 1 < MAX_ATTEMPTS
+        kind.may_retry() && self.runs + 1 < max_runs.max(1) && self.attempts + 1 < MAX_ATTEMPTS
     }
 
     /// Returns whether an earlier attempt may have run.
--- a/crates/papayamux-coordination/tests/attempt_plan.rs
+++ b/crates/papayamux-coordination/tests/attempt_plan.rs
@@ -24,7 +24,7 @@
                 assert_eq!(counts, loss != AttemptLoss::NotSent);
                 assert!(runs < max_runs.max(1) || runs == 0, "{kind:?}: {runs} of {max_runs}");
                 assert!(
-                    runs == 0 || kind.may_repeat(),
+                    runs == 0 || kind.may_retry(),
                     "{kind:?} may have run and would be retried"
                 );
                 follow(kind, max_runs, history, runs, depth + 1);
--- a/crates/papayamux-coordination/tests/claim_model/mod.rs
+++ b/crates/papayamux-coordination/tests/claim_model/mod.rs
@@ -7,7 +7,7 @@
 use papayamux_coordination::claims::{ClaimRound, ClaimVerdict, FleetWindow};
 use papayamux_protocol::link::{ClaimReply, RefusalNotice};
 use papayamux_state::claims::{
-    CallFingerprint, ClaimAsk, ClaimId, ClaimKey, ClaimObjection, ClaimTable, DeclaredServer,
+    CallFingerprint, ClaimId, ClaimKey, ClaimQuery, ClaimRefusal, ClaimTable, DeclaredServer,
     FleetView,
 };
 use papayamux_state::ids::{Incarnation, RequestId, ServerId};
@@ -25,7 +25,7 @@
 /// A message in flight, or a call that an agent has accepted but not executed yet.
 #[derive(Debug, Clone)]
 pub enum Pending {
-    Claim { attempt: usize, witness: usize, ask: ClaimAsk },
+    Claim { attempt: usize, witness: usize, ask: ClaimQuery },
     Reply { attempt: usize, witness: usize, reply: ClaimReply },
     Release { attempt: usize, witness: usize },
     Open { attempt: usize, deadline: Duration },
@@ -116,7 +116,7 @@
         let all_witnesses: Vec<_> = round.all_witnesses().iter().map(index).collect();
         let attempt = self.attempts.len();
         for witness in all_witnesses.iter().copied() {
-            let ask = ClaimAsk { key: key(), fingerprint, claim, views: views.clone() };
+            let ask = ClaimQuery { key: key(), fingerprint, claim, views: views.clone() };
             self.pending.push(Pending::Claim { attempt, witness, ask });
         }
         self.attempts.push(Attempt {
@@ -289,12 +289,12 @@
     }
 }
 
-fn reply_to(claimed: Result<(), ClaimObjection>) -> ClaimReply {
+fn reply_to(claimed: Result<(), ClaimRefusal>) -> ClaimReply {
     match claimed {
         Ok(()) => ClaimReply::Granted,
         Err(objection) => {
             let held = match objection {
-                ClaimObjection::Held(held) => Some(held),
+                ClaimRefusal::Held(held) => Some(held),
                 _ => None,
             };
             let reason = RefusalReason::KeyHeld;
--- a/crates/papayamux-coordination/tests/fleet_replay/mod.rs
+++ b/crates/papayamux-coordination/tests/fleet_replay/mod.rs
@@ -381,7 +381,7 @@
         let ahead = TokenCount::new(
             self.ledger.total(&self.ids[engine], self.now, self.prefill_rate(engine)).backlog,
         );
-        self.warm[engine].note_use(&chain);
+        self.warm[engine].record_use(&chain);
         let work = self.work();
         self.line.record_dispatch(work, self.now);
         let is_copied = placement.fetch_from.is_some_and(|source| self.engines[source].holds(part));
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -10,7 +10,7 @@
     content_fingerprint, AgentClock, AnswerHead, ChatTarget, HeaderField, OpenRequest,
     RefusalNotice, RepeatRule,
 };
-use papayamux_state::claims::RunPlace;
+use papayamux_state::claims::RunLocation;
 use papayamux_state::crash_record::CrashRecord;
 use papayamux_state::ids::{OrganisationId, RequestId, ServerId};
 use papayamux_state::refusal::RefusalReason;
@@ -138,7 +138,7 @@
                 }
                 frontend.metrics.refusals.count(notice.reason.label());
                 refusal = notice;
-                if !refusal.reason.may_ask_elsewhere() {
+                if !refusal.reason.may_try_elsewhere() {
                     break;
                 }
                 frontend.metrics.retries.count(refusal.reason.label());
@@ -213,7 +213,7 @@
         sent_after: offer.begin_attempt(&frontend.directory.updates().quarantine),
     };
     if let Some(attempt) = &offer.claim {
-        attempt.place(RunPlace { server: peer.server().clone(), agent: peer.address() });
+        attempt.place(RunLocation { server: peer.server().clone(), agent: peer.address() });
     }
     let slot = Some(frontend.planner.loads().occupy_slot(peer.server()));
     let Some(mut stream) = link.open_stream(open) else {
--- a/crates/papayamux-router/src/claims/claim_attempt.rs
+++ b/crates/papayamux-router/src/claims/claim_attempt.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use papayamux_protocol::link::{AgentClock, ClaimChange, ClaimNotice};
-use papayamux_state::claims::{ClaimId, ClaimKey, RunPlace};
+use papayamux_state::claims::{ClaimId, ClaimKey, RunLocation};
 
 use crate::agents::AgentLink;
 
@@ -52,7 +52,7 @@
     }
 
     /// Notifies the witnesses of the server that the call is offered to.
-    pub fn place(&self, place: RunPlace) {
+    pub fn place(&self, place: RunLocation) {
         self.notify_witnesses(ClaimChange::Placed(place));
     }
 
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -4,7 +4,7 @@
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
 use papayamux_protocol::headers::IDEMPOTENCY_REPLAYED;
 use papayamux_protocol::link::{HeaderField, RecallRequest};
-use papayamux_state::claims::RunPlace;
+use papayamux_state::claims::RunLocation;
 use papayamux_state::refusal::RefusalReason;
 
 use super::KeyedCall;
@@ -28,7 +28,7 @@
 pub async fn recall_answer(
     frontend: &CallerFrontend,
     call: &KeyedCall,
-    place: &RunPlace,
+    place: &RunLocation,
 ) -> RecallOutcome {
     let known = frontend.fleets.peer(&place.server);
     let peer = known.unwrap_or_else(|| frontend.directory.peer_at(&place.server, place.agent));
--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -7,7 +7,7 @@
 use futures_util::StreamExt;
 use papayamux_coordination::claims::{ClaimRound, ClaimVerdict};
 use papayamux_protocol::link::{ClaimReply, ClaimRequest, RefusalNotice};
-use papayamux_state::claims::{ClaimAsk, HeldClaim};
+use papayamux_state::claims::{ClaimQuery, HeldClaim};
 use papayamux_state::ids::ServerId;
 use papayamux_state::refusal::RefusalReason;
 
@@ -47,7 +47,7 @@
         let refusal = RefusalNotice::new(reason, NO_FLEET_RETRY_MS);
         return RoundOutcome::Lost { held: None, refusal };
     };
-    let ask = ClaimAsk {
+    let ask = ClaimQuery {
         key: call.key,
         fingerprint: call.fingerprint,
         claim: attempt.claim(),
@@ -88,7 +88,7 @@
 async fn request_claim(
     tracker: &FleetTracker,
     witness: &ServerId,
-    ask: ClaimAsk,
+    ask: ClaimQuery,
     attempt: &ClaimAttempt,
     start_within: Duration,
 ) -> Option<ClaimReply> {
--- a/crates/papayamux-router/src/direct/call_handler.rs
+++ b/crates/papayamux-router/src/direct/call_handler.rs
@@ -129,7 +129,7 @@
             };
             let response = self.complete_answer(&plan, attempt, body);
             let failed = response.status().is_server_error();
-            if !failed || !plan.kind().may_repeat() {
+            if !failed || !plan.kind().may_retry() {
                 return Ok(response);
             }
             match plan.after_loss(&LostAttempt::unknown("the server answered with an error")) {
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -292,7 +292,7 @@
         let capacity = self.cache_capacity(&server.service);
         let mut warm = self.warm.borrow_mut();
         let parts = warm.entry(server.id.clone()).or_insert_with(|| WarmParts::new(capacity));
-        parts.note_prefixes(note.prefixes.iter().copied());
+        parts.record_prefixes(note.prefixes.iter().copied());
     }
 
     /// Records the cache contents that an engine lists.
@@ -303,7 +303,7 @@
         let capacity = self.cache_capacity(&server.service);
         let mut warm = self.warm.borrow_mut();
         let parts = warm.entry(server.id.clone()).or_insert_with(|| WarmParts::new(capacity));
-        parts.note_listed(listing.parts.iter().copied());
+        parts.record_listed(listing.parts.iter().copied());
     }
 
     /// Returns the servers that cache prompts, take requests and have no back-off requested.
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -87,7 +87,7 @@
         let servers = presence.catalog().iter().filter(|server| server.domain == *domain);
         for server in servers {
             let Some(start) = self.cold_start(&server.service) else { continue };
-            self.cold_tracker.borrow_mut().assume_cold(&server.id, start.lasts, now);
+            self.cold_tracker.borrow_mut().assume_cold(&server.id, start.duration, now);
         }
     }
 
--- a/crates/papayamux-router/src/direct/source_follower.rs
+++ b/crates/papayamux-router/src/direct/source_follower.rs
@@ -195,9 +195,9 @@
                 if failed {
                     log::info!("source regained");
                 }
-                let may_go_on = read.may_go_on();
+                let may_have_more = read.may_have_more();
                 self.apply(read, failed);
-                if may_go_on {
+                if may_have_more {
                     return ReadResult::MoreAvailable;
                 }
                 if self.fleet.wanted_version().is_none() {
@@ -252,8 +252,8 @@
                 self.fleet.apply_configuration(configuration);
             }
             SourceChange::Server(server) => self.fleet.record_server(server, now),
-            SourceChange::ServerGone(name) => self.fleet.record_departed_server(&name, now),
-            SourceChange::EvacuationBegun(order) => self.fleet.begin_evacuation(order),
+            SourceChange::ServerRemoved(name) => self.fleet.record_departed_server(&name, now),
+            SourceChange::EvacuationStarted(order) => self.fleet.begin_evacuation(order),
             SourceChange::EvacuationEnded(domain) => self.fleet.end_evacuation(&domain),
             SourceChange::Fault(fault) => self.fleet.record_entry_fault(&fault, now),
         }
@@ -285,7 +285,7 @@
 }
 
 impl ReadContents {
-    fn may_go_on(&self) -> bool {
-        matches!(self, ReadContents::Changes(changes) if changes.may_go_on)
+    fn may_have_more(&self) -> bool {
+        matches!(self, ReadContents::Changes(changes) if changes.may_have_more)
     }
 }
--- a/crates/papayamux-router/src/routing/first_token.rs
+++ b/crates/papayamux-router/src/routing/first_token.rs
@@ -151,8 +151,8 @@
         let Some(load) = self.planner.loads().get(home, now) else { return false };
         let mean = self.group_load.map_or(0.0, |load| load.mean);
         is_open
-            && now.saturating_duration_since(load.arrived) < MAX_LOAD_AGE
-            && load.report.has_place()
+            && now.saturating_duration_since(load.received_at) < MAX_LOAD_AGE
+            && load.report.has_free_slot()
             && load.report.backlog < MAX_HOME_BACKLOG
             && load.report.running.get() as f64 <= mean + 1.0
     }
--- a/crates/papayamux-router/src/routing/load_tracker.rs
+++ b/crates/papayamux-router/src/routing/load_tracker.rs
@@ -7,7 +7,7 @@
 
 use papayamux_state::ids::ServerId;
 use papayamux_state::load::{GroupId, GroupLoad, LoadReport};
-use papayamux_state::load_table::{DatedLoad, LoadTable};
+use papayamux_state::load_table::{LoadTable, TimestampedLoad};
 
 use crate::directory::ServerRecord;
 
@@ -21,7 +21,7 @@
 impl LoadTracker {
     /// Records a load report.
     pub fn record_report(&self, server: &ServerId, report: LoadReport, now: Instant) {
-        self.table.borrow_mut().note(server, report, now);
+        self.table.borrow_mut().record(server, report, now);
     }
 
     /// Adds an accepted request to the last load report of `server`, until the next report replaces
@@ -36,7 +36,7 @@
     }
 
     /// Returns the last report of a server.
-    pub fn get(&self, server: &ServerId, now: Instant) -> Option<DatedLoad> {
+    pub fn get(&self, server: &ServerId, now: Instant) -> Option<TimestampedLoad> {
         self.table.borrow().get(server, now)
     }
 
--- a/crates/papayamux-router/src/routing/service_call.rs
+++ b/crates/papayamux-router/src/routing/service_call.rs
@@ -52,7 +52,7 @@
 fn has_recent_report(planner: &RoutePlanner, record: &ServerRecord) -> bool {
     let now = Instant::now();
     let known = planner.loads().get(&record.entry.server, now);
-    known.is_some_and(|load| now.saturating_duration_since(load.arrived) < MAX_UNPROBED_AGE)
+    known.is_some_and(|load| now.saturating_duration_since(load.received_at) < MAX_UNPROBED_AGE)
 }
 
 /// Probes the first servers for their loads. Those with a free slot move to the front, least loaded
@@ -67,7 +67,7 @@
     let (mut open, mut closed) = (Vec::new(), Vec::new());
     for (record, reply) in order.drain(..).zip(replies) {
         planner.record_probe(&record.entry.server, reply.is_some());
-        match reply.map(|reply| reply.load).filter(|load| load.has_place()) {
+        match reply.map(|reply| reply.load).filter(|load| load.has_free_slot()) {
             Some(load) => open.push((load.running, record)),
             None => closed.push(record),
         }
@@ -91,7 +91,8 @@
     let expected_load = |record: &Rc<ServerRecord>| {
         let server = &record.entry.server;
         let known = loads.get(server, now);
-        let fresh = known.filter(|load| now.saturating_duration_since(load.arrived) < MAX_LOAD_AGE);
+        let fresh =
+            known.filter(|load| now.saturating_duration_since(load.received_at) < MAX_LOAD_AGE);
         let own = loads.in_flight(server) as f64;
         let reported =
             fresh.map_or(mean, |load| (load.report.running + load.report.waiting).get() as f64);
--- a/crates/papayamux-state/src/cache_index.rs
+++ b/crates/papayamux-state/src/cache_index.rs
@@ -1,53 +1,54 @@
-//! What an agent believes its engine's prefix cache to hold.
+//! An agent's view of the blocks in its engine's prefix cache.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Blocks that an index holds at most.
-const MOST_BLOCKS: usize = 262_144;
-/// Blocks that are expected at most.
-const MOST_EXPECTED: usize = 65_536;
-/// How long a block is expected before an event has to have confirmed it.
-const EXPECTED_FOR: Duration = Duration::from_secs(3);
-/// How long an index with a gap is believed while it waits to be rebuilt.
-const SUSPECT_FOR: Duration = Duration::from_secs(2);
-/// How long an index is believed after the last page of events.
-const SILENT_FOR: Duration = Duration::from_secs(5);
-
-/// One change of the engine's cache.
+/// Maximum number of blocks in an index.
+const MAX_BLOCKS: usize = 262_144;
+/// Maximum number of expected blocks that no event has confirmed yet.
+const MAX_EXPECTED_BLOCKS: usize = 65_536;
+/// The duration for which a block counts as cached without an event that confirms it.
+const EXPECTED_BLOCK_TTL: Duration = Duration::from_secs(3);
+/// The duration for which an index that misses an event is still trusted while it waits to be
+/// rebuilt.
+const MAX_SUSPECT_AGE: Duration = Duration::from_secs(2);
+/// The duration for which an index is trusted after the last batch of events or snapshot.
+const MAX_EVENT_SILENCE: Duration = Duration::from_secs(5);
+
+/// A change to the engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BlockChange {
-    /// The block was stored.
+    /// A block was stored, named by its hash.
     Stored(u64),
-    /// The block was evicted.
+    /// A block was evicted, named by its hash.
     Evicted(u64),
-    /// All blocks were dropped.
+    /// The cache was cleared.
     Cleared,
 }
 
-/// A stretch of an engine's events.
+/// A batch of consecutive cache events of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EventStretch {
-    /// The engine's life.
+pub struct EventBatch {
+    /// The engine's incarnation.
     pub incarnation: u64,
-    /// The number that the stretch reaches to.
+    /// The number of the last event that the batch covers.
     pub through: u64,
-    /// Numbered changes, the lowest first.
+    /// The changes with their event numbers, in ascending order.
     pub changes: Vec<(u64, BlockChange)>,
 }
 
-/// Whether the index can be believed.
+/// How far the events in an index can be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum IndexTrust {
-    /// Nothing is known yet.
+    /// The index has not been built from a snapshot.
     Unbuilt,
-    /// No event is missing.
-    Whole,
-    /// An event is missing since then.
+    /// The index includes every event up to its position.
+    Complete,
+    /// At least one event is missing, which was noticed at `since`.
     Suspect { since: Instant },
 }
 
-/// An index of blocks, by the lower 32 bits of their hashes.
+/// An index of an engine's cached blocks, keyed by the lower 32 bits of their hashes.
 #[derive(Debug)]
 pub struct CacheIndex {
     blocks: HashSet<u32>,
@@ -55,7 +56,7 @@
     expected_order: VecDeque<(u32, Instant)>,
     incarnation: u64,
     position: u64,
-    heard: Option<Instant>,
+    last_received: Option<Instant>,
     trust: IndexTrust,
 }
 
@@ -67,29 +68,30 @@
             expected_order: VecDeque::new(),
             incarnation: 0,
             position: 0,
-            heard: None,
+            last_received: None,
             trust: IndexTrust::Unbuilt,
         }
     }
 }
 
-/// A hash as the index and probes carry it.
+/// Returns the lower 32 bits of a block hash, the form used in the index and in probes.
 pub fn short_hash(hash: u64) -> u32 {
     hash as u32
 }
 
 impl CacheIndex {
-    /// The number of the last event that the index includes.
+    /// Returns the number of the last event that the index includes.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// Whether the index must be rebuilt from a snapshot.
+    /// Returns whether the index must be rebuilt from a snapshot.
     pub fn needs_rebuild(&self) -> bool {
-        self.trust != IndexTrust::Whole
+        self.trust != IndexTrust::Complete
     }
 
-    /// Puts a snapshot in place of all blocks known before.
+    /// Replaces all known blocks with those of a snapshot. Blocks expected of another incarnation are
+    /// dropped.
     pub fn rebuild(
         &mut self,
         incarnation: u64,
@@ -100,24 +102,24 @@
         if incarnation != self.incarnation {
             self.forget_expected();
         }
-        self.blocks = blocks.map(short_hash).take(MOST_BLOCKS).collect();
+        self.blocks = blocks.map(short_hash).take(MAX_BLOCKS).collect();
         self.incarnation = incarnation;
         self.position = event;
-        self.heard = Some(now);
-        self.trust = IndexTrust::Whole;
+        self.last_received = Some(now);
+        self.trust = IndexTrust::Complete;
     }
 
-    /// Applies a stretch of events. Another life of the engine empties the index; a missing number
-    /// makes it suspect.
-    pub fn apply(&mut self, stretch: &EventStretch, now: Instant) {
-        if stretch.incarnation != self.incarnation {
+    /// Applies a batch of events. Events up to the current position are skipped. A new incarnation of
+    /// the engine clears the index; a gap in the event numbers makes it suspect.
+    pub fn apply(&mut self, batch: &EventBatch, now: Instant) {
+        if batch.incarnation != self.incarnation {
             self.blocks.clear();
             self.forget_expected();
-            (self.incarnation, self.position) = (stretch.incarnation, 0);
+            (self.incarnation, self.position) = (batch.incarnation, 0);
             self.suspect(now);
         }
-        self.heard = Some(now);
-        for (number, change) in &stretch.changes {
+        self.last_received = Some(now);
+        for (number, change) in &batch.changes {
             if *number <= self.position {
                 continue;
             }
@@ -127,15 +129,15 @@
             self.position = *number;
             self.apply_change(*change);
         }
-        if stretch.through > self.position {
-            self.position = stretch.through;
+        if batch.through > self.position {
+            self.position = batch.through;
             self.suspect(now);
         }
     }
 
     fn apply_change(&mut self, change: BlockChange) {
         match change {
-            BlockChange::Stored(hash) if self.blocks.len() < MOST_BLOCKS => {
+            BlockChange::Stored(hash) if self.blocks.len() < MAX_BLOCKS => {
                 self.blocks.insert(short_hash(hash));
             }
             BlockChange::Stored(_) => {}
@@ -150,18 +152,18 @@
         }
     }
 
-    /// Notes that events are missing, unless that is known.
+    /// Marks a complete index as suspect because events are missing.
     pub fn suspect(&mut self, now: Instant) {
-        if self.trust == IndexTrust::Whole {
+        if self.trust == IndexTrust::Complete {
             self.trust = IndexTrust::Suspect { since: now };
         }
     }
 
-    /// Expects blocks of a prompt that was given to the engine just now.
+    /// Records the blocks of a prompt that was just sent to the engine as expected in its cache.
     pub fn expect(&mut self, hashes: &[u64], now: Instant) {
         self.drop_expired(now);
         for hash in hashes.iter().map(|hash| short_hash(*hash)) {
-            if self.expected_order.len() >= MOST_EXPECTED {
+            if self.expected_order.len() >= MAX_EXPECTED_BLOCKS {
                 break;
             }
             self.expected.insert(hash, now);
@@ -171,7 +173,7 @@
 
     fn drop_expired(&mut self, now: Instant) {
         while let Some((hash, since)) = self.expected_order.front().copied() {
-            if now.saturating_duration_since(since) < EXPECTED_FOR {
+            if now.saturating_duration_since(since) < EXPECTED_BLOCK_TTL {
                 break;
             }
             self.expected_order.pop_front();
@@ -186,25 +188,27 @@
         self.expected_order.clear();
     }
 
-    /// Whether what events and snapshots said is believed at `now`.
-    pub fn is_believed(&self, now: Instant) -> bool {
+    /// Returns whether the blocks known from events and snapshots can be trusted at `now`.
+    pub fn is_trusted(&self, now: Instant) -> bool {
         let within = |since: Instant, limit| now.saturating_duration_since(since) < limit;
         match self.trust {
             IndexTrust::Unbuilt => false,
-            IndexTrust::Whole => self.heard.is_some_and(|heard| within(heard, SILENT_FOR)),
-            IndexTrust::Suspect { since } => within(since, SUSPECT_FOR),
+            IndexTrust::Complete => self
+                .last_received
+                .is_some_and(|last_received| within(last_received, MAX_EVENT_SILENCE)),
+            IndexTrust::Suspect { since } => within(since, MAX_SUSPECT_AGE),
         }
     }
 
-    /// How many of the leading `hashes` are cached, as far as is known.
+    /// Returns the number of leading `hashes` that are known or expected to be cached.
     pub fn warm_prefix(&self, hashes: impl Iterator<Item = u32>, now: Instant) -> usize {
-        let believed = self.is_believed(now);
+        let trusted = self.is_trusted(now);
         let is_expected = |hash: &u32| {
             let since = self.expected.get(hash);
-            since.is_some_and(|since| now.saturating_duration_since(*since) < EXPECTED_FOR)
+            since.is_some_and(|since| now.saturating_duration_since(*since) < EXPECTED_BLOCK_TTL)
         };
         hashes
-            .take_while(|hash| (believed && self.blocks.contains(hash)) || is_expected(hash))
+            .take_while(|hash| (trusted && self.blocks.contains(hash)) || is_expected(hash))
             .count()
     }
 }
--- a/crates/papayamux-state/src/claims/claim_table.rs
+++ b/crates/papayamux-state/src/claims/claim_table.rs
@@ -1,4 +1,4 @@
-//! A witness's memory of which attempt it has granted each key to.
+//! A witness's table of the attempts to which it granted keys.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -8,53 +8,53 @@
 use super::{CallFingerprint, ClaimId, ClaimKey, FleetDigest, ViewHistory};
 use crate::ids::ServerId;
 
-/// Where an attempt was brought to.
+/// The server to which an attempt was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunPlace {
+pub struct RunLocation {
     /// The server.
     pub server: ServerId,
-    /// Where its agent listens.
+    /// The address on which the server's agent listens.
     pub agent: SocketAddr,
 }
 
-/// A claim as a witness judges it.
+/// An attempt's query for a key, as a witness checks it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimAsk {
-    /// The key.
+pub struct ClaimQuery {
+    /// The key to be claimed.
     pub key: ClaimKey,
-    /// The call.
+    /// The fingerprint of the call.
     pub fingerprint: CallFingerprint,
-    /// The attempt.
+    /// The attempt that claims the key.
     pub claim: ClaimId,
-    /// The views of the fleet under which the attempt asks for majorities, the one in force
+    /// The views of the fleet under each of which the attempt needs a majority, the one in force
     /// first.
     pub views: Vec<FleetDigest>,
 }
 
-/// A key that another attempt holds.
+/// A grant of a key to another attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldClaim {
-    /// The attempt.
+    /// The attempt that holds the key.
     pub claim: ClaimId,
-    /// Where it was brought to last, as far as the witness knows.
-    pub place: Option<RunPlace>,
+    /// The server to which the attempt was sent last, if the witness knows it.
+    pub place: Option<RunLocation>,
 }
 
-/// Why a witness grants nothing.
+/// The reason for which a witness refuses a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimObjection {
-    /// The witness may have had a predecessor that granted the key.
-    Young {
-        /// Time until it remembers a whole window.
+pub enum ClaimRefusal {
+    /// The witness has started so recently that a previous incarnation may have granted the key.
+    NotReady {
+        /// The time until the witness grants claims.
         ready_in: Duration,
     },
-    /// The witness knows a view of the fleet that the attempt does not reckon with.
+    /// The witness knows a view of the fleet that the query doesn't list.
     OtherFleet,
-    /// The key is held by another attempt at the same call.
+    /// Another attempt at the same call holds the key.
     Held(HeldClaim),
-    /// The key is held by another call.
+    /// The key was granted for a different call.
     OtherCall,
-    /// No further claim can be remembered.
+    /// The table is full.
     Full,
 }
 
@@ -62,22 +62,22 @@
 struct Grant {
     claim: ClaimId,
     fingerprint: CallFingerprint,
-    until: Duration,
-    place: Option<RunPlace>,
+    expires_at: Duration,
+    place: Option<RunLocation>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct GrantExpiry {
     key: ClaimKey,
     claim: ClaimId,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// The claims of one life of a witness. All times are since that life began.
+/// The claims granted by one incarnation of a witness. All times are relative to its start.
 #[derive(Debug, Clone)]
 pub struct ClaimTable {
     retention: Duration,
-    most_claims: usize,
+    max_claims: usize,
     ready: Duration,
     own_view: Option<FleetDigest>,
     views: ViewHistory,
@@ -86,12 +86,14 @@
 }
 
 impl ClaimTable {
-    /// An empty table that remembers each of at most `most_claims` claims for `retention`, and
-    /// grants none before it has lived that long: a predecessor may have granted them.
-    pub fn new(retention: Duration, most_claims: usize) -> Self {
+    /// Creates an empty table that keeps each of at most `max_claims` claims for `retention`.
+    ///
+    /// The table grants no claim before that time has passed, because a previous incarnation of
+    /// the witness may have granted the same keys.
+    pub fn new(retention: Duration, max_claims: usize) -> Self {
         Self {
             retention,
-            most_claims,
+            max_claims,
             ready: retention,
             own_view: None,
             views: ViewHistory::default(),
@@ -100,15 +102,15 @@
         }
     }
 
-    /// Grants from `ready` on. Only for a witness that can't have had a predecessor which
-    /// granted anything less than a retention before `ready`.
+    /// Makes the table grant claims from `ready` on. Use it only for a witness without a previous
+    /// incarnation that could have granted claims less than a retention before `ready`.
     pub fn ready_from(mut self, ready: Duration) -> Self {
         self.ready = ready;
         self
     }
 
-    /// Puts a view of the declared fleet in force for this witness. The one before it counts
-    /// for one retention more.
+    /// Puts a view of the declared fleet in force for this witness. The previous view must still
+    /// be covered by queries for one more retention.
     pub fn declare_view(&mut self, view: FleetDigest, now: Duration) {
         match self.own_view.replace(view) {
             Some(previous) if previous != view => {
@@ -116,49 +118,49 @@
             }
             _ => {}
         }
-        self.views.note(view, Duration::MAX, now);
+        self.views.record(view, Duration::MAX, now);
     }
 
-    /// Time until the witness grants claims.
+    /// Returns the time until the witness grants claims.
     pub fn ready_in(&self, now: Duration) -> Duration {
         self.ready.saturating_sub(now)
     }
 
-    /// Keys held at present, counting those that expire only with the next claim.
+    /// Returns the number of granted keys, including expired ones that the next claim will remove.
     pub fn len(&self) -> usize {
         self.grants.len()
     }
 
-    /// Whether no key is held.
+    /// Returns whether no key is granted.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty()
     }
 
-    /// Grants the key to the attempt, for the retention from `now`, or says why not. An attempt
-    /// that asks again is granted again.
-    pub fn claim(&mut self, ask: &ClaimAsk, now: Duration) -> Result<(), ClaimObjection> {
+    /// Grants the key to the attempt for one retention from `now`, or returns the reason for
+    /// refusing it. An attempt that already holds the key is granted it again.
+    pub fn claim(&mut self, query: &ClaimQuery, now: Duration) -> Result<(), ClaimRefusal> {
         self.expire(now);
-        self.check_held(ask)?;
+        self.check_held(query)?;
         let ready_in = self.ready_in(now);
         if !ready_in.is_zero() {
-            return Err(ClaimObjection::Young { ready_in });
+            return Err(ClaimRefusal::NotReady { ready_in });
         }
-        self.check_views(ask, now)?;
-        if self.expiries.len() >= self.most_claims {
-            return Err(ClaimObjection::Full);
+        self.check_views(query, now)?;
+        if self.expiries.len() >= self.max_claims {
+            return Err(ClaimRefusal::Full);
         }
-        self.grant(ask, now + self.retention);
+        self.grant(query, now + self.retention);
         Ok(())
     }
 
-    /// Notes where the attempt was brought to.
-    pub fn place(&mut self, key: ClaimKey, claim: ClaimId, place: RunPlace) {
+    /// Records the server to which the attempt was sent, if it holds the key.
+    pub fn place(&mut self, key: ClaimKey, claim: ClaimId, place: RunLocation) {
         if let Some(grant) = self.grants.get_mut(&key).filter(|grant| grant.claim == claim) {
             grant.place = Some(place);
         }
     }
 
-    /// Frees the key of an attempt that is proved not run and never will.
+    /// Releases the key of an attempt that is proven never to have run and never to run.
     pub fn release(&mut self, key: ClaimKey, claim: ClaimId) {
         if let Entry::Occupied(entry) = self.grants.entry(key) {
             if entry.get().claim == claim {
@@ -167,46 +169,47 @@
         }
     }
 
-    fn check_held(&self, ask: &ClaimAsk) -> Result<(), ClaimObjection> {
-        match self.grants.get(&ask.key) {
+    fn check_held(&self, query: &ClaimQuery) -> Result<(), ClaimRefusal> {
+        match self.grants.get(&query.key) {
             None => Ok(()),
-            Some(grant) if grant.fingerprint != ask.fingerprint => Err(ClaimObjection::OtherCall),
-            Some(grant) if grant.claim == ask.claim => Ok(()),
-            Some(grant) => Err(ClaimObjection::Held(HeldClaim {
+            Some(grant) if grant.fingerprint != query.fingerprint => Err(ClaimRefusal::OtherCall),
+            Some(grant) if grant.claim == query.claim => Ok(()),
+            Some(grant) => Err(ClaimRefusal::Held(HeldClaim {
                 claim: grant.claim,
                 place: grant.place.clone(),
             })),
         }
     }
 
-    /// The attempt must ask under each view that this witness has known within the window: else
-    /// another attempt may hold a majority under a view that this one does not ask under.
-    fn check_views(&mut self, ask: &ClaimAsk, now: Duration) -> Result<(), ClaimObjection> {
-        if !self.views.is_covered_by(&ask.views, now) {
-            return Err(ClaimObjection::OtherFleet);
+    /// Checks that the query lists each view that this witness has known within the retention.
+    /// Otherwise another attempt could hold a majority under a view that this query doesn't list.
+    /// The query's first view is recorded as known.
+    fn check_views(&mut self, query: &ClaimQuery, now: Duration) -> Result<(), ClaimRefusal> {
+        if !self.views.is_covered_by(&query.views, now) {
+            return Err(ClaimRefusal::OtherFleet);
         }
-        let Some(current) = ask.views.first() else { return Err(ClaimObjection::OtherFleet) };
-        match self.views.note(*current, now + self.retention, now) {
+        let Some(current) = query.views.first() else { return Err(ClaimRefusal::OtherFleet) };
+        match self.views.record(*current, now + self.retention, now) {
             true => Ok(()),
-            false => Err(ClaimObjection::OtherFleet),
+            false => Err(ClaimRefusal::OtherFleet),
         }
     }
 
-    fn grant(&mut self, ask: &ClaimAsk, until: Duration) {
-        let (claim, fingerprint) = (ask.claim, ask.fingerprint);
-        let place = self.grants.get(&ask.key).and_then(|grant| grant.place.clone());
-        self.grants.insert(ask.key, Grant { claim, fingerprint, until, place });
-        self.expiries.push_back(GrantExpiry { key: ask.key, claim, until });
+    fn grant(&mut self, query: &ClaimQuery, expires_at: Duration) {
+        let (claim, fingerprint) = (query.claim, query.fingerprint);
+        let place = self.grants.get(&query.key).and_then(|grant| grant.place.clone());
+        self.grants.insert(query.key, Grant { claim, fingerprint, expires_at, place });
+        self.expiries.push_back(GrantExpiry { key: query.key, claim, expires_at });
     }
 
     fn expire(&mut self, now: Duration) {
         while let Some(expiry) = self.expiries.front().copied() {
-            if expiry.until > now {
+            if expiry.expires_at > now {
                 break;
             }
             self.expiries.pop_front();
             if let Entry::Occupied(entry) = self.grants.entry(expiry.key) {
-                if entry.get().claim == expiry.claim && entry.get().until <= now {
+                if entry.get().claim == expiry.claim && entry.get().expires_at <= now {
                     entry.remove();
                 }
             }
--- a/crates/papayamux-state/src/claims/mod.rs
+++ b/crates/papayamux-state/src/claims/mod.rs
@@ -1,4 +1,4 @@
-//! Claims: how a key is given to one attempt at most.
+//! Claims, which grant an idempotency key to at most one attempt.
 //!
 //! See `docs/design/at-most-once.md`.
 
@@ -8,6 +8,6 @@
 mod view_history;
 
 pub use claim_key::{CallFingerprint, ClaimId, ClaimKey};
-pub use claim_table::{ClaimAsk, ClaimObjection, ClaimTable, HeldClaim, RunPlace};
+pub use claim_table::{ClaimQuery, ClaimRefusal, ClaimTable, HeldClaim, RunLocation};
 pub use fleet_view::{DeclaredServer, FleetDigest, FleetView, FleetViewError};
 pub use view_history::ViewHistory;
--- a/crates/papayamux-state/src/ids/text.rs
+++ b/crates/papayamux-state/src/ids/text.rs
@@ -1,16 +1,16 @@
-//! Identifiers that are text: graphic ASCII, bounded in length.
+//! Text identifiers: graphic ASCII characters with a maximum length.
 
 use super::{IdError, ServerStart};
 
-/// Bytes that a text identifier may have at most.
-pub const LONGEST_ID: usize = 128;
+/// Maximum length of a text identifier in bytes.
+pub const MAX_ID_BYTES: usize = 128;
 
-fn checked(text: &str) -> Result<String, IdError> {
+fn validate_id(text: &str) -> Result<String, IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
-    if text.len() > LONGEST_ID {
-        return Err(IdError::TooLong { length: text.len(), limit: LONGEST_ID });
+    if text.len() > MAX_ID_BYTES {
+        return Err(IdError::TooLong { length: text.len(), limit: MAX_ID_BYTES });
     }
     match text.chars().find(|character| !character.is_ascii_graphic()) {
         Some(character) => Err(IdError::Character { character }),
@@ -18,13 +18,14 @@
     }
 }
 
-/// Bytes that a server's name may have at most: its identifier has room for the time of its start.
-const LONGEST_NAME: usize = 96;
+/// Maximum length of a server name in bytes. It leaves room for the start time that follows the name
+/// in the server's identifier.
+const MAX_NAME_BYTES: usize = 96;
 
-fn checked_name(text: &str) -> Result<String, IdError> {
-    let text = checked(text)?;
-    if text.len() > LONGEST_NAME {
-        return Err(IdError::TooLong { length: text.len(), limit: LONGEST_NAME });
+fn validate_name(text: &str) -> Result<String, IdError> {
+    let text = validate_id(text)?;
+    if text.len() > MAX_NAME_BYTES {
+        return Err(IdError::TooLong { length: text.len(), limit: MAX_NAME_BYTES });
     }
     let allowed = |character: char| {
         character.is_ascii_alphanumeric() || matches!(character, '-' | '.' | '_' | ':')
@@ -36,10 +37,11 @@
 }
 
 impl ServerId {
-    /// The identifier of the start of `name` at `start`, where the server tells that.
+    /// Returns the identifier of the start of server `name` at `start`, which is `None` if the
+    /// server doesn't report its start time.
     pub fn of_start(name: &ServerName, start: Option<ServerStart>) -> Self {
         match start {
-            // Names hold no `#`, so that no name is taken for a start of another one.
+            // Names can't contain `#`, so no name is mistaken for a start of another server.
             Some(start) => Self(format!("{name}#{start}")),
             None => Self(name.as_str().to_string()),
         }
@@ -48,7 +50,7 @@
 
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
-        $crate::text_newtype!($(#[$doc])* $name, IdError, checked);
+        $crate::text_newtype!($(#[$doc])* $name, IdError, validate_id);
     };
 }
 
@@ -57,7 +59,7 @@
     OrganisationId
 );
 text_id!(
-    /// A model that callers name in a request.
+    /// A model, as named by callers in a request.
     ModelId
 );
 text_id!(
@@ -65,29 +67,29 @@
     AdapterId
 );
 text_id!(
-    /// One start of a backend server: a model engine or a plain service. A server that starts again
-    /// under the same name has another identifier, since it holds nothing of before.
+    /// One start of a backend server, which is a model engine or a plain service. A server that
+    /// restarts under the same name gets another identifier, since it has lost its earlier state.
     ServerId
 );
 crate::text_newtype!(
-    /// The name under which a backend server is listed, and by which it knows itself. A server that
-    /// starts again may keep it. Letters, digits and `-._:`.
-    ServerName, IdError, checked_name
+    /// The name under which a backend server is listed and which it uses for itself. A server may
+    /// keep its name when it restarts. Consists of letters, digits and `-._:`.
+    ServerName, IdError, validate_name
 );
 text_id!(
     /// A failure domain (zone).
     FailureDomain
 );
 text_id!(
-    /// A region: failure domains near one another.
+    /// A region: a group of nearby failure domains.
     Region
 );
 text_id!(
-    /// The key under which the turns of one chat come back.
+    /// The key that all turns of one chat have in common.
     ChatKey
 );
 text_id!(
-    /// The key under which a caller repeats a non-idempotent call.
+    /// The key that a caller sends with a non-idempotent call and each retry of it.
     IdempotencyKey
 );
 text_id!(
@@ -95,6 +97,6 @@
     ServiceId
 );
 text_id!(
-    /// A route: one way from a host and path to a service.
+    /// A route from a host and path prefix to services.
     RouteId
 );
--- a/crates/papayamux-state/src/service_config/api_key.rs
+++ b/crates/papayamux-state/src/service_config/api_key.rs
@@ -1,25 +1,25 @@
-//! The key by which a caller proves its organisation.
+//! The API key by which a caller authenticates as an organisation.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// Bytes that a key may have at most; longer ones are refused before they are looked up.
-const LONGEST_KEY: usize = 512;
+/// Maximum length of a key in bytes. Longer keys are refused without a lookup.
+const MAX_KEY_BYTES: usize = 512;
 
-/// Why a text is not an API key. The text itself is a secret and is not repeated.
+/// The error of parsing an [`ApiKey`]. It doesn't contain the text, which is a secret.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ApiKeyError {
-    /// There is no text.
+    /// The text is empty.
     #[error("an API key must not be empty")]
     Empty,
     /// The text is too long.
-    #[error("an API key has at most {LONGEST_KEY} bytes")]
+    #[error("an API key has at most {MAX_KEY_BYTES} bytes")]
     TooLong,
 }
 
-/// An API key. Its text appears neither in `Debug` nor in logs.
+/// An API key. Its text is kept out of the `Debug` output and logs.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(String);
 
@@ -29,7 +29,7 @@
     fn from_str(text: &str) -> Result<Self, ApiKeyError> {
         match text.len() {
             0 => Err(ApiKeyError::Empty),
-            length if length > LONGEST_KEY => Err(ApiKeyError::TooLong),
+            length if length > MAX_KEY_BYTES => Err(ApiKeyError::TooLong),
             _ => Ok(Self(text.to_string())),
         }
     }
