--- a/crates/papayamux-agent/src/agent_core.rs
+++ b/crates/papayamux-agent/src/agent_core.rs
@@ -6,7 +6,7 @@
 
 use papayamux_coordination::admission::AdmissionBook;
 use papayamux_protocol::link::AgentClock;
-use papayamux_protocol::serving::{ServingAnswer, ServingQuestion, ServingRefusal};
+use papayamux_protocol::serving::{ServingAnswer, ServingQuery, ServingRefusal};
 use papayamux_state::ids::{FailureDomain, Incarnation, ServerId};
 use papayamux_state::load::{GroupId, LoadReport};
 use papayamux_transport::http::HttpClient;
@@ -76,7 +76,7 @@
     }
 
     /// Answers another server's agent that asks whether it can count on this server.
-    pub(crate) fn answer_question(&self, question: &ServingQuestion) -> ServingAnswer {
+    pub(crate) fn answer_question(&self, question: &ServingQuery) -> ServingAnswer {
         match &self.orders {
             Some(orders) => orders.answer_question(question, self.book.is_leaving()),
             None => ServingAnswer::Refused(ServingRefusal::NotServing),
--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use papayamux_protocol::link::{
     AgentMessage, AnswerData, AnswerEnd, AnswerHead, OpenRequest, RefusalNotice, RepeatRule,
-    ResumeNotice, ResumePoint, STREAM_WINDOW,
+    ResumeNotice, ResumePoint, STREAM_WINDOW_BYTES,
 };
 use papayamux_state::ids::{OrganisationId, RequestId};
 use papayamux_transport::link::LinkSender;
@@ -204,7 +204,7 @@
     fn is_window_full(&self) -> bool {
         let state = self.state.borrow();
         let unread = state.held.end().saturating_sub(state.acknowledged);
-        unread >= STREAM_WINDOW && !matches!(state.reader, Reader::Gone)
+        unread >= STREAM_WINDOW_BYTES && !matches!(state.reader, Reader::Gone)
     }
 
     fn note_move(&self) {
@@ -301,7 +301,7 @@
     /// Sends what the window lets through, and the end behind it.
     fn send_waiting(&self, state: &mut RecordState) {
         let Reader::Attached(attachment) = &state.reader else { return };
-        while state.sent < state.acknowledged + STREAM_WINDOW {
+        while state.sent < state.acknowledged + STREAM_WINDOW_BYTES {
             let Some(bytes) = state.held.piece_at(state.sent, LONGEST_PIECE) else { break };
             let offset = state.sent;
             state.sent += bytes.len() as u64;
--- a/crates/papayamux-agent/src/claims/run_recorder.rs
+++ b/crates/papayamux-agent/src/claims/run_recorder.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 
 use bytes::{Bytes, BytesMut};
-use papayamux_protocol::link::{AnswerHead, STREAM_WINDOW};
+use papayamux_protocol::link::{AnswerHead, STREAM_WINDOW_BYTES};
 use papayamux_state::claims::ClaimKey;
 
 use super::kept_answers::{KeptAnswer, KeptAnswers};
 
 /// Bytes of the longest answer that is kept: it can be sent without waiting for the window.
-const LONGEST_KEPT: usize = STREAM_WINDOW as usize;
+const LONGEST_KEPT: usize = STREAM_WINDOW_BYTES as usize;
 
 #[derive(Debug, Default)]
 struct RecordedAnswer {
--- a/crates/papayamux-agent/src/engine_follower.rs
+++ b/crates/papayamux-agent/src/engine_follower.rs
@@ -7,7 +7,7 @@
 use http::{Method, Request, StatusCode};
 use papayamux_protocol::engine::{
     CacheChange, CacheEventPage, CacheSnapshot, EngineLoad, CACHE_BLOCKS_PATH, CACHE_EVENTS_PATH,
-    LOAD_PATH, LONGEST_EVENT_PAGE,
+    LOAD_PATH, MAX_EVENTS_PER_PAGE,
 };
 use papayamux_state::cache_index::{BlockChange, EventStretch};
 use papayamux_state::quantities::RequestCount;
@@ -90,11 +90,11 @@
     /// Reads one page of events; `true` where there may be more.
     async fn read_events(&self) -> bool {
         let after = self.core.engine.index().borrow().position();
-        let path = format!("{CACHE_EVENTS_PATH}?after={after}&limit={LONGEST_EVENT_PAGE}");
+        let path = format!("{CACHE_EVENTS_PATH}?after={after}&limit={MAX_EVENTS_PER_PAGE}");
         let Some(page) = self.fetch::<CacheEventPage>(&path).await else {
             return false;
         };
-        let more = page.events.len() >= LONGEST_EVENT_PAGE;
+        let more = page.events.len() >= MAX_EVENTS_PER_PAGE;
         let mut index = self.core.engine.index().borrow_mut();
         let was_whole = !index.needs_rebuild();
         index.apply(&stretch_of(page), Instant::now());
--- a/crates/papayamux-agent/src/orders/order_core.rs
+++ b/crates/papayamux-agent/src/orders/order_core.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use papayamux_coordination::orders::{ChangePlan, EngineReading, StopBook};
-use papayamux_protocol::serving::{ServingAnswer, ServingQuestion};
+use papayamux_protocol::serving::{ServingAnswer, ServingQuery};
 use papayamux_state::weights::WeightsRef;
 use serde_json::json;
 
@@ -63,7 +63,7 @@
     }
 
     /// Answers another server's agent that asks whether it can count on this server.
-    pub fn answer_question(&self, question: &ServingQuestion, is_leaving: bool) -> ServingAnswer {
+    pub fn answer_question(&self, question: &ServingQuery, is_leaving: bool) -> ServingAnswer {
         let now = Instant::now();
         let is_serving = !is_leaving && self.gate.is_serving(&question.weights, now);
         let answered = self.stops.borrow().answer(&question.weights, is_serving, now);
--- a/crates/papayamux-agent/src/orders/serving_client.rs
+++ b/crates/papayamux-agent/src/orders/serving_client.rs
@@ -6,7 +6,7 @@
 use futures_util::future::join_all;
 use papayamux_coordination::orders::ServingEvidence;
 use papayamux_protocol::link::{AgentMessage, RouterMessage};
-use papayamux_protocol::serving::{ServingAnswer, ServingQuestion};
+use papayamux_protocol::serving::{ServingAnswer, ServingQuery};
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::WeightsRef;
 use papayamux_transport::agent_link::{open_link, AgentLinkError, LinkIdentity, CONNECTION};
@@ -70,7 +70,7 @@
     ) -> Result<ServingAnswer, AgentLinkError> {
         let mut link = open_link(other, address, &self.identity).await?;
         let (weights, asker) = (weights.clone(), self.server.clone());
-        let question = RouterMessage::AskServing(ServingQuestion { weights, asker });
+        let question = RouterMessage::AskServing(ServingQuery { weights, asker });
         link.sender.send(CONNECTION, question);
         loop {
             let received = link.receiver.receive().await.ok_or(AgentLinkError::NoWelcome)??;
--- a/crates/papayamux-agent/src/trust.rs
+++ b/crates/papayamux-agent/src/trust.rs
@@ -131,8 +131,8 @@
 /// A router without a nonce asks for no proof; the agent then covers one of its own drawing.
 fn context(core: &AgentCore, hello: &RouterHello) -> ProofContext {
     ProofContext {
-        router_nonce: hello.nonce.unwrap_or_else(ProofNonce::draw),
-        agent_nonce: ProofNonce::draw(),
+        router_nonce: hello.nonce.unwrap_or_else(ProofNonce::generate),
+        agent_nonce: ProofNonce::generate(),
         router: hello.incarnation,
         agent: core.incarnation,
         server: core.server.clone(),
--- a/crates/papayamux-agent/tests/answer_records.rs
+++ b/crates/papayamux-agent/tests/answer_records.rs
@@ -8,7 +8,7 @@
 use papayamux_agent::answers::{AnswerRecord, AnswerStore, Attachment, AttachmentKey, StoreLimits};
 use papayamux_protocol::link::{
     AgentClock, AgentMessage, AnswerEnd, AnswerHead, OpenRequest, RepeatRule, ResumePoint,
-    RouterMessage, STREAM_WINDOW,
+    RouterMessage, STREAM_WINDOW_BYTES,
 };
 use papayamux_protocol::wire::{AgentFrame, RouterFrame};
 use papayamux_state::ids::{Incarnation, RequestId};
@@ -128,7 +128,7 @@
         let store = store(1024);
         let record =
             store.start_record(&open(1, RepeatRule::AtMostOnce(None)), on_stream(1, &sender));
-        record.append(Bytes::from(vec![0; STREAM_WINDOW as usize]), &[]).await;
+        record.append(Bytes::from(vec![0; STREAM_WINDOW_BYTES as usize]), &[]).await;
         record.lose(on_stream(1, &sender).key);
         let mut next = Box::pin(record.append(Bytes::from_static(b"x"), &[]));
         assert!(futures_util::poll!(next.as_mut()).is_pending());
--- a/crates/papayamux-agent/tests/kept_answers.rs
+++ b/crates/papayamux-agent/tests/kept_answers.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use papayamux_agent::claims::{ClaimSettings, KeptAnswers, RunRecorder};
 use papayamux_protocol::link::{
-    AgentClock, AnswerHead, OpenRequest, RecallRequest, RepeatRule, STREAM_WINDOW,
+    AgentClock, AnswerHead, OpenRequest, RecallRequest, RepeatRule, STREAM_WINDOW_BYTES,
 };
 use papayamux_state::claims::{CallFingerprint, ClaimId};
 use papayamux_state::ids::{Incarnation, RequestId};
@@ -91,7 +91,7 @@
     assert_eq!(recall(&kept, "a", "/book"), Err(RefusalReason::AnswerNotKept));
     assert_eq!(recall(&kept, "c", "/book"), Ok(4_000));
     assert!(kept.kept_bytes().get() <= 10_000);
-    run(&kept, "long", STREAM_WINDOW as usize + 1);
+    run(&kept, "long", STREAM_WINDOW_BYTES as usize + 1);
     assert_eq!(recall(&kept, "long", "/book"), Err(RefusalReason::AnswerNotKept));
 }
 
--- a/crates/papayamux-coordination/src/admission.rs
+++ b/crates/papayamux-coordination/src/admission.rs
@@ -208,7 +208,7 @@
             return Ok(Admission::Now(self.occupy()));
         }
         let wait = self.expected_wait(places, open.priority);
-        if self.limits.queue.get() > 0 && wait < open.placement.patience {
+        if self.limits.queue.get() > 0 && wait < open.placement.wait_budget {
             return self.enqueue(open, group, now, wait).map(Admission::Later);
         }
         Err(if places < capacity { RefusalReason::OverBound } else { RefusalReason::AtCapacity })
@@ -264,7 +264,7 @@
         now: AgentClock,
         wait: Duration,
     ) -> Result<AdmissionTicket, RefusalReason> {
-        let longest = open.placement.patience.saturating_mul(2).max(SHORTEST_WAIT);
+        let longest = open.placement.wait_budget.saturating_mul(2).max(SHORTEST_WAIT);
         let longest = longest.min(self.limits.longest_wait);
         let deadline = open.start_before.min(now.after(longest));
         if now.after(wait) >= deadline {
--- a/crates/papayamux-coordination/src/orders/server_target.rs
+++ b/crates/papayamux-coordination/src/orders/server_target.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use papayamux_protocol::engine::MOST_ORDERED;
+use papayamux_protocol::engine::MAX_ORDERED_WEIGHTS;
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::WeightsRef;
 use thiserror::Error;
@@ -36,7 +36,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TargetError {
     /// More than an order may name.
-    #[error("{count} models and adapters are declared; an order names at most {MOST_ORDERED}")]
+    #[error(
+        "{count} models and adapters are declared; an order names at most {MAX_ORDERED_WEIGHTS}"
+    )]
     TooMany {
         /// How many there are.
         count: usize,
@@ -63,7 +65,7 @@
     /// Whether orders can express the target.
     pub fn check(&self) -> Result<(), TargetError> {
         let count = self.weights.len();
-        if count > MOST_ORDERED {
+        if count > MAX_ORDERED_WEIGHTS {
             return Err(TargetError::TooMany { count });
         }
         let mut names = BTreeSet::new();
--- a/crates/papayamux-coordination/src/route_cost.rs
+++ b/crates/papayamux-coordination/src/route_cost.rs
@@ -4,13 +4,13 @@
 
 use papayamux_protocol::engine::TOKENS_PER_BLOCK;
 use papayamux_protocol::link::ProbeReply;
-use papayamux_protocol::wire::MOST_CHECKPOINTS;
+use papayamux_protocol::wire::MAX_CHECKPOINTS;
 use papayamux_state::cache_index::short_hash;
 use papayamux_state::quantities::{RequestCount, TokenCount};
 
 /// Blocks of a prompt that a probe names at most.
 const PROBED_BLOCKS: usize = 6;
-const _: () = assert!(PROBED_BLOCKS <= MOST_CHECKPOINTS);
+const _: () = assert!(PROBED_BLOCKS <= MAX_CHECKPOINTS);
 /// How much more a token that has to be computed counts than its own time: it also delays all
 /// prompts behind it, and takes the place of other blocks in the cache.
 const COLD_WEIGHT: f64 = 4.0;
--- a/crates/papayamux-coordination/tests/admission_book.rs
+++ b/crates/papayamux-coordination/tests/admission_book.rs
@@ -77,7 +77,7 @@
                         let Ok(mut open) = request(number as u64, "yanchang") else { return };
                         open.placement.group_load = Some(heard);
                         if step % 4 == 1 {
-                            open.placement.patience = Duration::ZERO;
+                            open.placement.wait_budget = Duration::ZERO;
                         }
                         match book.admit(&open, now) {
                             Ok(Admission::Now(permit)) => permits.push(permit),
@@ -133,7 +133,7 @@
     open.placement.group_load = Some(mean_load(4.0));
     for number in 1..11 {
         open.id.number = number;
-        open.placement.patience = Duration::ZERO;
+        open.placement.wait_budget = Duration::ZERO;
         book.hear_mean(&mean_load(4.0), NOW);
         match book.admit(&open, NOW) {
             Ok(Admission::Now(permit)) => permits.push(permit),
@@ -146,7 +146,7 @@
     assert_eq!(permits.len(), 6);
     assert_eq!(outcome, Err(RefusalReason::OverBound));
     open.id.number = 11;
-    open.placement.patience = Duration::from_secs(1);
+    open.placement.wait_budget = Duration::from_secs(1);
     let waiting = ticket(book.admit(&open, NOW)).ok_or("no ticket")?;
     permits.pop();
     assert!(is_granted(&waiting), "a patient one waits until it is within the bound");
@@ -169,7 +169,7 @@
     let book = book(1);
     let running = book.admit(&request(1, "yanchang")?, NOW);
     let mut impatient = request(2, "yanchang")?;
-    impatient.placement.patience = Duration::ZERO;
+    impatient.placement.wait_budget = Duration::ZERO;
     assert_eq!(book.admit(&impatient, NOW).err(), Some(RefusalReason::AtCapacity));
     let waiting = ticket(book.admit(&request(3, "yanchang")?, NOW)).ok_or("no ticket")?;
     assert!(!is_granted(&waiting));
@@ -241,7 +241,7 @@
     let book = book(1);
     let running = book.admit(&request(1, "yanchang")?, NOW);
     let mut open = request(2, "yanchang")?;
-    open.placement.patience = Duration::ZERO;
+    open.placement.wait_budget = Duration::ZERO;
     assert_eq!(book.admit(&open, NOW).err(), Some(RefusalReason::AtCapacity));
     drop(running);
     assert_eq!(book.admit(&open, NOW).err(), Some(RefusalReason::SeenBefore));
--- a/crates/papayamux-coordination/tests/support/mod.rs
+++ b/crates/papayamux-coordination/tests/support/mod.rs
@@ -34,7 +34,11 @@
         path: "/".to_string(),
         headers: Vec::new(),
         body: Bytes::new(),
-        placement: PlacementRule { patience: Duration::MAX, share: 1, ..PlacementRule::default() },
+        placement: PlacementRule {
+            wait_budget: Duration::MAX,
+            share: 1,
+            ..PlacementRule::default()
+        },
         sent_after: papayamux_state::crash_record::CrashRecord::default(),
     })
 }
--- a/crates/papayamux-declarations/src/values/names.rs
+++ b/crates/papayamux-declarations/src/values/names.rs
@@ -9,7 +9,7 @@
 use super::ValueError;
 
 /// Bytes of the longest file name.
-const LONGEST_FILE_NAME: usize = 64;
+const MAX_FILE_NAME_BYTES: usize = 64;
 /// Bytes of the longest version or weights name.
 const LONGEST_NAME: usize = 256;
 /// Bytes of the longest path prefix.
@@ -52,7 +52,7 @@
 
 fn is_file_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
-    (1..=LONGEST_FILE_NAME).contains(&text.len())
+    (1..=MAX_FILE_NAME_BYTES).contains(&text.len())
         && text.bytes().all(|byte| allowed(byte) || b"-_.".contains(&byte))
         && text.bytes().next().is_some_and(allowed)
 }
--- a/crates/papayamux-protocol/src/chat.rs
+++ b/crates/papayamux-protocol/src/chat.rs
@@ -70,7 +70,7 @@
 }
 
 /// Reads the body of a chat request.
-pub fn read_chat_call(
+pub fn parse_chat_call(
     organisation: &OrganisationId,
     conversation_header: Option<&str>,
     body: &[u8],
@@ -79,9 +79,9 @@
     if request.messages.is_empty() {
         return Err(ChatError::NoMessages);
     }
-    let model: ModelId = read_field("model", &request.model)?;
+    let model: ModelId = parse_field("model", &request.model)?;
     let adapter: Option<AdapterId> =
-        request.adapter.as_deref().map(|text| read_field("adapter", text)).transpose()?;
+        request.adapter.as_deref().map(|text| parse_field("adapter", text)).transpose()?;
     let conversation = conversation_header.or(request.conversation.as_deref());
     let chat = match conversation {
         Some(conversation) => named_chat_key(organisation, conversation),
@@ -95,7 +95,7 @@
     Ok(ChatCall { model, adapter, chat, request })
 }
 
-fn read_field<T: std::str::FromStr<Err = IdError>>(
+fn parse_field<T: std::str::FromStr<Err = IdError>>(
     field: &'static str,
     text: &str,
 ) -> Result<T, ChatError> {
--- a/crates/papayamux-protocol/src/engine.rs
+++ b/crates/papayamux-protocol/src/engine.rs
@@ -34,15 +34,15 @@
 /// The path of an engine's [`EngineState`].
 pub const STATE_PATH: &str = "/v1/state";
 /// Blocks in the largest KV blob.
-pub const MOST_KV_BLOCKS: usize = 4_096;
+pub const MAX_KV_BLOCKS: usize = 4_096;
 /// Bytes of the longest KV blob.
-pub const LONGEST_KV_BLOB: usize = 8 * 1024 * 1024;
+pub const MAX_KV_BLOB_BYTES: usize = 8 * 1024 * 1024;
 /// Models and adapters in the largest order.
-pub const MOST_ORDERED: usize = 64;
+pub const MAX_ORDERED_WEIGHTS: usize = 64;
 /// The version of models and adapters for which no version is named.
 pub const DEFAULT_VERSION: &str = "1";
 /// Events of the longest page of cache events; also what a reader gets that names no limit.
-pub const LONGEST_EVENT_PAGE: usize = 4_096;
+pub const MAX_EVENTS_PER_PAGE: usize = 4_096;
 
 /// The path that gives the rest of a streamed answer after its first `events` events.
 pub fn resume_path(request: &str, events: u64) -> String {
@@ -168,7 +168,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExportRequest {
     /// The chain, from its first block on. The blob holds those leading blocks that are cached,
-    /// at most [`MOST_KV_BLOCKS`].
+    /// at most [`MAX_KV_BLOCKS`].
     pub blocks: Vec<u64>,
 }
 
--- a/crates/papayamux-protocol/src/event_id.rs
+++ b/crates/papayamux-protocol/src/event_id.rs
@@ -5,7 +5,7 @@
 
 use papayamux_state::ids::{IdError, RequestId, ServerId};
 
-const FORM: &str = "SERVER/REQUEST/NUMBER";
+const EVENT_ID_FORMAT: &str = "SERVER/REQUEST/NUMBER";
 
 /// The id of one server-sent event: where the answer is held, which one it is, and the event's
 /// number in it, counted from 1.
@@ -36,7 +36,7 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let malformed = || IdError::Form { text: text.to_string(), form: FORM };
+        let malformed = || IdError::Form { text: text.to_string(), form: EVENT_ID_FORMAT };
         let mut parts = text.rsplitn(3, '/');
         let number = parts.next().and_then(|part| part.parse().ok()).ok_or_else(malformed)?;
         let request = parts.next().ok_or_else(malformed)?.parse()?;
--- a/crates/papayamux-protocol/src/fleet_news.rs
+++ b/crates/papayamux-protocol/src/fleet_update.rs
@@ -23,7 +23,7 @@
 
 /// A change of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ServerNews {
+pub enum ServerUpdate {
     /// It is there, as described.
     Present(BackendServer),
     /// It is gone.
@@ -37,11 +37,11 @@
 
 /// Changes of servers between two positions of the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NewsSpan {
+pub struct UpdateSpan {
     /// The changes are those behind this position.
     pub behind: u64,
     /// All changes, one a server.
-    pub changes: Vec<ServerNews>,
+    pub changes: Vec<ServerUpdate>,
     /// A digest of all servers at the news' position.
     pub digest: u64,
     /// All evacuations in force at the news' position, changed or not.
@@ -50,7 +50,7 @@
 
 /// What a router knows of the source.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FleetNews {
+pub struct FleetUpdate {
     /// The life of the router that asked, as it said.
     pub life: u64,
     /// When it asked, as it said.
@@ -68,7 +68,7 @@
     pub grace_ms: u32,
     /// The changes since the position that was asked for; `None` where the sender no longer knows them
     /// all, or they are too many for a datagram.
-    pub span: Option<NewsSpan>,
+    pub span: Option<UpdateSpan>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
@@ -148,7 +148,7 @@
 
 /// Why news can't be read.
 #[derive(Debug, Error)]
-pub enum NewsError {
+pub enum UpdateError {
     /// A part doesn't fit.
     #[error("{part} does not fit: {cause}")]
     Part {
@@ -159,8 +159,8 @@
     },
 }
 
-fn misfit(part: &'static str) -> impl Fn(&dyn std::error::Error) -> NewsError {
-    move |cause| NewsError::Part { part, cause: cause.to_string() }
+fn invalid_part(part: &'static str) -> impl Fn(&dyn std::error::Error) -> UpdateError {
+    move |cause| UpdateError::Part { part, cause: cause.to_string() }
 }
 
 impl From<FollowRequest> for FollowWire {
@@ -177,13 +177,13 @@
     }
 }
 
-impl From<&ServerNews> for ServerWire {
-    fn from(news: &ServerNews) -> Self {
-        match news {
-            ServerNews::Gone { name, lingers } => {
+impl From<&ServerUpdate> for ServerWire {
+    fn from(update: &ServerUpdate) -> Self {
+        match update {
+            ServerUpdate::Gone { name, lingers } => {
                 Self { name: name.to_string(), gone: true, lingers: *lingers, ..Self::default() }
             }
-            ServerNews::Present(server) => Self {
+            ServerUpdate::Present(server) => Self {
                 name: server.name.to_string(),
                 start: server.start.map(|start| start.0),
                 service: server.service.to_string(),
@@ -199,28 +199,31 @@
     }
 }
 
-impl TryFrom<ServerWire> for ServerNews {
-    type Error = NewsError;
+impl TryFrom<ServerWire> for ServerUpdate {
+    type Error = UpdateError;
 
-    fn try_from(wire: ServerWire) -> Result<Self, NewsError> {
+    fn try_from(wire: ServerWire) -> Result<Self, UpdateError> {
         let name: ServerName =
-            wire.name.parse().map_err(|error| misfit("name of a server")(&error))?;
+            wire.name.parse().map_err(|error| invalid_part("name of a server")(&error))?;
         if wire.gone {
             return Ok(Self::Gone { name, lingers: wire.lingers });
         }
         let start = wire.start.map(ServerStart);
         let address: SocketAddr =
-            wire.address.parse().map_err(|error| misfit("address of a server")(&error))?;
+            wire.address.parse().map_err(|error| invalid_part("address of a server")(&error))?;
         Ok(Self::Present(BackendServer {
             id: ServerId::of_start(&name, start),
             name,
             start,
-            service: wire.service.parse().map_err(|error| misfit("service of a server")(&error))?,
+            service: wire
+                .service
+                .parse()
+                .map_err(|error| invalid_part("service of a server")(&error))?,
             address,
             domain: wire
                 .domain
                 .parse()
-                .map_err(|error| misfit("failure domain of a server")(&error))?,
+                .map_err(|error| invalid_part("failure domain of a server")(&error))?,
             slots: wire.slots,
             phase: match wire.draining {
                 true => ServerPhase::Draining,
@@ -238,16 +241,17 @@
 }
 
 impl TryFrom<EvacuationWire> for EvacuationOrder {
-    type Error = NewsError;
+    type Error = UpdateError;
 
-    fn try_from(wire: EvacuationWire) -> Result<Self, NewsError> {
-        let domain = wire.domain.parse().map_err(|error| misfit("evacuated domain")(&error))?;
+    fn try_from(wire: EvacuationWire) -> Result<Self, UpdateError> {
+        let domain =
+            wire.domain.parse().map_err(|error| invalid_part("evacuated domain")(&error))?;
         Ok(Self { domain, position: SourcePosition(wire.position) })
     }
 }
 
-impl From<&NewsSpan> for SpanWire {
-    fn from(span: &NewsSpan) -> Self {
+impl From<&UpdateSpan> for SpanWire {
+    fn from(span: &UpdateSpan) -> Self {
         Self {
             behind: span.behind,
             changes: span.changes.iter().map(ServerWire::from).collect(),
@@ -257,13 +261,13 @@
     }
 }
 
-impl TryFrom<SpanWire> for NewsSpan {
-    type Error = NewsError;
+impl TryFrom<SpanWire> for UpdateSpan {
+    type Error = UpdateError;
 
-    fn try_from(wire: SpanWire) -> Result<Self, NewsError> {
-        let changes: Result<_, NewsError> =
-            wire.changes.into_iter().map(ServerNews::try_from).collect();
-        let evacuations: Result<_, NewsError> =
+    fn try_from(wire: SpanWire) -> Result<Self, UpdateError> {
+        let changes: Result<_, UpdateError> =
+            wire.changes.into_iter().map(ServerUpdate::try_from).collect();
+        let evacuations: Result<_, UpdateError> =
             wire.evacuations.into_iter().map(EvacuationOrder::try_from).collect();
         Ok(Self {
             behind: wire.behind,
@@ -274,25 +278,25 @@
     }
 }
 
-impl From<&FleetNews> for NewsWire {
-    fn from(news: &FleetNews) -> Self {
+impl From<&FleetUpdate> for NewsWire {
+    fn from(update: &FleetUpdate) -> Self {
         Self {
-            life: news.life,
-            asked_ms: news.asked_ms,
-            shift_ms: news.shift_ms,
-            position: news.position,
-            version: news.version,
-            hops: news.hops,
-            grace_ms: news.grace_ms,
-            span: news.span.as_ref().map(SpanWire::from),
+            life: update.life,
+            asked_ms: update.asked_ms,
+            shift_ms: update.shift_ms,
+            position: update.position,
+            version: update.version,
+            hops: update.hops,
+            grace_ms: update.grace_ms,
+            span: update.span.as_ref().map(SpanWire::from),
         }
     }
 }
 
-impl TryFrom<NewsWire> for FleetNews {
-    type Error = NewsError;
+impl TryFrom<NewsWire> for FleetUpdate {
+    type Error = UpdateError;
 
-    fn try_from(wire: NewsWire) -> Result<Self, NewsError> {
+    fn try_from(wire: NewsWire) -> Result<Self, UpdateError> {
         Ok(Self {
             life: wire.life,
             asked_ms: wire.asked_ms,
@@ -301,7 +305,7 @@
             version: wire.version,
             hops: wire.hops,
             grace_ms: wire.grace_ms,
-            span: wire.span.map(NewsSpan::try_from).transpose()?,
+            span: wire.span.map(UpdateSpan::try_from).transpose()?,
         })
     }
 }
--- a/crates/papayamux-protocol/src/lib.rs
+++ b/crates/papayamux-protocol/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod engine;
 pub mod event_id;
 pub mod failure;
-pub mod fleet_news;
+pub mod fleet_update;
 pub mod headers;
 pub mod link;
 pub mod part_inquiry;
--- a/crates/papayamux-protocol/src/link.rs
+++ b/crates/papayamux-protocol/src/link.rs
@@ -17,14 +17,14 @@
 use papayamux_state::request_fingerprint::{RequestContent, RequestFingerprint};
 
 use crate::proof::{ProofNonce, ProofTag};
-use crate::serving::{ServingAnswer, ServingQuestion};
+use crate::serving::{ServingAnswer, ServingQuery};
 
 /// Version of the protocol between papayamux processes.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// Bytes of an answer that an agent may send ahead of the router's acknowledgement.
-pub const STREAM_WINDOW: u64 = 256 * 1024;
+pub const STREAM_WINDOW_BYTES: u64 = 256 * 1024;
 /// The longest frame, in bytes.
-pub const LONGEST_FRAME: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// A time on an agent's monotonic clock, in milliseconds since the agent started.
 ///
@@ -128,7 +128,7 @@
     pub share: u32,
     /// How long the request may be expected to wait for a place; it is refused at once where the
     /// wait would be longer.
-    pub patience: Duration,
+    pub wait_budget: Duration,
     /// Whether the agent may refuse because it knows that the chat's context is elsewhere.
     pub may_redirect: bool,
     /// The mean load that the router knows of; without it there is no bound but the capacity.
@@ -376,7 +376,7 @@
     /// A chat was served elsewhere.
     Moved(MovedChat),
     /// Another agent asks for an [`AgentMessage::Serving`].
-    AskServing(ServingQuestion),
+    AskServing(ServingQuery),
 }
 
 /// What an agent says about one stream, or about the connection.
--- a/crates/papayamux-protocol/src/part_inquiry.rs
+++ b/crates/papayamux-protocol/src/part_inquiry.rs
@@ -7,7 +7,7 @@
 
 /// Asks the owner of a part which servers hold it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PartQuestion {
+pub struct PartQuery {
     /// Counts the asker's questions, to know the answer again.
     pub number: u64,
     /// The prefix that ends with the part.
@@ -64,13 +64,13 @@
     is_sure: bool,
 }
 
-impl From<PartQuestion> for PartQuestionWire {
-    fn from(question: PartQuestion) -> Self {
+impl From<PartQuery> for PartQuestionWire {
+    fn from(question: PartQuery) -> Self {
         Self { number: question.number, part: question.part.0 }
     }
 }
 
-impl From<PartQuestionWire> for PartQuestion {
+impl From<PartQuestionWire> for PartQuery {
     fn from(wire: PartQuestionWire) -> Self {
         Self { number: wire.number, part: PartId(wire.part) }
     }
--- a/crates/papayamux-protocol/src/peer.rs
+++ b/crates/papayamux-protocol/src/peer.rs
@@ -10,17 +10,17 @@
 use papayamux_state::ids::{FailureDomain, Incarnation};
 
 /// The longest name of a file, in bytes.
-pub const LONGEST_FILE_NAME: usize = 256;
+pub const MAX_FILE_NAME_BYTES: usize = 256;
 /// The longest text of a file, in bytes: the platform's bound of a value.
-pub const LONGEST_FILE: usize = 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 /// Digest buckets that file names are spread over.
 pub const DIGEST_BUCKETS: usize = 64;
 /// Versions that one message may name.
-pub const MOST_VERSIONS: usize = 512;
+pub const MAX_VERSIONS: usize = 512;
 /// Peers that one message may name.
-pub const MOST_PEER_RECORDS: usize = 64;
+pub const MAX_PEER_RECORDS: usize = 64;
 /// Bytes of a body that one message may carry.
-pub const LONGEST_PART: usize = 16 * 1024;
+pub const MAX_PART_BYTES: usize = 16 * 1024;
 
 /// One version of one file, without its text.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -84,7 +84,7 @@
     /// Its life.
     pub incarnation: Incarnation,
     /// How long ago it was last heard by anyone, in milliseconds.
-    pub heard_ms: u64,
+    pub last_contact_ms: u64,
 }
 
 /// A request for a part of a version's body.
--- a/crates/papayamux-protocol/src/platform.rs
+++ b/crates/papayamux-protocol/src/platform.rs
@@ -13,11 +13,11 @@
 /// The path below which the weight store keeps models.
 pub const WEIGHTS_PATH: &str = "/v1/weights";
 /// Bytes of the longest file that the configuration service holds.
-pub const LONGEST_FILE: usize = 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 /// Bytes of the largest weights of a model or adapter.
-pub const LONGEST_WEIGHTS: usize = 16 * 1024 * 1024;
+pub const MAX_WEIGHTS_BYTES: usize = 16 * 1024 * 1024;
 /// Milliseconds of the longest watch; a longer one ends after this time.
-pub const LONGEST_WATCH_MS: u64 = 60_000;
+pub const MAX_WATCH_MS: u64 = 60_000;
 
 /// The path of one file.
 pub fn file_path(name: &str) -> String {
--- a/crates/papayamux-protocol/src/proof.rs
+++ b/crates/papayamux-protocol/src/proof.rs
@@ -14,13 +14,13 @@
 use thiserror::Error;
 
 /// Bytes of the shortest secret.
-pub const SHORTEST_SECRET: usize = 16;
+pub const MIN_SECRET_BYTES: usize = 16;
 /// Bytes of a nonce.
 pub const NONCE_BYTES: usize = 16;
 
 /// Why a text is no secret. It does not repeat the text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the secret has {length} bytes, it must have at least {SHORTEST_SECRET}")]
+#[error("the secret has {length} bytes, it must have at least {MIN_SECRET_BYTES}")]
 pub struct SecretError {
     /// Bytes that it has.
     pub length: usize,
@@ -42,7 +42,7 @@
 
     fn from_str(text: &str) -> Result<Self, SecretError> {
         match text.len() {
-            length if length < SHORTEST_SECRET => Err(SecretError { length }),
+            length if length < MIN_SECRET_BYTES => Err(SecretError { length }),
             _ => Ok(Self(text.to_string())),
         }
     }
@@ -54,7 +54,7 @@
 
 impl ProofNonce {
     /// Draws a nonce.
-    pub fn draw() -> Self {
+    pub fn generate() -> Self {
         Self(rand::random())
     }
 }
--- a/crates/papayamux-protocol/src/router_report.rs
+++ b/crates/papayamux-protocol/src/router_report.rs
@@ -11,8 +11,8 @@
 use thiserror::Error;
 
 use crate::crash_notices::CrashNoticesWire;
-use crate::fleet_news::{FleetNews, FollowRequest, FollowWire, NewsError, NewsWire};
-use crate::part_inquiry::{PartAnswer, PartAnswerWire, PartQuestion, PartQuestionWire};
+use crate::fleet_update::{FleetUpdate, FollowRequest, FollowWire, NewsWire, UpdateError};
+use crate::part_inquiry::{PartAnswer, PartAnswerWire, PartQuery, PartQuestionWire};
 
 /// One router's requests at a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 
 /// Shared parts that a server has begun to read for a request of the sender, or has read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReportedReading {
+pub struct ReportedPrefill {
     /// The server.
     pub server: ServerKey,
     /// The prefixes that it reads, the longest last.
@@ -58,7 +58,7 @@
 
 /// Asks whether the sender's configuration is still the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReportedQuestion {
+pub struct ReportedQuery {
     /// The life of the router that asks.
     pub life: u64,
     /// When it asked, in milliseconds of its own clock.
@@ -73,7 +73,7 @@
     /// Milliseconds since it was known to be the newest, rounded up.
     pub age_ms: u64,
     /// The questions that this answers, by the routers that asked them.
-    pub answers: Vec<(IpAddr, ReportedQuestion)>,
+    pub answers: Vec<(IpAddr, ReportedQuery)>,
 }
 
 /// A router's report.
@@ -94,17 +94,17 @@
     /// Whether it has started so lately that it knows little of caches.
     pub fresh: bool,
     /// What it asks the others.
-    pub question: Option<ReportedQuestion>,
+    pub question: Option<ReportedQuery>,
     /// What it answers others.
     pub configuration: Option<ReportedConfiguration>,
     /// What servers have begun to read for it.
-    pub readings: Vec<ReportedReading>,
+    pub readings: Vec<ReportedPrefill>,
     /// Asks to be told of changes in the source.
     pub follow: Option<FollowRequest>,
     /// Tells of them.
-    pub news: Option<FleetNews>,
+    pub news: Option<FleetUpdate>,
     /// Asks who holds a part.
-    pub part_question: Option<PartQuestion>,
+    pub part_question: Option<PartQuery>,
     /// Says who does.
     pub part_answer: Option<PartAnswer>,
     /// Requests under which servers ended.
@@ -123,7 +123,7 @@
     Decode(#[from] prost::DecodeError),
     /// A part of it doesn't fit.
     #[error(transparent)]
-    News(#[from] NewsError),
+    News(#[from] UpdateError),
 }
 
 /// Loads in columns, which take 7 bytes a server where messages would take 12.
@@ -262,8 +262,8 @@
     }
 }
 
-impl From<&ReportedReading> for ReadingWire {
-    fn from(reading: &ReportedReading) -> Self {
+impl From<&ReportedPrefill> for ReadingWire {
+    fn from(reading: &ReportedPrefill) -> Self {
         let prefixes = reading.prefixes.clone();
         let holder = ReportedHolder { server: reading.server, prefixes };
         Self {
@@ -274,7 +274,7 @@
     }
 }
 
-impl From<ReadingWire> for ReportedReading {
+impl From<ReadingWire> for ReportedPrefill {
     fn from(wire: ReadingWire) -> Self {
         let holder = ReportedHolder::from(wire.parts.unwrap_or_default());
         Self {
@@ -305,13 +305,13 @@
     }
 }
 
-impl From<ReportedQuestion> for QuestionWire {
-    fn from(question: ReportedQuestion) -> Self {
+impl From<ReportedQuery> for QuestionWire {
+    fn from(question: ReportedQuery) -> Self {
         Self { life: question.life, asked_ms: question.asked_ms }
     }
 }
 
-impl From<QuestionWire> for ReportedQuestion {
+impl From<QuestionWire> for ReportedQuery {
     fn from(wire: QuestionWire) -> Self {
         Self { life: wire.life, asked_ms: wire.asked_ms }
     }
@@ -386,14 +386,14 @@
             listings: wire.listings.into_iter().map(ReportedListing::from).collect(),
             leaving: wire.leaving,
             fresh: wire.fresh,
-            question: wire.question.map(ReportedQuestion::from),
+            question: wire.question.map(ReportedQuery::from),
             configuration: wire.configuration.map(ReportedConfiguration::from),
-            readings: wire.readings.into_iter().map(ReportedReading::from).collect(),
+            readings: wire.readings.into_iter().map(ReportedPrefill::from).collect(),
             is_partial: wire.is_partial,
             counted: wire.counted,
             follow: wire.follow.map(FollowRequest::from),
-            news: wire.news.map(FleetNews::try_from).transpose()?,
-            part_question: wire.part_question.map(PartQuestion::from),
+            news: wire.news.map(FleetUpdate::try_from).transpose()?,
+            part_question: wire.part_question.map(PartQuery::from),
             part_answer: wire.part_answer.map(PartAnswer::from),
             crashes: wire.crashes.map(Vec::from).unwrap_or_default(),
         })
--- a/crates/papayamux-protocol/src/serving.rs
+++ b/crates/papayamux-protocol/src/serving.rs
@@ -7,14 +7,14 @@
 
 /// Asks another server's agent whether its server serves weights, and means to go on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServingQuestion {
+pub struct ServingQuery {
     /// The model or adapter.
     pub weights: WeightsRef,
     /// The server that wants to stop.
     pub asker: ServerId,
 }
 
-/// An agent's answer to [`ServingQuestion`].
+/// An agent's answer to [`ServingQuery`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingAnswer {
     /// The server serves the weights and does not want to stop.
--- a/crates/papayamux-protocol/src/wire/control_length.rs
+++ b/crates/papayamux-protocol/src/wire/control_length.rs
@@ -6,9 +6,9 @@
 use crate::link::{Addressed, AgentMessage, RouterMessage};
 
 /// Bytes of the length before each frame.
-const LENGTH_PREFIX: u64 = 4;
+const LENGTH_PREFIX_BYTES: u64 = 4;
 /// The longest stream number that is counted; it takes a few bytes like most.
-const COUNTED_STREAM: u64 = 1 << 14;
+const NOMINAL_STREAM: u64 = 1 << 14;
 
 /// Bytes of a router's message with its frame; 0 for what is no control message.
 pub fn router_control_length(message: &RouterMessage) -> u64 {
@@ -20,8 +20,8 @@
         | RouterMessage::ClaimNotice(_)
         | RouterMessage::AskServing(_)
         | RouterMessage::Moved(_) => {
-            let addressed = Addressed { stream: COUNTED_STREAM, message: message.clone() };
-            RouterFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX
+            let addressed = Addressed { stream: NOMINAL_STREAM, message: message.clone() };
+            RouterFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX_BYTES
         }
         _ => 0,
     }
@@ -39,8 +39,8 @@
         | AgentMessage::Serving(_)
         | AgentMessage::Crashes(_)
         | AgentMessage::Probed(_) => {
-            let addressed = Addressed { stream: COUNTED_STREAM, message: message.clone() };
-            AgentFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX
+            let addressed = Addressed { stream: NOMINAL_STREAM, message: message.clone() };
+            AgentFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX_BYTES
         }
         _ => 0,
     }
--- a/crates/papayamux-protocol/src/wire/convert_agent.rs
+++ b/crates/papayamux-protocol/src/wire/convert_agent.rs
@@ -5,7 +5,7 @@
 use super::convert_load::optional_server;
 use super::messages::*;
 use super::shared_messages::WireRefusal;
-use super::{identifier, nonce_bytes, read_nonce, required, FrameMessage, WireError};
+use super::{identifier, nonce_bytes, parse_nonce, required, FrameMessage, WireError};
 use crate::link::{
     Addressed, AgentClock, AgentMessage, AgentWelcome, AnswerData, AnswerEnd, AnswerHead,
     PongNotice, RefusalNotice, ResumeNotice,
@@ -93,7 +93,7 @@
             server: identifier("server", &welcome.server)?,
             domain: identifier("domain", &welcome.domain)?,
             clock: AgentClock(welcome.clock_ms),
-            nonce: welcome.nonce.map(read_nonce).transpose()?,
+            nonce: welcome.nonce.map(parse_nonce).transpose()?,
             proof: welcome.proof.map(ProofTag),
         })
     }
--- a/crates/papayamux-protocol/src/wire/convert_claim.rs
+++ b/crates/papayamux-protocol/src/wire/convert_claim.rs
@@ -8,13 +8,13 @@
 use crate::link::{AgentClock, ClaimChange, ClaimNotice, ClaimReply, ClaimRequest, RecallRequest};
 
 /// Views of the fleet that one claim may name at most.
-const MOST_VIEWS: usize = 32;
+const MAX_VIEWS: usize = 32;
 
 fn hash_bytes(hash: u128) -> Bytes {
     Bytes::copy_from_slice(&hash.to_be_bytes())
 }
 
-fn read_hash<T: From<u128>>(part: &'static str, bytes: &Bytes) -> Result<T, WireError> {
+fn parse_hash<T: From<u128>>(part: &'static str, bytes: &Bytes) -> Result<T, WireError> {
     let bytes: [u8; 16] =
         bytes.as_ref().try_into().map_err(|_| WireError::Length { part, length: bytes.len() })?;
     Ok(u128::from_be_bytes(bytes).into())
@@ -38,12 +38,12 @@
     type Error = WireError;
 
     fn try_from(claim: WireClaim) -> Result<Self, WireError> {
-        if claim.views.len() > MOST_VIEWS {
+        if claim.views.len() > MAX_VIEWS {
             return Err(WireError::Length { part: "views", length: claim.views.len() });
         }
         let ask = ClaimAsk {
-            key: read_hash("key", &claim.key)?,
-            fingerprint: read_hash("fingerprint", &claim.fingerprint)?,
+            key: parse_hash("key", &claim.key)?,
+            fingerprint: parse_hash("fingerprint", &claim.fingerprint)?,
             claim: ClaimId(required("claim", claim.claim)?.into()),
             views: claim.views.into_iter().map(Into::into).collect(),
         };
@@ -111,7 +111,7 @@
             None => ClaimChange::Released,
         };
         let claim = ClaimId(required("claim", notice.claim)?.into());
-        Ok(Self { key: read_hash("key", &notice.key)?, claim, change })
+        Ok(Self { key: parse_hash("key", &notice.key)?, claim, change })
     }
 }
 
@@ -132,7 +132,7 @@
         Ok(Self {
             organisation: identifier("organisation", &recall.organisation)?,
             key: identifier("key", &recall.key)?,
-            fingerprint: read_hash("fingerprint", &recall.fingerprint)?,
+            fingerprint: parse_hash("fingerprint", &recall.fingerprint)?,
         })
     }
 }
--- a/crates/papayamux-protocol/src/wire/convert_load.rs
+++ b/crates/papayamux-protocol/src/wire/convert_load.rs
@@ -11,9 +11,9 @@
 use crate::link::{LoadProbe, MovedChat, ProbeReply};
 
 /// Checkpoints that a probe may carry.
-pub const MOST_CHECKPOINTS: usize = 16;
+pub const MAX_CHECKPOINTS: usize = 16;
 
-fn short(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
@@ -42,9 +42,9 @@
 impl From<LoadReport> for WireLoad {
     fn from(report: LoadReport) -> Self {
         Self {
-            running: short(report.running.get()),
-            waiting: short(report.waiting.get()),
-            limit: short(report.limit.get()),
+            running: saturating_u32(report.running.get()),
+            waiting: saturating_u32(report.waiting.get()),
+            limit: saturating_u32(report.limit.get()),
             backlog_ms: u32::try_from(report.backlog.as_millis()).unwrap_or(u32::MAX),
         }
     }
@@ -74,7 +74,7 @@
 impl From<WireProbe> for LoadProbe {
     fn from(probe: WireProbe) -> Self {
         let mut checkpoints = probe.checkpoints;
-        checkpoints.truncate(MOST_CHECKPOINTS);
+        checkpoints.truncate(MAX_CHECKPOINTS);
         Self { checkpoints, chat: probe.chat, group_load: probe.group_load.map(Into::into) }
     }
 }
@@ -84,7 +84,7 @@
         Self {
             load: Some(reply.load.into()),
             warm: reply.warm,
-            prefill_rate: short(reply.prefill_rate.get()),
+            prefill_rate: saturating_u32(reply.prefill_rate.get()),
             elsewhere: reply.elsewhere.map(|server| server.to_string()),
         }
     }
--- a/crates/papayamux-protocol/src/wire/convert_peer.rs
+++ b/crates/papayamux-protocol/src/wire/convert_peer.rs
@@ -5,22 +5,23 @@
 use prost::Message;
 
 use super::peer::*;
-use super::{identifier, nonce_bytes, read_nonce, required, FrameMessage, WireError};
+use super::{identifier, nonce_bytes, parse_nonce, required, FrameMessage, WireError};
 use crate::link::Addressed;
 use crate::peer::{
     BodyPart, FetchRequest, PeerHello, PeerMessage, PeerRecord, PeerSummary, ServiceReading,
-    VersionKey, DIGEST_BUCKETS, LONGEST_FILE_NAME, LONGEST_PART, MOST_PEER_RECORDS, MOST_VERSIONS,
+    VersionKey, DIGEST_BUCKETS, MAX_FILE_NAME_BYTES, MAX_PART_BYTES, MAX_PEER_RECORDS,
+    MAX_VERSIONS,
 };
 use crate::proof::ProofTag;
 
 /// Bytes of a frame's length field.
-const LENGTH_BYTES: usize = size_of::<u32>();
+const LENGTH_PREFIX_BYTES: usize = size_of::<u32>();
 
 impl PeerMessage {
     /// Bytes that the message takes on the wire, without those of TCP and IP.
     pub fn wire_bytes(&self) -> u64 {
         let frame = PeerFrame::from(Addressed { stream: 0, message: self.clone() });
-        (frame.encoded_len() + LENGTH_BYTES) as u64
+        (frame.encoded_len() + LENGTH_PREFIX_BYTES) as u64
     }
 }
 
@@ -57,11 +58,11 @@
             PeerBody::Proof(tag) => PeerMessage::Proof(ProofTag(tag)),
             PeerBody::Summary(summary) => PeerMessage::Summary(summary.into()),
             PeerBody::Buckets(buckets) => {
-                at_most("buckets", buckets.digests.len(), DIGEST_BUCKETS)?;
+                check_max("buckets", buckets.digests.len(), DIGEST_BUCKETS)?;
                 PeerMessage::Buckets(buckets.digests)
             }
             PeerBody::Inventory(inventory) => {
-                at_most("buckets", inventory.buckets.len(), DIGEST_BUCKETS)?;
+                check_max("buckets", inventory.buckets.len(), DIGEST_BUCKETS)?;
                 let versions = versions(inventory.versions)?;
                 PeerMessage::Inventory { buckets: inventory.buckets, versions }
             }
@@ -70,7 +71,7 @@
             PeerBody::Part(part) => PeerMessage::Part(part.try_into()?),
             PeerBody::Absent(key) => PeerMessage::Absent(key.try_into()?),
             PeerBody::Peers(peers) => {
-                at_most("records", peers.records.len(), MOST_PEER_RECORDS)?;
+                check_max("records", peers.records.len(), MAX_PEER_RECORDS)?;
                 let records = peers.records.into_iter().map(PeerRecord::try_from);
                 PeerMessage::Peers(records.collect::<Result<_, _>>()?)
             }
@@ -83,7 +84,7 @@
     values.into_iter().map(T::into).collect()
 }
 
-fn at_most(part: &'static str, count: usize, limit: usize) -> Result<(), WireError> {
+fn check_max(part: &'static str, count: usize, limit: usize) -> Result<(), WireError> {
     match count <= limit {
         true => Ok(()),
         false => Err(WireError::TooMany { part, count, limit }),
@@ -91,7 +92,7 @@
 }
 
 fn versions(wire: Vec<WireVersion>) -> Result<Vec<VersionKey>, WireError> {
-    at_most("versions", wire.len(), MOST_VERSIONS)?;
+    check_max("versions", wire.len(), MAX_VERSIONS)?;
     wire.into_iter().map(VersionKey::try_from).collect()
 }
 
@@ -120,7 +121,7 @@
             incarnation: hello.incarnation.into(),
             domain: identifier("domain", &hello.domain)?,
             listen: address("listen", &hello.listen)?,
-            nonce: hello.nonce.map(read_nonce).transpose()?,
+            nonce: hello.nonce.map(parse_nonce).transpose()?,
         })
     }
 }
@@ -162,7 +163,7 @@
     type Error = WireError;
 
     fn try_from(version: WireVersion) -> Result<Self, WireError> {
-        at_most("file name", version.name.len(), LONGEST_FILE_NAME)?;
+        check_max("file name", version.name.len(), MAX_FILE_NAME_BYTES)?;
         let WireVersion { name, revision, checksum, removed } = version;
         Ok(Self { name, revision, checksum, removed })
     }
@@ -208,7 +209,7 @@
     type Error = WireError;
 
     fn try_from(part: WirePart) -> Result<Self, WireError> {
-        at_most("data", part.data.len(), LONGEST_PART)?;
+        check_max("data", part.data.len(), MAX_PART_BYTES)?;
         Ok(Self {
             asked: required("asked", part.asked)?.try_into()?,
             key: required("key", part.key)?.try_into()?,
@@ -226,7 +227,7 @@
             address: record.address.to_string(),
             domain: record.domain.to_string(),
             incarnation: record.incarnation.get(),
-            heard_ms: record.heard_ms,
+            heard_ms: record.last_contact_ms,
         }
     }
 }
@@ -239,7 +240,7 @@
             address: address("address", &record.address)?,
             domain: identifier("domain", &record.domain)?,
             incarnation: record.incarnation.into(),
-            heard_ms: record.heard_ms,
+            last_contact_ms: record.heard_ms,
         })
     }
 }
--- a/crates/papayamux-protocol/src/wire/convert_router.rs
+++ b/crates/papayamux-protocol/src/wire/convert_router.rs
@@ -8,7 +8,7 @@
 
 use super::messages::*;
 use super::shared_messages::WireRequestId;
-use super::{identifier, nonce_bytes, read_nonce, required, FrameMessage, WireError};
+use super::{identifier, nonce_bytes, parse_nonce, required, FrameMessage, WireError};
 use crate::link::{
     Addressed, AgentClock, ChatTarget, HeaderField, OpenRequest, PlacementRule, RepeatRule,
     ResumePoint, ResumeRequest, RouterHello, RouterMessage,
@@ -82,7 +82,7 @@
             version: hello.version,
             incarnation: hello.incarnation.into(),
             domain: identifier("domain", &hello.domain)?,
-            nonce: hello.nonce.map(read_nonce).transpose()?,
+            nonce: hello.nonce.map(parse_nonce).transpose()?,
         })
     }
 }
@@ -190,7 +190,7 @@
             headers: open.headers.into_iter().map(Into::into).collect(),
             body: open.body,
             share: open.placement.share,
-            patience_ms: u32::try_from(open.placement.patience.as_millis()).unwrap_or(u32::MAX),
+            patience_ms: u32::try_from(open.placement.wait_budget.as_millis()).unwrap_or(u32::MAX),
             may_redirect: open.placement.may_redirect,
             group_load: open.placement.group_load.map(Into::into),
             cleared: open.sent_after.cleared,
@@ -210,7 +210,7 @@
         };
         let placement = PlacementRule {
             share: open.share,
-            patience: Duration::from_millis(open.patience_ms.into()),
+            wait_budget: Duration::from_millis(open.patience_ms.into()),
             may_redirect: open.may_redirect,
             group_load: open.group_load.map(Into::into),
         };
--- a/crates/papayamux-protocol/src/wire/convert_serving.rs
+++ b/crates/papayamux-protocol/src/wire/convert_serving.rs
@@ -5,14 +5,14 @@
 
 use super::serving_messages::{WireServingAnswer, WireServingQuestion};
 use super::{identifier, WireError};
-use crate::serving::{ServingAnswer, ServingQuestion, ServingRefusal};
+use crate::serving::{ServingAnswer, ServingQuery, ServingRefusal};
 
 const MODEL: u32 = 1;
 const ADAPTER: u32 = 2;
 const SERVES: u32 = 0;
 
-impl From<ServingQuestion> for WireServingQuestion {
-    fn from(question: ServingQuestion) -> Self {
+impl From<ServingQuery> for WireServingQuestion {
+    fn from(question: ServingQuery) -> Self {
         let kind = match question.weights.kind {
             WeightsKind::Model => MODEL,
             WeightsKind::Adapter => ADAPTER,
@@ -21,7 +21,7 @@
     }
 }
 
-impl TryFrom<WireServingQuestion> for ServingQuestion {
+impl TryFrom<WireServingQuestion> for ServingQuery {
     type Error = WireError;
 
     fn try_from(question: WireServingQuestion) -> Result<Self, WireError> {
--- a/crates/papayamux-protocol/src/wire/frame_codec.rs
+++ b/crates/papayamux-protocol/src/wire/frame_codec.rs
@@ -9,7 +9,7 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 use super::WireError;
-use crate::link::{Addressed, LONGEST_FRAME};
+use crate::link::{Addressed, MAX_FRAME_BYTES};
 
 /// Why a frame can't be read or written.
 #[derive(Debug, Error)]
@@ -34,7 +34,7 @@
 
 impl<Out, In> Default for FrameCodec<Out, In> {
     fn default() -> Self {
-        let lengths = LengthDelimitedCodec::builder().max_frame_length(LONGEST_FRAME).new_codec();
+        let lengths = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
         Self { lengths, kinds: PhantomData }
     }
 }
@@ -48,7 +48,7 @@
     fn encode(&mut self, message: Addressed<M>, buffer: &mut BytesMut) -> Result<(), CodecError> {
         let frame = Out::from(message);
         let length = frame.encoded_len();
-        if length > LONGEST_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(io::Error::new(io::ErrorKind::InvalidInput, "frame too long").into());
         }
         buffer.reserve(size_of::<u32>() + length);
--- a/crates/papayamux-protocol/src/wire/messages.rs
+++ b/crates/papayamux-protocol/src/wire/messages.rs
@@ -64,7 +64,7 @@
     /// See [`crate::link::MovedChat`].
     #[prost(message, tag = "8")]
     Moved(WireMoved),
-    /// See [`crate::serving::ServingQuestion`].
+    /// See [`crate::serving::ServingQuery`].
     #[prost(message, tag = "50")]
     AskServing(WireServingQuestion),
 }
--- a/crates/papayamux-protocol/src/wire/mod.rs
+++ b/crates/papayamux-protocol/src/wire/mod.rs
@@ -17,7 +17,7 @@
 
 pub use claim_messages::*;
 pub use control_length::{agent_control_length, router_control_length};
-pub use convert_load::MOST_CHECKPOINTS;
+pub use convert_load::MAX_CHECKPOINTS;
 pub use frame_codec::{CodecError, FrameCodec, FrameMessage};
 pub use load_messages::*;
 pub use messages::*;
@@ -88,7 +88,7 @@
     Bytes::copy_from_slice(&nonce.0)
 }
 
-pub(crate) fn read_nonce(bytes: Bytes) -> Result<ProofNonce, WireError> {
+pub(crate) fn parse_nonce(bytes: Bytes) -> Result<ProofNonce, WireError> {
     let length = bytes.len() as u32;
     let nonce = bytes.as_ref().try_into();
     nonce.map(ProofNonce).map_err(|_| WireError::Number { part: "nonce", number: length })
--- a/crates/papayamux-protocol/src/wire/serving_messages.rs
+++ b/crates/papayamux-protocol/src/wire/serving_messages.rs
@@ -1,6 +1,6 @@
 //! Prost types of what agents ask each other before one stops serving weights.
 
-/// The wire form of [`crate::serving::ServingQuestion`].
+/// The wire form of [`crate::serving::ServingQuery`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireServingQuestion {
     /// 1 for a model, 2 for an adapter.
--- a/crates/papayamux-protocol/tests/hostile_bytes.rs
+++ b/crates/papayamux-protocol/tests/hostile_bytes.rs
@@ -2,7 +2,7 @@
 
 use bolero::check;
 use bytes::BytesMut;
-use papayamux_protocol::chat::read_chat_call;
+use papayamux_protocol::chat::parse_chat_call;
 use papayamux_protocol::wire::{AgentFrame, FrameCodec, PeerFrame, RouterFrame};
 use papayamux_state::ids::OrganisationId;
 use tokio_util::codec::Decoder;
@@ -11,7 +11,7 @@
 const INPUTS: usize = 20_000;
 
 #[test]
-fn frames_of_routers() {
+fn router_frame_decoder_never_panics() {
     check!().with_iterations(INPUTS).for_each(|bytes: &[u8]| {
         let mut codec = FrameCodec::<AgentFrame, RouterFrame>::default();
         let mut buffer = BytesMut::from(bytes);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn frames_of_agents() {
+fn agent_frame_decoder_never_panics() {
     check!().with_iterations(INPUTS).for_each(|bytes: &[u8]| {
         let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
         framed.extend_from_slice(bytes);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn frames_of_peers() {
+fn peer_frame_decoder_never_panics() {
     check!().with_iterations(INPUTS).for_each(|bytes: &[u8]| {
         let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
         framed.extend_from_slice(bytes);
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn bodies_of_chats() {
+fn chat_body_parser_never_panics() {
     let organisation: OrganisationId = "desk".parse().unwrap();
     check!().with_iterations(INPUTS).for_each(|bytes: &[u8]| {
-        let _ = read_chat_call(&organisation, None, bytes);
+        let _ = parse_chat_call(&organisation, None, bytes);
     });
 }
--- a/crates/papayamux-protocol/tests/round_trip.rs
+++ b/crates/papayamux-protocol/tests/round_trip.rs
@@ -21,7 +21,7 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 #[test]
-fn an_open_request_keeps_all_its_parts() {
+fn open_request_round_trips() {
     let open = OpenRequest {
         id: RequestId { incarnation: Incarnation::from(7), number: 9 },
         agent: Incarnation::from(8),
@@ -44,33 +44,33 @@
         body: Bytes::from_static(b"{}"),
         placement: PlacementRule {
             share: 5,
-            patience: Duration::from_millis(45),
+            wait_budget: Duration::from_millis(45),
             may_redirect: true,
             group_load: Some(GROUP_LOAD),
         },
         sent_after: CrashRecord { cleared: 1, crashes: 2 },
     };
-    assert_kept_from_router(RouterMessage::Open(Box::new(open)));
+    assert_router_round_trip(RouterMessage::Open(Box::new(open)));
 }
 
 const GROUP_LOAD: GroupLoad =
     GroupLoad { group: GroupId(6), mean: 2.25, samples: 11.5, servers: 12 };
 
 #[test]
-fn probes_and_their_answers_keep_all_their_parts() {
+fn probe_messages_round_trip() {
     let probe =
         LoadProbe { checkpoints: vec![1, u32::MAX], chat: 77, group_load: Some(GROUP_LOAD) };
-    assert_kept_from_router(RouterMessage::Probe(probe));
+    assert_router_round_trip(RouterMessage::Probe(probe));
     let server: ServerId = "engine-4".parse().unwrap();
-    assert_kept_from_router(RouterMessage::Moved(MovedChat { chat: 77, server: server.clone() }));
+    assert_router_round_trip(RouterMessage::Moved(MovedChat { chat: 77, server: server.clone() }));
     let load = LoadReport {
         running: RequestCount::new(4),
         waiting: RequestCount::new(1),
         limit: RequestCount::new(6),
         backlog: Duration::from_millis(35),
     };
-    assert_kept_from_agent(AgentMessage::Load(load));
-    assert_kept_from_agent(AgentMessage::Probed(ProbeReply {
+    assert_agent_round_trip(AgentMessage::Load(load));
+    assert_agent_round_trip(AgentMessage::Probed(ProbeReply {
         load,
         warm: 3,
         prefill_rate: TokenCount::new(30_000),
@@ -79,12 +79,12 @@
 }
 
 #[test]
-fn a_refusal_keeps_its_reason_and_the_better_server() {
+fn refusals_round_trip() {
     for reason in RefusalReason::ALL {
         let mut notice = RefusalNotice::new(*reason, 250);
-        assert_kept_from_agent(AgentMessage::Refused(notice.clone()));
+        assert_agent_round_trip(AgentMessage::Refused(notice.clone()));
         notice.better = Some("engine-9".parse().unwrap());
-        assert_kept_from_agent(AgentMessage::Refused(notice));
+        assert_agent_round_trip(AgentMessage::Refused(notice));
     }
 }
 
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn claims_keep_all_their_parts() {
+fn claim_messages_round_trip() {
     let fingerprint = CallFingerprint::new("POST", "/book", b"{}");
     let ask = ClaimAsk {
         key: ClaimKey::from(u128::MAX - 3),
@@ -107,12 +107,12 @@
     };
     let agent = Incarnation::from(8);
     let request = ClaimRequest { agent, grant_before: AgentClock(99), ask };
-    assert_kept_from_router(RouterMessage::Claim(request));
+    assert_router_round_trip(RouterMessage::Claim(request));
     for change in [ClaimChange::Placed(place()), ClaimChange::Released] {
         let notice = ClaimNotice { key: ClaimKey::from(1), claim: claim(), change };
-        assert_kept_from_router(RouterMessage::ClaimNotice(notice));
+        assert_router_round_trip(RouterMessage::ClaimNotice(notice));
     }
-    assert_kept_from_router(RouterMessage::Recall(RecallRequest {
+    assert_router_round_trip(RouterMessage::Recall(RecallRequest {
         organisation: "desk".parse().unwrap(),
         key: "booking-4".parse().unwrap(),
         fingerprint,
@@ -120,11 +120,11 @@
     let notice = RefusalNotice::new(RefusalReason::KeyHeld, 5);
     let held = Some(HeldClaim { claim: claim(), place: Some(place()) });
     for reply in [ClaimReply::Granted, ClaimReply::Refused { notice, held }] {
-        assert_kept_from_agent(AgentMessage::Claim(reply));
+        assert_agent_round_trip(AgentMessage::Claim(reply));
     }
 }
 
-fn assert_kept_from_router(message: RouterMessage) {
+fn assert_router_round_trip(message: RouterMessage) {
     let sent = Addressed { stream: 11, message };
     let mut buffer = BytesMut::new();
     FrameCodec::<RouterFrame, AgentFrame>::default().encode(sent.clone(), &mut buffer).unwrap();
@@ -133,7 +133,7 @@
     assert!(buffer.is_empty());
 }
 
-fn assert_kept_from_agent(message: AgentMessage) {
+fn assert_agent_round_trip(message: AgentMessage) {
     let sent = Addressed { stream: 12, message };
     let mut buffer = BytesMut::new();
     FrameCodec::<AgentFrame, RouterFrame>::default().encode(sent.clone(), &mut buffer).unwrap();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn resumes_and_proofs_keep_all_their_parts() {
+fn resume_and_proof_messages_round_trip() {
     let nonce = Some(ProofNonce([5; 16]));
     let proof = ProofTag(Bytes::from_static(&[6; 32]));
     let (incarnation, domain) = (Incarnation::from(7), || "a".parse().unwrap());
@@ -160,13 +160,13 @@
         from: ResumePoint::AfterEvent(0),
         ..resume.clone()
     };
-    assert_kept_from_router(RouterMessage::Hello(hello));
-    assert_kept_from_router(RouterMessage::Prove(proof.clone()));
-    assert_kept_from_router(RouterMessage::Resume(Box::new(resume)));
-    assert_kept_from_router(RouterMessage::Resume(Box::new(after_event)));
-    assert_kept_from_router(RouterMessage::Received);
-    assert_kept_from_router(RouterMessage::Pong(3));
-    assert_kept_from_agent(AgentMessage::Welcome(AgentWelcome {
+    assert_router_round_trip(RouterMessage::Hello(hello));
+    assert_router_round_trip(RouterMessage::Prove(proof.clone()));
+    assert_router_round_trip(RouterMessage::Resume(Box::new(resume)));
+    assert_router_round_trip(RouterMessage::Resume(Box::new(after_event)));
+    assert_router_round_trip(RouterMessage::Received);
+    assert_router_round_trip(RouterMessage::Pong(3));
+    assert_agent_round_trip(AgentMessage::Welcome(AgentWelcome {
         version: 1,
         incarnation,
         server: "engine-0".parse().unwrap(),
@@ -176,7 +176,7 @@
         proof: Some(proof),
     }));
     let head = Some(AnswerHead { status: 200, headers: Vec::new() });
-    assert_kept_from_agent(AgentMessage::Resumed(ResumeNotice { offset: 8, head }));
-    assert_kept_from_agent(AgentMessage::NotHeld);
-    assert_kept_from_agent(AgentMessage::Ping(4));
+    assert_agent_round_trip(AgentMessage::Resumed(ResumeNotice { offset: 8, head }));
+    assert_agent_round_trip(AgentMessage::NotHeld);
+    assert_agent_round_trip(AgentMessage::Ping(4));
 }
--- a/crates/papayamux-protocol/tests/router_report.rs
+++ b/crates/papayamux-protocol/tests/router_report.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use papayamux_protocol::fleet_news::{FleetNews, FollowRequest, NewsSpan, ServerNews};
-use papayamux_protocol::part_inquiry::{PartAnswer, PartHolder, PartQuestion};
+use papayamux_protocol::fleet_update::{FleetUpdate, FollowRequest, ServerUpdate, UpdateSpan};
+use papayamux_protocol::part_inquiry::{PartAnswer, PartHolder, PartQuery};
 use papayamux_protocol::router_report::{
-    ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedQuestion,
-    ReportedReading, RouterReport,
+    ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedPrefill,
+    ReportedQuery, RouterReport,
 };
 use papayamux_state::backend::{BackendServer, ServerPhase};
 use papayamux_state::crash_record::{CrashNotice, CrashRecord};
@@ -21,7 +21,7 @@
 const GENERATED_INPUTS: usize = 250_000;
 
 #[test]
-fn report_comes_back_as_it_was() {
+fn report_round_trips() {
     let report = RouterReport {
         sequence: 7,
         known: vec!["10.0.0.1".parse().unwrap(), "10.0.0.2".parse().unwrap()],
@@ -39,21 +39,21 @@
         }],
         leaving: true,
         fresh: true,
-        question: Some(ReportedQuestion { life: u64::MAX, asked_ms: 4_711 }),
+        question: Some(ReportedQuery { life: u64::MAX, asked_ms: 4_711 }),
         configuration: Some(ReportedConfiguration {
             version: 45,
             age_ms: 612,
-            answers: vec![("10.0.0.1".parse().unwrap(), ReportedQuestion { life: 1, asked_ms: 2 })],
+            answers: vec![("10.0.0.1".parse().unwrap(), ReportedQuery { life: 1, asked_ms: 2 })],
         }),
-        readings: vec![ReportedReading {
+        readings: vec![ReportedPrefill {
             server: ServerKey(4),
             prefixes: vec![(PartId(11), TokenCount::new(2_520))],
             cold: TokenCount::new(9_200),
             expected_ms: 317,
         }],
         follow: Some(FollowRequest { life: 3, asked_ms: 70_000, position: u64::MAX }),
-        news: Some(news(vec![present(Some(1_700_000_000_000)), present(None), gone()])),
-        part_question: Some(PartQuestion { number: 9, part: PartId(u64::MAX) }),
+        news: Some(news(vec![present(Some(1_700_000_000_000)), present(None), departed()])),
+        part_question: Some(PartQuery { number: 9, part: PartId(u64::MAX) }),
         part_answer: Some(PartAnswer {
             number: 8,
             holders: vec![
@@ -80,10 +80,10 @@
     assert_eq!(RouterReport::decode(report.encode().into()).unwrap(), report);
 }
 
-fn present(start: Option<u64>) -> ServerNews {
+fn present(start: Option<u64>) -> ServerUpdate {
     let name: ServerName = "i-7f3a91c2".parse().unwrap();
     let start = start.map(ServerStart);
-    ServerNews::Present(BackendServer {
+    ServerUpdate::Present(BackendServer {
         id: ServerId::of_start(&name, start),
         name,
         start,
@@ -96,13 +96,13 @@
     })
 }
 
-fn gone() -> ServerNews {
-    ServerNews::Gone { name: "i-409792a0e0".parse().unwrap(), lingers: true }
+fn departed() -> ServerUpdate {
+    ServerUpdate::Gone { name: "i-409792a0e0".parse().unwrap(), lingers: true }
 }
 
-fn news(changes: Vec<ServerNews>) -> FleetNews {
-    let span = NewsSpan { behind: 4_000_000, changes, digest: u64::MAX, evacuations: Vec::new() };
-    FleetNews {
+fn news(changes: Vec<ServerUpdate>) -> FleetUpdate {
+    let span = UpdateSpan { behind: 4_000_000, changes, digest: u64::MAX, evacuations: Vec::new() };
+    FleetUpdate {
         life: u64::MAX,
         asked_ms: 86_400_000,
         shift_ms: -612,
@@ -117,7 +117,7 @@
 /// A router tells up to sixteen others three times a second: at 100 bytes that is 5 KB/s, a quarter of
 /// what control may cost.
 #[test]
-fn news_without_a_change_are_short() {
+fn update_without_changes_is_short() {
     let report = RouterReport {
         sequence: 100_000,
         news: Some(news(Vec::new())),
@@ -128,10 +128,10 @@
 }
 
 #[test]
-fn news_of_servers_that_cannot_be_are_refused() {
-    let ServerNews::Present(server) = present(None) else { panic!("present") };
+fn update_with_malformed_server_is_refused() {
+    let ServerUpdate::Present(server) = present(None) else { panic!("present") };
     let unnamed = RouterReport {
-        news: Some(news(vec![ServerNews::Present(BackendServer {
+        news: Some(news(vec![ServerUpdate::Present(BackendServer {
             service: "chat".parse().unwrap(),
             ..server
         })])),
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn report_of_a_router_of_a_large_fleet_is_short() {
+fn report_of_large_fleet_is_short() {
     let loads = (0..20).map(|index| ReportedLoad {
         server: ServerKey(u32::MAX - index),
         requests: 1,
@@ -170,8 +170,8 @@
 }
 
 #[test]
-fn word_of_a_reading_is_short() {
-    let reading = ReportedReading {
+fn prefill_report_is_short() {
+    let reading = ReportedPrefill {
         server: ServerKey(u32::MAX),
         prefixes: vec![
             (PartId(u64::MAX), TokenCount::new(2_520)),
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn any_bytes_are_a_report_or_an_error() {
+fn report_decoder_never_panics() {
     bolero::check!().with_iterations(GENERATED_INPUTS).with_type::<Vec<u8>>().for_each(|bytes| {
         // Only a panic would be wrong.
         let _ = RouterReport::decode(Bytes::copy_from_slice(bytes));
--- a/crates/papayamux-protocol/tests/serving.rs
+++ b/crates/papayamux-protocol/tests/serving.rs
@@ -3,17 +3,17 @@
 
 use bytes::BytesMut;
 use papayamux_protocol::link::{Addressed, AgentMessage, RouterMessage};
-use papayamux_protocol::serving::{ServingAnswer, ServingQuestion, ServingRefusal};
+use papayamux_protocol::serving::{ServingAnswer, ServingQuery, ServingRefusal};
 use papayamux_protocol::wire::{AgentFrame, FrameCodec, RouterFrame};
 use papayamux_state::weights::{WeightsKind, WeightsRef};
 use tokio_util::codec::{Decoder, Encoder};
 
 #[test]
-fn questions_between_agents_and_their_answers_keep_all_their_parts() {
+fn serving_queries_and_answers_round_trip() {
     let mut buffer = BytesMut::new();
     for kind in [WeightsKind::Model, WeightsKind::Adapter] {
         let weights = WeightsRef { kind, name: "taiwanese".to_string() };
-        let question = ServingQuestion { weights, asker: "engine-3".parse().unwrap() };
+        let question = ServingQuery { weights, asker: "engine-3".parse().unwrap() };
         let sent = Addressed { stream: 1, message: RouterMessage::AskServing(question) };
         FrameCodec::<RouterFrame, AgentFrame>::default().encode(sent.clone(), &mut buffer).unwrap();
         let received = FrameCodec::<AgentFrame, RouterFrame>::default().decode(&mut buffer);
--- a/crates/papayamux-router/src/agents/stream_handle.rs
+++ b/crates/papayamux-router/src/agents/stream_handle.rs
@@ -5,7 +5,7 @@
 
 use local_sync::mpsc::unbounded;
 use papayamux_protocol::link::{
-    AnswerData, AnswerEnd, AnswerHead, RefusalNotice, RouterMessage, STREAM_WINDOW,
+    AnswerData, AnswerEnd, AnswerHead, RefusalNotice, RouterMessage, STREAM_WINDOW_BYTES,
 };
 
 use super::stream_slot::StreamSlot;
@@ -29,7 +29,7 @@
 }
 
 /// Bytes taken after which the agent is told so.
-const ACKNOWLEDGE_EVERY: u64 = STREAM_WINDOW / 4;
+const ACKNOWLEDGE_EVERY: u64 = STREAM_WINDOW_BYTES / 4;
 
 /// The taking end of a stream. Dropping it before the end cancels the request.
 pub struct StreamHandle {
--- a/crates/papayamux-router/src/callers/chat_handler.rs
+++ b/crates/papayamux-router/src/callers/chat_handler.rs
@@ -1,6 +1,6 @@
 //! Chat completions.
 
-use papayamux_protocol::chat::read_chat_call;
+use papayamux_protocol::chat::parse_chat_call;
 use papayamux_protocol::engine::CHAT_PATH;
 use papayamux_protocol::failure::{FailureBody, FailureCode};
 use papayamux_protocol::headers::CONVERSATION;
@@ -16,7 +16,7 @@
     request: CallerRequest,
 ) -> Result<TakenRequest, FailureBody> {
     let conversation = header_text(&request.head.headers, CONVERSATION);
-    let call = read_chat_call(&request.organisation, conversation, &request.body)
+    let call = parse_chat_call(&request.organisation, conversation, &request.body)
         .map_err(|error| FailureBody::not_run(FailureCode::InvalidRequest, error.to_string()))?;
     let servers = desk.directory.serving(&call.model);
     if servers.is_empty() {
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -10,7 +10,7 @@
     ViewInForce,
 };
 use papayamux_coordination::peer_vouching::VouchQuestion;
-use papayamux_protocol::fleet_news::{FleetNews, FollowRequest, NewsSpan, ServerNews};
+use papayamux_protocol::fleet_update::{FleetUpdate, FollowRequest, ServerUpdate, UpdateSpan};
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::evacuation::EvacuationOrder;
 use papayamux_state::ids::ServerName;
@@ -145,7 +145,7 @@
         router: IpAddr,
         request: FollowRequest,
         now: Instant,
-    ) -> Option<FleetNews> {
+    ) -> Option<FleetUpdate> {
         let asked = BootInstant(Duration::from_millis(request.asked_ms));
         let question = VouchQuestion { life: request.life, asked };
         let question = HeardQuestion { question, heard: boot_now() };
@@ -159,7 +159,7 @@
     }
 
     /// Waits until there is something newer to tell; then what, and to whom.
-    pub(in crate::direct) async fn next_news(&self) -> Vec<(IpAddr, FleetNews)> {
+    pub(in crate::direct) async fn next_news(&self) -> Vec<(IpAddr, FleetUpdate)> {
         let advanced = self.knowledge.advanced.borrow().clone();
         advanced.given().await;
         let followers = self.knowledge.followers.borrow_mut().current(Instant::now());
@@ -168,7 +168,7 @@
     }
 
     /// Takes in what `sender` tells of the source.
-    pub(in crate::direct) fn take_news(&self, sender: IpAddr, life: u64, news: FleetNews) {
+    pub(in crate::direct) fn take_news(&self, sender: IpAddr, life: u64, news: FleetUpdate) {
         let now = boot_now();
         let question = VouchQuestion {
             life: news.life,
@@ -211,11 +211,11 @@
     }
 
     /// Takes over changes of servers, how long lapsed ones may still come back, and evacuations.
-    fn adopt_span(&self, span: NewsSpan, grace: Duration, now: Instant) {
+    fn adopt_span(&self, span: UpdateSpan, grace: Duration, now: Instant) {
         for change in span.changes {
             match change {
-                ServerNews::Present(server) => self.adopt_server(server, now),
-                ServerNews::Gone { name, lingers } => self.adopt_departure(&name, lingers, now),
+                ServerUpdate::Present(server) => self.adopt_server(server, now),
+                ServerUpdate::Gone { name, lingers } => self.adopt_departure(&name, lingers, now),
             }
         }
         self.adopt_grace(grace, now);
@@ -258,14 +258,14 @@
         self.knowledge.advanced.take().give();
     }
 
-    fn news_for(&self, entry: &FollowerEntry) -> Option<FleetNews> {
+    fn news_for(&self, entry: &FollowerEntry) -> Option<FleetUpdate> {
         let known = self.confirmed_since()?;
         let journal = self.knowledge.journal.borrow();
         let position = journal.position()?;
         let span = journal.since(entry.position);
         let question = entry.question.question;
         let grace = self.presence.borrow().grace_left(Instant::now());
-        Some(FleetNews {
+        Some(FleetUpdate {
             life: question.life,
             asked_ms: u64::try_from(question.asked.0.as_millis()).ok()?,
             shift_ms: entry.question.shift_to(known).0,
@@ -280,12 +280,12 @@
     }
 }
 
-fn told_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
+fn told_span(span: BeliefSpan, evacuations: Vec<EvacuationOrder>) -> UpdateSpan {
     let changes = span.changes.into_iter().map(|change| match change {
-        BeliefChange::Present(server) => ServerNews::Present((*server).clone()),
-        BeliefChange::Gone { name, lingers } => ServerNews::Gone { name, lingers },
+        BeliefChange::Present(server) => ServerUpdate::Present((*server).clone()),
+        BeliefChange::Gone { name, lingers } => ServerUpdate::Gone { name, lingers },
     });
-    NewsSpan {
+    UpdateSpan {
         behind: span.behind.0,
         changes: changes.collect(),
         digest: span.digest.0,
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -16,8 +16,8 @@
 use papayamux_coordination::placement::{HolderNote, RouterId, ServerLoad};
 use papayamux_coordination::router_peers::{PeerNews, RouterPeers};
 use papayamux_protocol::router_report::{
-    ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedQuestion,
-    ReportedReading, RouterReport,
+    ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedPrefill,
+    ReportedQuery, RouterReport,
 };
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::quantities::TokenCount;
@@ -201,8 +201,8 @@
         }
     }
 
-    fn take_reading(&self, reported: ReportedReading, now: Instant) {
-        let ReportedReading { server, prefixes, cold, expected_ms } = reported;
+    fn take_reading(&self, reported: ReportedPrefill, now: Instant) {
+        let ReportedPrefill { server, prefixes, cold, expected_ms } = reported;
         let Some(server) = self.fleet.server_by_key(server) else { return };
         let expected = Duration::from_millis(u64::from(expected_ms));
         let reading = PromptReading { cold, begun: now, expected, ahead: cold, waiting: 0 };
@@ -289,7 +289,7 @@
         let question = self
             .fleet
             .needs_vouching()
-            .then(|| ReportedQuestion { life: self.life, asked_ms: whole_millis(boot_now().0) });
+            .then(|| ReportedQuery { life: self.life, asked_ms: whole_millis(boot_now().0) });
         let ledger = self.fleet.ledger().borrow();
         let loads = ledger.own().map(|(server, load)| ReportedLoad {
             server: server.into(),
@@ -337,7 +337,7 @@
         let VouchStatement { version, age } = self.fleet.statement()?;
         let answers = open.into_iter().map(|(router, question)| {
             let asked_ms = whole_millis(question.asked.0);
-            (router, ReportedQuestion { life: question.life, asked_ms })
+            (router, ReportedQuery { life: question.life, asked_ms })
         });
         Some(ReportedConfiguration {
             version: version.0,
@@ -348,7 +348,7 @@
 }
 
 /// What to tell others of a reading; nothing where it should have ended by now.
-pub(super) fn reported_reading(started: &StartedReading, now: Instant) -> Option<ReportedReading> {
+pub(super) fn reported_reading(started: &StartedReading, now: Instant) -> Option<ReportedPrefill> {
     let StartedReading { server, prefixes, reading } = started;
     let (cold, expected_ms) = match reading {
         Some(reading) => {
@@ -358,10 +358,10 @@
         }
         None => (TokenCount::default(), 0),
     };
-    Some(ReportedReading { server: server.into(), prefixes: prefixes.clone(), cold, expected_ms })
+    Some(ReportedPrefill { server: server.into(), prefixes: prefixes.clone(), cold, expected_ms })
 }
 
-fn read_question(question: ReportedQuestion) -> VouchQuestion {
+fn read_question(question: ReportedQuery) -> VouchQuestion {
     let asked = BootInstant(Duration::from_millis(question.asked_ms));
     VouchQuestion { life: question.life, asked }
 }
--- a/crates/papayamux-router/src/direct/peers/news.rs
+++ b/crates/papayamux-router/src/direct/peers/news.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use papayamux_protocol::fleet_news::{FleetNews, FollowRequest};
+use papayamux_protocol::fleet_update::{FleetUpdate, FollowRequest};
 use papayamux_protocol::router_report::RouterReport;
 
 use super::PeerExchange;
@@ -59,7 +59,7 @@
         }
     }
 
-    async fn send_news(&self, follower: IpAddr, news: FleetNews) {
+    async fn send_news(&self, follower: IpAddr, news: FleetUpdate) {
         let report = RouterReport { news: Some(news), ..RouterReport::default() };
         self.send_partial(report, &[follower]).await;
     }
--- a/crates/papayamux-router/src/direct/peers/owner_mail.rs
+++ b/crates/papayamux-router/src/direct/peers/owner_mail.rs
@@ -7,7 +7,7 @@
 
 use futures_channel::oneshot;
 use papayamux_coordination::part_owners::{part_owner, OWNER_LEARNS_FOR, SILENT_AFTER};
-use papayamux_protocol::part_inquiry::{PartAnswer, PartQuestion};
+use papayamux_protocol::part_inquiry::{PartAnswer, PartQuery};
 use papayamux_protocol::router_report::RouterReport;
 use papayamux_state::prompt::PartId;
 
@@ -63,7 +63,7 @@
             return;
         }
         let number = self.note_question(owner, reply, now);
-        let part_question = Some(PartQuestion { number, part });
+        let part_question = Some(PartQuery { number, part });
         let report = RouterReport { part_question, ..RouterReport::default() };
         self.send_partial(report, &[owner]).await;
     }
@@ -90,7 +90,7 @@
         number
     }
 
-    pub(super) fn answer_part_question(self: &Rc<Self>, sender: IpAddr, question: PartQuestion) {
+    pub(super) fn answer_part_question(self: &Rc<Self>, sender: IpAddr, question: PartQuery) {
         let part_answer = Some(self.part_answer(question.number, question.part));
         let exchange = self.clone();
         monoio::spawn(async move {
--- a/crates/papayamux-router/src/routing/route_plan.rs
+++ b/crates/papayamux-router/src/routing/route_plan.rs
@@ -114,7 +114,7 @@
         };
         let placement = PlacementRule {
             share: self.share,
-            patience: if last { Duration::MAX } else { patience },
+            wait_budget: if last { Duration::MAX } else { patience },
             may_redirect: std::mem::take(&mut self.straight_home),
             group_load,
         };
--- a/crates/papayamux-spread/src/exchange/handshake.rs
+++ b/crates/papayamux-spread/src/exchange/handshake.rs
@@ -24,7 +24,7 @@
     receiver: &mut PeerReceiver,
     side: PeerSide,
 ) -> Result<PeerHello, PeerError> {
-    let nonce = core.secret.as_ref().map(|_| ProofNonce::draw());
+    let nonce = core.secret.as_ref().map(|_| ProofNonce::generate());
     send(core, sender, PeerMessage::Hello(core.hello(nonce)));
     let PeerMessage::Hello(hello) = receive(receiver).await? else {
         return Err(PeerError::NoHello);
--- a/crates/papayamux-spread/src/exchange/peer_link.rs
+++ b/crates/papayamux-spread/src/exchange/peer_link.rs
@@ -7,7 +7,7 @@
 
 use futures_channel::{mpsc, oneshot};
 use papayamux_protocol::peer::{
-    BodyPart, FetchRequest, PeerHello, PeerMessage, VersionKey, MOST_VERSIONS,
+    BodyPart, FetchRequest, PeerHello, PeerMessage, VersionKey, MAX_VERSIONS,
 };
 use papayamux_transport::link::LinkSender;
 use papayamux_transport::shutdown::ShutdownSignal;
@@ -229,7 +229,7 @@
 }
 
 fn next_announced(announced: &mut BTreeMap<String, VersionKey>) -> Vec<VersionKey> {
-    let rest = match announced.keys().nth(MOST_VERSIONS).cloned() {
+    let rest = match announced.keys().nth(MAX_VERSIONS).cloned() {
         Some(name) => announced.split_off(&name),
         None => BTreeMap::new(),
     };
@@ -243,13 +243,13 @@
     let mut versions = store.inventory(|bucket| bucket == first);
     while let Some(next) = rest.first().copied() {
         let more = store.inventory(|bucket| bucket == next);
-        if versions.len() + more.len() > MOST_VERSIONS {
+        if versions.len() + more.len() > MAX_VERSIONS {
             break;
         }
         rest.remove(&next);
         buckets.push(next as u32);
         versions.extend(more);
     }
-    versions.truncate(MOST_VERSIONS);
+    versions.truncate(MAX_VERSIONS);
     PeerMessage::Inventory { buckets, versions }
 }
--- a/crates/papayamux-spread/src/files/delta.rs
+++ b/crates/papayamux-spread/src/files/delta.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use bytes::Bytes;
-use papayamux_protocol::peer::{VersionKey, LONGEST_FILE};
+use papayamux_protocol::peer::{VersionKey, MAX_FILE_BYTES};
 use prost::Message;
 use thiserror::Error;
 
@@ -116,7 +116,7 @@
             let end = first.saturating_add(step.lines as usize);
             let copied = base.get(first..end).ok_or(DeltaError::Beyond)?;
             let length: usize = copied.iter().map(|line| line.len()).sum();
-            if text.len() + length + step.insert.len() > LONGEST_FILE {
+            if text.len() + length + step.insert.len() > MAX_FILE_BYTES {
                 return Err(DeltaError::TooLong);
             }
             copied.iter().for_each(|line| text.push_str(line));
--- a/crates/papayamux-spread/src/files/encoded_body.rs
+++ b/crates/papayamux-spread/src/files/encoded_body.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use miniz_oxide::deflate::compress_to_vec;
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
-use papayamux_protocol::peer::{VersionKey, LONGEST_FILE};
+use papayamux_protocol::peer::{VersionKey, MAX_FILE_BYTES};
 use prost::Message;
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
@@ -14,7 +14,7 @@
 /// How hard the compressor tries, from 0 to 10.
 const COMPRESSION_LEVEL: u8 = 6;
 /// Bytes that a compressed body may take: the bound of a text and what headers may add.
-pub(crate) const LONGEST_BODY: usize = LONGEST_FILE + 4_096;
+pub(crate) const LONGEST_BODY: usize = MAX_FILE_BYTES + 4_096;
 
 const WHOLE: u8 = 0;
 const DELTA: u8 = 1;
--- a/crates/papayamux-spread/src/files/file_store.rs
+++ b/crates/papayamux-spread/src/files/file_store.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use papayamux_protocol::peer::{VersionKey, DIGEST_BUCKETS, LONGEST_FILE, LONGEST_FILE_NAME};
+use papayamux_protocol::peer::{VersionKey, DIGEST_BUCKETS, MAX_FILE_BYTES, MAX_FILE_NAME_BYTES};
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use super::delta::DeltaStep;
@@ -127,7 +127,7 @@
         if !self.wants(key) {
             return Some(JoinOutcome::Older);
         }
-        let too_long = version.text.len() > LONGEST_FILE || key.name.len() > LONGEST_FILE_NAME;
+        let too_long = version.text.len() > MAX_FILE_BYTES || key.name.len() > MAX_FILE_NAME_BYTES;
         let too_much = self.bytes + version.text.len() > MOST_BYTES;
         let too_many = !self.files.contains_key(&key.name) && self.files.len() >= MOST_FILES;
         (too_long || too_much || too_many).then_some(JoinOutcome::TooLarge)
--- a/crates/papayamux-spread/src/peers/peer_table.rs
+++ b/crates/papayamux-spread/src/peers/peer_table.rs
@@ -50,7 +50,7 @@
             address: self.address,
             domain: self.domain.clone(),
             incarnation: self.incarnation,
-            heard_ms: now.saturating_duration_since(self.heard).as_millis() as u64,
+            last_contact_ms: now.saturating_duration_since(self.heard).as_millis() as u64,
         }
     }
 }
@@ -85,7 +85,7 @@
 
     /// Notes what another process knows.
     pub fn note_record(&mut self, record: PeerRecord, now: Instant) {
-        let age = Duration::from_millis(record.heard_ms);
+        let age = Duration::from_millis(record.last_contact_ms);
         let Some(heard) = now.checked_sub(age) else { return };
         if age > FORGET_AFTER {
             return;
--- a/crates/papayamux-standins/src/config_service/file_history.rs
+++ b/crates/papayamux-standins/src/config_service/file_history.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use papayamux_protocol::platform::{ConfigFile, FileListing, FileRevision, LONGEST_FILE};
+use papayamux_protocol::platform::{ConfigFile, FileListing, FileRevision, MAX_FILE_BYTES};
 use thiserror::Error;
 
 /// Changes that the service remembers.
@@ -20,7 +20,7 @@
     #[error("a file name has 1 to {LONGEST_NAME} letters, digits, dots, hyphens and underscores")]
     Name,
     /// The text is too long.
-    #[error("the file has {0} bytes, the bound is {LONGEST_FILE}")]
+    #[error("the file has {0} bytes, the bound is {MAX_FILE_BYTES}")]
     TooLong(usize),
     /// The history is at its bound.
     #[error("the stand-in remembers no more revisions")]
@@ -54,7 +54,7 @@
         if !is_name(name) {
             return Err(HistoryError::Name);
         }
-        if length > LONGEST_FILE {
+        if length > MAX_FILE_BYTES {
             return Err(HistoryError::TooLong(length));
         }
         if self.revision >= MOST_REVISIONS || self.bytes + length > MOST_BYTES {
--- a/crates/papayamux-standins/src/config_service/server.rs
+++ b/crates/papayamux-standins/src/config_service/server.rs
@@ -6,7 +6,7 @@
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use monoio::net::TcpListener;
-use papayamux_protocol::platform::{FileRevision, FILES_PATH, LONGEST_WATCH_MS, WATCH_PATH};
+use papayamux_protocol::platform::{FileRevision, FILES_PATH, MAX_WATCH_MS, WATCH_PATH};
 use papayamux_transport::http::{serve, AnswerBody, HttpLimits};
 use papayamux_transport::shutdown::ShutdownSignal;
 
@@ -73,8 +73,8 @@
 
 async fn answer_watch(state: &ServiceState, request: &Request<Incoming>) -> Response<AnswerBody> {
     let after = query_number(request.uri(), "after").unwrap_or(0);
-    let timeout = query_number(request.uri(), "timeout_ms").unwrap_or(LONGEST_WATCH_MS);
-    let timeout = Duration::from_millis(timeout.min(LONGEST_WATCH_MS));
+    let timeout = query_number(request.uri(), "timeout_ms").unwrap_or(MAX_WATCH_MS);
+    let timeout = Duration::from_millis(timeout.min(MAX_WATCH_MS));
     let listing = state.watch(after, timeout).await;
     match state.faults().unavailable {
         true => unavailable(),
--- a/crates/papayamux-standins/src/engine/event_log.rs
+++ b/crates/papayamux-standins/src/engine/event_log.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use papayamux_protocol::engine::{CacheChange, CacheEvent, CacheEventPage, LONGEST_EVENT_PAGE};
+use papayamux_protocol::engine::{CacheChange, CacheEvent, CacheEventPage, MAX_EVENTS_PER_PAGE};
 use papayamux_state::ids::Incarnation;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -74,7 +74,7 @@
     pub fn page(&self, now: Instant, after: u64, limit: usize) -> CacheEventPage {
         let first_kept = self.last + 1 - self.changes.len() as u64;
         let skipped = after.saturating_add(1).saturating_sub(first_kept);
-        let limit = limit.min(LONGEST_EVENT_PAGE);
+        let limit = limit.min(MAX_EVENTS_PER_PAGE);
         let mut page = CacheEventPage {
             incarnation: self.incarnation.get(),
             first_kept,
--- a/crates/papayamux-standins/src/engine/http_interface.rs
+++ b/crates/papayamux-standins/src/engine/http_interface.rs
@@ -7,7 +7,7 @@
 use monoio::net::TcpListener;
 use papayamux_protocol::engine::{
     CacheEventPage, EngineErrorCode, EngineOrder, CACHE_BLOCKS_PATH, CACHE_EVENTS_PATH, CHAT_PATH,
-    KV_EXPORT_PATH, KV_IMPORT_PATH, LOAD_PATH, LONGEST_EVENT_PAGE, ORDERS_PATH, REQUESTS_PATH,
+    KV_EXPORT_PATH, KV_IMPORT_PATH, LOAD_PATH, MAX_EVENTS_PER_PAGE, ORDERS_PATH, REQUESTS_PATH,
     STATE_PATH,
 };
 use papayamux_transport::http::{serve, AnswerBody, HttpLimits};
@@ -97,7 +97,7 @@
 
 fn event_page(batch: &EngineBatch, uri: &Uri) -> CacheEventPage {
     let after = query_number(uri, "after").unwrap_or(0);
-    let limit = query_number(uri, "limit").unwrap_or(LONGEST_EVENT_PAGE as u64);
+    let limit = query_number(uri, "limit").unwrap_or(MAX_EVENTS_PER_PAGE as u64);
     batch.cache_events(after, usize::try_from(limit).unwrap_or(usize::MAX))
 }
 
--- a/crates/papayamux-standins/src/engine/kv_blob.rs
+++ b/crates/papayamux-standins/src/engine/kv_blob.rs
@@ -1,7 +1,7 @@
 //! Blobs of KV cache: a chain of blocks with as many bytes as an export would have.
 
 use bytes::Bytes;
-use papayamux_protocol::engine::{LONGEST_KV_BLOB, MOST_KV_BLOCKS};
+use papayamux_protocol::engine::{MAX_KV_BLOB_BYTES, MAX_KV_BLOCKS};
 use prost::Message;
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -9,7 +9,7 @@
 use super::batch::HeldChain;
 
 /// Bytes of a blob that are not contents, at most.
-const OVERHEAD: usize = 64 + 10 * MOST_KV_BLOCKS;
+const OVERHEAD: usize = 64 + 10 * MAX_KV_BLOCKS;
 
 /// Why a blob can't be taken.
 #[derive(Debug, Error)]
@@ -21,7 +21,7 @@
     #[error("the KV blob is damaged")]
     Damaged,
     /// It has too many blocks.
-    #[error("the KV blob has {0} blocks, the bound is {MOST_KV_BLOCKS}")]
+    #[error("the KV blob has {0} blocks, the bound is {MAX_KV_BLOCKS}")]
     TooMany(usize),
 }
 
@@ -44,7 +44,7 @@
     /// The blob of a chain that was computed with `weights`.
     pub fn new(chain: HeldChain, weights: u64, block_bytes: usize) -> Self {
         let length = block_bytes.saturating_mul(chain.blocks.len());
-        let length = length.min(LONGEST_KV_BLOB - OVERHEAD);
+        let length = length.min(MAX_KV_BLOB_BYTES - OVERHEAD);
         let contents = Bytes::from(vec![0; length]);
         let mut blob =
             Self { root: chain.root, weights, blocks: chain.blocks, checksum: 0, contents };
@@ -56,7 +56,7 @@
     pub fn read(bytes: Bytes) -> Result<Self, KvBlobError> {
         let blob = Self::decode(bytes)?;
         match blob.blocks.len() {
-            count if count > MOST_KV_BLOCKS => Err(KvBlobError::TooMany(count)),
+            count if count > MAX_KV_BLOCKS => Err(KvBlobError::TooMany(count)),
             _ if blob.checksum != blob.compute_checksum() => Err(KvBlobError::Damaged),
             _ => Ok(blob),
         }
--- a/crates/papayamux-standins/src/engine/kv_interface.rs
+++ b/crates/papayamux-standins/src/engine/kv_interface.rs
@@ -2,7 +2,7 @@
 
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
-use papayamux_protocol::engine::{EngineErrorCode, KvExportRequest, KvImported, MOST_KV_BLOCKS};
+use papayamux_protocol::engine::{EngineErrorCode, KvExportRequest, KvImported, MAX_KV_BLOCKS};
 use papayamux_transport::http::AnswerBody;
 use prost::Message;
 
@@ -16,7 +16,7 @@
 pub async fn export_blocks(server: &EngineServer, request: Request<Incoming>) -> EngineResult {
     let body = read_body(request.into_body()).await.map_err(invalid_request)?;
     let request: KvExportRequest = serde_json::from_slice(&body).map_err(invalid_request)?;
-    let chain = &request.blocks[..request.blocks.len().min(MOST_KV_BLOCKS)];
+    let chain = &request.blocks[..request.blocks.len().min(MAX_KV_BLOCKS)];
     let chain = server.batch.held_chain(chain).ok_or_else(|| {
         engine_error(EngineErrorCode::BlocksNotHeld, "the first block is not cached")
     })?;
--- a/crates/papayamux-standins/src/engine/model_loader.rs
+++ b/crates/papayamux-standins/src/engine/model_loader.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use papayamux_protocol::engine::{
-    EngineError, EngineErrorCode, EngineOrder, EngineState, MOST_ORDERED,
+    EngineError, EngineErrorCode, EngineOrder, EngineState, MAX_ORDERED_WEIGHTS,
 };
-use papayamux_protocol::platform::{weights_path, LONGEST_WEIGHTS};
+use papayamux_protocol::platform::{weights_path, MAX_WEIGHTS_BYTES};
 use papayamux_transport::http::{HttpClient, HttpClientError};
 
 use super::batch::EngineBatch;
@@ -63,8 +63,9 @@
 
     /// Takes an order; loads go on after this returns.
     pub fn obey(&self, order: EngineOrder) -> Result<EngineState, EngineError> {
-        if order.models.len() + order.adapters.len() > MOST_ORDERED {
-            let message = format!("an order names at most {MOST_ORDERED} models and adapters");
+        if order.models.len() + order.adapters.len() > MAX_ORDERED_WEIGHTS {
+            let message =
+                format!("an order names at most {MAX_ORDERED_WEIGHTS} models and adapters");
             return Err(invalid_request(message));
         }
         self.check_fence(order.fence)?;
@@ -118,7 +119,7 @@
         let describe = |error: HttpClientError| format!("weight store: {error}");
         let answer = store.send_idempotent(request).await.map_err(describe)?;
         let status = answer.head.status;
-        answer.whole_body(LONGEST_WEIGHTS as u64).await.map_err(describe)?;
+        answer.whole_body(MAX_WEIGHTS_BYTES as u64).await.map_err(describe)?;
         match status {
             StatusCode::OK => Ok(()),
             other => Err(format!("weight store: status {other}")),
--- a/crates/papayamux-standins/src/weight_store.rs
+++ b/crates/papayamux-standins/src/weight_store.rs
@@ -9,7 +9,7 @@
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use monoio::net::TcpListener;
-use papayamux_protocol::platform::{LONGEST_WEIGHTS, WEIGHTS_PATH};
+use papayamux_protocol::platform::{MAX_WEIGHTS_BYTES, WEIGHTS_PATH};
 use papayamux_transport::http::{serve, AnswerBody, HttpLimits};
 use papayamux_transport::shutdown::ShutdownSignal;
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
 pub struct WeightStoreOptions {
     /// Loads that are answered in any one second.
     pub loads_per_second: usize,
-    /// Bytes of each model's weights, at most [`LONGEST_WEIGHTS`].
+    /// Bytes of each model's weights, at most [`MAX_WEIGHTS_BYTES`].
     pub weight_bytes: usize,
     /// Time until a load is answered.
     pub load_time: Duration,
@@ -61,7 +61,7 @@
     options: WeightStoreOptions,
     shutdown: ShutdownSignal,
 ) -> std::io::Result<()> {
-    let length = options.weight_bytes.min(LONGEST_WEIGHTS);
+    let length = options.weight_bytes.min(MAX_WEIGHTS_BYTES);
     let state = Rc::new(StoreState {
         options,
         weights: Bytes::from(vec![0; length]),
--- a/crates/papayamux-standins/tests/config_service.rs
+++ b/crates/papayamux-standins/tests/config_service.rs
@@ -7,7 +7,7 @@
 use futures_util::future::{join, join_all};
 use http::{Method, StatusCode};
 use papayamux_protocol::platform::{
-    file_path, watch_path, ConfigFile, FileListing, FileRevision, FILES_PATH, LONGEST_FILE,
+    file_path, watch_path, ConfigFile, FileListing, FileRevision, FILES_PATH, MAX_FILE_BYTES,
 };
 use papayamux_standins::call_meter::CallCounters;
 use papayamux_standins::config_service::{
@@ -137,10 +137,10 @@
 fn a_file_is_bounded_and_its_name_is_checked() {
     run(async {
         let service = start_service(1_000);
-        let most = "x".repeat(LONGEST_FILE);
+        let most = "x".repeat(MAX_FILE_BYTES);
         assert_eq!(put(&service, "kiosks", &most).await, 1);
         let file: ConfigFile = service.get(&file_path("kiosks")).await;
-        assert_eq!(file.text.len(), LONGEST_FILE);
+        assert_eq!(file.text.len(), MAX_FILE_BYTES);
         let path = standin_file_path("kiosks");
         let (status, _) = service.call(Method::PUT, &path, (most + "x").into()).await;
         assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
--- a/crates/papayamux-transport/src/agent_link.rs
+++ b/crates/papayamux-transport/src/agent_link.rs
@@ -123,7 +123,7 @@
         server: &ServerId,
         identity: &LinkIdentity,
     ) -> Result<WelcomedLink, AgentLinkError> {
-        let nonce = identity.secret.as_ref().map(|_| ProofNonce::draw());
+        let nonce = identity.secret.as_ref().map(|_| ProofNonce::generate());
         let (incarnation, domain) = (identity.incarnation, identity.domain.clone());
         let hello = RouterHello { version: PROTOCOL_VERSION, incarnation, domain, nonce };
         self.sender.send(CONNECTION, RouterMessage::Hello(hello));
