--- a/crates/papayamux-protocol/src/chat.rs
+++ b/crates/papayamux-protocol/src/chat.rs
@@ -1,27 +1,27 @@
-//! The part of the chat completions interface that routing needs to understand.
+//! The part of the chat completions interface that routing depends on.
 //!
-//! The body itself goes to the engine as the caller sent it.
+//! The body is forwarded to the engine unchanged.
 
 use papayamux_state::chat_key::{derive_chat_key, named_chat_key, ChatOpening};
 use papayamux_state::ids::{AdapterId, ChatKey, IdError, ModelId, OrganisationId};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a chat request can't be taken.
+/// The error of parsing a chat request.
 #[derive(Debug, Error)]
 pub enum ChatError {
-    /// The body is not JSON of the expected shape; the text names line and column.
+    /// The body is not JSON of the expected structure. The message contains line and column.
     #[error("the body is not a chat request: {0}")]
     Shape(#[from] serde_json::Error),
-    /// A field that must be an identifier is none.
+    /// A field is not a valid identifier.
     #[error("field {field:?}: {source}")]
     Field {
         /// The field's name.
         field: &'static str,
-        /// What is wrong with it.
+        /// The cause.
         source: IdError,
     },
-    /// There is no message.
+    /// The list of messages is empty.
     #[error("field \"messages\": at least one message is needed")]
     NoMessages,
 }
@@ -31,24 +31,24 @@
 pub struct ChatMessage {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// What was said.
+    /// The text of the turn.
     pub content: String,
 }
 
 /// A chat completion request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
-    /// The adapter asked for.
+    /// The requested adapter.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// The turns so far, the oldest first.
+    /// The turns of the chat, the oldest first.
     pub messages: Vec<ChatMessage>,
-    /// Whether the answer is to be streamed as server-sent events.
+    /// `true` if the answer is to be streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
     /// The caller's id of the conversation.
@@ -56,20 +56,20 @@
     pub conversation: Option<String>,
 }
 
-/// A chat request with its identifiers checked.
+/// A chat request with validated identifiers.
 #[derive(Debug, Clone)]
 pub struct ChatCall {
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelId,
-    /// The adapter asked for.
+    /// The requested adapter.
     pub adapter: Option<AdapterId>,
-    /// The key under which the chat comes back.
+    /// The key that identifies later requests of the same chat.
     pub chat: ChatKey,
-    /// The request as parsed.
+    /// The parsed request.
     pub request: ChatRequest,
 }
 
-/// Reads the body of a chat request.
+/// Parses and validates the body of a chat request.
 pub fn parse_chat_call(
     organisation: &OrganisationId,
     conversation_header: Option<&str>,
@@ -102,7 +102,7 @@
     text.parse().map_err(|source| ChatError::Field { field, source })
 }
 
-/// The turns up to and including the user's first.
+/// Returns the turns up to and including the user's first.
 fn first_turns(messages: &[ChatMessage]) -> Vec<&str> {
     let first_user = messages.iter().position(|message| message.role == "user");
     let opening = &messages[..=first_user.unwrap_or(messages.len() - 1)];
@@ -116,12 +116,12 @@
     pub prompt_tokens: u64,
     /// Tokens generated.
     pub completion_tokens: u64,
-    /// Of the prompt, what came from the cache.
+    /// The number of prompt tokens that came from the cache.
     #[serde(default)]
     pub prompt_tokens_details: PromptDetails,
 }
 
-/// What is known of the prompt's tokens.
+/// Details of the prompt tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptDetails {
     /// Tokens found in the prefix cache.
@@ -133,7 +133,7 @@
 pub struct ChatChunk {
     /// The id of the completion.
     pub id: String,
-    /// The choices; this product asks for one.
+    /// The choices; papayamux requests a single one.
     pub choices: Vec<ChunkChoice>,
     /// Token counts, in the last chunk only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -143,14 +143,14 @@
 /// The choice inside a streamed chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkChoice {
-    /// What is added to the answer.
+    /// The text added to the answer.
     pub delta: ChunkDelta,
-    /// Why generation ended, in the last chunk only.
+    /// The reason why generation ended, in the last chunk only.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// Text that a chunk adds.
+/// The text added by a chunk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkDelta {
     /// The text.
@@ -158,23 +158,23 @@
     pub content: String,
 }
 
-/// A whole answer, where the caller asked for no stream.
+/// A complete answer to a request without streaming.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatCompletion {
     /// The id of the completion.
     pub id: String,
-    /// The choices; this product asks for one.
+    /// The choices; papayamux requests a single one.
     pub choices: Vec<CompletionChoice>,
     /// Token counts.
     pub usage: UsageReport,
 }
 
-/// The choice inside a whole answer.
+/// The choice inside a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
     /// The answer.
     pub message: ChatMessage,
-    /// Why generation ended.
+    /// The reason why generation ended.
     pub finish_reason: String,
 }
 
--- a/crates/papayamux-protocol/src/crash_notices.rs
+++ b/crates/papayamux-protocol/src/crash_notices.rs
@@ -1,4 +1,4 @@
-//! Records of requests under which servers ended, as they travel between routers.
+//! The wire form of crash notices: records of requests under which servers crashed.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use papayamux_state::request_fingerprint::RequestFingerprint;
 use prost::Message;
 
-/// Notices in columns.
+/// Crash notices in columns, matched by index.
 #[derive(Clone, PartialEq, Message)]
 pub struct CrashNoticesWire {
     #[prost(fixed64, repeated, tag = "1")]
--- a/crates/papayamux-protocol/src/engine.rs
+++ b/crates/papayamux-protocol/src/engine.rs
@@ -1,5 +1,5 @@
-//! The published interface of model engines: prompt blocks, loads, cache events, requests that can
-//! be resumed and cancelled, KV blobs, and orders.
+//! The public interface of model engines: prompt blocks, load reports, cache events, resumable and
+//! cancellable requests, KV blobs and orders.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 
 use crate::chat::ChatMessage;
 
-/// Bytes of prompt text that count as one token.
+/// The number of bytes of prompt text that count as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// Tokens in one block of the prefix cache.
+/// The number of tokens in one block of the prefix cache.
 pub const TOKENS_PER_BLOCK: usize = 16;
 const BYTES_PER_BLOCK: usize = BYTES_PER_TOKEN * TOKENS_PER_BLOCK;
 
@@ -19,37 +19,37 @@
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 /// The path of an engine's load report.
 pub const LOAD_PATH: &str = "/v1/load";
-/// The path of an engine's cache events: `?after=N&limit=M` gives a [`CacheEventPage`].
+/// The path of an engine's cache events: `?after=N&limit=M` returns a [`CacheEventPage`].
 pub const CACHE_EVENTS_PATH: &str = "/v1/cache/events";
-/// The path of the blocks that an engine's cache holds now, as a [`CacheSnapshot`].
+/// The path of a [`CacheSnapshot`] of the blocks in an engine's cache.
 pub const CACHE_BLOCKS_PATH: &str = "/v1/cache/blocks";
-/// The path below which an engine's requests are found by their id.
+/// The path prefix of an engine's requests, followed by their id.
 pub const REQUESTS_PATH: &str = "/v1/requests";
-/// The path that turns a [`KvExportRequest`] into a blob.
+/// The path that exports the blocks of a [`KvExportRequest`] as a blob.
 pub const KV_EXPORT_PATH: &str = "/v1/kv/export";
-/// The path that takes a blob and answers with [`KvImported`].
+/// The path that imports a blob and answers with [`KvImported`].
 pub const KV_IMPORT_PATH: &str = "/v1/kv/import";
-/// The path that takes an [`EngineOrder`] and answers 202 with [`EngineState`].
+/// The path that accepts an [`EngineOrder`] and answers 202 with [`EngineState`].
 pub const ORDERS_PATH: &str = "/v1/orders";
 /// The path of an engine's [`EngineState`].
 pub const STATE_PATH: &str = "/v1/state";
-/// Blocks in the largest KV blob.
+/// Maximum number of blocks in a KV blob.
 pub const MAX_KV_BLOCKS: usize = 4_096;
-/// Bytes of the longest KV blob.
+/// Maximum length of a KV blob.
 pub const MAX_KV_BLOB_BYTES: usize = 8 * 1024 * 1024;
-/// Models and adapters in the largest order.
+/// Maximum number of models and adapters in an order.
 pub const MAX_ORDERED_WEIGHTS: usize = 64;
-/// The version of models and adapters for which no version is named.
+/// The version of models and adapters that are named without one.
 pub const DEFAULT_VERSION: &str = "1";
-/// Events of the longest page of cache events; also what a reader gets that names no limit.
+/// Maximum number of events in a page of cache events, and the default if no limit is given.
 pub const MAX_EVENTS_PER_PAGE: usize = 4_096;
 
-/// The path that gives the rest of a streamed answer after its first `events` events.
+/// Returns the path of the rest of a streamed answer after its first `events` events.
 pub fn resume_path(request: &str, events: u64) -> String {
     format!("/v1/requests/{request}/stream?from={events}")
 }
 
-/// A prompt as the engine sees it: the turns one after the other.
+/// Renders a chat as the engine's prompt: its turns, concatenated.
 pub fn render_prompt(messages: &[ChatMessage]) -> String {
     let mut prompt = String::new();
     for message in messages {
@@ -61,18 +61,19 @@
     prompt
 }
 
-/// Tokens of a prompt of `length` bytes.
+/// Returns the number of tokens in a prompt of `length` bytes.
 pub fn prompt_tokens(length: usize) -> u64 {
     length.div_ceil(BYTES_PER_TOKEN) as u64
 }
 
-/// The hash that a model's and adapter's first block builds on.
+/// Returns the parent hash of the first block for a model and adapter.
 pub fn root_hash(model: &str, adapter: Option<&str>) -> u64 {
     let model_hash = xxh3_64_with_seed(model.as_bytes(), 0);
     xxh3_64_with_seed(adapter.unwrap_or("").as_bytes(), model_hash)
 }
 
-/// The hashes of a prompt's whole blocks; each one covers all text before its end.
+/// Returns the hashes of a prompt's complete blocks; each hash covers all text up to the end of
+/// its block.
 pub fn block_hashes(root: u64, prompt: &str) -> Vec<u64> {
     let mut parent = root;
     prompt
@@ -85,16 +86,16 @@
         .collect()
 }
 
-/// What an engine says of its load, with a lag.
+/// An engine's report of its load, which lags behind the actual load.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests in the batch.
+    /// The number of requests in the batch.
     pub running: u64,
-    /// Requests that wait for a place in the batch.
+    /// The number of requests that wait for a slot in the batch.
     pub waiting: u64,
-    /// Prompt tokens that still have to be computed.
+    /// The number of prompt tokens that await prefill.
     pub prefill_tokens: u64,
-    /// Places in the batch.
+    /// The number of slots in the batch.
     pub batch_limit: u64,
 }
 
@@ -102,98 +103,100 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// The block is in the cache now.
+    /// The block was added to the cache.
     Stored(u64),
-    /// The block is no longer in the cache.
+    /// The block was removed from the cache.
     Evicted(u64),
-    /// The whole cache was emptied.
+    /// The cache was cleared completely.
     Cleared,
 }
 
-/// One numbered cache event; numbers rise by one, so that a gap can be seen.
+/// A numbered cache event. Numbers are consecutive, so that a reader detects gaps.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
     /// The event's number.
     pub number: u64,
-    /// What changed.
+    /// The change.
     pub change: CacheChange,
 }
 
-/// A part of an engine's cache events.
+/// A page of an engine's cache events.
 ///
-/// A number in `after + 1..=through` without an event is a gap: that change is lost, and an index
-/// built from events is wrong until it is rebuilt from a [`CacheSnapshot`].
+/// A number in `after + 1..=through` without an event is a gap: the change is lost, and an index
+/// built from the events is wrong until it is rebuilt from a [`CacheSnapshot`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventPage {
-    /// The life of the engine that numbered the events; a restarted engine has another one.
+    /// The incarnation of the engine that numbered the events; it changes when the engine restarts.
     pub incarnation: u64,
-    /// The lowest number that the engine still keeps.
+    /// The lowest event number that the engine still keeps.
     pub first_kept: u64,
-    /// The number that this page reaches to, and the `after` of the next page.
+    /// The last event number covered by this page, which is the `after` of the next page.
     pub through: u64,
-    /// The events, the lowest number first.
+    /// The events, in ascending order of their numbers.
     pub events: Vec<CacheEvent>,
 }
 
-/// All blocks of an engine's cache at one event number.
+/// All blocks in an engine's cache as of one event number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheSnapshot {
-    /// The life of the engine that numbered the events.
+    /// The incarnation of the engine that numbered the events.
     pub incarnation: u64,
-    /// The number of the last event that the blocks include, whether published yet or not.
+    /// The number of the last event reflected in the blocks, which may not be published yet.
     pub event: u64,
     /// The blocks, in ascending order.
     pub blocks: Vec<u64>,
 }
 
-/// The path that cancels a request.
+/// Returns the path that cancels a request.
 pub fn cancel_path(id: &str) -> String {
     format!("{REQUESTS_PATH}/{id}/cancel")
 }
 
-/// The path of the event stream of a request that runs or ended recently, from token number
-/// `from` on, where the first token has number 0.
+/// Returns the path of the event stream of a running or recently completed request, starting at
+/// token number `from`, where the first token has number 0.
 pub fn stream_path(id: &str, from: u64) -> String {
     format!("{REQUESTS_PATH}/{id}/stream?from={from}")
 }
 
-/// What became of a request to cancel.
+/// The outcome of a request to cancel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelOutcome {
-    /// Whether the request is cancelled; `false` if its answer was whole before.
+    /// `true` if the request is cancelled; `false` if its answer was complete before.
     pub cancelled: bool,
 }
 
-/// Asks for the KV cache of a chain of blocks.
+/// A request for the KV cache of a chain of blocks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExportRequest {
-    /// The chain, from its first block on. The blob holds those leading blocks that are cached,
-    /// at most [`MAX_KV_BLOCKS`].
+    /// The chain, starting with its first block. The blob contains the leading blocks that are
+    /// cached, at most [`MAX_KV_BLOCKS`].
     pub blocks: Vec<u64>,
 }
 
-/// What an import stored.
+/// The result of an import.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvImported {
-    /// Blocks in the blob.
+    /// The number of blocks in the blob.
     pub blocks: u64,
 }
 
-/// What an engine is to have loaded, as a whole: what the order does not name is unloaded.
+/// The complete set of models and adapters that an engine is to have loaded; all others are
+/// unloaded.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The fencing number. An engine that checks it refuses a lower one than it has seen.
+    /// The fencing number. An engine that checks it refuses numbers lower than the highest it has
+    /// seen.
     pub fence: u64,
-    /// Models to have loaded.
+    /// The models to load or keep loaded.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Adapters to have loaded.
+    /// The adapters to load or keep loaded.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Versions by the name of model or adapter; [`DEFAULT_VERSION`] for those not named.
+    /// Versions by the name of the model or adapter; [`DEFAULT_VERSION`] if a name has no entry.
     #[serde(default)]
     pub versions: BTreeMap<String, String>,
-    /// The role to take; the engine only keeps and reports it.
+    /// The engine's role, which the engine only stores and reports.
     #[serde(default)]
     pub role: String,
 }
@@ -203,59 +206,59 @@
 pub struct EngineWeights {
     /// The name of the model or adapter.
     pub name: String,
-    /// Its version.
+    /// The version.
     pub version: String,
 }
 
-/// A load that failed; the same order once more tries it again.
+/// A model or adapter that failed to load; sending the same order again retries it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedLoad {
     /// The name of the model or adapter.
     pub name: String,
-    /// The version that was to be loaded.
+    /// The version that failed to load.
     pub version: String,
-    /// Why it failed.
+    /// The cause of the failure.
     pub reason: String,
 }
 
-/// What an engine has loaded, and the last order that it obeyed.
+/// The models and adapters that an engine has loaded, and the last order that it accepted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
     /// The engine's name.
     pub name: String,
-    /// The fencing number of the last order obeyed.
+    /// The fencing number of the last order that the engine accepted.
     pub fence: Option<u64>,
-    /// The present role.
+    /// The current role.
     pub role: String,
-    /// Models that answer requests. A new version takes its place here once it is loaded.
+    /// Models that serve requests. A new version replaces the previous one once it is loaded.
     pub models: Vec<EngineWeights>,
-    /// Adapters that answer requests.
+    /// Adapters that serve requests.
     pub adapters: Vec<EngineWeights>,
     /// Models and adapters being loaded.
     pub loading: Vec<EngineWeights>,
-    /// Loads of the last order that failed.
+    /// Models and adapters of the last order that failed to load.
     pub failed: Vec<FailedLoad>,
 }
 
-/// Stable codes of an engine's failures.
+/// Stable error codes of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineErrorCode {
     /// The request is malformed.
     InvalidRequest,
-    /// Nothing is served at the path.
+    /// The path does not exist.
     UnknownPath,
     /// The model is not loaded.
     ModelNotLoaded,
     /// The adapter is not loaded.
     AdapterNotLoaded,
-    /// Too many requests wait for a place in the batch.
+    /// Too many requests wait for a slot in the batch.
     QueueFull,
-    /// No request with this id runs or ended recently.
+    /// No request with this id is running or completed recently.
     UnknownRequest,
     /// The request was cancelled.
     Cancelled,
-    /// An order with a higher fencing number was seen.
+    /// The engine has seen an order with a higher fencing number.
     StaleFence,
     /// None of the blocks is cached.
     BlocksNotHeld,
@@ -264,7 +267,7 @@
 }
 
 impl EngineErrorCode {
-    /// The HTTP status that goes with the code.
+    /// Returns the HTTP status of the code.
     pub fn status(self) -> StatusCode {
         match self {
             EngineErrorCode::InvalidRequest => StatusCode::BAD_REQUEST,
@@ -280,21 +283,21 @@
     }
 }
 
-/// Why an engine refuses a request.
+/// An engine's error in answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineError {
-    /// The stable code.
+    /// The error code.
     pub code: EngineErrorCode,
-    /// A sentence for people.
+    /// A human-readable message.
     pub message: String,
-    /// With [`EngineErrorCode::StaleFence`], the highest fencing number seen.
+    /// The highest fencing number seen, set with [`EngineErrorCode::StaleFence`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub highest_fence: Option<u64>,
 }
 
-/// The body of an engine's failure.
+/// The body of an engine's error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineFailure {
-    /// The failure.
+    /// The error.
     pub error: EngineError,
 }
--- a/crates/papayamux-protocol/src/event_id.rs
+++ b/crates/papayamux-protocol/src/event_id.rs
@@ -1,4 +1,4 @@
-//! Ids of the events of streamed answers, by which a caller resumes an answer at any router.
+//! Event ids of streamed answers, with which a caller resumes an answer at any router.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,8 +7,8 @@
 
 const EVENT_ID_FORMAT: &str = "SERVER/REQUEST/NUMBER";
 
-/// The id of one server-sent event: where the answer is held, which one it is, and the event's
-/// number in it, counted from 1.
+/// The id of a server-sent event: the server that holds the answer, the attempt that the answer
+/// belongs to, and the event's number in the answer, counted from 1.
 ///
 /// ```
 /// use papayamux_protocol::event_id::EventId;
@@ -20,7 +20,7 @@
 pub struct EventId {
     /// The backend server whose agent holds the answer.
     pub server: ServerId,
-    /// The attempt that the answer belongs to.
+    /// The attempt to which the answer belongs.
     pub request: RequestId,
     /// The event's number.
     pub number: u64,
--- a/crates/papayamux-protocol/src/failure.rs
+++ b/crates/papayamux-protocol/src/failure.rs
@@ -1,61 +1,61 @@
-//! Failures as callers see them: JSON with a stable code and what became of the request.
+//! Failures reported to callers as JSON with a stable code and the outcome of the request.
 
 use http::StatusCode;
 use papayamux_state::refusal::RefusalReason;
 use serde::{Deserialize, Serialize};
 
-/// What became of a request that was not answered.
+/// The outcome of a request that was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureOutcome {
-    /// It was not run: this is proved.
+    /// The request provably did not run.
     NotRun,
-    /// Whether it ran is not known.
+    /// It is unknown whether the request ran.
     Unknown,
-    /// It ran and failed.
+    /// The request ran and failed.
     Failed,
 }
 
-/// Stable codes of failures.
+/// Stable failure codes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailureCode {
     /// The request is malformed.
     InvalidRequest,
-    /// The request's body is over its bound.
+    /// The request's body exceeds the limit.
     BodyTooLarge,
-    /// No organisation could be told from the request.
+    /// The request does not identify an organisation.
     UnknownOrganisation,
     /// No backend server is declared for the model.
     UnknownModel,
     /// No backend server is declared for the path.
     UnknownRoute,
-    /// Every server that could be asked refused.
+    /// All available servers refused the request.
     Refused,
-    /// The connection to the server's agent was lost before the answer's head.
+    /// The connection to the server's agent was lost before the answer's head arrived.
     ConnectionLost,
-    /// The backend server failed while it ran the request.
+    /// The backend server failed while running the request.
     ServerFailed,
     /// The deadline passed.
     DeadlinePassed,
     /// The router is shutting down.
     ShuttingDown,
-    /// The rest of an answer that a caller wants to go on with is no longer held.
+    /// The answer that the caller wants to resume is no longer available.
     AnswerGone,
-    /// Too few witnesses of the idempotency key agreed to the run.
+    /// Too few witnesses granted the claim of the idempotency key.
     ClaimsUnavailable,
-    /// Another call with the idempotency key is under way.
+    /// Another call with the idempotency key is in progress.
     KeyInUse,
     /// The idempotency key was used for another call.
     KeyReused,
-    /// An earlier call with the idempotency key was taken, and its answer is not held.
+    /// An earlier call with the idempotency key was accepted, but its answer is not available.
     AnswerNotKept,
-    /// The first run with the idempotency key did not end with a whole answer.
+    /// The first run with the idempotency key did not produce a complete answer.
     FirstRunFailed,
 }
 
 impl FailureCode {
-    /// The HTTP status that goes with the code.
+    /// Returns the HTTP status of the code.
     pub fn status(self) -> StatusCode {
         match self {
             FailureCode::InvalidRequest => StatusCode::BAD_REQUEST,
@@ -76,34 +76,34 @@
     }
 }
 
-/// The `error` object of a failure's body.
+/// The `error` object in the body of a failure.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureBody {
     /// The stable code.
     pub code: FailureCode,
-    /// What became of the request.
+    /// The outcome of the request.
     pub outcome: FailureOutcome,
-    /// A sentence for people.
+    /// A human-readable message.
     pub message: String,
-    /// Why the last server asked refused, where one did.
+    /// The reason of the last refusal, if a server refused the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// What became of earlier calls with the same idempotency key, where that can't be told and
-    /// `outcome` speaks of this call alone.
+    /// The outcome of earlier calls with the same idempotency key, set if it can't be determined
+    /// and `outcome` covers this call alone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub earlier_attempts: Option<FailureOutcome>,
-    /// Seconds after which the caller may try again.
+    /// Seconds after which the caller may retry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_seconds: Option<u32>,
 }
 
 impl FailureBody {
-    /// A failure that is proved not to have run.
+    /// Creates a failure of a request that provably did not run.
     pub fn not_run(code: FailureCode, message: impl Into<String>) -> Self {
         Self::new(code, FailureOutcome::NotRun, message)
     }
 
-    /// A failure with the given outcome.
+    /// Creates a failure with the given outcome.
     pub fn new(code: FailureCode, outcome: FailureOutcome, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -115,32 +115,32 @@
         }
     }
 
-    /// Adds the reason of the last refusal.
+    /// Sets the reason of the last refusal.
     pub fn because(mut self, reason: RefusalReason) -> Self {
         self.reason = Some(reason.label().to_string());
         self
     }
 
-    /// Adds what became of earlier calls with the same idempotency key.
+    /// Sets the outcome of earlier calls with the same idempotency key.
     pub fn earlier_attempts(mut self, outcome: FailureOutcome) -> Self {
         self.earlier_attempts = Some(outcome);
         self
     }
 
-    /// Adds when the caller may try again.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(mut self, seconds: u32) -> Self {
         self.retry_after_seconds = Some(seconds);
         self
     }
 
-    /// The body as JSON: `{"error": {…}}`.
+    /// Serializes the body as JSON: `{"error": {…}}`.
     pub fn to_json(&self) -> Vec<u8> {
         let envelope = FailureEnvelope { error: self.clone() };
         serde_json::to_vec(&envelope).unwrap_or_default()
     }
 }
 
-/// The whole body of a failure.
+/// The complete body of a failure.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailureEnvelope {
     /// The failure.
--- a/crates/papayamux-protocol/src/fleet_update.rs
+++ b/crates/papayamux-protocol/src/fleet_update.rs
@@ -1,4 +1,4 @@
-//! What routers tell those who follow them of the source: changes, and how recent they are.
+//! Updates that routers send to their followers: changes of the source and how recent they are.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,64 +10,65 @@
 use prost::Message;
 use thiserror::Error;
 
-/// Asks to be told of changes. It is asked again each second.
+/// A request to be sent changes of the source, repeated every second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowRequest {
-    /// The life of the router that asks: its clock begins anew with its instance.
+    /// The incarnation of the querying router, whose clock restarts with its instance.
     pub life: u64,
-    /// When it asked, in milliseconds of its own clock.
+    /// The time of the query, in milliseconds of the querying router's clock.
     pub asked_ms: u64,
-    /// The source's position up to which it knows all.
+    /// The source position up to which the querying router knows all changes.
     pub position: u64,
 }
 
 /// A change of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ServerUpdate {
-    /// It is there, as described.
+    /// The server is present in this state.
     Present(BackendServer),
-    /// It is gone.
+    /// The server has departed.
     Gone {
-        /// The name under which it was listed.
+        /// The name under which the server was listed.
         name: ServerName,
-        /// Whether it lives on for a while.
+        /// `true` if the server is terminating: departed, but still finishing its work.
         lingers: bool,
     },
 }
 
-/// Changes of servers between two positions of the source.
+/// Changes of servers between two source positions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpdateSpan {
-    /// The changes are those behind this position.
+    /// The position after which the changes begin.
     pub behind: u64,
-    /// All changes, one a server.
+    /// All changes, at most one per server.
     pub changes: Vec<ServerUpdate>,
-    /// A digest of all servers at the news' position.
+    /// Digest of all servers at the position of the update.
     pub digest: u64,
-    /// All evacuations in force at the news' position, changed or not.
+    /// All evacuations in force at the position of the update, changed or not.
     pub evacuations: Vec<EvacuationOrder>,
 }
 
-/// What a router knows of the source.
+/// A router's knowledge of the source, sent in answer to a [`FollowRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetUpdate {
-    /// The life of the router that asked, as it said.
+    /// The incarnation of the querying router, copied from its request.
     pub life: u64,
-    /// When it asked, as it said.
+    /// The time of the query, copied from the request.
     pub asked_ms: u64,
-    /// Milliseconds from the question's arrival to the moment at which all this was known to be
-    /// newest; negative where that was earlier.
+    /// Offset in milliseconds from the arrival of the query to the time at which the update was
+    /// last known to be current; negative if that time was earlier.
     pub shift_ms: i64,
-    /// The position up to which the sender knows all.
+    /// The source position up to which the sender knows all changes.
     pub position: u64,
-    /// The newest version of the configuration up to that position.
+    /// The newest configuration version up to that position.
     pub version: u64,
-    /// How many routers have passed this on; 1 from the one that read it.
+    /// The number of routers that have sent the update on, including the one that read the source;
+    /// 1 if it comes directly from that router.
     pub hops: u32,
-    /// Milliseconds for which servers whose entries lapsed may still come back, as the sender believes.
+    /// Milliseconds for which servers with expired entries may still return, in the sender's view.
     pub grace_ms: u32,
-    /// The changes since the position that was asked for; `None` where the sender no longer knows them
-    /// all, or they are too many for a datagram.
+    /// The changes since the requested position; `None` if the sender no longer has all of them or
+    /// they don't fit into a datagram.
     pub span: Option<UpdateSpan>,
 }
 
@@ -97,7 +98,7 @@
     slots: u32,
     #[prost(bool, tag = "7")]
     draining: bool,
-    /// The rest is not meant where this is set.
+    /// If set, the server has departed and only `name` and `lingers` are meaningful.
     #[prost(bool, tag = "8")]
     gone: bool,
     #[prost(bool, tag = "9")]
@@ -146,15 +147,15 @@
     grace_ms: u32,
 }
 
-/// Why news can't be read.
+/// The error of decoding an update.
 #[derive(Debug, Error)]
 pub enum UpdateError {
-    /// A part doesn't fit.
-    #[error("{part} does not fit: {cause}")]
+    /// A field is malformed.
+    #[error("malformed {part}: {cause}")]
     Part {
-        /// Which part.
+        /// The name of the field.
         part: &'static str,
-        /// Why.
+        /// The cause.
         cause: String,
     },
 }
@@ -204,13 +205,13 @@
 
     fn try_from(wire: ServerWire) -> Result<Self, UpdateError> {
         let name: ServerName =
-            wire.name.parse().map_err(|error| invalid_part("name of a server")(&error))?;
+            wire.name.parse().map_err(|error| invalid_part("server name")(&error))?;
         if wire.gone {
             return Ok(Self::Gone { name, lingers: wire.lingers });
         }
         let start = wire.start.map(ServerStart);
         let address: SocketAddr =
-            wire.address.parse().map_err(|error| invalid_part("address of a server")(&error))?;
+            wire.address.parse().map_err(|error| invalid_part("server address")(&error))?;
         Ok(Self::Present(BackendServer {
             id: ServerId::of_start(&name, start),
             name,
--- a/crates/papayamux-protocol/src/headers.rs
+++ b/crates/papayamux-protocol/src/headers.rs
@@ -1,23 +1,23 @@
 //! Names of the HTTP headers that papayamux reads or sets.
 
-/// The organisation that calls, as the platform's balancer has established it.
+/// The calling organisation, as established by the platform's load balancer.
 pub const ORGANISATION: &str = "x-papayamux-organisation";
-/// The conversation that a chat request belongs to.
+/// The conversation to which a chat request belongs.
 pub const CONVERSATION: &str = "x-conversation-id";
-/// The id of the attempt, towards backend servers and back to callers.
+/// The id of the attempt, sent to backend servers and returned to callers.
 pub const REQUEST_ID: &str = "x-request-id";
-/// The key under which a non-idempotent call may be repeated.
+/// The idempotency key with which a non-idempotent call may be retried.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Set on the answer to a repeat, where it is the first run's answer.
+/// Set on the answer to a retry if it replays the answer of the first run.
 pub const IDEMPOTENCY_REPLAYED: &str = "idempotency-replayed";
-/// The id of the last event that a caller has received of a streamed answer.
+/// The id of the last event of a streamed answer that the caller received.
 pub const LAST_EVENT_ID: &str = "last-event-id";
-/// The backend server that gave an answer.
+/// The backend server that produced the answer.
 pub const SERVED_BY: &str = "x-papayamux-server";
-/// The priority class, towards engines.
+/// The priority class, sent to engines.
 pub const PRIORITY: &str = "x-priority";
 
-/// Headers that concern one connection only and are never passed on.
+/// Headers that apply to a single connection and are never forwarded.
 pub const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
--- a/crates/papayamux-protocol/src/lib.rs
+++ b/crates/papayamux-protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages between papayamux processes, and what papayamux says to callers, backend servers
-//! and the platform.
+//! Messages between papayamux processes, and the interfaces to callers, backend servers and the
+//! platform.
 
 pub mod chat;
 mod crash_notices;
--- a/crates/papayamux-protocol/src/link.rs
+++ b/crates/papayamux-protocol/src/link.rs
@@ -1,6 +1,6 @@
-//! What a router and an agent say to each other, as the code uses it.
+//! Messages between a router and an agent.
 //!
-//! The wire's own types are in [`crate::wire`].
+//! Their wire types are in [`crate::wire`].
 
 use std::time::Duration;
 
@@ -21,30 +21,30 @@
 
 /// Version of the protocol between papayamux processes.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Bytes of an answer that an agent may send ahead of the router's acknowledgement.
+/// Maximum number of answer bytes that an agent may send ahead of the router's acknowledgement.
 pub const STREAM_WINDOW_BYTES: u64 = 256 * 1024;
-/// The longest frame, in bytes.
+/// Maximum length of a frame.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// A time on an agent's monotonic clock, in milliseconds since the agent started.
 ///
-/// A router learns the clock from the agent's welcome and from each pong. What it adds is only
-/// time that has passed on its own clock since, so that its estimate is never ahead of the
-/// agent's clock and a deadline given in it is never late.
+/// A router learns the clock from the agent's welcome and from each pong, and adds only the time
+/// that has passed on its own clock since. Its estimate is therefore never ahead of the agent's
+/// clock, and a deadline expressed in it is never too late.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AgentClock(pub u64);
 
 impl AgentClock {
-    /// The time `later` after this one.
+    /// Returns the time `later` after this one.
     pub fn after(self, later: Duration) -> Self {
         Self(self.0.saturating_add(later.as_millis() as u64))
     }
 }
 
-/// How a call may be repeated.
+/// The rule for retrying a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RepeatRule {
-    /// The call is idempotent and may be run again.
+    /// The call is idempotent and may run repeatedly.
     Idempotent,
     /// The call may run at most once.
     AtMostOnce(Option<IdempotencyKey>),
@@ -59,35 +59,35 @@
     pub value: Bytes,
 }
 
-/// What of a request only a model engine needs.
+/// The parts of a request that only a model engine needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChatTarget {
-    /// The model asked for.
+    /// The requested model.
     pub model: ModelId,
-    /// The adapter asked for.
+    /// The requested adapter.
     pub adapter: Option<AdapterId>,
     /// The chat's key.
     pub chat: ChatKey,
 }
 
-/// A request for the agent's backend server.
+/// A request to the agent's backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OpenRequest {
-    /// The attempt's id.
+    /// The id of the attempt.
     pub id: RequestId,
-    /// The life of the agent that the request is meant for.
+    /// The incarnation of the agent that the request is addressed to.
     pub agent: Incarnation,
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
-    /// The priority class; a lower number goes first.
+    /// The priority class; lower numbers are dispatched first.
     pub priority: u32,
-    /// The request may start only before this time on the agent's own clock.
+    /// The start deadline of the request, on the agent's clock.
     pub start_before: AgentClock,
-    /// How the call may be repeated.
+    /// The rule for retrying the call.
     pub repeat: RepeatRule,
-    /// The claim under which a call with a key may run.
+    /// The claim that permits a call with an idempotency key to run.
     pub claim: Option<ClaimId>,
-    /// Set for chats, absent for plain services.
+    /// The chat's target; `None` for plain services.
     pub chat: Option<ChatTarget>,
     /// The HTTP method.
     pub method: String,
@@ -97,20 +97,20 @@
     pub headers: Vec<HeaderField>,
     /// The body.
     pub body: Bytes,
-    /// What the agent may do with the request where it has no place for it.
+    /// The rule for queueing, refusing or redirecting the request if the agent has no free slot.
     pub placement: PlacementRule,
-    /// The crashes that the request is sent after.
+    /// The request's crash record at the time of sending.
     pub sent_after: CrashRecord,
 }
 
 impl OpenRequest {
-    /// What names the request's content.
+    /// Returns the fingerprint of the request's content.
     pub fn fingerprint(&self) -> RequestFingerprint {
         content_fingerprint(&self.method, &self.path, &self.organisation, &self.body)
     }
 }
 
-/// What names the content of an organisation's request.
+/// Returns the fingerprint of the content of an organisation's request.
 pub fn content_fingerprint(
     method: &str,
     path: &str,
@@ -121,28 +121,27 @@
     RequestContent { method, host: "", target: path, organisation, body }.into()
 }
 
-/// What an agent needs to know to place a request among others.
+/// The rule by which an agent queues, refuses or redirects a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PlacementRule {
-    /// The organisation's weight among those that wait; 0 counts as 1.
+    /// The organisation's weight in the queue; 0 counts as 1.
     pub share: u32,
-    /// How long the request may be expected to wait for a place; it is refused at once where the
-    /// wait would be longer.
+    /// Maximum expected wait for a slot; the request is refused immediately if it is exceeded.
     pub wait_budget: Duration,
-    /// Whether the agent may refuse because it knows that the chat's context is elsewhere.
+    /// `true` if the agent may refuse because the chat's context is known to be on another server.
     pub may_redirect: bool,
-    /// The mean load that the router knows of; without it there is no bound but the capacity.
+    /// The router's mean load of the group; without it, only the capacity limits admission.
     pub group_load: Option<GroupLoad>,
 }
 
-/// A question for an agent's load and for what its engine's cache holds of a prompt.
+/// A query for an agent's load and for the part of a prompt that its engine has cached.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadProbe {
-    /// Hashes of some of the prompt's blocks, the first block's first, cut to 32 bits.
+    /// Hashes of some of the prompt's blocks in prompt order, truncated to 32 bits.
     pub checkpoints: Vec<u32>,
-    /// The chat, as a hash; 0 where the request is no chat.
+    /// The chat's hash; 0 if the request is not a chat.
     pub chat: u64,
-    /// The mean load that the router knows of.
+    /// The router's mean load of the group.
     pub group_load: Option<GroupLoad>,
 }
 
@@ -151,142 +150,142 @@
 pub struct ProbeReply {
     /// The load.
     pub load: LoadReport,
-    /// How many of the leading checkpoints are cached.
+    /// The number of leading checkpoints that are cached.
     pub warm: u32,
-    /// Prompt tokens that the engine computes in a second.
+    /// The engine's prefill rate, in tokens per second.
     pub prefill_rate: TokenCount,
-    /// Where the chat was sent last, when that was not here.
+    /// The server that the chat was last sent to, if it is another one.
     pub elsewhere: Option<ServerId>,
 }
 
-/// Tells a chat's home that the chat was served elsewhere.
+/// A notification to a chat's home that another server has served the chat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MovedChat {
-    /// The chat, as a hash.
+    /// The chat's hash.
     pub chat: u64,
-    /// Where it was served.
+    /// The server that served the chat.
     pub server: ServerId,
 }
 
-/// An attempt's claim of a key, for one witness.
+/// An attempt's claim of an idempotency key, addressed to one witness.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// The life of the witness that the claim is meant for.
+    /// The incarnation of the witness that the claim is addressed to.
     pub agent: Incarnation,
-    /// The claim may be granted only before this time on the witness's own clock.
+    /// The deadline for granting the claim, on the witness's clock.
     pub grant_before: AgentClock,
-    /// What is claimed.
+    /// The claim.
     pub ask: ClaimAsk,
 }
 
 /// A witness's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimReply {
-    /// The key is the attempt's.
+    /// The attempt holds the key.
     Granted,
-    /// It is not.
+    /// The claim is refused.
     Refused {
-        /// Why, and when to ask again.
+        /// The reason, and when to retry.
         notice: RefusalNotice,
-        /// The attempt that holds the key, where one does.
+        /// The attempt that holds the key, if any.
         held: Option<HeldClaim>,
     },
 }
 
-/// News of an attempt that holds a key.
+/// A state change of an attempt that holds a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimNotice {
     /// The key.
     pub key: ClaimKey,
     /// The attempt.
     pub claim: ClaimId,
-    /// What became of it.
+    /// The state change.
     pub change: ClaimChange,
 }
 
-/// What became of an attempt.
+/// A state change of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimChange {
-    /// It is being brought to a server.
+    /// The attempt is being sent to a server.
     Placed(RunPlace),
-    /// It was not run, which is proved, and never will be.
+    /// The attempt provably did not run and never will.
     Released,
 }
 
-/// Asks an agent for the answer that it gave to the first run of a key.
+/// A request to an agent for its answer to the first run of an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecallRequest {
-    /// The organisation that calls.
+    /// The calling organisation.
     pub organisation: OrganisationId,
     /// The key.
     pub key: IdempotencyKey,
-    /// The call.
+    /// The fingerprint of the call.
     pub fingerprint: CallFingerprint,
 }
 
-/// The opening of a connection by a router.
+/// A router's first message on a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouterHello {
-    /// Protocol version the router speaks.
+    /// The router's protocol version.
     pub version: u32,
-    /// The router's life.
+    /// The router's incarnation.
     pub incarnation: Incarnation,
     /// The router's failure domain.
     pub domain: FailureDomain,
-    /// What the agent's proof has to cover, where the router asks for one.
+    /// The nonce that the agent's proof must cover, if the router requires a proof.
     pub nonce: Option<ProofNonce>,
 }
 
 /// An agent's answer to [`RouterHello`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentWelcome {
-    /// Protocol version the agent speaks.
+    /// The agent's protocol version.
     pub version: u32,
-    /// The agent's life.
+    /// The agent's incarnation.
     pub incarnation: Incarnation,
-    /// The backend server it stands beside.
+    /// The agent's backend server.
     pub server: ServerId,
     /// The agent's failure domain.
     pub domain: FailureDomain,
-    /// The agent's clock when it answered.
+    /// The agent's clock at the time of the answer.
     pub clock: AgentClock,
-    /// What the router's proof has to cover, where the agent asks for one.
+    /// The nonce that the router's proof must cover, if the agent requires a proof.
     pub nonce: Option<ProofNonce>,
-    /// The agent's proof that it knows the fleet's secret.
+    /// The agent's proof of knowing the fleet's secret.
     pub proof: Option<ProofTag>,
 }
 
-/// Where an answer is to go on.
+/// The position from which to resume an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResumePoint {
-    /// At this byte of the body.
+    /// The offset of the next byte of the body.
     Offset(u64),
-    /// After the event with this number; 0 is before the first.
+    /// The number of the last event received; 0 resumes before the first event.
     AfterEvent(u64),
 }
 
-/// Asks for the rest of an answer whose stream was lost.
+/// A request for the rest of an answer whose stream was lost.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResumeRequest {
     /// The attempt that the answer belongs to.
     pub id: RequestId,
-    /// The life of the agent that the attempt was meant for, where it is known.
+    /// The incarnation of the agent that the attempt was addressed to, if known.
     pub agent: Option<Incarnation>,
     /// The organisation that the answer belongs to.
     pub organisation: OrganisationId,
-    /// The attempt's own deadline to start, where it is known: an agent that has never seen the
-    /// attempt refuses it until then.
+    /// The start deadline of the attempt, if known. Until then, an agent that has never seen the
+    /// attempt refuses it.
     pub start_before: Option<AgentClock>,
-    /// Where to go on.
+    /// The position from which to resume.
     pub from: ResumePoint,
 }
 
-/// An answer goes on on this stream.
+/// The notice that an answer resumes on this stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResumeNotice {
-    /// Bytes of the body before the next piece.
+    /// The offset in the body of the next chunk.
     pub offset: u64,
-    /// The answer's head, where it is there already.
+    /// The answer's head, if it is available already.
     pub head: Option<AnswerHead>,
 }
 
@@ -295,23 +294,23 @@
 pub struct PongNotice {
     /// The ping's number.
     pub number: u64,
-    /// The agent's clock when it answered.
+    /// The agent's clock at the time of the answer.
     pub clock: AgentClock,
 }
 
-/// A refusal: the request was not run and won't be.
+/// The refusal of a request, which did not run and never will.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RefusalNotice {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// Milliseconds after which it may be worth asking again.
+    /// Milliseconds after which a retry may succeed.
     pub retry_after_ms: u32,
-    /// The server to ask next, where the agent knows a better one.
+    /// A better server to try next, if the agent knows one.
     pub better: Option<ServerId>,
 }
 
 impl RefusalNotice {
-    /// A refusal that names no better server.
+    /// Creates a refusal that names no better server.
     pub const fn new(reason: RefusalReason, retry_after_ms: u32) -> Self {
         Self { reason, retry_after_ms, better: None }
     }
@@ -326,95 +325,95 @@
     pub headers: Vec<HeaderField>,
 }
 
-/// A piece of an answer's body.
+/// A chunk of an answer's body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerData {
-    /// Bytes of the body before this piece.
+    /// The offset of the chunk in the body.
     pub offset: u64,
-    /// The piece.
+    /// The chunk.
     pub bytes: Bytes,
 }
 
-/// How an answer ended.
+/// The completion of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerEnd {
-    /// The body is whole and has this many bytes.
+    /// The body is complete and has this number of bytes.
     Whole(u64),
-    /// The server failed after the request was given to it.
+    /// The server failed after it had received the request.
     Failed(String),
 }
 
-/// What a router says about one stream, or about the connection.
+/// A message from a router about one stream or the connection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouterMessage {
     /// Opens the connection.
     Hello(RouterHello),
     /// Opens a stream with a request.
     Open(Box<OpenRequest>),
-    /// The caller has taken the answer up to this offset.
+    /// Acknowledges that the caller has received the answer up to this offset.
     Acknowledge(u64),
-    /// The caller has gone.
+    /// Cancels the request because the caller has disconnected.
     Cancel,
-    /// Asks for a [`AgentMessage::Pong`] with the same number.
+    /// Requests an [`AgentMessage::Pong`] with the same number.
     Ping(u64),
-    /// Opens a stream with the rest of an answer.
+    /// Opens a stream to resume an answer.
     Resume(Box<ResumeRequest>),
-    /// Proves that the router knows the fleet's secret.
+    /// The router's proof of knowing the fleet's secret.
     Prove(ProofTag),
-    /// The answer has arrived to its end; the agent need not keep it for this router.
+    /// Confirms receipt of the complete answer; the agent need not keep it for this router.
     Received,
     /// Answers the agent's ping of this number.
     Pong(u64),
     /// Claims a key.
     Claim(ClaimRequest),
-    /// Says what became of an attempt that claimed a key.
+    /// Reports a state change of an attempt that claimed a key.
     ClaimNotice(ClaimNotice),
-    /// Asks for the answer of an earlier run.
+    /// Requests the answer of an earlier run.
     Recall(RecallRequest),
-    /// Asks for a [`AgentMessage::Probed`] on the same stream.
+    /// Requests an [`AgentMessage::Probed`] on the same stream.
     Probe(LoadProbe),
-    /// A chat was served elsewhere.
+    /// Reports that another server has served a chat.
     Moved(MovedChat),
-    /// Another agent asks for an [`AgentMessage::Serving`].
+    /// Requests an [`AgentMessage::Serving`]; sent by other agents.
     AskServing(ServingQuery),
 }
 
-/// What an agent says about one stream, or about the connection.
+/// A message from an agent about one stream or the connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentMessage {
-    /// Answers the hello.
+    /// Answers [`RouterMessage::Hello`].
     Welcome(AgentWelcome),
-    /// The stream's request was not run.
+    /// Refuses the stream's request, which did not run.
     Refused(RefusalNotice),
-    /// The answer's head.
+    /// Status and headers of the answer.
     Head(AnswerHead),
-    /// A piece of the answer.
+    /// A chunk of the answer.
     Data(AnswerData),
-    /// The answer's end.
+    /// The completion of the answer.
     End(AnswerEnd),
-    /// Answers a ping.
+    /// Answers [`RouterMessage::Ping`].
     Pong(PongNotice),
-    /// The agent takes no new work on this connection.
+    /// The agent is draining and accepts no new requests on this connection.
     Leaving,
-    /// Answers [`RouterMessage::Resume`] where the answer goes on.
+    /// Answers [`RouterMessage::Resume`] if the answer resumes.
     Resumed(ResumeNotice),
-    /// Answers [`RouterMessage::Resume`] where the agent does not hold what was asked for.
+    /// Answers [`RouterMessage::Resume`] if the agent does not hold the answer.
     NotHeld,
-    /// Asks for a [`RouterMessage::Pong`] with the same number.
+    /// Requests a [`RouterMessage::Pong`] with the same number.
     Ping(u64),
-    /// Answers a claim.
+    /// Answers [`RouterMessage::Claim`].
     Claim(ClaimReply),
-    /// The load, told unasked beside other messages.
+    /// The current load, sent unprompted along with other messages.
     Load(LoadReport),
-    /// Answers a probe.
+    /// Answers [`RouterMessage::Probe`].
     Probed(ProbeReply),
     /// Answers [`RouterMessage::AskServing`].
     Serving(ServingAnswer),
-    /// Requests under which servers ended, told unasked.
+    /// Records of requests under which servers crashed, sent unprompted.
     Crashes(Vec<CrashNotice>),
 }
 
-/// A message of either side with the stream it belongs to; stream 0 is the connection itself.
+/// A message with the stream it belongs to; stream 0 is the connection itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Addressed<M> {
     /// The stream.
--- a/crates/papayamux-protocol/src/part_inquiry.rs
+++ b/crates/papayamux-protocol/src/part_inquiry.rs
@@ -1,38 +1,38 @@
-//! Questions between routers about who holds a shared part of prompts.
+//! Queries between routers for the servers that hold a shared prompt part.
 
 use papayamux_state::ids::ServerKey;
 use papayamux_state::prompt::PartId;
 use papayamux_state::quantities::TokenCount;
 use prost::Message;
 
-/// Asks the owner of a part which servers hold it.
+/// A query to the owner of a part for the servers that hold it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartQuery {
-    /// Counts the asker's questions, to know the answer again.
+    /// The querying router's sequence number, which matches the answer to the query.
     pub number: u64,
-    /// The prefix that ends with the part.
+    /// The id of the prefix that ends with the part.
     pub part: PartId,
 }
 
-/// A server that holds a part, or is reading it.
+/// A server that holds a part or is prefilling it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartHolder {
     /// The server.
     pub server: ServerKey,
-    /// Tokens of the prompt that it reads; zero where it holds the part.
+    /// The number of prompt tokens that the server prefills; zero if it holds the part.
     pub cold: TokenCount,
-    /// Milliseconds for which that is still waited for.
+    /// Remaining time in milliseconds for which the prefill is awaited.
     pub reading_ms: u32,
 }
 
-/// What the owner knows of a part.
+/// The owner's answer to a [`PartQuery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartAnswer {
-    /// The number of the question.
+    /// The number of the query.
     pub number: u64,
-    /// Servers that hold it or are reading it, some of them.
+    /// Some of the servers that hold the part or are prefilling it.
     pub holders: Vec<PartHolder>,
-    /// Whether the owner would have heard of others.
+    /// `true` if the owner has run long enough to have been notified of any other holder.
     pub is_sure: bool,
 }
 
--- a/crates/papayamux-protocol/src/peer.rs
+++ b/crates/papayamux-protocol/src/peer.rs
@@ -1,7 +1,7 @@
-//! What processes say to each other as peers: which versions of the platform's files they hold.
+//! Messages between peers, by which processes exchange versions of the platform's files.
 //!
-//! The wire's own types are in [`crate::wire`]. All that a peer sends is bounded by the limits
-//! here; a message beyond them is refused as a whole.
+//! Their wire types are in [`crate::wire`]. The limits below bound everything that a peer sends; a
+//! message that exceeds one of them is refused entirely.
 
 use std::net::SocketAddr;
 
@@ -9,138 +9,138 @@
 use bytes::Bytes;
 use papayamux_state::ids::{FailureDomain, Incarnation};
 
-/// The longest name of a file, in bytes.
+/// Maximum length of a file name.
 pub const MAX_FILE_NAME_BYTES: usize = 256;
-/// The longest text of a file, in bytes: the platform's bound of a value.
+/// Maximum length of a file's text, equal to the platform's limit for a value.
 pub const MAX_FILE_BYTES: usize = 1024 * 1024;
-/// Digest buckets that file names are spread over.
+/// The number of digest buckets that file names are distributed over.
 pub const DIGEST_BUCKETS: usize = 64;
-/// Versions that one message may name.
+/// Maximum number of versions in a message.
 pub const MAX_VERSIONS: usize = 512;
-/// Peers that one message may name.
+/// Maximum number of peers in a message.
 pub const MAX_PEER_RECORDS: usize = 64;
-/// Bytes of a body that one message may carry.
+/// Maximum number of body bytes in a message.
 pub const MAX_PART_BYTES: usize = 16 * 1024;
 
-/// One version of one file, without its text.
+/// The key of one version of a file, without its text.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionKey {
     /// The file's name.
     pub name: String,
-    /// The revision that the platform gave the version.
+    /// The revision that the platform assigned to the version.
     pub revision: u64,
     /// Checksum of the text.
     pub checksum: u64,
-    /// Whether the version says that the file was removed.
+    /// `true` if the version removes the file.
     pub removed: bool,
 }
 
-/// What a process says first on a connection.
+/// The first message of each side on a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerHello {
     /// Protocol version.
     pub version: u32,
-    /// The process's life.
+    /// The process's incarnation.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// The process's failure domain.
     pub domain: FailureDomain,
-    /// Where it listens for peers.
+    /// The address on which the process listens for peers.
     pub listen: SocketAddr,
-    /// A nonce, where the peer has to prove the fleet's secret.
+    /// The nonce that the peer's proof must cover, if the process requires a proof.
     pub nonce: Option<ProofNonce>,
 }
 
-/// When a reader last found the service at a revision.
+/// The last time at which a reader read a revision from the configuration service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServiceReading {
     /// The service's revision.
     pub revision: u64,
-    /// How long ago it was read, in milliseconds.
+    /// Milliseconds since the read.
     pub age_ms: u64,
 }
 
-/// A short account of all that a process holds.
+/// A summary of all versions that a process holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerSummary {
     /// Digest of all versions held.
     pub digest: u64,
     /// The highest service revision that the process knows of.
     pub known_revision: u64,
-    /// The latest reading that its versions reflect.
+    /// The latest read of the service that the versions reflect.
     pub reading: Option<ServiceReading>,
-    /// Whether it has itself asked peers since it started or was paused.
+    /// `true` if the process has queried peers since it started or was paused.
     pub settled: bool,
-    /// Whether it asks for a summary in return.
+    /// `true` if the process requests a summary in return.
     pub asks: bool,
 }
 
-/// A process that the sender knows.
+/// A process known to the sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerRecord {
-    /// Where it listens for peers.
+    /// The address on which the process listens for peers.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The process's failure domain.
     pub domain: FailureDomain,
-    /// Its life.
+    /// The process's incarnation.
     pub incarnation: Incarnation,
-    /// How long ago it was last heard by anyone, in milliseconds.
+    /// Milliseconds since any process last received a message from it.
     pub last_contact_ms: u64,
 }
 
 /// A request for a part of a version's body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FetchRequest {
-    /// The version wanted; a later one will do.
+    /// The requested version; a later version is accepted too.
     pub key: VersionKey,
     /// Revision and checksum of the version that the requester holds.
     pub base: Option<(u64, u64)>,
-    /// Where the part starts within the encoded body.
+    /// The offset of the part in the encoded body.
     pub offset: u64,
 }
 
 /// A part of a version's encoded body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BodyPart {
-    /// The version that was asked for.
+    /// The requested version.
     pub asked: VersionKey,
-    /// The version that the body leads to.
+    /// The version that the body produces.
     pub key: VersionKey,
     /// Checksum of the whole encoded body.
     pub body_checksum: u64,
-    /// Bytes of the whole encoded body.
+    /// Length of the whole encoded body in bytes.
     pub total: u64,
-    /// Where the part starts within it.
+    /// The offset of the part in the encoded body.
     pub offset: u64,
-    /// The part.
+    /// The bytes of the part.
     pub data: Bytes,
 }
 
-/// What a peer says.
+/// A message from a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerMessage {
     /// The first message of each side.
     Hello(PeerHello),
-    /// The proof of the fleet's secret, after the hellos.
+    /// The proof of knowing the fleet's secret, sent after the hellos.
     Proof(ProofTag),
-    /// What the sender holds, in short.
+    /// The summary of the sender's versions.
     Summary(PeerSummary),
-    /// Digests of the sender's buckets, after summaries that differ.
+    /// Digests of the sender's buckets, sent if the summaries differ.
     Buckets(Vec<u64>),
-    /// All versions that the sender holds in the buckets named.
+    /// All versions that the sender holds in the listed buckets.
     Inventory {
         /// The buckets.
         buckets: Vec<u32>,
         /// The versions.
         versions: Vec<VersionKey>,
     },
-    /// Versions that the sender has newly got.
+    /// Versions that the sender has newly obtained.
     Announce(Vec<VersionKey>),
     /// A request for a part of a body.
     Fetch(FetchRequest),
     /// A part of a body.
     Part(BodyPart),
-    /// The sender can't give the version asked for.
+    /// The sender does not have the requested version.
     Absent(VersionKey),
-    /// Processes that the sender knows.
+    /// The processes known to the sender.
     Peers(Vec<PeerRecord>),
 }
--- a/crates/papayamux-protocol/src/proof.rs
+++ b/crates/papayamux-protocol/src/proof.rs
@@ -1,8 +1,9 @@
-//! How routers and agents prove to each other that they know the fleet's secret.
+//! Mutual authentication of routers, agents and peers with the fleet's shared secret.
 //!
-//! Both sides draw a nonce for each connection and send a keyed hash (HMAC-SHA-256) over both
-//! nonces, both lives and the server. The secret itself never travels, a proof is of no use on
-//! another connection, and a proof of one role is none of the other.
+//! Both sides generate a nonce for each connection and send a keyed hash (HMAC-SHA-256) over both
+//! nonces, both incarnations and, between routers and agents, the server. The secret itself is
+//! never sent, a proof is not valid on another connection, and a proof for one role is not valid
+//! for the other.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,20 +14,20 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Bytes of the shortest secret.
+/// Minimum length of a secret.
 pub const MIN_SECRET_BYTES: usize = 16;
-/// Bytes of a nonce.
+/// The length of a nonce.
 pub const NONCE_BYTES: usize = 16;
 
-/// Why a text is no secret. It does not repeat the text.
+/// The error of parsing a secret. It does not contain the text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the secret has {length} bytes, it must have at least {MIN_SECRET_BYTES}")]
 pub struct SecretError {
-    /// Bytes that it has.
+    /// The length of the text in bytes.
     pub length: usize,
 }
 
-/// The secret that all routers and agents of a fleet know. It has no `Display`, and `Debug` hides
+/// The secret shared by all routers and agents of a fleet. It has no `Display`, and `Debug` hides
 /// it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct SharedSecret(String);
@@ -48,22 +49,22 @@
     }
 }
 
-/// A number that is used once.
+/// A random number that is used for one proof only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProofNonce(pub [u8; NONCE_BYTES]);
 
 impl ProofNonce {
-    /// Draws a nonce.
+    /// Generates a random nonce.
     pub fn generate() -> Self {
         Self(rand::random())
     }
 }
 
-/// The keyed hash that proves the secret.
+/// The keyed hash that proves knowledge of the secret.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProofTag(pub Bytes);
 
-/// Who proves.
+/// The side that proves knowledge of the secret.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProofRole {
     /// The router, which opened the connection.
@@ -81,27 +82,28 @@
     }
 }
 
-/// What a proof covers: one connection between one life of a router and one of an agent.
+/// The data covered by a proof: one connection between one incarnation of a router and one of an
+/// agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProofContext {
     /// The router's nonce.
     pub router_nonce: ProofNonce,
     /// The agent's nonce.
     pub agent_nonce: ProofNonce,
-    /// The router's life.
+    /// The router's incarnation.
     pub router: Incarnation,
-    /// The agent's life.
+    /// The agent's incarnation.
     pub agent: Incarnation,
-    /// The agent's server.
+    /// The agent's backend server.
     pub server: ServerId,
 }
 
 /// A peer's side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerSide {
-    /// It opened the connection.
+    /// The peer that opened the connection.
     Opener,
-    /// It accepted the connection.
+    /// The peer that accepted the connection.
     Acceptor,
 }
 
@@ -113,7 +115,7 @@
         }
     }
 
-    /// The side at the other end.
+    /// Returns the opposite side.
     pub fn other(self) -> Self {
         match self {
             PeerSide::Opener => PeerSide::Acceptor,
@@ -122,38 +124,38 @@
     }
 }
 
-/// What a proof between peers covers: one connection between two lives.
+/// The data covered by a proof between peers: one connection between two incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerProofContext {
     /// The opener's nonce.
     pub opener_nonce: ProofNonce,
     /// The acceptor's nonce.
     pub acceptor_nonce: ProofNonce,
-    /// The opener's life.
+    /// The opener's incarnation.
     pub opener: Incarnation,
-    /// The acceptor's life.
+    /// The acceptor's incarnation.
     pub acceptor: Incarnation,
 }
 
 impl SharedSecret {
-    /// Proves the secret in `role`.
+    /// Computes the proof for `role`.
     pub fn prove(&self, role: ProofRole, context: &ProofContext) -> ProofTag {
         let tag = self.keyed_hash(role, context).map(|hash| hash.finalize().into_bytes());
         ProofTag(tag.map_or_else(Bytes::new, |tag| Bytes::copy_from_slice(&tag)))
     }
 
-    /// Whether `tag` proves the secret in `role`; takes the same time for each wrong one.
+    /// Returns whether `tag` is a valid proof for `role`, comparing in constant time.
     pub fn accepts(&self, role: ProofRole, context: &ProofContext, tag: &ProofTag) -> bool {
         self.keyed_hash(role, context).is_some_and(|hash| hash.verify_slice(&tag.0).is_ok())
     }
 
-    /// Proves the secret to a peer, from the given side of the connection.
+    /// Computes the proof for a peer on the given side of the connection.
     pub fn prove_to_peer(&self, side: PeerSide, context: &PeerProofContext) -> ProofTag {
         let tag = self.peer_hash(side, context).map(|hash| hash.finalize().into_bytes());
         ProofTag(tag.map_or_else(Bytes::new, |tag| Bytes::copy_from_slice(&tag)))
     }
 
-    /// Whether `tag` proves that a peer on the given side knows the secret.
+    /// Returns whether `tag` is a valid proof of a peer on the given side.
     pub fn accepts_peer(&self, side: PeerSide, context: &PeerProofContext, tag: &ProofTag) -> bool {
         self.peer_hash(side, context).is_some_and(|hash| hash.verify_slice(&tag.0).is_ok())
     }
--- a/crates/papayamux-protocol/src/router_report.rs
+++ b/crates/papayamux-protocol/src/router_report.rs
@@ -1,4 +1,5 @@
-//! What routers tell one another in datagrams: their requests at each server, and who is there.
+//! Reports that routers exchange in datagrams: their load on each server, the routers that they
+//! know, and queries with their answers.
 
 use std::net::{IpAddr, Ipv4Addr};
 
@@ -14,40 +15,41 @@
 use crate::fleet_update::{FleetUpdate, FollowRequest, FollowWire, NewsWire, UpdateError};
 use crate::part_inquiry::{PartAnswer, PartAnswerWire, PartQuery, PartQuestionWire};
 
-/// One router's requests at a server.
+/// The load of one router's requests on a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedLoad {
     /// The server.
     pub server: ServerKey,
-    /// Requests that were sent and have not ended.
+    /// The number of requests in flight.
     pub requests: u32,
-    /// Prompt tokens that wait to be read.
+    /// The number of prompt tokens that await prefill.
     pub backlog: u64,
 }
 
-/// A server that holds a shared part of prompts.
+/// A server that holds shared prompt parts in its cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedHolder {
     /// The server.
     pub server: ServerKey,
-    /// The prefixes that it holds, the longest last.
+    /// The cached prefixes with their lengths, the longest last.
     pub prefixes: Vec<(PartId, TokenCount)>,
 }
 
-/// Shared parts that a server has begun to read for a request of the sender, or has read.
+/// A prefill of shared prompt parts that a server has started, or completed, for a request of the
+/// sender.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedPrefill {
     /// The server.
     pub server: ServerKey,
-    /// The prefixes that it reads, the longest last.
+    /// The prefixes being prefilled, the longest last.
     pub prefixes: Vec<(PartId, TokenCount)>,
-    /// Tokens that it reads in all for that request.
+    /// The total number of tokens that the server prefills for the request.
     pub cold: TokenCount,
-    /// Milliseconds that this is expected to take; zero where it has ended.
+    /// Expected duration of the prefill in milliseconds; zero if it has completed.
     pub expected_ms: u32,
 }
 
-/// Parts that an engine listed of its cache.
+/// The prompt parts that an engine listed from its cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedListing {
     /// The engine.
@@ -56,77 +58,77 @@
     pub parts: Vec<PromptPart>,
 }
 
-/// Asks whether the sender's configuration is still the newest.
+/// A query whether the sender's configuration is still current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedQuery {
-    /// The life of the router that asks.
+    /// The incarnation of the querying router.
     pub life: u64,
-    /// When it asked, in milliseconds of its own clock.
+    /// The time of the query, in milliseconds of the querying router's clock.
     pub asked_ms: u64,
 }
 
-/// What the sender knows of the configuration.
+/// The sender's knowledge of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedConfiguration {
-    /// The version in force.
+    /// The configuration version in force.
     pub version: u64,
-    /// Milliseconds since it was known to be the newest, rounded up.
+    /// Milliseconds since the version was last known to be current, rounded up.
     pub age_ms: u64,
-    /// The questions that this answers, by the routers that asked them.
+    /// The queries answered by this report, each with the address of its router.
     pub answers: Vec<(IpAddr, ReportedQuery)>,
 }
 
-/// A router's report.
+/// A report of one router to the others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RouterReport {
-    /// Counts up with each report of one start of a router: later datagrams replace earlier ones.
+    /// Sequence number within the sender's incarnation; later reports replace earlier ones.
     pub sequence: u64,
-    /// Other routers that it hears.
+    /// Addresses of the other routers that the sender receives reports from.
     pub known: Vec<IpAddr>,
-    /// Its requests.
+    /// The load of the sender's requests, by server.
     pub loads: Vec<ReportedLoad>,
-    /// Some of the shared parts that it used lately, with their servers.
+    /// Some of the shared prompt parts that the sender used recently, by server.
     pub holders: Vec<ReportedHolder>,
-    /// Parts that engines listed to it.
+    /// The cache contents that engines listed to the sender.
     pub listings: Vec<ReportedListing>,
-    /// Whether it is about to end.
+    /// `true` if the sender is draining.
     pub leaving: bool,
-    /// Whether it has started so lately that it knows little of caches.
+    /// `true` if the sender has started so recently that it knows little about caches.
     pub fresh: bool,
-    /// What it asks the others.
+    /// The sender's query about the configuration.
     pub question: Option<ReportedQuery>,
-    /// What it answers others.
+    /// The sender's configuration, with its answers to queries.
     pub configuration: Option<ReportedConfiguration>,
-    /// What servers have begun to read for it.
+    /// Prefills that servers have started for the sender.
     pub readings: Vec<ReportedPrefill>,
-    /// Asks to be told of changes in the source.
+    /// A request to be sent changes of the source.
     pub follow: Option<FollowRequest>,
-    /// Tells of them.
+    /// Changes of the source, sent to a follower.
     pub news: Option<FleetUpdate>,
-    /// Asks who holds a part.
+    /// A query for the servers that hold a prompt part.
     pub part_question: Option<PartQuery>,
-    /// Says who does.
+    /// The answer to such a query.
     pub part_answer: Option<PartAnswer>,
-    /// Requests under which servers ended.
+    /// Records of requests under which servers crashed.
     pub crashes: Vec<CrashNotice>,
-    /// Routers that it has heard of lately, itself among them; 0 where it doesn't say.
+    /// The number of routers that the sender knew of recently, including itself; 0 if not reported.
     pub counted: u32,
-    /// Whether this has no loads, as it goes ahead of the next whole report.
+    /// `true` if the report carries no loads because it is sent ahead of the next complete report.
     pub is_partial: bool,
 }
 
-/// Why a datagram is not a report.
+/// The error of decoding a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// The bytes are no message.
+    /// The datagram is not a valid protobuf message.
     #[error(transparent)]
     Decode(#[from] prost::DecodeError),
-    /// A part of it doesn't fit.
+    /// The update from the source is malformed.
     #[error(transparent)]
     News(#[from] UpdateError),
 }
 
-/// Loads in columns, which take 7 bytes a server where messages would take 12.
+/// Loads in columns, which take 7 bytes per server instead of 12 as separate messages.
 #[derive(Clone, PartialEq, Message)]
 struct LoadsWire {
     #[prost(fixed32, repeated, tag = "1")]
@@ -183,7 +185,7 @@
     answers: Vec<AnswerWire>,
 }
 
-/// Tags 3, 5 and 8 held loads, holders and listings with whole identifiers; they stay unused.
+/// Tags 3, 5 and 8 carried loads, holders and listings with full identifiers and are not reused.
 #[derive(Clone, PartialEq, Message)]
 struct ReportWire {
     #[prost(uint64, tag = "1")]
@@ -341,7 +343,7 @@
     }
 }
 
-/// An address between routers as it travels; those of version 6 are left out.
+/// Encodes a router address; returns `None` for IPv6, which reports don't carry.
 fn address_bits(address: &IpAddr) -> Option<u32> {
     match address {
         IpAddr::V4(address) => Some(u32::from(*address)),
@@ -401,12 +403,12 @@
 }
 
 impl RouterReport {
-    /// The datagram.
+    /// Encodes the report as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         ReportWire::from(self).encode_to_vec()
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     pub fn decode(bytes: Bytes) -> Result<Self, ReportError> {
         ReportWire::decode(bytes)?.try_into()
     }
--- a/crates/papayamux-protocol/src/serving.rs
+++ b/crates/papayamux-protocol/src/serving.rs
@@ -1,44 +1,44 @@
-//! What agents ask each other before one of them stops serving weights.
+//! The query between agents before a server stops serving weights.
 
 use std::fmt;
 
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::WeightsRef;
 
-/// Asks another server's agent whether its server serves weights, and means to go on.
+/// A query to another server's agent whether its server serves weights and will continue to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServingQuery {
     /// The model or adapter.
     pub weights: WeightsRef,
-    /// The server that wants to stop.
+    /// The server that is about to stop serving the weights.
     pub asker: ServerId,
 }
 
 /// An agent's answer to [`ServingQuery`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingAnswer {
-    /// The server serves the weights and does not want to stop.
+    /// The server serves the weights and will continue to.
     Serves,
-    /// The server can't be counted on.
+    /// The server can't be relied on to serve the weights.
     Refused(ServingRefusal),
 }
 
-/// Why a server can't be counted on.
+/// The reason why a server can't be relied on to serve the weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ServingRefusal {
-    /// It does not serve the weights, as far as it knows.
+    /// The server does not serve the weights, as far as its agent knows.
     NotServing,
-    /// It wants to stop serving the weights itself, or has stopped.
+    /// The server is about to stop serving the weights, or has stopped.
     StopsItself,
-    /// Its agent has just started, and does not know what its predecessor has ordered.
+    /// The agent has just started and does not know its predecessor's orders.
     JustStarted,
 }
 
 impl ServingRefusal {
-    /// Every refusal, in the order of their numbers.
+    /// All refusals, in the order of their numbers.
     pub const ALL: [Self; 3] = [Self::NotServing, Self::StopsItself, Self::JustStarted];
 
-    /// The number sent on the wire.
+    /// Returns the number of the refusal on the wire.
     pub const fn number(self) -> u32 {
         match self {
             Self::NotServing => 1,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The refusal with this number on the wire.
+    /// Returns the refusal with this number on the wire.
     pub fn from_number(number: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|refusal| refusal.number() == number)
     }
 
-    /// The stable word for metrics and logs.
+    /// Returns the stable label for metrics and logs.
     pub const fn label(self) -> &'static str {
         match self {
             Self::NotServing => "not_serving",
--- a/crates/papayamux-protocol/src/wire/claim_messages.rs
+++ b/crates/papayamux-protocol/src/wire/claim_messages.rs
@@ -1,4 +1,4 @@
-//! Prost types of claims. Field numbers are never used again once retired.
+//! Prost types of claims. Retired field numbers are never reused.
 
 use bytes::Bytes;
 
@@ -7,10 +7,10 @@
 /// The wire form of [`crate::link::ClaimRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireClaim {
-    /// The witness's life.
+    /// The witness's incarnation.
     #[prost(fixed64, tag = "1")]
     pub agent: u64,
-    /// The witness's time before which to grant, in milliseconds.
+    /// The deadline for granting the claim, in milliseconds of the witness's clock.
     #[prost(uint64, tag = "2")]
     pub grant_before_ms: u64,
     /// The hashed key, 16 bytes.
@@ -22,7 +22,8 @@
     /// The attempt.
     #[prost(message, optional, tag = "5")]
     pub claim: Option<WireRequestId>,
-    /// Digests of the fleets asked under, the one in force first.
+    /// Digests of the fleet views under which the attempt requests majorities, starting with the
+    /// current one.
     #[prost(fixed64, repeated, tag = "6")]
     pub views: Vec<u64>,
 }
@@ -30,13 +31,13 @@
 /// The wire form of [`crate::link::ClaimReply`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireClaimReply {
-    /// Why nothing was granted; absent for a grant.
+    /// The refusal; absent if the claim is granted.
     #[prost(message, optional, tag = "1")]
     pub refusal: Option<WireRefusal>,
     /// The attempt that holds the key.
     #[prost(message, optional, tag = "2")]
     pub holder: Option<WireRequestId>,
-    /// Where that attempt was brought to.
+    /// The server to which that attempt was sent.
     #[prost(message, optional, tag = "3")]
     pub place: Option<WirePlace>,
 }
@@ -47,7 +48,7 @@
     /// The server.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// Where its agent listens.
+    /// The address on which the server's agent listens.
     #[prost(string, tag = "2")]
     pub agent: String,
 }
@@ -61,7 +62,7 @@
     /// The attempt.
     #[prost(message, optional, tag = "2")]
     pub claim: Option<WireRequestId>,
-    /// Where the attempt is brought to; absent where it is released.
+    /// The server to which the attempt is sent; absent if the claim is released.
     #[prost(message, optional, tag = "3")]
     pub place: Option<WirePlace>,
 }
--- a/crates/papayamux-protocol/src/wire/control_length.rs
+++ b/crates/papayamux-protocol/src/wire/control_length.rs
@@ -1,16 +1,17 @@
-//! Bytes of control messages on the wire: all that is not a request, an answer or its flow control.
+//! The length of control messages on the wire. Requests, answers and their flow control are not
+//! control messages.
 
 use prost::Message;
 
 use super::{AgentFrame, RouterFrame};
 use crate::link::{Addressed, AgentMessage, RouterMessage};
 
-/// Bytes of the length before each frame.
+/// Size of the length prefix before each frame.
 const LENGTH_PREFIX_BYTES: u64 = 4;
-/// The longest stream number that is counted; it takes a few bytes like most.
+/// The stream number assumed for every message; like most stream numbers, it takes a few bytes.
 const NOMINAL_STREAM: u64 = 1 << 14;
 
-/// Bytes of a router's message with its frame; 0 for what is no control message.
+/// Returns the length of a router's message with its frame; 0 if it is not a control message.
 pub fn router_control_length(message: &RouterMessage) -> u64 {
     match message {
         RouterMessage::Hello(_)
@@ -27,7 +28,7 @@
     }
 }
 
-/// Bytes of an agent's message with its frame; 0 for what is no control message.
+/// Returns the length of an agent's message with its frame; 0 if it is not a control message.
 pub fn agent_control_length(message: &AgentMessage) -> u64 {
     match message {
         AgentMessage::Welcome(_)
--- a/crates/papayamux-protocol/src/wire/convert_agent.rs
+++ b/crates/papayamux-protocol/src/wire/convert_agent.rs
@@ -1,4 +1,4 @@
-//! Agent messages to and from their wire form.
+//! Conversion of agent messages from and to their wire types.
 
 use papayamux_state::refusal::RefusalReason;
 
--- a/crates/papayamux-protocol/src/wire/convert_claim.rs
+++ b/crates/papayamux-protocol/src/wire/convert_claim.rs
@@ -1,4 +1,4 @@
-//! Claims to and from their wire form.
+//! Conversion of claims from and to their wire types.
 
 use bytes::Bytes;
 use papayamux_state::claims::{ClaimAsk, ClaimId, HeldClaim, RunPlace};
@@ -7,7 +7,7 @@
 use super::{identifier, required, WireError};
 use crate::link::{AgentClock, ClaimChange, ClaimNotice, ClaimReply, ClaimRequest, RecallRequest};
 
-/// Views of the fleet that one claim may name at most.
+/// Maximum number of fleet views in a claim.
 const MAX_VIEWS: usize = 32;
 
 fn hash_bytes(hash: u128) -> Bytes {
--- a/crates/papayamux-protocol/src/wire/convert_load.rs
+++ b/crates/papayamux-protocol/src/wire/convert_load.rs
@@ -1,4 +1,4 @@
-//! Loads and probes to and from their wire form.
+//! Conversion of load reports and probes from and to their wire types.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::{identifier, required, WireError};
 use crate::link::{LoadProbe, MovedChat, ProbeReply};
 
-/// Checkpoints that a probe may carry.
+/// Maximum number of checkpoints in a probe.
 pub const MAX_CHECKPOINTS: usize = 16;
 
 fn saturating_u32(number: u64) -> u32 {
@@ -117,7 +117,7 @@
     }
 }
 
-/// A server that may be missing.
+/// Parses the id of an optional server.
 pub(super) fn optional_server(
     part: &'static str,
     text: Option<String>,
--- a/crates/papayamux-protocol/src/wire/convert_peer.rs
+++ b/crates/papayamux-protocol/src/wire/convert_peer.rs
@@ -1,4 +1,4 @@
-//! Messages between peers to and from their wire form.
+//! Conversion of messages between peers from and to their wire types.
 
 use std::net::SocketAddr;
 
@@ -14,11 +14,11 @@
 };
 use crate::proof::ProofTag;
 
-/// Bytes of a frame's length field.
+/// Size of the length prefix before each frame.
 const LENGTH_PREFIX_BYTES: usize = size_of::<u32>();
 
 impl PeerMessage {
-    /// Bytes that the message takes on the wire, without those of TCP and IP.
+    /// Returns the length of the message on the wire, excluding TCP and IP headers.
     pub fn wire_bytes(&self) -> u64 {
         let frame = PeerFrame::from(Addressed { stream: 0, message: self.clone() });
         (frame.encoded_len() + LENGTH_PREFIX_BYTES) as u64
--- a/crates/papayamux-protocol/src/wire/convert_router.rs
+++ b/crates/papayamux-protocol/src/wire/convert_router.rs
@@ -1,4 +1,4 @@
-//! Router messages to and from their wire form.
+//! Conversion of router messages from and to their wire types.
 
 use papayamux_state::claims::ClaimId;
 use papayamux_state::crash_record::CrashRecord;
--- a/crates/papayamux-protocol/src/wire/convert_serving.rs
+++ b/crates/papayamux-protocol/src/wire/convert_serving.rs
@@ -1,4 +1,4 @@
-//! What agents ask each other, to and from their wire form.
+//! Conversion of queries between agents from and to their wire types.
 
 use papayamux_state::ids::{AdapterId, ModelId};
 use papayamux_state::weights::{WeightsKind, WeightsRef};
--- a/crates/papayamux-protocol/src/wire/frame_codec.rs
+++ b/crates/papayamux-protocol/src/wire/frame_codec.rs
@@ -1,4 +1,4 @@
-//! Frames: four bytes of length, then one prost message.
+//! Framing: a four-byte length followed by a prost message.
 
 use std::io;
 use std::marker::PhantomData;
@@ -11,21 +11,21 @@
 use super::WireError;
 use crate::link::{Addressed, MAX_FRAME_BYTES};
 
-/// Why a frame can't be read or written.
+/// The error of reading or writing a frame.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The connection failed, or a frame is longer than its bound.
+    /// The connection failed, or a frame exceeds the maximum length.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The frame is not a prost message.
+    /// The frame is not a valid prost message.
     #[error("frame: {0}")]
     Prost(#[from] prost::DecodeError),
-    /// The message makes no sense.
+    /// The message is invalid.
     #[error(transparent)]
     Wire(#[from] WireError),
 }
 
-/// Reads messages that come as frames `In` and writes messages that go as frames `Out`.
+/// Decodes incoming messages from frames `In` and encodes outgoing messages as frames `Out`.
 #[derive(Debug)]
 pub struct FrameCodec<Out, In> {
     lengths: LengthDelimitedCodec,
@@ -58,12 +58,12 @@
     }
 }
 
-/// A frame type with the message it stands for.
+/// A frame type that decodes to a message.
 pub trait FrameMessage: Message + Default {
-    /// The message.
+    /// The decoded message.
     type Message;
 
-    /// Checks the frame and turns it into its message.
+    /// Validates the frame and converts it to its message.
     fn into_message(self) -> Result<Addressed<Self::Message>, WireError>;
 }
 
--- a/crates/papayamux-protocol/src/wire/load_messages.rs
+++ b/crates/papayamux-protocol/src/wire/load_messages.rs
@@ -1,4 +1,4 @@
-//! Prost types of loads and probes. Field numbers are never used again once retired.
+//! Prost types of load reports and probes. Retired field numbers are never reused.
 
 /// The wire form of [`papayamux_state::load::GroupLoad`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
@@ -9,10 +9,10 @@
     /// The mean, in thousandths of a request.
     #[prost(uint32, tag = "2")]
     pub mean_milli: u32,
-    /// The weight of the reports in the mean, in thousandths.
+    /// The total weight of the reports in the mean, in thousandths.
     #[prost(uint32, tag = "3")]
     pub samples_milli: u32,
-    /// Servers declared in the group.
+    /// The number of servers declared in the group.
     #[prost(uint32, tag = "4")]
     pub servers: u32,
 }
@@ -20,16 +20,16 @@
 /// The wire form of [`papayamux_state::load::LoadReport`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct WireLoad {
-    /// Requests admitted and not finished.
+    /// The number of requests admitted and not finished.
     #[prost(uint32, tag = "1")]
     pub running: u32,
-    /// Requests that wait.
+    /// The number of queued requests.
     #[prost(uint32, tag = "2")]
     pub waiting: u32,
-    /// Requests that may run at once.
+    /// Maximum number of concurrently running requests.
     #[prost(uint32, tag = "3")]
     pub limit: u32,
-    /// Time for the prompts given before, in milliseconds.
+    /// Time that the engine needs for the prompts already sent to it, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub backlog_ms: u32,
 }
@@ -37,13 +37,13 @@
 /// The wire form of [`crate::link::LoadProbe`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireProbe {
-    /// Hashes of blocks, cut to 32 bits.
+    /// Hashes of blocks, truncated to 32 bits.
     #[prost(fixed32, repeated, tag = "1")]
     pub checkpoints: Vec<u32>,
     /// The chat's hash.
     #[prost(fixed64, tag = "2")]
     pub chat: u64,
-    /// The mean load that the router knows of.
+    /// The router's mean load of the group.
     #[prost(message, optional, tag = "3")]
     pub group_load: Option<WireGroupLoad>,
 }
@@ -54,13 +54,13 @@
     /// The load.
     #[prost(message, optional, tag = "1")]
     pub load: Option<WireLoad>,
-    /// Leading checkpoints that are cached.
+    /// The number of leading checkpoints that are cached.
     #[prost(uint32, tag = "2")]
     pub warm: u32,
-    /// Where the chat was sent last.
+    /// The server that the chat was last sent to, if it is another one.
     #[prost(string, optional, tag = "3")]
     pub elsewhere: Option<String>,
-    /// Prompt tokens computed in a second.
+    /// The prefill rate, in tokens per second.
     #[prost(uint32, tag = "4")]
     pub prefill_rate: u32,
 }
@@ -71,7 +71,7 @@
     /// The chat's hash.
     #[prost(fixed64, tag = "1")]
     pub chat: u64,
-    /// Where it was served.
+    /// The server that served the chat.
     #[prost(string, tag = "2")]
     pub server: String,
 }
--- a/crates/papayamux-protocol/src/wire/messages.rs
+++ b/crates/papayamux-protocol/src/wire/messages.rs
@@ -1,4 +1,4 @@
-//! Prost types. Field numbers are never used again once retired.
+//! Prost types of messages between routers and agents. Retired field numbers are never reused.
 
 use bytes::Bytes;
 
@@ -14,12 +14,12 @@
     /// The stream; 0 is the connection.
     #[prost(uint64, tag = "1")]
     pub stream: u64,
-    /// What is said.
+    /// The message.
     #[prost(oneof = "RouterBody", tags = "2, 3, 4, 5, 6, 7, 8, 10, 11, 12, 13, 14, 15, 16, 50")]
     pub body: Option<RouterBody>,
 }
 
-/// What a router says.
+/// A message from a router.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum RouterBody {
     /// See [`crate::link::RouterHello`].
@@ -28,13 +28,13 @@
     /// See [`crate::link::OpenRequest`].
     #[prost(message, boxed, tag = "3")]
     Open(Box<WireOpen>),
-    /// The offset up to which the answer was taken.
+    /// The offset up to which the caller has received the answer.
     #[prost(uint64, tag = "4")]
     Acknowledge(u64),
-    /// The caller has gone.
+    /// The caller has disconnected.
     #[prost(message, tag = "5")]
     Cancel(WireNothing),
-    /// A number to be sent back.
+    /// The number of the ping, returned in the pong.
     #[prost(uint64, tag = "6")]
     Ping(u64),
     /// See [`crate::link::ResumeRequest`].
@@ -43,7 +43,7 @@
     /// See [`crate::proof::ProofTag`].
     #[prost(bytes = "bytes", tag = "14")]
     Prove(Bytes),
-    /// The answer has arrived to its end.
+    /// The complete answer was received.
     #[prost(message, tag = "15")]
     Received(WireNothing),
     /// The number of the agent's ping.
@@ -75,12 +75,12 @@
     /// The stream; 0 is the connection.
     #[prost(uint64, tag = "1")]
     pub stream: u64,
-    /// What is said.
+    /// The message.
     #[prost(oneof = "AgentBody", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 12, 15, 16, 17, 18, 50")]
     pub body: Option<AgentBody>,
 }
 
-/// What an agent says.
+/// A message from an agent.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum AgentBody {
     /// See [`crate::link::AgentWelcome`].
@@ -101,16 +101,16 @@
     /// See [`crate::link::PongNotice`].
     #[prost(message, tag = "7")]
     Pong(WirePong),
-    /// The agent takes no new work.
+    /// The agent is draining and accepts no new requests.
     #[prost(message, tag = "8")]
     Leaving(WireNothing),
     /// See [`crate::link::ResumeNotice`].
     #[prost(message, tag = "15")]
     Resumed(WireResumed),
-    /// What was asked for is not held.
+    /// The agent does not hold the requested answer.
     #[prost(message, tag = "16")]
     NotHeld(WireNothing),
-    /// A number to be sent back.
+    /// The number of the ping, returned in the pong.
     #[prost(uint64, tag = "17")]
     Ping(u64),
     /// See [`crate::link::ClaimReply`].
@@ -125,7 +125,7 @@
     /// See [`crate::serving::ServingAnswer`].
     #[prost(message, tag = "50")]
     Serving(WireServingAnswer),
-    /// Records of requests under which servers ended.
+    /// Records of requests under which servers crashed.
     #[prost(message, tag = "18")]
     Crashes(CrashNoticesWire),
 }
@@ -140,13 +140,13 @@
     /// Protocol version.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// The router's life.
+    /// The router's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
     /// The router's failure domain.
     #[prost(string, tag = "3")]
     pub domain: String,
-    /// What the agent's proof has to cover.
+    /// The nonce that the agent's proof must cover.
     #[prost(bytes = "bytes", optional, tag = "26")]
     pub nonce: Option<Bytes>,
 }
@@ -157,7 +157,7 @@
     /// Protocol version.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// The agent's life.
+    /// The agent's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
     /// The backend server.
@@ -169,7 +169,7 @@
     /// The agent's clock, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub clock_ms: u64,
-    /// What the router's proof has to cover.
+    /// The nonce that the router's proof must cover.
     #[prost(bytes = "bytes", optional, tag = "26")]
     pub nonce: Option<Bytes>,
     /// The agent's proof.
@@ -183,19 +183,19 @@
     /// The attempt's id.
     #[prost(message, optional, tag = "1")]
     pub id: Option<WireRequestId>,
-    /// The agent's life.
+    /// The agent's incarnation.
     #[prost(fixed64, optional, tag = "2")]
     pub agent: Option<u64>,
     /// The organisation.
     #[prost(string, tag = "3")]
     pub organisation: String,
-    /// The agent's time before which the attempt had to start, in milliseconds.
+    /// The start deadline of the attempt, in milliseconds of the agent's clock.
     #[prost(uint64, optional, tag = "4")]
     pub start_before_ms: Option<u64>,
-    /// Bytes of the body before the next piece.
+    /// The offset in the body of the next chunk.
     #[prost(uint64, tag = "5")]
     pub offset: u64,
-    /// The event after which to go on, in place of the offset.
+    /// The number of the last event received, used instead of the offset if set.
     #[prost(uint64, optional, tag = "6")]
     pub after_event: Option<u64>,
 }
@@ -203,7 +203,7 @@
 /// The wire form of [`crate::link::ResumeNotice`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireResumed {
-    /// Bytes of the body before the next piece.
+    /// The offset in the body of the next chunk.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
     /// The answer's head.
@@ -239,7 +239,7 @@
     /// The model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// The adapter, or nothing.
+    /// The adapter, if any.
     #[prost(string, optional, tag = "2")]
     pub adapter: Option<String>,
     /// The chat's key.
@@ -253,7 +253,7 @@
     /// The attempt's id.
     #[prost(message, optional, tag = "1")]
     pub id: Option<WireRequestId>,
-    /// The agent's life.
+    /// The agent's incarnation.
     #[prost(fixed64, tag = "2")]
     pub agent: u64,
     /// The organisation.
@@ -262,16 +262,16 @@
     /// The priority class.
     #[prost(uint32, tag = "4")]
     pub priority: u32,
-    /// The agent's time before which to start, in milliseconds.
+    /// The start deadline, in milliseconds of the agent's clock.
     #[prost(uint64, tag = "5")]
     pub start_before_ms: u64,
-    /// Whether the call may run at most once.
+    /// `true` if the call may run at most once.
     #[prost(bool, tag = "6")]
     pub at_most_once: bool,
-    /// The caller's key for repeats.
+    /// The caller's idempotency key.
     #[prost(string, optional, tag = "7")]
     pub idempotency_key: Option<String>,
-    /// Set for chats.
+    /// The chat's target; absent for plain services.
     #[prost(message, optional, tag = "8")]
     pub chat: Option<WireChat>,
     /// The HTTP method.
@@ -286,25 +286,25 @@
     /// The body.
     #[prost(bytes = "bytes", tag = "12")]
     pub body: Bytes,
-    /// The claim of a call with a key.
+    /// The claim of a call with an idempotency key.
     #[prost(message, optional, tag = "20")]
     pub claim: Option<WireRequestId>,
     /// The organisation's weight.
     #[prost(uint32, tag = "13")]
     pub share: u32,
-    /// How long the request may be expected to wait for a place, in milliseconds.
+    /// Maximum expected wait for a slot, in milliseconds.
     #[prost(uint32, tag = "14")]
     pub patience_ms: u32,
-    /// Whether the request may be refused in favour of the place of its context.
+    /// `true` if the request may be refused in favour of the server that holds its context.
     #[prost(bool, tag = "15")]
     pub may_redirect: bool,
-    /// The mean load that the router knows of.
+    /// The router's mean load of the group.
     #[prost(message, optional, tag = "16")]
     pub group_load: Option<WireGroupLoad>,
-    /// How often the request was cleared by a whole run, in the record that it is sent after.
+    /// The number of complete runs in the request's crash record at the time of sending.
     #[prost(uint32, tag = "17")]
     pub cleared: u32,
-    /// Crashes since, in that record.
+    /// The number of crashes since the last complete run in that record.
     #[prost(uint32, tag = "18")]
     pub crashes: u32,
 }
@@ -323,10 +323,10 @@
 /// The wire form of [`crate::link::AnswerData`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireData {
-    /// Bytes of the body before this piece.
+    /// The offset of the chunk in the body.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
-    /// The piece.
+    /// The chunk.
     #[prost(bytes = "bytes", tag = "2")]
     pub bytes: Bytes,
 }
@@ -334,10 +334,10 @@
 /// The wire form of [`crate::link::AnswerEnd`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireEnd {
-    /// Bytes of the whole body.
+    /// Length of the complete body in bytes.
     #[prost(uint64, tag = "1")]
     pub length: u64,
-    /// Why the server failed, where it did.
+    /// The cause of the server's failure, if it failed.
     #[prost(string, optional, tag = "2")]
     pub failure: Option<String>,
 }
--- a/crates/papayamux-protocol/src/wire/mod.rs
+++ b/crates/papayamux-protocol/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The wire form of messages: prost types, their conversion, and frames.
+//! The wire format: prost types, their conversion from and to messages, and framing.
 
 mod claim_messages;
 mod control_length;
@@ -31,10 +31,10 @@
 
 use crate::proof::ProofNonce;
 
-/// Why a wire message is not a valid message.
+/// The error of decoding a wire message.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// A part that must be there is missing.
+    /// A required part is missing.
     #[error("message part {part:?} is missing")]
     Missing {
         /// The part's name.
@@ -45,15 +45,15 @@
     Identifier {
         /// The part's name.
         part: &'static str,
-        /// What is wrong with it.
+        /// The cause.
         source: IdError,
     },
-    /// A part does not have the length that it must have.
-    #[error("message part {part:?}: {length} bytes make no sense")]
+    /// A part has an invalid length.
+    #[error("message part {part:?}: invalid length {length}")]
     Length {
         /// The part's name.
         part: &'static str,
-        /// Bytes it has.
+        /// The length in bytes, or in elements for a list.
         length: usize,
     },
     /// An address is malformed.
@@ -61,25 +61,25 @@
     Address {
         /// The part's name.
         part: &'static str,
-        /// What is wrong with it.
+        /// The cause.
         source: std::net::AddrParseError,
     },
-    /// A number has no meaning.
-    #[error("message part {part:?}: {number} has no meaning")]
+    /// A number is outside the defined values.
+    #[error("message part {part:?}: invalid value {number}")]
     Number {
         /// The part's name.
         part: &'static str,
         /// The number.
         number: u32,
     },
-    /// A list or text is longer than its bound.
-    #[error("message part {part:?} has {count} elements, the bound is {limit}")]
+    /// A list or text exceeds its maximum length.
+    #[error("message part {part:?} has {count} elements, the maximum is {limit}")]
     TooMany {
         /// The part's name.
         part: &'static str,
-        /// Elements it has.
+        /// The number of elements.
         count: usize,
-        /// Elements it may have.
+        /// The maximum number of elements.
         limit: usize,
     },
 }
--- a/crates/papayamux-protocol/src/wire/peer.rs
+++ b/crates/papayamux-protocol/src/wire/peer.rs
@@ -1,16 +1,16 @@
-//! Prost types between peers. Field numbers are never used again once retired.
+//! Prost types of messages between peers. Retired field numbers are never reused.
 
 use bytes::Bytes;
 
-/// A frame from a peer to another.
+/// A frame from one peer to another.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PeerFrame {
-    /// What is said.
+    /// The message.
     #[prost(oneof = "PeerBody", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub body: Option<PeerBody>,
 }
 
-/// What a peer says.
+/// A message from a peer.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum PeerBody {
     /// See [`crate::peer::PeerHello`].
@@ -22,7 +22,7 @@
     /// Digests of the sender's buckets.
     #[prost(message, tag = "3")]
     Buckets(WireBuckets),
-    /// Versions in the buckets named.
+    /// Versions in the listed buckets.
     #[prost(message, tag = "4")]
     Inventory(WireInventory),
     /// New versions.
@@ -34,13 +34,13 @@
     /// See [`crate::peer::BodyPart`].
     #[prost(message, tag = "7")]
     Part(WirePart),
-    /// The version can't be given.
+    /// The sender does not have the requested version.
     #[prost(message, tag = "8")]
     Absent(WireVersion),
-    /// Processes that the sender knows.
+    /// The processes known to the sender.
     #[prost(message, tag = "9")]
     Peers(WirePeers),
-    /// The proof of the fleet's secret.
+    /// The proof of knowing the fleet's secret.
     #[prost(bytes = "bytes", tag = "10")]
     Proof(Bytes),
 }
@@ -51,16 +51,16 @@
     /// Protocol version.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// The process's life.
+    /// The process's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Its failure domain.
+    /// The process's failure domain.
     #[prost(string, tag = "3")]
     pub domain: String,
-    /// Where it listens for peers.
+    /// The address on which the process listens for peers.
     #[prost(string, tag = "4")]
     pub listen: String,
-    /// A nonce.
+    /// The nonce that the peer's proof must cover.
     #[prost(bytes = "bytes", optional, tag = "5")]
     pub nonce: Option<Bytes>,
 }
@@ -74,16 +74,16 @@
     /// The highest service revision known.
     #[prost(uint64, tag = "2")]
     pub known_revision: u64,
-    /// Revision of the latest reading.
+    /// Revision of the latest read of the service.
     #[prost(uint64, optional, tag = "3")]
     pub reading_revision: Option<u64>,
-    /// Age of the latest reading in milliseconds.
+    /// Milliseconds since the latest read of the service.
     #[prost(uint64, tag = "4")]
     pub reading_age_ms: u64,
-    /// Whether a summary is asked for in return.
+    /// `true` if the sender requests a summary in return.
     #[prost(bool, tag = "5")]
     pub asks: bool,
-    /// Whether the sender has itself asked peers.
+    /// `true` if the sender has queried peers since it started or was paused.
     #[prost(bool, tag = "6")]
     pub settled: bool,
 }
@@ -91,7 +91,7 @@
 /// Digests of the sender's buckets.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireBuckets {
-    /// One digest for each bucket.
+    /// The digests, one per bucket.
     #[prost(fixed64, repeated, tag = "1")]
     pub digests: Vec<u64>,
 }
@@ -108,7 +108,7 @@
     /// Checksum of the text.
     #[prost(fixed64, tag = "3")]
     pub checksum: u64,
-    /// Whether the file was removed.
+    /// `true` if the version removes the file.
     #[prost(bool, tag = "4")]
     pub removed: bool,
 }
@@ -121,7 +121,7 @@
     pub versions: Vec<WireVersion>,
 }
 
-/// Versions in the buckets named.
+/// Versions in the listed buckets.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireInventory {
     /// The buckets.
@@ -135,16 +135,16 @@
 /// The wire form of [`crate::peer::FetchRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WireFetch {
-    /// The version wanted.
+    /// The requested version.
     #[prost(message, optional, tag = "1")]
     pub key: Option<WireVersion>,
-    /// Revision of the version held.
+    /// Revision of the version that the requester holds.
     #[prost(uint64, optional, tag = "2")]
     pub base_revision: Option<u64>,
-    /// Checksum of the version held.
+    /// Checksum of the version that the requester holds.
     #[prost(fixed64, tag = "3")]
     pub base_checksum: u64,
-    /// Where the part starts.
+    /// The offset of the part in the encoded body.
     #[prost(uint64, tag = "4")]
     pub offset: u64,
 }
@@ -152,22 +152,22 @@
 /// The wire form of [`crate::peer::BodyPart`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WirePart {
-    /// The version that was asked for.
+    /// The requested version.
     #[prost(message, optional, tag = "1")]
     pub asked: Option<WireVersion>,
-    /// The version that the body leads to.
+    /// The version that the body produces.
     #[prost(message, optional, tag = "2")]
     pub key: Option<WireVersion>,
     /// Checksum of the encoded body.
     #[prost(fixed64, tag = "3")]
     pub body_checksum: u64,
-    /// Bytes of the encoded body.
+    /// Length of the encoded body in bytes.
     #[prost(uint64, tag = "4")]
     pub total: u64,
-    /// Where the part starts.
+    /// The offset of the part in the encoded body.
     #[prost(uint64, tag = "5")]
     pub offset: u64,
-    /// The part.
+    /// The bytes of the part.
     #[prost(bytes = "bytes", tag = "6")]
     pub data: Bytes,
 }
@@ -175,16 +175,16 @@
 /// The wire form of [`crate::peer::PeerRecord`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WirePeerRecord {
-    /// Where the process listens for peers.
+    /// The address on which the process listens for peers.
     #[prost(string, tag = "1")]
     pub address: String,
-    /// Its failure domain.
+    /// The process's failure domain.
     #[prost(string, tag = "2")]
     pub domain: String,
-    /// Its life.
+    /// The process's incarnation.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// How long ago it was heard, in milliseconds.
+    /// Milliseconds since any process last received a message from it.
     #[prost(uint64, tag = "4")]
     pub heard_ms: u64,
 }
--- a/crates/papayamux-protocol/src/wire/serving_messages.rs
+++ b/crates/papayamux-protocol/src/wire/serving_messages.rs
@@ -1,4 +1,4 @@
-//! Prost types of what agents ask each other before one stops serving weights.
+//! Prost types of the query between agents before a server stops serving weights.
 
 /// The wire form of [`crate::serving::ServingQuery`].
 #[derive(Clone, PartialEq, prost::Message)]
@@ -9,7 +9,7 @@
     /// The name of the model or adapter.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// The server that wants to stop.
+    /// The server that is about to stop serving the weights.
     #[prost(string, tag = "3")]
     pub asker: String,
 }
@@ -17,7 +17,7 @@
 /// The wire form of [`crate::serving::ServingAnswer`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct WireServingAnswer {
-    /// 0 where the server serves, else the number of the refusal.
+    /// 0 if the server serves the weights, otherwise the number of the refusal.
     #[prost(uint32, tag = "1")]
     pub refusal: u32,
 }
--- a/crates/papayamux-protocol/src/wire/shared_messages.rs
+++ b/crates/papayamux-protocol/src/wire/shared_messages.rs
@@ -1,9 +1,9 @@
-//! Prost types that messages of several kinds contain.
+//! Prost types shared by several kinds of messages.
 
 /// The wire form of [`papayamux_state::ids::RequestId`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct WireRequestId {
-    /// The router's life.
+    /// The router's incarnation.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
     /// The attempt's number.
@@ -17,10 +17,10 @@
     /// The reason's number.
     #[prost(uint32, tag = "1")]
     pub reason: u32,
-    /// Milliseconds after which to ask again.
+    /// Milliseconds after which to retry.
     #[prost(uint32, tag = "2")]
     pub retry_after_ms: u32,
-    /// A better server.
+    /// A better server to try next.
     #[prost(string, optional, tag = "3")]
     pub better: Option<String>,
 }
--- a/crates/papayamux-protocol/tests/hostile_bytes.rs
+++ b/crates/papayamux-protocol/tests/hostile_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that come from outside never make a decoder panic.
+//! Decoders never panic on arbitrary input.
 
 use bolero::check;
 use bytes::BytesMut;
@@ -7,7 +7,7 @@
 use papayamux_state::ids::OrganisationId;
 use tokio_util::codec::Decoder;
 
-/// Inputs tried by each test.
+/// The number of inputs per test.
 const INPUTS: usize = 20_000;
 
 #[test]
--- a/crates/papayamux-protocol/tests/proofs.rs
+++ b/crates/papayamux-protocol/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! A proof holds for one secret, one role and one connection.
+//! A proof is valid for one secret, one role and one connection only.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use papayamux_protocol::proof::{ProofContext, ProofNonce, ProofRole, ProofTag, SharedSecret};
--- a/crates/papayamux-protocol/tests/round_trip.rs
+++ b/crates/papayamux-protocol/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! What one side writes, the other reads as it was meant.
+//! Messages between routers and agents survive encoding and decoding unchanged.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use std::time::Duration;
--- a/crates/papayamux-protocol/tests/router_report.rs
+++ b/crates/papayamux-protocol/tests/router_report.rs
@@ -1,4 +1,5 @@
-//! Reports between routers survive the way, and broken ones are refused.
+//! Reports between routers survive encoding and decoding unchanged, stay within their size limits,
+//! and are refused if malformed.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::Duration;
@@ -17,7 +18,7 @@
 use papayamux_state::quantities::TokenCount;
 use papayamux_state::request_fingerprint::RequestFingerprint;
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// The number of inputs per property, at least as many as a debug build handles in one second.
 const GENERATED_INPUTS: usize = 250_000;
 
 #[test]
@@ -114,8 +115,8 @@
     }
 }
 
-/// A router tells up to sixteen others three times a second: at 100 bytes that is 5 KB/s, a quarter of
-/// what control may cost.
+/// A router sends updates to up to 16 others three times a second. At 100 bytes each, that is
+/// 5 KB/s, a quarter of the budget for control traffic.
 #[test]
 fn update_without_changes_is_short() {
     let report = RouterReport {
@@ -164,7 +165,7 @@
         holders: holders.collect(),
         ..RouterReport::default()
     };
-    // A dozen of them every quarter of a second are less than 20 KB a second.
+    // A dozen such reports every 250 ms are less than 20 KB/s.
     let bytes = report.encode().len();
     assert!(bytes <= 300, "{bytes}");
 }
@@ -193,7 +194,7 @@
 #[test]
 fn report_decoder_never_panics() {
     bolero::check!().with_iterations(GENERATED_INPUTS).with_type::<Vec<u8>>().for_each(|bytes| {
-        // Only a panic would be wrong.
+        // Both outcomes are valid; the test fails only on a panic.
         let _ = RouterReport::decode(Bytes::copy_from_slice(bytes));
     });
 }
--- a/crates/papayamux-protocol/tests/serving.rs
+++ b/crates/papayamux-protocol/tests/serving.rs
@@ -1,4 +1,4 @@
-//! What agents ask each other is read as it was meant.
+//! Queries between agents survive encoding and decoding unchanged.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use bytes::BytesMut;
