--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use papayamux_protocol::link::{
-    AgentMessage, AnswerData, AnswerEnd, AnswerHead, OpenRequest, RefusalNotice, RepeatRule,
-    ResumeNotice, ResumePoint, STREAM_WINDOW_BYTES,
+    AgentMessage, AnswerData, AnswerEnd, AnswerHead, OpenRequest, RefusalNotice, ResumeNotice,
+    ResumePoint, RetryRule, STREAM_WINDOW_BYTES,
 };
 use papayamux_state::ids::{OrganisationId, RequestId};
 use papayamux_transport::link::LinkSender;
@@ -112,7 +112,7 @@
         Rc::new(Self {
             id: open.id,
             organisation: open.organisation.clone(),
-            may_cancel: open.repeat == RepeatRule::Idempotent,
+            may_cancel: open.repeat == RetryRule::Idempotent,
             limits,
             keeps_events: Cell::new(false),
             state: RefCell::new(state),
--- a/crates/papayamux-agent/src/claims/kept_answers.rs
+++ b/crates/papayamux-agent/src/claims/kept_answers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use papayamux_protocol::link::{AnswerHead, OpenRequest, RecallRequest, RepeatRule};
+use papayamux_protocol::link::{AnswerHead, OpenRequest, RecallRequest, RetryRule};
 use papayamux_state::claims::{CallFingerprint, ClaimKey};
 use papayamux_state::ids::{IdempotencyKey, OrganisationId};
 use papayamux_state::quantities::ByteCount;
@@ -96,7 +96,7 @@
         open: &OpenRequest,
         now: Duration,
     ) -> Result<Option<RunRecorder>, RefusalReason> {
-        let RepeatRule::AtMostOnce(Some(key)) = &open.repeat else { return Ok(None) };
+        let RetryRule::AtMostOnce(Some(key)) = &open.repeat else { return Ok(None) };
         if open.claim.is_none() {
             return Err(RefusalReason::ClaimMissing);
         }
--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -7,7 +7,7 @@
 use papayamux_protocol::chat::ChatRequest;
 use papayamux_protocol::headers::{HOP_BY_HOP, PRIORITY, REQUEST_ID};
 use papayamux_protocol::link::{
-    AnswerEnd, AnswerHead, HeaderField, OpenRequest, RefusalNotice, RepeatRule,
+    AnswerEnd, AnswerHead, HeaderField, OpenRequest, RefusalNotice, RetryRule,
 };
 use papayamux_state::refusal::RefusalReason;
 use papayamux_transport::http::{ClientAnswer, HttpClientError};
@@ -95,7 +95,7 @@
     record: &AnswerRecord,
     recorder: Option<&RunRecorder>,
 ) -> Result<RunEnd, ServerError> {
-    let idempotent = open.repeat == RepeatRule::Idempotent;
+    let idempotent = open.repeat == RetryRule::Idempotent;
     let start_before = open.start_before;
     let not_run = |reason: RefusalReason| {
         if let Some(recorder) = recorder {
--- a/crates/papayamux-agent/tests/answer_records.rs
+++ b/crates/papayamux-agent/tests/answer_records.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use papayamux_agent::answers::{AnswerRecord, AnswerStore, Attachment, AttachmentKey, StoreLimits};
 use papayamux_protocol::link::{
-    AgentClock, AgentMessage, AnswerEnd, AnswerHead, OpenRequest, RepeatRule, ResumePoint,
+    AgentClock, AgentMessage, AnswerEnd, AnswerHead, OpenRequest, ResumePoint, RetryRule,
     RouterMessage, STREAM_WINDOW_BYTES,
 };
 use papayamux_protocol::wire::{AgentFrame, RouterFrame};
@@ -23,7 +23,7 @@
     AnswerStore::new(limits.total_bytes(total_bytes).answer_bytes(total_bytes).build())
 }
 
-fn open(number: u64, repeat: RepeatRule) -> OpenRequest {
+fn open(number: u64, repeat: RetryRule) -> OpenRequest {
     OpenRequest {
         id: RequestId { incarnation: Incarnation::from(7), number },
         agent: Incarnation::from(8),
@@ -87,7 +87,7 @@
     runtime::run(async {
         let (sender, mut receiver) = link().await;
         let record =
-            store(1024).start_record(&open(1, RepeatRule::Idempotent), on_stream(1, &sender));
+            store(1024).start_record(&open(1, RetryRule::Idempotent), on_stream(1, &sender));
         record.set_head(AnswerHead { status: 200, headers: Vec::new() }, false);
         append_events(&record, 4).await;
         record.lose(on_stream(1, &sender).key);
@@ -107,8 +107,7 @@
         let (sender, _receiver) = link().await;
         for keeps_events in [true, false] {
             let store = store(1024);
-            let record =
-                store.start_record(&open(1, RepeatRule::Idempotent), on_stream(1, &sender));
+            let record = store.start_record(&open(1, RetryRule::Idempotent), on_stream(1, &sender));
             record.set_head(AnswerHead { status: 200, headers: Vec::new() }, keeps_events);
             append_events(&record, 6).await;
             record.acknowledge(on_stream(1, &sender).key, 4);
@@ -127,7 +126,7 @@
         let (sender, _receiver) = link().await;
         let store = store(1024);
         let record =
-            store.start_record(&open(1, RepeatRule::AtMostOnce(None)), on_stream(1, &sender));
+            store.start_record(&open(1, RetryRule::AtMostOnce(None)), on_stream(1, &sender));
         record.append(Bytes::from(vec![0; STREAM_WINDOW_BYTES as usize]), &[]).await;
         record.lose(on_stream(1, &sender).key);
         let mut next = Box::pin(record.append(Bytes::from_static(b"x"), &[]));
@@ -145,7 +144,7 @@
     runtime::run(async {
         let (sender, _receiver) = link().await;
         let store = store(1024);
-        let record = store.start_record(&open(1, RepeatRule::Idempotent), on_stream(1, &sender));
+        let record = store.start_record(&open(1, RetryRule::Idempotent), on_stream(1, &sender));
         record.set_head(AnswerHead { status: 200, headers: Vec::new() }, true);
         record.cancel(on_stream(1, &sender).key);
         store.sweep(Instant::now());
@@ -163,14 +162,14 @@
         let store = store(1024);
         for number in 0..3 {
             let attachment = on_stream(number, &sender);
-            let record = store.start_record(&open(number, RepeatRule::Idempotent), attachment);
+            let record = store.start_record(&open(number, RetryRule::Idempotent), attachment);
             record.set_head(AnswerHead { status: 200, headers: Vec::new() }, true);
             record.append(Bytes::from(vec![0; 400]), &[400]).await;
             record.finish(AnswerEnd::Whole(400));
             record.arrive(on_stream(number, &sender).key);
         }
         store.sweep(Instant::now());
-        let held = |number| store.find(&open(number, RepeatRule::Idempotent).id).is_some();
+        let held = |number| store.find(&open(number, RetryRule::Idempotent).id).is_some();
         assert_eq!([held(0), held(1), held(2)], [false, true, true]);
         assert!(store.held_bytes() <= 1024);
         store.sweep(Instant::now() + GRACE);
--- a/crates/papayamux-agent/tests/kept_answers.rs
+++ b/crates/papayamux-agent/tests/kept_answers.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use papayamux_agent::claims::{ClaimSettings, KeptAnswers, RunRecorder};
 use papayamux_protocol::link::{
-    AgentClock, AnswerHead, OpenRequest, RecallRequest, RepeatRule, STREAM_WINDOW_BYTES,
+    AgentClock, AnswerHead, OpenRequest, RecallRequest, RetryRule, STREAM_WINDOW_BYTES,
 };
 use papayamux_state::claims::{CallFingerprint, ClaimId};
 use papayamux_state::ids::{Incarnation, RequestId};
@@ -31,7 +31,7 @@
         organisation: "desk".parse().unwrap(),
         priority: 0,
         start_before: AgentClock(1_000),
-        repeat: RepeatRule::AtMostOnce(Some(key.parse().unwrap())),
+        repeat: RetryRule::AtMostOnce(Some(key.parse().unwrap())),
         claim: Some(ClaimId(id)),
         chat: None,
         method: "POST".to_string(),
--- a/crates/papayamux-coordination/tests/support/mod.rs
+++ b/crates/papayamux-coordination/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use papayamux_protocol::link::{AgentClock, OpenRequest, PlacementRule, RepeatRule};
+use papayamux_protocol::link::{AgentClock, OpenRequest, PlacementRule, RetryRule};
 use papayamux_state::ids::{Incarnation, RequestId};
 use papayamux_state::load::{GroupId, GroupLoad};
 
@@ -27,7 +27,7 @@
         organisation: organisation.parse()?,
         priority: 2,
         start_before: AgentClock(1_000_000),
-        repeat: RepeatRule::Idempotent,
+        repeat: RetryRule::Idempotent,
         claim: None,
         chat: None,
         method: "POST".to_string(),
--- a/crates/papayamux-protocol/src/failure.rs
+++ b/crates/papayamux-protocol/src/failure.rs
@@ -116,7 +116,7 @@
     }
 
     /// Sets the reason of the last refusal.
-    pub fn because(mut self, reason: RefusalReason) -> Self {
+    pub fn with_reason(mut self, reason: RefusalReason) -> Self {
         self.reason = Some(reason.label().to_string());
         self
     }
--- a/crates/papayamux-protocol/src/link.rs
+++ b/crates/papayamux-protocol/src/link.rs
@@ -43,7 +43,7 @@
 
 /// The rule for retrying a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RepeatRule {
+pub enum RetryRule {
     /// The call is idempotent and may run repeatedly.
     Idempotent,
     /// The call may run at most once.
@@ -84,7 +84,7 @@
     /// The start deadline of the request, on the agent's clock.
     pub start_before: AgentClock,
     /// The rule for retrying the call.
-    pub repeat: RepeatRule,
+    pub repeat: RetryRule,
     /// The claim that permits a call with an idempotency key to run.
     pub claim: Option<ClaimId>,
     /// The chat's target; `None` for plain services.
--- a/crates/papayamux-protocol/src/part_inquiry.rs
+++ b/crates/papayamux-protocol/src/part_inquiry.rs
@@ -65,8 +65,8 @@
 }
 
 impl From<PartQuery> for PartQuestionWire {
-    fn from(question: PartQuery) -> Self {
-        Self { number: question.number, part: question.part.0 }
+    fn from(query: PartQuery) -> Self {
+        Self { number: query.number, part: query.part.0 }
     }
 }
 
--- a/crates/papayamux-protocol/src/router_report.rs
+++ b/crates/papayamux-protocol/src/router_report.rs
@@ -265,13 +265,13 @@
 }
 
 impl From<&ReportedPrefill> for ReadingWire {
-    fn from(reading: &ReportedPrefill) -> Self {
-        let prefixes = reading.prefixes.clone();
-        let holder = ReportedHolder { server: reading.server, prefixes };
+    fn from(prefill: &ReportedPrefill) -> Self {
+        let prefixes = prefill.prefixes.clone();
+        let holder = ReportedHolder { server: prefill.server, prefixes };
         Self {
             parts: Some(PartsWire::from(&holder)),
-            cold: reading.cold.get(),
-            expected_ms: reading.expected_ms,
+            cold: prefill.cold.get(),
+            expected_ms: prefill.expected_ms,
         }
     }
 }
--- a/crates/papayamux-protocol/src/wire/convert_router.rs
+++ b/crates/papayamux-protocol/src/wire/convert_router.rs
@@ -10,8 +10,8 @@
 use super::shared_messages::WireRequestId;
 use super::{identifier, nonce_bytes, parse_nonce, required, FrameMessage, WireError};
 use crate::link::{
-    Addressed, AgentClock, ChatTarget, HeaderField, OpenRequest, PlacementRule, RepeatRule,
-    ResumePoint, ResumeRequest, RouterHello, RouterMessage,
+    Addressed, AgentClock, ChatTarget, HeaderField, OpenRequest, PlacementRule, ResumePoint,
+    ResumeRequest, RetryRule, RouterHello, RouterMessage,
 };
 use crate::proof::ProofTag;
 
@@ -32,7 +32,7 @@
             RouterMessage::Recall(recall) => RouterBody::Recall(recall.into()),
             RouterMessage::Probe(probe) => RouterBody::Probe(probe.into()),
             RouterMessage::Moved(moved) => RouterBody::Moved(moved.into()),
-            RouterMessage::AskServing(question) => RouterBody::AskServing(question.into()),
+            RouterMessage::AskServing(query) => RouterBody::AskServing(query.into()),
         };
         Self { stream: addressed.stream, body: Some(body) }
     }
@@ -57,7 +57,7 @@
             RouterBody::Recall(recall) => RouterMessage::Recall(recall.try_into()?),
             RouterBody::Probe(probe) => RouterMessage::Probe(probe.into()),
             RouterBody::Moved(moved) => RouterMessage::Moved(moved.try_into()?),
-            RouterBody::AskServing(question) => RouterMessage::AskServing(question.try_into()?),
+            RouterBody::AskServing(query) => RouterMessage::AskServing(query.try_into()?),
         };
         Ok(Addressed { stream: self.stream, message })
     }
@@ -172,8 +172,8 @@
 impl From<OpenRequest> for WireOpen {
     fn from(open: OpenRequest) -> Self {
         let (at_most_once, idempotency_key) = match open.repeat {
-            RepeatRule::Idempotent => (false, None),
-            RepeatRule::AtMostOnce(key) => (true, key.map(|key| key.to_string())),
+            RetryRule::Idempotent => (false, None),
+            RetryRule::AtMostOnce(key) => (true, key.map(|key| key.to_string())),
         };
         Self {
             id: Some(open.id.into()),
@@ -204,9 +204,9 @@
 
     fn try_from(open: WireOpen) -> Result<Self, WireError> {
         let repeat = match (open.at_most_once, open.idempotency_key) {
-            (false, _) => RepeatRule::Idempotent,
-            (true, None) => RepeatRule::AtMostOnce(None),
-            (true, Some(key)) => RepeatRule::AtMostOnce(Some(identifier("idempotency_key", &key)?)),
+            (false, _) => RetryRule::Idempotent,
+            (true, None) => RetryRule::AtMostOnce(None),
+            (true, Some(key)) => RetryRule::AtMostOnce(Some(identifier("idempotency_key", &key)?)),
         };
         let placement = PlacementRule {
             share: open.share,
--- a/crates/papayamux-protocol/src/wire/convert_serving.rs
+++ b/crates/papayamux-protocol/src/wire/convert_serving.rs
@@ -12,25 +12,25 @@
 const SERVES: u32 = 0;
 
 impl From<ServingQuery> for WireServingQuestion {
-    fn from(question: ServingQuery) -> Self {
-        let kind = match question.weights.kind {
+    fn from(query: ServingQuery) -> Self {
+        let kind = match query.weights.kind {
             WeightsKind::Model => MODEL,
             WeightsKind::Adapter => ADAPTER,
         };
-        Self { kind, name: question.weights.name, asker: question.asker.to_string() }
+        Self { kind, name: query.weights.name, asker: query.asker.to_string() }
     }
 }
 
 impl TryFrom<WireServingQuestion> for ServingQuery {
     type Error = WireError;
 
-    fn try_from(question: WireServingQuestion) -> Result<Self, WireError> {
-        let weights = match question.kind {
-            MODEL => WeightsRef::model(&identifier::<ModelId>("name", &question.name)?),
-            ADAPTER => WeightsRef::adapter(&identifier::<AdapterId>("name", &question.name)?),
+    fn try_from(query: WireServingQuestion) -> Result<Self, WireError> {
+        let weights = match query.kind {
+            MODEL => WeightsRef::model(&identifier::<ModelId>("name", &query.name)?),
+            ADAPTER => WeightsRef::adapter(&identifier::<AdapterId>("name", &query.name)?),
             number => return Err(WireError::Number { part: "kind", number }),
         };
-        Ok(Self { weights, asker: identifier("asker", &question.asker)? })
+        Ok(Self { weights, asker: identifier("asker", &query.asker)? })
     }
 }
 
--- a/crates/papayamux-protocol/tests/round_trip.rs
+++ b/crates/papayamux-protocol/tests/round_trip.rs
@@ -7,8 +7,8 @@
 use papayamux_protocol::link::{
     Addressed, AgentClock, AgentMessage, AgentWelcome, AnswerHead, ChatTarget, ClaimChange,
     ClaimNotice, ClaimReply, ClaimRequest, HeaderField, LoadProbe, MovedChat, OpenRequest,
-    PlacementRule, ProbeReply, RecallRequest, RefusalNotice, RepeatRule, ResumeNotice, ResumePoint,
-    ResumeRequest, RouterHello, RouterMessage,
+    PlacementRule, ProbeReply, RecallRequest, RefusalNotice, ResumeNotice, ResumePoint,
+    ResumeRequest, RetryRule, RouterHello, RouterMessage,
 };
 use papayamux_protocol::proof::{ProofNonce, ProofTag};
 use papayamux_protocol::wire::{AgentFrame, FrameCodec, RouterFrame};
@@ -28,7 +28,7 @@
         organisation: "desk".parse().unwrap(),
         priority: 3,
         start_before: AgentClock(1_234),
-        repeat: RepeatRule::AtMostOnce(Some("booking-4".parse().unwrap())),
+        repeat: RetryRule::AtMostOnce(Some("booking-4".parse().unwrap())),
         claim: Some(claim()),
         chat: Some(ChatTarget {
             model: "itinerary".parse().unwrap(),
--- a/crates/papayamux-protocol/tests/router_report.rs
+++ b/crates/papayamux-protocol/tests/router_report.rs
@@ -172,7 +172,7 @@
 
 #[test]
 fn prefill_report_is_short() {
-    let reading = ReportedPrefill {
+    let prefill = ReportedPrefill {
         server: ServerKey(u32::MAX),
         prefixes: vec![
             (PartId(u64::MAX), TokenCount::new(2_520)),
@@ -183,7 +183,7 @@
     };
     let report = RouterReport {
         sequence: 100_000,
-        readings: vec![reading],
+        readings: vec![prefill],
         is_partial: true,
         ..RouterReport::default()
     };
--- a/crates/papayamux-protocol/tests/serving.rs
+++ b/crates/papayamux-protocol/tests/serving.rs
@@ -13,8 +13,8 @@
     let mut buffer = BytesMut::new();
     for kind in [WeightsKind::Model, WeightsKind::Adapter] {
         let weights = WeightsRef { kind, name: "taiwanese".to_string() };
-        let question = ServingQuery { weights, asker: "engine-3".parse().unwrap() };
-        let sent = Addressed { stream: 1, message: RouterMessage::AskServing(question) };
+        let query = ServingQuery { weights, asker: "engine-3".parse().unwrap() };
+        let sent = Addressed { stream: 1, message: RouterMessage::AskServing(query) };
         FrameCodec::<RouterFrame, AgentFrame>::default().encode(sent.clone(), &mut buffer).unwrap();
         let received = FrameCodec::<AgentFrame, RouterFrame>::default().decode(&mut buffer);
         assert_eq!(received.unwrap(), Some(sent));
--- a/crates/papayamux-router/src/agents/agent_link.rs
+++ b/crates/papayamux-router/src/agents/agent_link.rs
@@ -9,7 +9,7 @@
 use local_sync::mpsc::unbounded;
 use papayamux_protocol::link::{
     AgentClock, AgentMessage, AgentWelcome, AnswerEnd, ClaimNotice, ClaimReply, ClaimRequest,
-    LoadProbe, MovedChat, OpenRequest, ProbeReply, RecallRequest, RepeatRule, ResumePoint,
+    LoadProbe, MovedChat, OpenRequest, ProbeReply, RecallRequest, ResumePoint, RetryRule,
     RouterMessage,
 };
 use papayamux_protocol::wire::{agent_control_length, router_control_length};
@@ -106,7 +106,7 @@
             agent: Some(open.agent),
             organisation: open.organisation.clone(),
             start_before: Some(open.start_before),
-            idempotent: open.repeat == RepeatRule::Idempotent,
+            idempotent: open.repeat == RetryRule::Idempotent,
         };
         let (events, inbox) = unbounded::channel();
         let slot = StreamSlot::new(origin, ResumePoint::Offset(0), events);
--- a/crates/papayamux-router/src/callers/chat_handler.rs
+++ b/crates/papayamux-router/src/callers/chat_handler.rs
@@ -4,7 +4,7 @@
 use papayamux_protocol::engine::CHAT_PATH;
 use papayamux_protocol::failure::{FailureBody, FailureCode};
 use papayamux_protocol::headers::CONVERSATION;
-use papayamux_protocol::link::{ChatTarget, RepeatRule};
+use papayamux_protocol::link::{ChatTarget, RetryRule};
 
 use super::caller_request::{end_to_end_headers, header_text, CallerRequest};
 use super::offer::{offer_request, RequestOffer, TakenRequest};
@@ -26,7 +26,7 @@
     let plan = desk.planner.plan_chat(&call, servers).await;
     let offer = RequestOffer {
         organisation: request.organisation,
-        repeat: RepeatRule::Idempotent,
+        repeat: RetryRule::Idempotent,
         claim: None,
         chat: Some(ChatTarget { model: call.model, adapter: call.adapter, chat: call.chat }),
         method: request.head.method.to_string(),
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -8,7 +8,7 @@
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
 use papayamux_protocol::link::{
     content_fingerprint, AgentClock, AnswerHead, ChatTarget, HeaderField, OpenRequest,
-    RefusalNotice, RepeatRule,
+    RefusalNotice, RetryRule,
 };
 use papayamux_state::claims::RunPlace;
 use papayamux_state::crash_record::CrashRecord;
@@ -27,7 +27,7 @@
     /// Who calls.
     pub organisation: OrganisationId,
     /// How the call may be repeated.
-    pub repeat: RepeatRule,
+    pub repeat: RetryRule,
     /// The claim under which a call with a key may run.
     pub claim: Option<Rc<ClaimHold>>,
     /// Set for chats.
@@ -144,7 +144,7 @@
             OfferOutcome::Unknown => {
                 desk.planner.note_evidence(&server, EvidenceKind::Unreachable);
                 may_have_run = true;
-                if offer.repeat != RepeatRule::Idempotent {
+                if offer.repeat != RetryRule::Idempotent {
                     break;
                 }
                 if !desk.planner.retries().take_retry() {
@@ -243,14 +243,14 @@
 fn refused(notice: &RefusalNotice) -> FailureBody {
     let message = format!("no server took the request: {}", notice.reason);
     FailureBody::not_run(FailureCode::Refused, message)
-        .because(notice.reason)
+        .with_reason(notice.reason)
         .retry_after(notice.retry_after_ms.div_ceil(1_000).max(1))
 }
 
-fn lost(repeat: &RepeatRule) -> FailureBody {
+fn lost(repeat: &RetryRule) -> FailureBody {
     let message = match repeat {
-        RepeatRule::Idempotent => "the connection to the server was lost",
-        RepeatRule::AtMostOnce(_) => "the connection to the server was lost; it may have run",
+        RetryRule::Idempotent => "the connection to the server was lost",
+        RetryRule::AtMostOnce(_) => "the connection to the server was lost; it may have run",
     };
     FailureBody::new(FailureCode::ConnectionLost, FailureOutcome::Unknown, message)
 }
--- a/crates/papayamux-router/src/callers/service_handler.rs
+++ b/crates/papayamux-router/src/callers/service_handler.rs
@@ -4,7 +4,7 @@
 
 use papayamux_protocol::failure::{FailureBody, FailureCode};
 use papayamux_protocol::headers::IDEMPOTENCY_KEY;
-use papayamux_protocol::link::RepeatRule;
+use papayamux_protocol::link::RetryRule;
 use papayamux_state::ids::IdempotencyKey;
 
 use super::caller_request::{end_to_end_headers, header_text, CallerRequest};
@@ -24,9 +24,9 @@
         return Err(FailureBody::not_run(FailureCode::UnknownRoute, message));
     };
     let repeat = if route.idempotent || request.head.method.is_safe() {
-        RepeatRule::Idempotent
+        RetryRule::Idempotent
     } else {
-        RepeatRule::AtMostOnce(read_key(&request)?)
+        RetryRule::AtMostOnce(read_key(&request)?)
     };
     let path_and_query = request.head.uri.path_and_query();
     let offer = RequestOffer {
@@ -41,7 +41,7 @@
     };
     let plan = desk.planner.plan_service(route).await;
     match &offer.repeat {
-        RepeatRule::AtMostOnce(Some(key)) => {
+        RetryRule::AtMostOnce(Some(key)) => {
             let call = KeyedCall::new(&offer, key);
             run_detached(desk.clone(), call, offer, plan).await
         }
--- a/crates/papayamux-router/src/claims/keyed_call.rs
+++ b/crates/papayamux-router/src/claims/keyed_call.rs
@@ -109,7 +109,7 @@
 fn no_majority(refusal: RefusalNotice) -> FailureBody {
     let message = format!("too few witnesses of the idempotency key agreed: {}", refusal.reason);
     FailureBody::not_run(FailureCode::ClaimsUnavailable, message)
-        .because(refusal.reason)
+        .with_reason(refusal.reason)
         .earlier_attempts(FailureOutcome::Unknown)
         .retry_after(refusal.retry_after_ms.div_ceil(1_000).max(1))
 }
@@ -125,7 +125,7 @@
     match outcome {
         Err(failure) if failure.outcome != FailureOutcome::NotRun => Err(failure),
         Err(failure) if ran_before(&failure) => {
-            Err(key_in_use("a call with this key has run").because(RefusalReason::KeyRunBefore))
+            Err(key_in_use("a call with this key has run").with_reason(RefusalReason::KeyRunBefore))
         }
         Err(failure) => {
             hold.release();
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -59,16 +59,16 @@
         RefusalReason::KeyReused => key_reused(),
         RefusalReason::FirstRunFailed => {
             let message = "the first run with this key did not end with a whole answer";
-            unknown(FailureCode::FirstRunFailed, message).because(reason)
+            unknown(FailureCode::FirstRunFailed, message).with_reason(reason)
         }
-        reason => key_in_use("the first run's answer could not be fetched").because(reason),
+        reason => key_in_use("the first run's answer could not be fetched").with_reason(reason),
     }
 }
 
 /// The key was used for another call; this one was not run.
 pub fn key_reused() -> FailureBody {
     let message = "the idempotency key was used for a call with another method, path or body";
-    FailureBody::not_run(FailureCode::KeyReused, message).because(RefusalReason::KeyReused)
+    FailureBody::not_run(FailureCode::KeyReused, message).with_reason(RefusalReason::KeyReused)
 }
 
 /// Another attempt holds the key, and what became of it can't be told.
@@ -80,7 +80,7 @@
 pub fn answer_not_kept() -> FailureBody {
     let message = "an earlier call with this key was brought to a server that holds no answer";
     unknown(FailureCode::AnswerNotKept, message)
-        .because(RefusalReason::AnswerNotKept)
+        .with_reason(RefusalReason::AnswerNotKept)
         .retry_after(RETRY_AFTER_SECONDS)
 }
 
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -10,7 +10,7 @@
 use papayamux_protocol::engine::render_prompt;
 use papayamux_protocol::failure::{FailureBody, FailureOutcome};
 use papayamux_protocol::link::{
-    Addressed, AgentClock, AgentMessage, OpenRequest, PlacementRule, RepeatRule, RouterHello,
+    Addressed, AgentClock, AgentMessage, OpenRequest, PlacementRule, RetryRule, RouterHello,
     RouterMessage, PROTOCOL_VERSION,
 };
 use papayamux_protocol::wire::{AgentFrame, RouterFrame};
@@ -286,7 +286,7 @@
         organisation: "yanchang-desk".parse()?,
         priority: 0,
         start_before,
-        repeat: RepeatRule::AtMostOnce(None),
+        repeat: RetryRule::AtMostOnce(None),
         claim: None,
         chat: None,
         method: "POST".to_string(),
