--- a/crates/papayamux-coordination/src/admission.rs
+++ b/crates/papayamux-coordination/src/admission.rs
@@ -209,7 +209,7 @@
             return Ok(Admission::Admitted(self.take_slot()));
         }
         let wait = self.expected_wait(slots, open.priority);
-        if self.limits.queue.get() > 0 && wait < open.placement.patience {
+        if self.limits.queue.get() > 0 && wait < open.placement.wait_budget {
             return self.enqueue(open, group, now, wait).map(Admission::Waiting);
         }
         Err(if slots < capacity { RefusalReason::OverBound } else { RefusalReason::AtCapacity })
@@ -270,7 +270,7 @@
         now: AgentClock,
         wait: Duration,
     ) -> Result<AdmissionTicket, RefusalReason> {
-        let wait_limit = open.placement.patience.saturating_mul(2).max(MIN_WAIT_LIMIT);
+        let wait_limit = open.placement.wait_budget.saturating_mul(2).max(MIN_WAIT_LIMIT);
         let wait_limit = wait_limit.min(self.limits.max_wait);
         let deadline = open.start_before.min(now.after(wait_limit));
         if now.after(wait) >= deadline {
--- a/crates/papayamux-coordination/src/route_cost.rs
+++ b/crates/papayamux-coordination/src/route_cost.rs
@@ -4,13 +4,13 @@
 
 use papayamux_protocol::engine::TOKENS_PER_BLOCK;
 use papayamux_protocol::link::ProbeReply;
-use papayamux_protocol::wire::MOST_CHECKPOINTS;
+use papayamux_protocol::wire::MAX_CHECKPOINTS;
 use papayamux_state::cache_index::short_hash;
 use papayamux_state::quantities::{RequestCount, TokenCount};
 
 /// Maximum number of blocks of a prompt that a probe names.
 const MAX_PROBED_BLOCKS: usize = 6;
-const _: () = assert!(MAX_PROBED_BLOCKS <= MOST_CHECKPOINTS);
+const _: () = assert!(MAX_PROBED_BLOCKS <= MAX_CHECKPOINTS);
 /// Weight of a token that has to be prefilled, relative to its own prefill time: it also delays all
 /// prompts queued behind it and evicts other blocks from the cache.
 const COLD_WEIGHT: f64 = 4.0;
--- a/crates/papayamux-coordination/tests/admission_controller.rs
+++ b/crates/papayamux-coordination/tests/admission_controller.rs
@@ -78,7 +78,7 @@
                         let Ok(mut open) = request(number as u64, "yanchang") else { return };
                         open.placement.group_load = Some(received);
                         if step % 4 == 1 {
-                            open.placement.patience = Duration::ZERO;
+                            open.placement.wait_budget = Duration::ZERO;
                         }
                         match controller.admit(&open, now) {
                             Ok(Admission::Admitted(permit)) => permits.push(permit),
@@ -140,7 +140,7 @@
     open.placement.group_load = Some(mean_load(4.0));
     for number in 1..11 {
         open.id.number = number;
-        open.placement.patience = Duration::ZERO;
+        open.placement.wait_budget = Duration::ZERO;
         controller.record_mean_load(&mean_load(4.0), NOW);
         match controller.admit(&open, NOW) {
             Ok(Admission::Admitted(permit)) => permits.push(permit),
@@ -153,7 +153,7 @@
     assert_eq!(permits.len(), 6);
     assert_eq!(outcome, Err(RefusalReason::OverBound));
     open.id.number = 11;
-    open.placement.patience = Duration::from_secs(1);
+    open.placement.wait_budget = Duration::from_secs(1);
     let waiting = ticket(controller.admit(&open, NOW)).ok_or("the request was not queued")?;
     permits.pop();
     assert!(
@@ -179,7 +179,7 @@
     let controller = controller(1);
     let running = controller.admit(&request(1, "yanchang")?, NOW);
     let mut without_wait = request(2, "yanchang")?;
-    without_wait.placement.patience = Duration::ZERO;
+    without_wait.placement.wait_budget = Duration::ZERO;
     assert_eq!(controller.admit(&without_wait, NOW).err(), Some(RefusalReason::AtCapacity));
     let waiting = ticket(controller.admit(&request(3, "yanchang")?, NOW))
         .ok_or("the request was not queued")?;
@@ -257,7 +257,7 @@
     let controller = controller(1);
     let running = controller.admit(&request(1, "yanchang")?, NOW);
     let mut open = request(2, "yanchang")?;
-    open.placement.patience = Duration::ZERO;
+    open.placement.wait_budget = Duration::ZERO;
     assert_eq!(controller.admit(&open, NOW).err(), Some(RefusalReason::AtCapacity));
     drop(running);
     assert_eq!(controller.admit(&open, NOW).err(), Some(RefusalReason::SeenBefore));
--- a/crates/papayamux-protocol/src/event_id.rs
+++ b/crates/papayamux-protocol/src/event_id.rs
@@ -1,14 +1,14 @@
-//! Ids of the events of streamed answers, by which a caller resumes an answer at any router.
+//! Event ids of streamed answers, with which a caller resumes an answer at any router.
 
 use std::fmt;
 use std::str::FromStr;
 
 use papayamux_state::ids::{IdError, RequestId, ServerId};
 
-const FORM: &str = "SERVER/REQUEST/NUMBER";
+const EVENT_ID_FORMAT: &str = "SERVER/REQUEST/NUMBER";
 
-/// The id of one server-sent event: where the answer is held, which one it is, and the event's
-/// number in it, counted from 1.
+/// The id of a server-sent event: the server that holds the answer, the attempt that the answer
+/// belongs to, and the event's number in the answer, counted from 1.
 ///
 /// ```
 /// use papayamux_protocol::event_id::EventId;
@@ -20,7 +20,7 @@
 pub struct EventId {
     /// The backend server whose agent holds the answer.
     pub server: ServerId,
-    /// The attempt that the answer belongs to.
+    /// The attempt to which the answer belongs.
     pub request: RequestId,
     /// The event's number.
     pub number: u64,
@@ -36,7 +36,7 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let malformed = || IdError::Form { text: text.to_string(), form: FORM };
+        let malformed = || IdError::Form { text: text.to_string(), form: EVENT_ID_FORMAT };
         let mut parts = text.rsplitn(3, '/');
         let number = parts.next().and_then(|part| part.parse().ok()).ok_or_else(malformed)?;
         let request = parts.next().ok_or_else(malformed)?.parse()?;
--- a/crates/papayamux-protocol/src/fleet_news.rs
+++ b/crates/papayamux-protocol/src/fleet_update.rs
@@ -1,4 +1,4 @@
-//! What routers tell those who follow them of the source: changes, and how recent they are.
+//! Updates that routers send to their followers: changes of the source and how recent they are.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,65 +10,66 @@
 use prost::Message;
 use thiserror::Error;
 
-/// Asks to be told of changes. It is asked again each second.
+/// A request to be sent changes of the source, repeated every second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowRequest {
-    /// The life of the router that asks: its clock begins anew with its instance.
+    /// The incarnation of the querying router, whose clock restarts with its instance.
     pub life: u64,
-    /// When it asked, in milliseconds of its own clock.
+    /// The time of the query, in milliseconds of the querying router's clock.
     pub asked_ms: u64,
-    /// The source's position up to which it knows all.
+    /// The source position up to which the querying router knows all changes.
     pub position: u64,
 }
 
 /// A change of one server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ServerNews {
-    /// It is there, as described.
+pub enum ServerUpdate {
+    /// The server is present in this state.
     Present(BackendServer),
-    /// It is gone.
+    /// The server has departed.
     Gone {
-        /// The name under which it was listed.
+        /// The name under which the server was listed.
         name: ServerName,
-        /// Whether it lives on for a while.
+        /// `true` if the server is terminating: departed, but still finishing its work.
         lingers: bool,
     },
 }
 
-/// Changes of servers between two positions of the source.
+/// Changes of servers between two source positions.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NewsSpan {
-    /// The changes are those behind this position.
+pub struct UpdateSpan {
+    /// The position after which the changes begin.
     pub behind: u64,
-    /// All changes, one a server.
-    pub changes: Vec<ServerNews>,
-    /// A digest of all servers at the news' position.
+    /// All changes, at most one per server.
+    pub changes: Vec<ServerUpdate>,
+    /// Digest of all servers at the position of the update.
     pub digest: u64,
-    /// All evacuations in force at the news' position, changed or not.
+    /// All evacuations in force at the position of the update, changed or not.
     pub evacuations: Vec<EvacuationOrder>,
 }
 
-/// What a router knows of the source.
+/// A router's knowledge of the source, sent in answer to a [`FollowRequest`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FleetNews {
-    /// The life of the router that asked, as it said.
+pub struct FleetUpdate {
+    /// The incarnation of the querying router, copied from its request.
     pub life: u64,
-    /// When it asked, as it said.
+    /// The time of the query, copied from the request.
     pub asked_ms: u64,
-    /// Milliseconds from the question's arrival to the moment at which all this was known to be
-    /// newest; negative where that was earlier.
+    /// Offset in milliseconds from the arrival of the query to the time at which the update was
+    /// last known to be current; negative if that time was earlier.
     pub shift_ms: i64,
-    /// The position up to which the sender knows all.
+    /// The source position up to which the sender knows all changes.
     pub position: u64,
-    /// The newest version of the configuration up to that position.
+    /// The newest configuration version up to that position.
     pub version: u64,
-    /// How many routers have passed this on; 1 from the one that read it.
+    /// The number of routers that have sent the update on, including the one that read the source;
+    /// 1 if it comes directly from that router.
     pub hops: u32,
-    /// Milliseconds for which servers whose entries lapsed may still come back, as the sender believes.
+    /// Milliseconds for which servers with expired entries may still return, in the sender's view.
     pub grace_ms: u32,
-    /// The changes since the position that was asked for; `None` where the sender no longer knows them
-    /// all, or they are too many for a datagram.
-    pub span: Option<NewsSpan>,
+    /// The changes since the requested position; `None` if the sender no longer has all of them or
+    /// they don't fit into a datagram.
+    pub span: Option<UpdateSpan>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
@@ -97,7 +98,7 @@
     slots: u32,
     #[prost(bool, tag = "7")]
     draining: bool,
-    /// The rest is not meant where this is set.
+    /// If set, the server has departed and only `name` and `lingers` are meaningful.
     #[prost(bool, tag = "8")]
     gone: bool,
     #[prost(bool, tag = "9")]
@@ -146,21 +147,21 @@
     grace_ms: u32,
 }
 
-/// Why news can't be read.
+/// The error of decoding an update.
 #[derive(Debug, Error)]
-pub enum NewsError {
-    /// A part doesn't fit.
-    #[error("{part} does not fit: {cause}")]
+pub enum UpdateError {
+    /// A field is malformed.
+    #[error("malformed {part}: {cause}")]
     Part {
-        /// Which part.
+        /// The name of the field.
         part: &'static str,
-        /// Why.
+        /// The cause.
         cause: String,
     },
 }
 
-fn misfit(part: &'static str) -> impl Fn(&dyn std::error::Error) -> NewsError {
-    move |cause| NewsError::Part { part, cause: cause.to_string() }
+fn invalid_part(part: &'static str) -> impl Fn(&dyn std::error::Error) -> UpdateError {
+    move |cause| UpdateError::Part { part, cause: cause.to_string() }
 }
 
 impl From<FollowRequest> for FollowWire {
@@ -177,13 +178,13 @@
     }
 }
 
-impl From<&ServerNews> for ServerWire {
-    fn from(news: &ServerNews) -> Self {
-        match news {
-            ServerNews::Gone { name, lingers } => {
+impl From<&ServerUpdate> for ServerWire {
+    fn from(update: &ServerUpdate) -> Self {
+        match update {
+            ServerUpdate::Gone { name, lingers } => {
                 Self { name: name.to_string(), gone: true, lingers: *lingers, ..Self::default() }
             }
-            ServerNews::Present(server) => Self {
+            ServerUpdate::Present(server) => Self {
                 name: server.name.to_string(),
                 start: server.start.map(|start| start.0),
                 service: server.service.to_string(),
@@ -199,28 +200,31 @@
     }
 }
 
-impl TryFrom<ServerWire> for ServerNews {
-    type Error = NewsError;
+impl TryFrom<ServerWire> for ServerUpdate {
+    type Error = UpdateError;
 
-    fn try_from(wire: ServerWire) -> Result<Self, NewsError> {
+    fn try_from(wire: ServerWire) -> Result<Self, UpdateError> {
         let name: ServerName =
-            wire.name.parse().map_err(|error| misfit("name of a server")(&error))?;
+            wire.name.parse().map_err(|error| invalid_part("server name")(&error))?;
         if wire.gone {
             return Ok(Self::Gone { name, lingers: wire.lingers });
         }
         let start = wire.start.map(ServerStart);
         let address: SocketAddr =
-            wire.address.parse().map_err(|error| misfit("address of a server")(&error))?;
+            wire.address.parse().map_err(|error| invalid_part("server address")(&error))?;
         Ok(Self::Present(BackendServer {
             id: ServerId::of_start(&name, start),
             name,
             start,
-            service: wire.service.parse().map_err(|error| misfit("service of a server")(&error))?,
+            service: wire
+                .service
+                .parse()
+                .map_err(|error| invalid_part("service of a server")(&error))?,
             address,
             domain: wire
                 .domain
                 .parse()
-                .map_err(|error| misfit("failure domain of a server")(&error))?,
+                .map_err(|error| invalid_part("failure domain of a server")(&error))?,
             slots: wire.slots,
             phase: match wire.draining {
                 true => ServerPhase::Draining,
@@ -238,16 +242,17 @@
 }
 
 impl TryFrom<EvacuationWire> for EvacuationOrder {
-    type Error = NewsError;
+    type Error = UpdateError;
 
-    fn try_from(wire: EvacuationWire) -> Result<Self, NewsError> {
-        let domain = wire.domain.parse().map_err(|error| misfit("evacuated domain")(&error))?;
+    fn try_from(wire: EvacuationWire) -> Result<Self, UpdateError> {
+        let domain =
+            wire.domain.parse().map_err(|error| invalid_part("evacuated domain")(&error))?;
         Ok(Self { domain, position: SourcePosition(wire.position) })
     }
 }
 
-impl From<&NewsSpan> for SpanWire {
-    fn from(span: &NewsSpan) -> Self {
+impl From<&UpdateSpan> for SpanWire {
+    fn from(span: &UpdateSpan) -> Self {
         Self {
             behind: span.behind,
             changes: span.changes.iter().map(ServerWire::from).collect(),
@@ -257,13 +262,13 @@
     }
 }
 
-impl TryFrom<SpanWire> for NewsSpan {
-    type Error = NewsError;
+impl TryFrom<SpanWire> for UpdateSpan {
+    type Error = UpdateError;
 
-    fn try_from(wire: SpanWire) -> Result<Self, NewsError> {
-        let changes: Result<_, NewsError> =
-            wire.changes.into_iter().map(ServerNews::try_from).collect();
-        let evacuations: Result<_, NewsError> =
+    fn try_from(wire: SpanWire) -> Result<Self, UpdateError> {
+        let changes: Result<_, UpdateError> =
+            wire.changes.into_iter().map(ServerUpdate::try_from).collect();
+        let evacuations: Result<_, UpdateError> =
             wire.evacuations.into_iter().map(EvacuationOrder::try_from).collect();
         Ok(Self {
             behind: wire.behind,
@@ -274,25 +279,25 @@
     }
 }
 
-impl From<&FleetNews> for NewsWire {
-    fn from(news: &FleetNews) -> Self {
+impl From<&FleetUpdate> for NewsWire {
+    fn from(update: &FleetUpdate) -> Self {
         Self {
-            life: news.life,
-            asked_ms: news.asked_ms,
-            shift_ms: news.shift_ms,
-            position: news.position,
-            version: news.version,
-            hops: news.hops,
-            grace_ms: news.grace_ms,
-            span: news.span.as_ref().map(SpanWire::from),
+            life: update.life,
+            asked_ms: update.asked_ms,
+            shift_ms: update.shift_ms,
+            position: update.position,
+            version: update.version,
+            hops: update.hops,
+            grace_ms: update.grace_ms,
+            span: update.span.as_ref().map(SpanWire::from),
         }
     }
 }
 
-impl TryFrom<NewsWire> for FleetNews {
-    type Error = NewsError;
+impl TryFrom<NewsWire> for FleetUpdate {
+    type Error = UpdateError;
 
-    fn try_from(wire: NewsWire) -> Result<Self, NewsError> {
+    fn try_from(wire: NewsWire) -> Result<Self, UpdateError> {
         Ok(Self {
             life: wire.life,
             asked_ms: wire.asked_ms,
@@ -301,7 +306,7 @@
             version: wire.version,
             hops: wire.hops,
             grace_ms: wire.grace_ms,
-            span: wire.span.map(NewsSpan::try_from).transpose()?,
+            span: wire.span.map(UpdateSpan::try_from).transpose()?,
         })
     }
 }
--- a/crates/papayamux-protocol/src/lib.rs
+++ b/crates/papayamux-protocol/src/lib.rs
@@ -1,12 +1,12 @@
-//! Messages between papayamux processes, and what papayamux says to callers, backend servers
-//! and the platform.
+//! Messages between papayamux processes, and the interfaces to callers, backend servers and the
+//! platform.
 
 pub mod chat;
 mod crash_notices;
 pub mod engine;
 pub mod event_id;
 pub mod failure;
-pub mod fleet_news;
+pub mod fleet_update;
 pub mod headers;
 pub mod link;
 pub mod part_inquiry;
--- a/crates/papayamux-protocol/src/wire/control_length.rs
+++ b/crates/papayamux-protocol/src/wire/control_length.rs
@@ -1,16 +1,17 @@
-//! Bytes of control messages on the wire: all that is not a request, an answer or its flow control.
+//! The length of control messages on the wire. Requests, answers and their flow control are not
+//! control messages.
 
 use prost::Message;
 
 use super::{AgentFrame, RouterFrame};
 use crate::link::{Addressed, AgentMessage, RouterMessage};
 
-/// Bytes of the length before each frame.
-const LENGTH_PREFIX: u64 = 4;
-/// The longest stream number that is counted; it takes a few bytes like most.
-const COUNTED_STREAM: u64 = 1 << 14;
+/// Size of the length prefix before each frame.
+const LENGTH_PREFIX_BYTES: u64 = 4;
+/// The stream number assumed for every message; like most stream numbers, it takes a few bytes.
+const NOMINAL_STREAM: u64 = 1 << 14;
 
-/// Bytes of a router's message with its frame; 0 for what is no control message.
+/// Returns the length of a router's message with its frame; 0 if it is not a control message.
 pub fn router_control_length(message: &RouterMessage) -> u64 {
     match message {
         RouterMessage::Hello(_)
@@ -20,14 +21,14 @@
         | RouterMessage::ClaimNotice(_)
         | RouterMessage::AskServing(_)
         | RouterMessage::Moved(_) => {
-            let addressed = Addressed { stream: COUNTED_STREAM, message: message.clone() };
-            RouterFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX
+            let addressed = Addressed { stream: NOMINAL_STREAM, message: message.clone() };
+            RouterFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX_BYTES
         }
         _ => 0,
     }
 }
 
-/// Bytes of an agent's message with its frame; 0 for what is no control message.
+/// Returns the length of an agent's message with its frame; 0 if it is not a control message.
 pub fn agent_control_length(message: &AgentMessage) -> u64 {
     match message {
         AgentMessage::Welcome(_)
@@ -39,8 +40,8 @@
         | AgentMessage::Serving(_)
         | AgentMessage::Crashes(_)
         | AgentMessage::Probed(_) => {
-            let addressed = Addressed { stream: COUNTED_STREAM, message: message.clone() };
-            AgentFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX
+            let addressed = Addressed { stream: NOMINAL_STREAM, message: message.clone() };
+            AgentFrame::from(addressed).encoded_len() as u64 + LENGTH_PREFIX_BYTES
         }
         _ => 0,
     }
--- a/crates/papayamux-protocol/src/wire/convert_router.rs
+++ b/crates/papayamux-protocol/src/wire/convert_router.rs
@@ -1,4 +1,4 @@
-//! Router messages to and from their wire form.
+//! Conversion of router messages from and to their wire types.
 
 use papayamux_state::claims::ClaimId;
 use papayamux_state::crash_record::CrashRecord;
@@ -8,10 +8,10 @@
 
 use super::messages::*;
 use super::shared_messages::WireRequestId;
-use super::{identifier, nonce_bytes, read_nonce, required, FrameMessage, WireError};
+use super::{identifier, nonce_bytes, parse_nonce, required, FrameMessage, WireError};
 use crate::link::{
-    Addressed, AgentClock, ChatTarget, HeaderField, OpenRequest, PlacementRule, RepeatRule,
-    ResumePoint, ResumeRequest, RouterHello, RouterMessage,
+    Addressed, AgentClock, ChatTarget, HeaderField, OpenRequest, PlacementRule, ResumePoint,
+    ResumeRequest, RetryRule, RouterHello, RouterMessage,
 };
 use crate::proof::ProofTag;
 
@@ -32,7 +32,7 @@
             RouterMessage::Recall(recall) => RouterBody::Recall(recall.into()),
             RouterMessage::Probe(probe) => RouterBody::Probe(probe.into()),
             RouterMessage::Moved(moved) => RouterBody::Moved(moved.into()),
-            RouterMessage::AskServing(question) => RouterBody::AskServing(question.into()),
+            RouterMessage::AskServing(query) => RouterBody::AskServing(query.into()),
         };
         Self { stream: addressed.stream, body: Some(body) }
     }
@@ -57,7 +57,7 @@
             RouterBody::Recall(recall) => RouterMessage::Recall(recall.try_into()?),
             RouterBody::Probe(probe) => RouterMessage::Probe(probe.into()),
             RouterBody::Moved(moved) => RouterMessage::Moved(moved.try_into()?),
-            RouterBody::AskServing(question) => RouterMessage::AskServing(question.try_into()?),
+            RouterBody::AskServing(query) => RouterMessage::AskServing(query.try_into()?),
         };
         Ok(Addressed { stream: self.stream, message })
     }
@@ -82,7 +82,7 @@
             version: hello.version,
             incarnation: hello.incarnation.into(),
             domain: identifier("domain", &hello.domain)?,
-            nonce: hello.nonce.map(read_nonce).transpose()?,
+            nonce: hello.nonce.map(parse_nonce).transpose()?,
         })
     }
 }
@@ -172,8 +172,8 @@
 impl From<OpenRequest> for WireOpen {
     fn from(open: OpenRequest) -> Self {
         let (at_most_once, idempotency_key) = match open.repeat {
-            RepeatRule::Idempotent => (false, None),
-            RepeatRule::AtMostOnce(key) => (true, key.map(|key| key.to_string())),
+            RetryRule::Idempotent => (false, None),
+            RetryRule::AtMostOnce(key) => (true, key.map(|key| key.to_string())),
         };
         Self {
             id: Some(open.id.into()),
@@ -190,7 +190,7 @@
             headers: open.headers.into_iter().map(Into::into).collect(),
             body: open.body,
             share: open.placement.share,
-            patience_ms: u32::try_from(open.placement.patience.as_millis()).unwrap_or(u32::MAX),
+            patience_ms: u32::try_from(open.placement.wait_budget.as_millis()).unwrap_or(u32::MAX),
             may_redirect: open.placement.may_redirect,
             group_load: open.placement.group_load.map(Into::into),
             cleared: open.sent_after.cleared,
@@ -204,13 +204,13 @@
 
     fn try_from(open: WireOpen) -> Result<Self, WireError> {
         let repeat = match (open.at_most_once, open.idempotency_key) {
-            (false, _) => RepeatRule::Idempotent,
-            (true, None) => RepeatRule::AtMostOnce(None),
-            (true, Some(key)) => RepeatRule::AtMostOnce(Some(identifier("idempotency_key", &key)?)),
+            (false, _) => RetryRule::Idempotent,
+            (true, None) => RetryRule::AtMostOnce(None),
+            (true, Some(key)) => RetryRule::AtMostOnce(Some(identifier("idempotency_key", &key)?)),
         };
         let placement = PlacementRule {
             share: open.share,
-            patience: Duration::from_millis(open.patience_ms.into()),
+            wait_budget: Duration::from_millis(open.patience_ms.into()),
             may_redirect: open.may_redirect,
             group_load: open.group_load.map(Into::into),
         };
--- a/crates/papayamux-protocol/src/wire/convert_serving.rs
+++ b/crates/papayamux-protocol/src/wire/convert_serving.rs
@@ -1,36 +1,36 @@
-//! What agents ask each other, to and from their wire form.
+//! Conversion of queries between agents from and to their wire types.
 
 use papayamux_state::ids::{AdapterId, ModelId};
 use papayamux_state::weights::{WeightsKind, WeightsRef};
 
 use super::serving_messages::{WireServingAnswer, WireServingQuestion};
 use super::{identifier, WireError};
-use crate::serving::{ServingAnswer, ServingQuestion, ServingRefusal};
+use crate::serving::{ServingAnswer, ServingQuery, ServingRefusal};
 
 const MODEL: u32 = 1;
 const ADAPTER: u32 = 2;
 const SERVES: u32 = 0;
 
-impl From<ServingQuestion> for WireServingQuestion {
-    fn from(question: ServingQuestion) -> Self {
-        let kind = match question.weights.kind {
+impl From<ServingQuery> for WireServingQuestion {
+    fn from(query: ServingQuery) -> Self {
+        let kind = match query.weights.kind {
             WeightsKind::Model => MODEL,
             WeightsKind::Adapter => ADAPTER,
         };
-        Self { kind, name: question.weights.name, asker: question.asker.to_string() }
+        Self { kind, name: query.weights.name, asker: query.asker.to_string() }
     }
 }
 
-impl TryFrom<WireServingQuestion> for ServingQuestion {
+impl TryFrom<WireServingQuestion> for ServingQuery {
     type Error = WireError;
 
-    fn try_from(question: WireServingQuestion) -> Result<Self, WireError> {
-        let weights = match question.kind {
-            MODEL => WeightsRef::model(&identifier::<ModelId>("name", &question.name)?),
-            ADAPTER => WeightsRef::adapter(&identifier::<AdapterId>("name", &question.name)?),
+    fn try_from(query: WireServingQuestion) -> Result<Self, WireError> {
+        let weights = match query.kind {
+            MODEL => WeightsRef::model(&identifier::<ModelId>("name", &query.name)?),
+            ADAPTER => WeightsRef::adapter(&identifier::<AdapterId>("name", &query.name)?),
             number => return Err(WireError::Number { part: "kind", number }),
         };
-        Ok(Self { weights, asker: identifier("asker", &question.asker)? })
+        Ok(Self { weights, asker: identifier("asker", &query.asker)? })
     }
 }
 
--- a/crates/papayamux-protocol/src/wire/frame_codec.rs
+++ b/crates/papayamux-protocol/src/wire/frame_codec.rs
@@ -1,4 +1,4 @@
-//! Frames: four bytes of length, then one prost message.
+//! Framing: a four-byte length followed by a prost message.
 
 use std::io;
 use std::marker::PhantomData;
@@ -9,23 +9,23 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 use super::WireError;
-use crate::link::{Addressed, LONGEST_FRAME};
+use crate::link::{Addressed, MAX_FRAME_BYTES};
 
-/// Why a frame can't be read or written.
+/// The error of reading or writing a frame.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// The connection failed, or a frame is longer than its bound.
+    /// The connection failed, or a frame exceeds the maximum length.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The frame is not a prost message.
+    /// The frame is not a valid prost message.
     #[error("frame: {0}")]
     Prost(#[from] prost::DecodeError),
-    /// The message makes no sense.
+    /// The message is invalid.
     #[error(transparent)]
     Wire(#[from] WireError),
 }
 
-/// Reads messages that come as frames `In` and writes messages that go as frames `Out`.
+/// Decodes incoming messages from frames `In` and encodes outgoing messages as frames `Out`.
 #[derive(Debug)]
 pub struct FrameCodec<Out, In> {
     lengths: LengthDelimitedCodec,
@@ -34,7 +34,7 @@
 
 impl<Out, In> Default for FrameCodec<Out, In> {
     fn default() -> Self {
-        let lengths = LengthDelimitedCodec::builder().max_frame_length(LONGEST_FRAME).new_codec();
+        let lengths = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
         Self { lengths, kinds: PhantomData }
     }
 }
@@ -48,7 +48,7 @@
     fn encode(&mut self, message: Addressed<M>, buffer: &mut BytesMut) -> Result<(), CodecError> {
         let frame = Out::from(message);
         let length = frame.encoded_len();
-        if length > LONGEST_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(io::Error::new(io::ErrorKind::InvalidInput, "frame too long").into());
         }
         buffer.reserve(size_of::<u32>() + length);
@@ -58,12 +58,12 @@
     }
 }
 
-/// A frame type with the message it stands for.
+/// A frame type that decodes to a message.
 pub trait FrameMessage: Message + Default {
-    /// The message.
+    /// The decoded message.
     type Message;
 
-    /// Checks the frame and turns it into its message.
+    /// Validates the frame and converts it to its message.
     fn into_message(self) -> Result<Addressed<Self::Message>, WireError>;
 }
 
--- a/crates/papayamux-router/src/agents/stream_handle.rs
+++ b/crates/papayamux-router/src/agents/stream_handle.rs
@@ -5,7 +5,7 @@
 
 use local_sync::mpsc::unbounded;
 use papayamux_protocol::link::{
-    AnswerData, AnswerEnd, AnswerHead, RefusalNotice, RouterMessage, STREAM_WINDOW,
+    AnswerData, AnswerEnd, AnswerHead, RefusalNotice, RouterMessage, STREAM_WINDOW_BYTES,
 };
 
 use super::stream_state::StreamState;
@@ -29,7 +29,7 @@
 }
 
 /// Number of consumed bytes after which an acknowledgement is sent to the agent.
-const ACKNOWLEDGE_INTERVAL_BYTES: u64 = STREAM_WINDOW / 4;
+const ACKNOWLEDGE_INTERVAL_BYTES: u64 = STREAM_WINDOW_BYTES / 4;
 
 /// The receiving end of a stream. Dropping it before the last event cancels the request.
 pub struct StreamHandle {
--- a/crates/papayamux-router/src/callers/chat_handler.rs
+++ b/crates/papayamux-router/src/callers/chat_handler.rs
@@ -1,10 +1,10 @@
 //! Handles chat completions.
 
-use papayamux_protocol::chat::read_chat_call;
+use papayamux_protocol::chat::parse_chat_call;
 use papayamux_protocol::engine::CHAT_PATH;
 use papayamux_protocol::failure::{FailureBody, FailureCode};
 use papayamux_protocol::headers::CONVERSATION;
-use papayamux_protocol::link::{ChatTarget, RepeatRule};
+use papayamux_protocol::link::{ChatTarget, RetryRule};
 
 use super::caller_request::{end_to_end_headers, header_text, CallerRequest};
 use super::offer::{offer_request, AcceptedRequest, RequestOffer};
@@ -16,7 +16,7 @@
     request: CallerRequest,
 ) -> Result<AcceptedRequest, FailureBody> {
     let conversation = header_text(&request.head.headers, CONVERSATION);
-    let call = read_chat_call(&request.organisation, conversation, &request.body)
+    let call = parse_chat_call(&request.organisation, conversation, &request.body)
         .map_err(|error| FailureBody::not_run(FailureCode::InvalidRequest, error.to_string()))?;
     let servers = frontend.directory.serving(&call.model);
     if servers.is_empty() {
@@ -26,7 +26,7 @@
     let plan = frontend.planner.plan_chat(&call, servers).await;
     let offer = RequestOffer {
         organisation: request.organisation,
-        repeat: RepeatRule::Idempotent,
+        repeat: RetryRule::Idempotent,
         claim: None,
         chat: Some(ChatTarget { model: call.model, adapter: call.adapter, chat: call.chat }),
         method: request.head.method.to_string(),
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -11,7 +11,7 @@
     SourceRole, SourceView, ViewInForce,
 };
 use papayamux_coordination::freshness_confirmation::FreshnessQuery;
-use papayamux_protocol::fleet_news::{FleetNews, FollowRequest, NewsSpan, ServerNews};
+use papayamux_protocol::fleet_update::{FleetUpdate, FollowRequest, ServerUpdate, UpdateSpan};
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::evacuation::EvacuationOrder;
 use papayamux_state::ids::ServerName;
@@ -152,7 +152,7 @@
         router: IpAddr,
         request: FollowRequest,
         now: Instant,
-    ) -> Option<FleetNews> {
+    ) -> Option<FleetUpdate> {
         let sent_at = BootInstant(Duration::from_millis(request.asked_ms));
         let query = FreshnessQuery { incarnation: request.life, sent_at };
         let query = ReceivedQuery { query, received: boot_now() };
@@ -166,7 +166,7 @@
     }
 
     /// Waits until something is newer; returns the updates with their recipients.
-    pub(in crate::direct) async fn next_updates(&self) -> Vec<(IpAddr, FleetNews)> {
+    pub(in crate::direct) async fn next_updates(&self) -> Vec<(IpAddr, FleetUpdate)> {
         let advanced = self.knowledge.advanced.borrow().clone();
         advanced.given().await;
         let followers = self.knowledge.followers.borrow_mut().current(Instant::now());
@@ -175,7 +175,7 @@
     }
 
     /// Applies an update of `sender` about the source.
-    pub(in crate::direct) fn receive_update(&self, sender: IpAddr, life: u64, update: FleetNews) {
+    pub(in crate::direct) fn receive_update(&self, sender: IpAddr, life: u64, update: FleetUpdate) {
         let now = boot_now();
         let query = FreshnessQuery {
             incarnation: update.life,
@@ -221,11 +221,11 @@
 
     /// Applies server changes, the time for which expired entries may still be renewed, and
     /// evacuations.
-    fn apply_span(&self, span: NewsSpan, grace: Duration, now: Instant) {
+    fn apply_span(&self, span: UpdateSpan, grace: Duration, now: Instant) {
         for change in span.changes {
             match change {
-                ServerNews::Present(server) => self.adopt_server(server, now),
-                ServerNews::Gone { name, lingers } => self.adopt_departure(&name, lingers, now),
+                ServerUpdate::Present(server) => self.adopt_server(server, now),
+                ServerUpdate::Gone { name, lingers } => self.adopt_departure(&name, lingers, now),
             }
         }
         self.adopt_grace(grace, now);
@@ -269,14 +269,14 @@
         self.knowledge.advanced.take().give();
     }
 
-    fn update_for(&self, entry: &FollowerEntry) -> Option<FleetNews> {
+    fn update_for(&self, entry: &FollowerEntry) -> Option<FleetUpdate> {
         let known = self.confirmed_since()?;
         let journal = self.knowledge.journal.borrow();
         let position = journal.position()?;
         let span = journal.since(entry.position);
         let query = entry.query.query;
         let grace = self.presence.borrow().grace_left(Instant::now());
-        Some(FleetNews {
+        Some(FleetUpdate {
             life: query.incarnation,
             asked_ms: u64::try_from(query.sent_at.0.as_millis()).ok()?,
             shift_ms: entry.query.offset_to(known).0,
@@ -291,14 +291,14 @@
     }
 }
 
-fn update_span(span: ServerChangeSpan, evacuations: Vec<EvacuationOrder>) -> NewsSpan {
+fn update_span(span: ServerChangeSpan, evacuations: Vec<EvacuationOrder>) -> UpdateSpan {
     let changes = span.changes.into_iter().map(|change| match change {
-        ServerChange::Present(server) => ServerNews::Present((*server).clone()),
+        ServerChange::Present(server) => ServerUpdate::Present((*server).clone()),
         ServerChange::Departed { name, terminating } => {
-            ServerNews::Gone { name, lingers: terminating }
+            ServerUpdate::Gone { name, lingers: terminating }
         }
     });
-    NewsSpan {
+    UpdateSpan {
         behind: span.after.0,
         changes: changes.collect(),
         digest: span.digest.0,
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -18,8 +18,8 @@
 use papayamux_coordination::placement::{HolderUpdate, RouterId, ServerLoad};
 use papayamux_coordination::router_peers::{PeerUpdate, RouterPeers};
 use papayamux_protocol::router_report::{
-    ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedQuestion,
-    ReportedReading, RouterReport,
+    ReportedConfiguration, ReportedHolder, ReportedListing, ReportedLoad, ReportedPrefill,
+    ReportedQuery, RouterReport,
 };
 use papayamux_state::boot_time::BootInstant;
 use papayamux_state::quantities::TokenCount;
@@ -210,8 +210,8 @@
         }
     }
 
-    fn receive_prefill(&self, reported: ReportedReading, now: Instant) {
-        let ReportedReading { server, prefixes, cold, expected_ms } = reported;
+    fn receive_prefill(&self, reported: ReportedPrefill, now: Instant) {
+        let ReportedPrefill { server, prefixes, cold, expected_ms } = reported;
         let Some(server) = self.fleet.server_by_key(server) else { return };
         let expected = Duration::from_millis(u64::from(expected_ms));
         let reading = PromptPrefill { cold, started_at: now, expected, ahead: cold, waiting: 0 };
@@ -303,7 +303,7 @@
         let question = self
             .fleet
             .needs_freshness_confirmation()
-            .then(|| ReportedQuestion { life: self.life, asked_ms: whole_millis(boot_now().0) });
+            .then(|| ReportedQuery { life: self.life, asked_ms: whole_millis(boot_now().0) });
         let ledger = self.fleet.ledger().borrow();
         let loads = ledger.own().map(|(server, load)| ReportedLoad {
             server: server.into(),
@@ -351,7 +351,7 @@
         let FreshnessReport { version, age } = self.fleet.freshness_report()?;
         let answers = open.into_iter().map(|(router, question)| {
             let asked_ms = whole_millis(question.sent_at.0);
-            (router, ReportedQuestion { life: question.incarnation, asked_ms })
+            (router, ReportedQuery { life: question.incarnation, asked_ms })
         });
         Some(ReportedConfiguration {
             version: version.0,
@@ -362,7 +362,7 @@
 }
 
 /// Returns the report of a prefill; `None` if it should have ended by now.
-pub(super) fn reported_prefill(update: &PrefillUpdate, now: Instant) -> Option<ReportedReading> {
+pub(super) fn reported_prefill(update: &PrefillUpdate, now: Instant) -> Option<ReportedPrefill> {
     let PrefillUpdate { server, prefixes, reading } = update;
     let (cold, expected_ms) = match reading {
         Some(reading) => {
@@ -372,10 +372,10 @@
         }
         None => (TokenCount::default(), 0),
     };
-    Some(ReportedReading { server: server.into(), prefixes: prefixes.clone(), cold, expected_ms })
+    Some(ReportedPrefill { server: server.into(), prefixes: prefixes.clone(), cold, expected_ms })
 }
 
-fn parse_freshness_query(question: ReportedQuestion) -> FreshnessQuery {
+fn parse_freshness_query(question: ReportedQuery) -> FreshnessQuery {
     let asked = BootInstant(Duration::from_millis(question.asked_ms));
     FreshnessQuery { incarnation: question.life, sent_at: asked }
 }
--- a/crates/papayamux-router/src/routing/route_plan.rs
+++ b/crates/papayamux-router/src/routing/route_plan.rs
@@ -118,7 +118,7 @@
         };
         let placement = PlacementRule {
             share: self.share,
-            patience: if last { Duration::MAX } else { wait_budget },
+            wait_budget: if last { Duration::MAX } else { wait_budget },
             may_redirect: std::mem::take(&mut self.home_unprobed),
             group_load,
         };
