--- a/crates/papayamux-agent/src/accept.rs
+++ b/crates/papayamux-agent/src/accept.rs
@@ -11,9 +11,9 @@
 use crate::router_link::serve_router;
 
 /// Connections of routers open at once.
-const MOST_LINKS: i64 = 2_048;
+const MAX_LINKS: i64 = 2_048;
 /// How long the listener waits after it could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections of routers until the agent closes them.
 pub async fn accept_routers(core: Rc<AgentCore>, listener: TcpListener) {
@@ -33,11 +33,11 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(error:% = error; "accepting failed");
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if core.metrics.router_links.get() >= MOST_LINKS {
+        if core.metrics.router_links.get() >= MAX_LINKS {
             core.metrics.link_failures.count("too_many");
             continue;
         }
--- a/crates/papayamux-agent/src/admitted_run.rs
+++ b/crates/papayamux-agent/src/admitted_run.rs
@@ -76,9 +76,9 @@
     pub fn refuse(&self, open: &OpenRequest, reason: RefusalReason, better: Option<ServerId>) {
         let notice = refusal_notice(self.core, open, reason, better);
         if reason != RefusalReason::SeenBefore {
-            self.core.answers.note_refusal(open.id, notice.clone());
+            self.core.answers.record_refusal(open.id, notice.clone());
         }
-        self.attachment.tell(self.core.load_message(group_of(open)));
+        self.attachment.send_on_connection(self.core.load_message(group_of(open)));
         let message = AgentMessage::Refused(notice);
         self.core.metrics.control_bytes.send(agent_control_length(&message));
         self.attachment.send(message);
@@ -117,7 +117,7 @@
     let AdmittedRequest { record, admission, pass: _pass } = admitted;
     let permit = match admission {
         Admission::Now(permit) => Ok(permit),
-        Admission::Later(ticket) => wait_for_place(&core, &open, &record, ticket).await,
+        Admission::Later(ticket) => wait_for_slot(&core, &open, &record, ticket).await,
     };
     match permit {
         Ok(permit) => run_now(&core, open, &record, permit).await,
@@ -125,7 +125,7 @@
     }
 }
 
-async fn wait_for_place(
+async fn wait_for_slot(
     core: &AgentCore,
     open: &OpenRequest,
     record: &AnswerRecord,
@@ -157,14 +157,14 @@
     let group = group_of(&open);
     core.metrics.admitted.inc();
     core.metrics.running.inc();
-    core.engine.note_start(&open, core.clock());
+    core.engine.record_start(&open, core.clock());
     let started = Instant::now();
     let end = run_request(core, open, record, recorder).await;
     core.book.note_run(started.elapsed());
     core.metrics.running.dec();
     core.metrics.answers.count(end.label());
     drop(permit);
-    record.tell(core.load_message(group));
+    record.send_on_connection(core.load_message(group));
 }
 
 fn group_of(open: &OpenRequest) -> Option<GroupId> {
--- a/crates/papayamux-agent/src/agent_core.rs
+++ b/crates/papayamux-agent/src/agent_core.rs
@@ -14,7 +14,7 @@
 
 use crate::answers::AnswerStore;
 use crate::claims::{ClaimWitness, KeptAnswers};
-use crate::crash_board::CrashBoard;
+use crate::crash_notifier::CrashNotifier;
 use crate::engine_view::EngineView;
 use crate::metrics::AgentMetrics;
 use crate::orders::OrderCore;
@@ -41,13 +41,13 @@
     /// What is known of the engine.
     pub engine: EngineView,
     /// Requests under which servers end.
-    pub crashes: CrashBoard,
+    pub crashes: CrashNotifier,
     /// The agent's metrics.
     pub metrics: AgentMetrics,
     /// When the agent started.
     pub started: Instant,
     /// Given when the agent leaves.
-    pub leaving: ShutdownSignal,
+    pub draining: ShutdownSignal,
     /// Given when all that was admitted has ended, and the connections are to be closed.
     pub closing: ShutdownSignal,
     /// The answers that may still be asked for.
--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -13,12 +13,12 @@
 use papayamux_transport::link::LinkSender;
 use papayamux_transport::shutdown::ShutdownSignal;
 
-use super::held_bytes::HeldBytes;
+use super::buffered_bytes::BufferedBytes;
 use super::StoreLimits;
 use papayamux_transport::agent_link::CONNECTION;
 
 /// Bytes of one data frame at most.
-const LONGEST_PIECE: usize = 64 * 1024;
+const MAX_PIECE_BYTES: usize = 64 * 1024;
 
 /// A stream on one connection of one router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     }
 
     /// Says something to the router that does not concern the stream.
-    pub fn tell(&self, message: AgentMessage) {
+    pub fn send_on_connection(&self, message: AgentMessage) {
         self.sender.send(CONNECTION, message);
     }
 }
@@ -57,7 +57,7 @@
     /// Nobody, and somebody may come back until the time given.
     Awaited { until: Instant },
     /// Nobody any more.
-    Gone,
+    Detached,
 }
 
 /// How the record ended.
@@ -69,12 +69,12 @@
 
 struct RecordState {
     head: Option<AnswerHead>,
-    held: HeldBytes,
+    buffer: BufferedBytes,
     acknowledged: u64,
     sent: u64,
     end: Option<(RecordEnd, Instant)>,
     end_sent: bool,
-    arrived: bool,
+    end_acknowledged: bool,
     reader: Reader,
 }
 
@@ -87,7 +87,7 @@
     limits: StoreLimits,
     keeps_events: Cell<bool>,
     state: RefCell<RecordState>,
-    moved: Cell<Option<ShutdownSignal>>,
+    progress: Cell<Option<ShutdownSignal>>,
     cancelled: ShutdownSignal,
 }
 
@@ -97,16 +97,16 @@
         open: &OpenRequest,
         attachment: Attachment,
         limits: StoreLimits,
-        held_total: Rc<Cell<u64>>,
+        total_buffered: Rc<Cell<u64>>,
     ) -> Rc<Self> {
         let state = RecordState {
             head: None,
-            held: HeldBytes::new(held_total),
+            buffer: BufferedBytes::new(total_buffered),
             acknowledged: 0,
             sent: 0,
             end: None,
             end_sent: false,
-            arrived: false,
+            end_acknowledged: false,
             reader: Reader::Attached(attachment),
         };
         Rc::new(Self {
@@ -116,7 +116,7 @@
             limits,
             keeps_events: Cell::new(false),
             state: RefCell::new(state),
-            moved: Cell::new(None),
+            progress: Cell::new(None),
             cancelled: ShutdownSignal::new(),
         })
     }
@@ -154,9 +154,9 @@
     }
 
     /// Says something to the router that reads the answer, if one does.
-    pub fn tell(&self, message: AgentMessage) {
+    pub fn send_on_connection(&self, message: AgentMessage) {
         if let Reader::Attached(attachment) = &self.state.borrow().reader {
-            attachment.tell(message);
+            attachment.send_on_connection(message);
         }
     }
 
@@ -168,8 +168,8 @@
         self.wait_window().await;
         let mut state = self.state.borrow_mut();
         match state.reader {
-            Reader::Gone => state.held.skip(bytes.len() as u64),
-            _ => state.held.append(bytes, event_ends),
+            Reader::Detached => state.buffer.skip(bytes.len() as u64),
+            _ => state.buffer.append(bytes, event_ends),
         }
         self.send_waiting(&mut state);
     }
@@ -190,25 +190,25 @@
 
     /// Bytes of the body so far.
     pub fn length(&self) -> u64 {
-        self.state.borrow().held.end()
+        self.state.borrow().buffer.end()
     }
 
     async fn wait_window(&self) {
         while self.is_window_full() && !self.cancelled.is_given() {
             let signal = ShutdownSignal::new();
-            self.moved.set(Some(signal.clone()));
+            self.progress.set(Some(signal.clone()));
             signal.given().await;
         }
     }
 
     fn is_window_full(&self) -> bool {
         let state = self.state.borrow();
-        let unread = state.held.end().saturating_sub(state.acknowledged);
-        unread >= STREAM_WINDOW && !matches!(state.reader, Reader::Gone)
+        let unread = state.buffer.end().saturating_sub(state.acknowledged);
+        unread >= STREAM_WINDOW && !matches!(state.reader, Reader::Detached)
     }
 
-    fn note_move(&self) {
-        if let Some(signal) = self.moved.take() {
+    fn signal_progress(&self) {
+        if let Some(signal) = self.progress.take() {
             signal.give();
         }
     }
@@ -225,15 +225,15 @@
         self.release(&mut state);
         self.send_waiting(&mut state);
         drop(state);
-        self.note_move();
+        self.signal_progress();
     }
 
     /// The router has the answer's end.
-    pub fn arrive(&self, key: AttachmentKey) {
+    pub fn acknowledge_end(&self, key: AttachmentKey) {
         let mut state = self.state.borrow_mut();
         if state.is_attached(key) {
-            state.arrived = true;
-            state.reader = Reader::Gone;
+            state.end_acknowledged = true;
+            state.reader = Reader::Detached;
         }
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// The connection was lost; its router may come back.
-    pub fn lose(&self, key: AttachmentKey) {
+    pub fn handle_disconnect(&self, key: AttachmentKey) {
         self.detach(key, self.limits.resume_within);
     }
 
@@ -260,20 +260,20 @@
         state.reader = Reader::Awaited { until: Instant::now() + grace };
         drop(state);
         if grace.is_zero() {
-            self.give_up();
+            self.abandon();
         }
     }
 
-    fn give_up(&self) {
-        self.state.borrow_mut().reader = Reader::Gone;
+    fn abandon(&self) {
+        self.state.borrow_mut().reader = Reader::Detached;
         if self.may_cancel {
             self.cancelled.give();
         }
-        self.note_move();
+        self.signal_progress();
     }
 
     /// Whether something of the answer has still to be sent.
-    pub fn is_flowing(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         !self.state.borrow().end_sent
     }
 
@@ -291,10 +291,10 @@
         attachment.send(AgentMessage::Resumed(ResumeNotice { offset, head: state.head.clone() }));
         state.reader = Reader::Attached(attachment);
         (state.sent, state.acknowledged) = (offset, offset);
-        (state.end_sent, state.arrived) = (false, false);
+        (state.end_sent, state.end_acknowledged) = (false, false);
         self.send_waiting(&mut state);
         drop(state);
-        self.note_move();
+        self.signal_progress();
         true
     }
 
@@ -302,12 +302,12 @@
     fn send_waiting(&self, state: &mut RecordState) {
         let Reader::Attached(attachment) = &state.reader else { return };
         while state.sent < state.acknowledged + STREAM_WINDOW {
-            let Some(bytes) = state.held.piece_at(state.sent, LONGEST_PIECE) else { break };
+            let Some(bytes) = state.buffer.piece_at(state.sent, MAX_PIECE_BYTES) else { break };
             let offset = state.sent;
             state.sent += bytes.len() as u64;
             attachment.send(AgentMessage::Data(AnswerData { offset, bytes }));
         }
-        let all_sent = state.sent == state.held.end();
+        let all_sent = state.sent == state.buffer.end();
         if let (Some((end, _)), true, false) = (&state.end, all_sent, state.end_sent) {
             state.end_sent = true;
             attachment.send(match end.clone() {
@@ -323,9 +323,9 @@
             true => self.limits.answer_bytes,
             false => 0,
         };
-        let oldest_kept = state.held.end().saturating_sub(kept);
+        let oldest_kept = state.buffer.end().saturating_sub(kept);
         let acknowledged = state.acknowledged;
-        state.held.release_to(acknowledged.min(oldest_kept));
+        state.buffer.release_to(acknowledged.min(oldest_kept));
     }
 
     // What the store does.
@@ -334,7 +334,7 @@
     pub fn release_acknowledged(&self) {
         let mut state = self.state.borrow_mut();
         let acknowledged = state.acknowledged;
-        state.held.release_to(acknowledged);
+        state.buffer.release_to(acknowledged);
     }
 
     /// When the answer ended, if it did.
@@ -344,7 +344,7 @@
 
     /// Whether a router still has to receive something of the answer, or may come back for it.
     pub fn is_awaited(&self) -> bool {
-        !matches!(self.state.borrow().reader, Reader::Gone)
+        !matches!(self.state.borrow().reader, Reader::Detached)
     }
 
     /// Gives up on a reader that did not come back; `true` where the record is not needed any
@@ -355,14 +355,14 @@
             _ => false,
         };
         if overdue {
-            self.give_up();
+            self.abandon();
         }
         let Some(ended) = self.ended_at() else { return false };
         let state = self.state.borrow();
         let keep = match self.keeps_events.get() {
             _ if self.is_cancelled() => Duration::ZERO,
             true => self.limits.keep_for,
-            false if state.arrived => Duration::ZERO,
+            false if state.end_acknowledged => Duration::ZERO,
             false => self.limits.resume_within,
         };
         let is_read = matches!(state.reader, Reader::Attached(_)) && !state.end_sent;
@@ -378,8 +378,8 @@
     fn offset_of(&self, from: ResumePoint) -> Option<u64> {
         let offset = match from {
             ResumePoint::Offset(offset) => offset,
-            ResumePoint::AfterEvent(number) => self.held.after_event(number)?,
+            ResumePoint::AfterEvent(number) => self.buffer.after_event(number)?,
         };
-        (offset >= self.held.start() && offset <= self.held.end()).then_some(offset)
+        (offset >= self.buffer.start() && offset <= self.buffer.end()).then_some(offset)
     }
 }
--- a/crates/papayamux-agent/src/answers/answer_store.rs
+++ b/crates/papayamux-agent/src/answers/answer_store.rs
@@ -14,11 +14,11 @@
 use super::{AnswerRecord, Attachment};
 
 /// How often the store looks for what has expired.
-const SWEEP_EVERY: Duration = Duration::from_millis(250);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Records held at most.
-const MOST_RECORDS: usize = 16_384;
+const MAX_RECORDS: usize = 16_384;
 /// Refusals remembered at most.
-const MOST_REFUSALS: usize = 4_096;
+const MAX_REFUSALS: usize = 4_096;
 
 /// Bounds of an answer store.
 #[derive(Debug, Clone, Copy, Builder)]
@@ -46,7 +46,7 @@
     limits: StoreLimits,
     records: RefCell<HashMap<RequestId, Rc<AnswerRecord>>>,
     refusals: RefCell<RefusalMemory>,
-    held_total: Rc<Cell<u64>>,
+    total_buffered: Rc<Cell<u64>>,
 }
 
 impl AnswerStore {
@@ -56,13 +56,13 @@
             limits,
             records: RefCell::default(),
             refusals: RefCell::default(),
-            held_total: Rc::default(),
+            total_buffered: Rc::default(),
         })
     }
 
     /// Starts the record of an admitted request.
     pub fn start_record(&self, open: &OpenRequest, attachment: Attachment) -> Rc<AnswerRecord> {
-        let record = AnswerRecord::new(open, attachment, self.limits, self.held_total.clone());
+        let record = AnswerRecord::new(open, attachment, self.limits, self.total_buffered.clone());
         self.make_room();
         self.records.borrow_mut().insert(open.id, record.clone());
         record
@@ -74,12 +74,12 @@
     }
 
     /// Remembers that a request was refused before it had a record.
-    pub fn note_refusal(&self, id: RequestId, notice: RefusalNotice) {
+    pub fn record_refusal(&self, id: RequestId, notice: RefusalNotice) {
         let mut memory = self.refusals.borrow_mut();
         if memory.notices.insert(id, notice).is_none() {
             memory.order.push_back(id);
         }
-        if memory.order.len() > MOST_REFUSALS {
+        if memory.order.len() > MAX_REFUSALS {
             if let Some(oldest) = memory.order.pop_front() {
                 memory.notices.remove(&oldest);
             }
@@ -92,8 +92,8 @@
     }
 
     /// Bytes of answers that are held.
-    pub fn held_bytes(&self) -> u64 {
-        self.held_total.get()
+    pub fn buffered_bytes(&self) -> u64 {
+        self.total_buffered.get()
     }
 
     /// Records that a router still has to receive, or may come back for.
@@ -131,16 +131,16 @@
     }
 
     fn is_within_bounds(&self) -> bool {
-        let few = self.records.borrow().len() < MOST_RECORDS;
-        few && self.held_total.get() <= self.limits.total_bytes
+        let few = self.records.borrow().len() < MAX_RECORDS;
+        few && self.total_buffered.get() <= self.limits.total_bytes
     }
 }
 
 /// Sweeps the store for as long as the agent lives.
-pub async fn sweep_answers(store: Rc<AnswerStore>, held_bytes: Gauge, timers: TimerService) {
-    let mut sweeps = timers.every(SWEEP_EVERY);
+pub async fn sweep_answers(store: Rc<AnswerStore>, buffered_bytes: Gauge, timers: TimerService) {
+    let mut sweeps = timers.every(SWEEP_INTERVAL);
     while sweeps.tick().await.is_some() {
         store.sweep(Instant::now());
-        held_bytes.set(store.held_bytes() as i64);
+        buffered_bytes.set(store.buffered_bytes() as i64);
     }
 }
--- a/crates/papayamux-agent/src/answers/held_bytes.rs
+++ b/crates/papayamux-agent/src/answers/buffered_bytes.rs
@@ -7,18 +7,18 @@
 use bytes::Bytes;
 
 /// Bytes that a held piece costs beside its content: its place here and its allocation's.
-const PIECE_COST: u64 = 2 * size_of::<HeldPiece>() as u64;
+const PIECE_OVERHEAD_BYTES: u64 = 2 * size_of::<BufferedPiece>() as u64;
 /// Bytes that a held event's end costs.
-const EVENT_COST: u64 = size_of::<u64>() as u64;
+const EVENT_OVERHEAD_BYTES: u64 = size_of::<u64>() as u64;
 
 /// A piece with where it starts in the body.
 #[derive(Debug)]
-struct HeldPiece {
+struct BufferedPiece {
     start: u64,
     bytes: Bytes,
 }
 
-impl HeldPiece {
+impl BufferedPiece {
     fn length(&self) -> u64 {
         self.bytes.len() as u64
     }
@@ -30,8 +30,8 @@
 
 /// A stretch of a body, with the ends of its numbered events.
 #[derive(Debug, Default)]
-pub struct HeldBytes {
-    pieces: VecDeque<HeldPiece>,
+pub struct BufferedBytes {
+    pieces: VecDeque<BufferedPiece>,
     event_ends: VecDeque<u64>,
     events_before: u64,
     start: u64,
@@ -39,7 +39,7 @@
     total: Rc<Cell<u64>>,
 }
 
-impl HeldBytes {
+impl BufferedBytes {
     /// Holds nothing yet; what is held counts into `total`.
     pub fn new(total: Rc<Cell<u64>>) -> Self {
         Self {
@@ -67,8 +67,12 @@
         let base = self.end;
         self.event_ends.extend(event_ends.iter().map(|end| base + *end as u64));
         self.end += bytes.len() as u64;
-        self.count(bytes.len() as u64 + PIECE_COST + event_ends.len() as u64 * EVENT_COST);
-        self.pieces.push_back(HeldPiece { start: base, bytes });
+        self.count(
+            bytes.len() as u64
+                + PIECE_OVERHEAD_BYTES
+                + event_ends.len() as u64 * EVENT_OVERHEAD_BYTES,
+        );
+        self.pieces.push_back(BufferedPiece { start: base, bytes });
     }
 
     /// Counts `length` bytes that are not held, as if they had been held and let go.
@@ -83,13 +87,13 @@
         while self.pieces.front().is_some_and(|piece| piece.end() <= offset) {
             if let Some(piece) = self.pieces.pop_front() {
                 self.start = piece.end();
-                self.uncount(piece.length() + PIECE_COST);
+                self.uncount(piece.length() + PIECE_OVERHEAD_BYTES);
             }
         }
         while self.event_ends.front().is_some_and(|end| *end < self.start) {
             self.event_ends.pop_front();
             self.events_before += 1;
-            self.uncount(EVENT_COST);
+            self.uncount(EVENT_OVERHEAD_BYTES);
         }
     }
 
@@ -119,9 +123,9 @@
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
-        let held: u64 = self.pieces.iter().map(|piece| piece.length() + PIECE_COST).sum();
-        self.uncount(held + self.event_ends.len() as u64 * EVENT_COST);
+        let held: u64 = self.pieces.iter().map(|piece| piece.length() + PIECE_OVERHEAD_BYTES).sum();
+        self.uncount(held + self.event_ends.len() as u64 * EVENT_OVERHEAD_BYTES);
     }
 }
--- a/crates/papayamux-agent/src/answers/event_tagger.rs
+++ b/crates/papayamux-agent/src/answers/event_tagger.rs
@@ -7,11 +7,11 @@
 use papayamux_state::ids::{RequestId, ServerId};
 
 /// Bytes of the longest event that gets an id; a longer one passes without.
-const LONGEST_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 /// What the event that ends a chat ends with.
 const LAST_FIELD: &[u8] = b"[DONE]\n";
 /// Bytes that the number in an id line needs at most, with the line's end.
-const NUMBER_ROOM: usize = 24;
+const MAX_NUMBER_BYTES: usize = 24;
 
 /// Whole events with their ids.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -74,7 +74,8 @@
     }
 
     fn take_all(&mut self, mut bytes: &[u8]) -> TaggedPiece {
-        let mut output = BytesMut::with_capacity(bytes.len() + self.id_prefix.len() + NUMBER_ROOM);
+        let mut output =
+            BytesMut::with_capacity(bytes.len() + self.id_prefix.len() + MAX_NUMBER_BYTES);
         let mut event_ends = Vec::new();
         while let Some(span) = first_event(bytes) {
             let (event, rest) = bytes.split_at(span.end);
@@ -83,7 +84,7 @@
             }
             bytes = rest;
         }
-        match bytes.len() > LONGEST_EVENT {
+        match bytes.len() > MAX_EVENT_BYTES {
             true => output.extend_from_slice(bytes),
             false => self.pending.extend_from_slice(bytes),
         }
--- a/crates/papayamux-agent/src/answers/mod.rs
+++ b/crates/papayamux-agent/src/answers/mod.rs
@@ -2,8 +2,8 @@
 
 mod answer_record;
 mod answer_store;
+mod buffered_bytes;
 mod event_tagger;
-mod held_bytes;
 
 pub use answer_record::{AnswerRecord, Attachment, AttachmentKey};
 pub use answer_store::{sweep_answers, AnswerStore, StoreLimits};
--- a/crates/papayamux-agent/src/claims/kept_answers.rs
+++ b/crates/papayamux-agent/src/claims/kept_answers.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone)]
 enum RunState {
     Running,
-    Whole(KeptAnswer),
+    Complete(KeptAnswer),
     NotKept,
     Failed,
 }
@@ -73,8 +73,8 @@
 #[derive(Debug)]
 pub struct KeptAnswers {
     retention: Duration,
-    most_runs: usize,
-    most_bytes: usize,
+    max_runs: usize,
+    max_bytes: usize,
     table: RefCell<RunTable>,
 }
 
@@ -83,8 +83,8 @@
     pub fn new(settings: &ClaimSettings) -> Rc<Self> {
         Rc::new(Self {
             retention: settings.retention,
-            most_runs: settings.most_claims,
-            most_bytes: settings.kept_bytes.get() as usize,
+            max_runs: settings.most_claims,
+            max_bytes: settings.kept_bytes.get() as usize,
             table: RefCell::default(),
         })
     }
@@ -106,7 +106,7 @@
         if table.runs.contains_key(&claim_key) {
             return Err(RefusalReason::KeyRunBefore);
         }
-        if table.expiries.len() >= self.most_runs {
+        if table.expiries.len() >= self.max_runs {
             return Err(RefusalReason::ClaimsFull);
         }
         let until = now + self.retention;
@@ -128,7 +128,7 @@
         let settled = self.find(request, |run| run.settled.clone())?;
         settled.given().await;
         self.find(request, |run| match &run.state {
-            RunState::Whole(answer) => Ok(answer.clone()),
+            RunState::Complete(answer) => Ok(answer.clone()),
             RunState::Running | RunState::NotKept => Err(RefusalReason::AnswerNotKept),
             RunState::Failed => Err(RefusalReason::FirstRunFailed),
         })?
@@ -156,12 +156,12 @@
     }
 
     /// Keeps the answer of a run that ended well, if it is not too long to be kept.
-    pub(super) fn settle_whole(&self, key: ClaimKey, answer: Option<KeptAnswer>) {
+    pub(super) fn settle_complete(&self, key: ClaimKey, answer: Option<KeptAnswer>) {
         let mut table = self.table.borrow_mut();
         let size = answer.as_ref().map_or(0, KeptAnswer::size);
-        table.settle(key, answer.map_or(RunState::NotKept, RunState::Whole));
+        table.settle(key, answer.map_or(RunState::NotKept, RunState::Complete));
         table.bytes += size;
-        table.drop_oldest_answers(self.most_bytes);
+        table.drop_oldest_answers(self.max_bytes);
     }
 
     /// Notes that a run ended without a whole answer.
@@ -183,13 +183,13 @@
         }
     }
 
-    fn drop_oldest_answers(&mut self, most_bytes: usize) {
+    fn drop_oldest_answers(&mut self, max_bytes: usize) {
         for expiry in &self.expiries {
-            if self.bytes <= most_bytes {
+            if self.bytes <= max_bytes {
                 break;
             }
             if let Some(run) = self.runs.get_mut(&expiry.key) {
-                if let RunState::Whole(answer) = &run.state {
+                if let RunState::Complete(answer) = &run.state {
                     self.bytes -= answer.size();
                     run.state = RunState::NotKept;
                 }
@@ -217,7 +217,7 @@
 
     fn remove(&mut self, key: ClaimKey) {
         if let Some(run) = self.runs.remove(&key) {
-            if let RunState::Whole(answer) = run.state {
+            if let RunState::Complete(answer) = run.state {
                 self.bytes -= answer.size();
             }
             run.settled.give();
--- a/crates/papayamux-agent/src/claims/recall.rs
+++ b/crates/papayamux-agent/src/claims/recall.rs
@@ -11,9 +11,9 @@
 use crate::agent_core::AgentCore;
 
 /// Bytes of one piece of an answer at most.
-const LONGEST_PIECE: usize = 64 * 1024;
+const MAX_PIECE_BYTES: usize = 64 * 1024;
 /// How long a router may take to say that the answer has arrived.
-const ARRIVE_WITHIN: Duration = Duration::from_secs(10);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The stream on which a router asked for an answer.
 pub struct RecallStream {
@@ -37,7 +37,7 @@
         let mut rest = answer.body;
         let mut offset = 0;
         while !rest.is_empty() {
-            let bytes = rest.split_to(rest.len().min(LONGEST_PIECE));
+            let bytes = rest.split_to(rest.len().min(MAX_PIECE_BYTES));
             let data = AnswerData { offset, bytes };
             offset += data.bytes.len() as u64;
             self.send(AgentMessage::Data(data));
@@ -63,5 +63,5 @@
         }
         Either::Right(_) => return,
     }
-    let _ = monoio::time::timeout(ARRIVE_WITHIN, stream.closed.given()).await;
+    let _ = monoio::time::timeout(RECEIVE_TIMEOUT, stream.closed.given()).await;
 }
--- a/crates/papayamux-agent/src/claims/run_recorder.rs
+++ b/crates/papayamux-agent/src/claims/run_recorder.rs
@@ -10,7 +10,7 @@
 use super::kept_answers::{KeptAnswer, KeptAnswers};
 
 /// Bytes of the longest answer that is kept: it can be sent without waiting for the window.
-const LONGEST_KEPT: usize = STREAM_WINDOW as usize;
+const MAX_KEPT_BYTES: usize = STREAM_WINDOW as usize;
 
 #[derive(Debug, Default)]
 struct RecordedAnswer {
@@ -42,7 +42,7 @@
     /// Takes a piece of the answer's body.
     pub fn data(&self, bytes: &Bytes) {
         let mut answer = self.answer.borrow_mut();
-        if answer.body.len() + bytes.len() > LONGEST_KEPT {
+        if answer.body.len() + bytes.len() > MAX_KEPT_BYTES {
             answer.too_long = true;
             answer.body.clear();
         }
@@ -52,7 +52,7 @@
     }
 
     /// The answer is whole.
-    pub fn whole(&self) {
+    pub fn complete(&self) {
         let mut answer = self.answer.borrow_mut();
         answer.settled = true;
         let body = std::mem::take(&mut answer.body).freeze();
@@ -60,7 +60,7 @@
             (Some(head), false) => Some(KeptAnswer { head, body }),
             _ => None,
         };
-        self.kept.settle_whole(self.key, kept);
+        self.kept.settle_complete(self.key, kept);
     }
 
     /// The call was not run, which is proved.
--- a/crates/papayamux-agent/src/crash_board.rs
+++ b/crates/papayamux-agent/src/crash_notifier.rs
@@ -12,7 +12,7 @@
 use papayamux_transport::link::LinkSender;
 
 /// Notices in one message.
-const MOST_NOTICES: usize = 64;
+const MAX_NOTICES: usize = 64;
 
 /// A request that is about to run.
 #[derive(Debug, Clone, Copy)]
@@ -29,15 +29,15 @@
 
 /// What the agent has seen of such requests, and whom it tells.
 #[derive(Default)]
-pub struct CrashBoard {
+pub struct CrashNotifier {
     quarantine: RefCell<CrashQuarantine>,
     routers: RefCell<HashMap<u64, LinkSender<AgentMessage>>>,
 }
 
-impl CrashBoard {
+impl CrashNotifier {
     /// Tells a router on a new connection what is held, and from now on what changes.
     pub fn connect(&self, link: u64, sender: LinkSender<AgentMessage>) {
-        let held = self.quarantine.borrow_mut().next_held(MOST_NOTICES, Instant::now());
+        let held = self.quarantine.borrow_mut().next_held(MAX_NOTICES, Instant::now());
         if !held.is_empty() {
             sender.send(CONNECTION, AgentMessage::Crashes(held));
         }
@@ -59,7 +59,7 @@
             let crashes = sent_after.crashes + 1;
             log::warn!(fingerprint:% = fingerprint, crashes = crashes; "server ended under a request");
         }
-        self.tell(&mut quarantine);
+        self.announce(&mut quarantine);
     }
 
     /// Notes that the server has run a request to its end.
@@ -69,11 +69,11 @@
         if quarantine.note_run(fingerprint, sent_after, Instant::now()) {
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
         }
-        self.tell(&mut quarantine);
+        self.announce(&mut quarantine);
     }
 
-    fn tell(&self, quarantine: &mut CrashQuarantine) {
-        let notices = quarantine.next_untold(NoticeOrigin::Seen, MOST_NOTICES, Instant::now());
+    fn announce(&self, quarantine: &mut CrashQuarantine) {
+        let notices = quarantine.next_untold(NoticeOrigin::Seen, MAX_NOTICES, Instant::now());
         if notices.is_empty() {
             return;
         }
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -27,7 +27,7 @@
 use crate::agent_core::AgentCore;
 use crate::answers::{sweep_answers, AnswerStore, StoreLimits};
 use crate::claims::{ClaimWitness, KeptAnswers};
-use crate::crash_board::CrashBoard;
+use crate::crash_notifier::CrashNotifier;
 use crate::engine_follower::follow_engine;
 use crate::engine_view::EngineView;
 use crate::metrics::AgentMetrics;
@@ -36,11 +36,11 @@
 use crate::trust::RouterTrust;
 
 /// How often a draining agent looks whether all has finished.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long the routers may take to answer a leaving agent's farewell.
-const CLOSE_WITHIN: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Which part of all kept bytes one answer may have.
-const ANSWER_SHARE: u64 = 16;
+const ANSWER_BYTES_DIVISOR: u64 = 16;
 
 struct AgentView {
     core: Rc<AgentCore>,
@@ -69,7 +69,7 @@
             "configuration": self.configuration.as_ref().map(ConfigurationView::status),
             "waiting": self.core.book.waiting().get(),
             "running": self.core.book.running().get(),
-            "held_answer_bytes": self.core.answers.held_bytes(),
+            "held_answer_bytes": self.core.answers.buffered_bytes(),
             "witness_ready_in_ms":
                 self.core.witness.ready_in(self.core.started.elapsed()).as_millis() as u64,
             "held_keys": self.core.witness.held_keys(),
@@ -88,15 +88,15 @@
         let agent = ServingAgent::start(&settings)?;
         signals.next().await;
         let agent = agent.leave();
-        let bound = std::pin::pin!(monoio::time::sleep(settings.drain_within));
-        let cut = std::pin::pin!(select(signals.next(), bound));
+        let deadline = std::pin::pin!(monoio::time::sleep(settings.drain_within));
+        let interrupt = std::pin::pin!(select(signals.next(), deadline));
         let finish = std::pin::pin!(agent.finish());
-        let cause = match select(finish, cut).await {
+        let cause = match select(finish, interrupt).await {
             Either::Left(_) => return Ok(()),
             Either::Right((Either::Left(_), _)) => "a second signal",
             Either::Right((Either::Right(_), _)) => "the drain's bound",
         };
-        Err(agent.cut(cause))
+        Err(agent.interrupt(cause))
     })?
 }
 
@@ -113,7 +113,7 @@
 /// What a drain's end cut off.
 #[derive(Debug, Error)]
 #[error("{cause} cut off {requests} requests")]
-struct DrainCut {
+struct InterruptedDrain {
     cause: &'static str,
     requests: u64,
 }
@@ -127,7 +127,7 @@
     fn leave(self) -> DrainingAgent {
         log::info!("agent drains");
         self.core.book.leave();
-        self.core.leaving.give();
+        self.core.draining.give();
         DrainingAgent { core: self.core }
     }
 }
@@ -137,12 +137,12 @@
     /// and until every router that answers has read the refusals of what it sent meanwhile.
     async fn finish(&self) {
         while self.unfinished() > 0 {
-            monoio::time::sleep(DRAIN_LOOK).await;
+            monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.core.closing.give();
         let closing = Instant::now();
-        while self.core.metrics.router_links.get() > 0 && closing.elapsed() < CLOSE_WITHIN {
-            monoio::time::sleep(DRAIN_LOOK).await;
+        while self.core.metrics.router_links.get() > 0 && closing.elapsed() < CLOSE_TIMEOUT {
+            monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         log::info!("agent drained");
     }
@@ -153,11 +153,11 @@
     }
 
     /// Ends the drain before its end.
-    fn cut(&self, cause: &'static str) -> Box<dyn Error> {
+    fn interrupt(&self, cause: &'static str) -> Box<dyn Error> {
         let requests = self.unfinished();
         self.core.metrics.cut_requests.inc_by(requests);
         log::warn!(cause = cause, requests = requests; "drain cut off");
-        DrainCut { cause, requests }.into()
+        InterruptedDrain { cause, requests }.into()
     }
 }
 
@@ -203,10 +203,10 @@
         witness: ClaimWitness::new(incarnation, &settings.claims),
         kept: KeptAnswers::new(&settings.claims),
         recalls: Cell::new(0),
-        crashes: CrashBoard::default(),
+        crashes: CrashNotifier::default(),
         metrics,
         started: Instant::now(),
-        leaving: ShutdownSignal::new(),
+        draining: ShutdownSignal::new(),
         closing: ShutdownSignal::new(),
         answers: AnswerStore::new(store_limits(settings)),
         trust: RouterTrust { secret: settings.secret.clone(), allow: settings.allow.clone() },
@@ -226,8 +226,8 @@
     let timers = TimerService::start();
     monoio::spawn(follow_engine(core.clone(), timers.clone()));
     monoio::spawn(announce_witness(core.clone()));
-    let held_bytes = core.metrics.held_bytes.clone();
-    monoio::spawn(sweep_answers(core.answers.clone(), held_bytes, timers.clone()));
+    let buffered_bytes = core.metrics.buffered_bytes.clone();
+    monoio::spawn(sweep_answers(core.answers.clone(), buffered_bytes, timers.clone()));
     if let Some(orders) = core.orders.clone() {
         let ticks = timers.every(orders.settings.look_every);
         monoio::spawn(OrderTask::new(core.clone(), orders).run(ticks));
@@ -250,6 +250,6 @@
         .cancel_grace(settings.cancel_grace)
         .keep_for(settings.keep_answers_for)
         .total_bytes(total)
-        .answer_bytes(total / ANSWER_SHARE)
+        .answer_bytes(total / ANSWER_BYTES_DIVISOR)
         .build()
 }
--- a/crates/papayamux-agent/src/engine_follower.rs
+++ b/crates/papayamux-agent/src/engine_follower.rs
@@ -17,25 +17,25 @@
 use crate::agent_core::AgentCore;
 
 /// How often the engine is asked for events.
-const EVENTS_EVERY: Duration = Duration::from_millis(100);
+const EVENTS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pages of events that are read in one go.
-const MOST_PAGES: usize = 16;
+const MAX_PAGES: usize = 16;
 /// The least time between two snapshots.
-const SNAPSHOT_EVERY: Duration = Duration::from_millis(500);
+const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
 /// How often the engine is asked for its load.
-const LOAD_EVERY: Duration = Duration::from_secs(1);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How long an answer may take.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Bytes of the longest answer.
-const LONGEST_ANSWER: u64 = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Follows the engine for as long as the agent lives, from its first chat on.
 pub async fn follow_engine(core: Rc<AgentCore>, timer: TimerService) {
-    core.engine.chats_came().await;
-    let mut ticks = timer.every(EVENTS_EVERY);
+    core.engine.first_chat().await;
+    let mut ticks = timer.every(EVENTS_POLL_INTERVAL);
     let mut follower = EngineFollower { core, last_snapshot: None, last_load: None };
     while ticks.tick().await.is_some() {
-        follower.look().await;
+        follower.poll().await;
     }
 }
 
@@ -50,16 +50,16 @@
 }
 
 impl EngineFollower {
-    async fn look(&mut self) {
-        if is_due(self.last_load, LOAD_EVERY) {
+    async fn poll(&mut self) {
+        if is_due(self.last_load, LOAD_POLL_INTERVAL) {
             self.last_load = Some(Instant::now());
             self.read_load().await;
         }
-        if self.needs_rebuild() && is_due(self.last_snapshot, SNAPSHOT_EVERY) {
+        if self.needs_rebuild() && is_due(self.last_snapshot, MIN_SNAPSHOT_INTERVAL) {
             self.last_snapshot = Some(Instant::now());
             self.read_snapshot().await;
         }
-        for _ in 0..MOST_PAGES {
+        for _ in 0..MAX_PAGES {
             if !self.read_events().await {
                 break;
             }
@@ -96,9 +96,9 @@
         };
         let more = page.events.len() >= LONGEST_EVENT_PAGE;
         let mut index = self.core.engine.index().borrow_mut();
-        let was_whole = !index.needs_rebuild();
+        let was_complete = !index.needs_rebuild();
         index.apply(&stretch_of(page), Instant::now());
-        if was_whole && index.needs_rebuild() {
+        if was_complete && index.needs_rebuild() {
             self.core.metrics.cache_reads.count("gap");
         }
         more
@@ -115,10 +115,10 @@
         let exchange = async {
             let answer = client.send_idempotent(request).await.ok()?;
             let status = answer.head.status;
-            let body = answer.whole_body(LONGEST_ANSWER).await.ok()?;
+            let body = answer.whole_body(MAX_ANSWER_BYTES).await.ok()?;
             (status == StatusCode::OK).then_some(body)
         };
-        let body = monoio::time::timeout(ANSWER_WITHIN, exchange).await.ok().flatten();
+        let body = monoio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok().flatten();
         let value = body.and_then(|body| serde_json::from_slice(&body).ok());
         if value.is_none() {
             self.core.metrics.cache_reads.count("failed");
--- a/crates/papayamux-agent/src/engine_view.rs
+++ b/crates/papayamux-agent/src/engine_view.rs
@@ -17,7 +17,7 @@
 use papayamux_transport::shutdown::ShutdownSignal;
 
 /// One part in so many of a prompt has to be cached here for its chat to count as being here.
-const HERE_SHARE: usize = 4;
+const LOCAL_CONTEXT_DIVISOR: usize = 4;
 
 /// A prompt as blocks of the engine's cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     index: RefCell<CacheIndex>,
     moved: RefCell<MovedChats>,
     backlog: PrefillBacklog,
-    chats_came: ShutdownSignal,
+    first_chat: ShutdownSignal,
 }
 
 impl EngineView {
@@ -54,13 +54,13 @@
             index: RefCell::default(),
             moved: RefCell::default(),
             backlog: PrefillBacklog::new(tokens_per_second),
-            chats_came: ShutdownSignal::new(),
+            first_chat: ShutdownSignal::new(),
         }
     }
 
     /// Waits until chats come, which says that an engine stands beside the agent.
-    pub async fn chats_came(&self) {
-        self.chats_came.given().await;
+    pub async fn first_chat(&self) {
+        self.first_chat.given().await;
     }
 
     /// The index of the engine's cache.
@@ -81,7 +81,7 @@
     /// Leading checkpoints of a probe that are cached.
     pub fn warm_checkpoints(&self, probe: &LoadProbe) -> u32 {
         if probe.chat != 0 {
-            self.chats_came.give();
+            self.first_chat.give();
         }
         let hashes = probe.checkpoints.iter().copied();
         self.index.borrow().warm_prefix(hashes, Instant::now()) as u32
@@ -93,7 +93,7 @@
     }
 
     /// A chat of which this is the home was served elsewhere.
-    pub fn note_moved(&self, moved: MovedChat) {
+    pub fn record_moved(&self, moved: MovedChat) {
         self.moved.borrow_mut().note(moved.chat, moved.server, Instant::now());
     }
 
@@ -102,8 +102,9 @@
         let target = open.chat.as_ref()?;
         let server = self.elsewhere(chat_hash(&target.chat))?;
         let blocks = PromptBlocks::read(target, &open.body)?;
-        let is_here = self.warm_blocks(&blocks) * HERE_SHARE >= blocks.hashes.len();
-        (!is_here).then_some(server)
+        let is_cached_here =
+            self.warm_blocks(&blocks) * LOCAL_CONTEXT_DIVISOR >= blocks.hashes.len();
+        (!is_cached_here).then_some(server)
     }
 
     fn warm_blocks(&self, blocks: &PromptBlocks) -> usize {
@@ -112,9 +113,9 @@
     }
 
     /// Notes that the engine is given a request now.
-    pub fn note_start(&self, open: &OpenRequest, now: AgentClock) {
+    pub fn record_start(&self, open: &OpenRequest, now: AgentClock) {
         let Some(target) = &open.chat else { return };
-        self.chats_came.give();
+        self.first_chat.give();
         self.moved.borrow_mut().forget(chat_hash(&target.chat));
         let Some(blocks) = PromptBlocks::read(target, &open.body) else { return };
         let warm = self.warm_blocks(&blocks) * TOKENS_PER_BLOCK;
--- a/crates/papayamux-agent/src/metrics.rs
+++ b/crates/papayamux-agent/src/metrics.rs
@@ -37,7 +37,7 @@
     /// Streams of the server that were replaced or given up, by outcome.
     pub server_streams: ReasonCounters,
     /// Bytes of answers that are held.
-    pub held_bytes: Gauge,
+    pub buffered_bytes: Gauge,
     /// Requests that the end of a drain cut off.
     pub cut_requests: Counter,
 }
@@ -67,7 +67,11 @@
         registry.register("resumes", "Streams asked for again, by outcome", resumes);
         let streams = self.server_streams.0.clone();
         registry.register("server_streams", "Server streams replaced or given up", streams);
-        registry.register("held_answer_bytes", "Bytes of answers held", self.held_bytes.clone());
+        registry.register(
+            "held_answer_bytes",
+            "Bytes of answers held",
+            self.buffered_bytes.clone(),
+        );
         let cut = self.cut_requests.clone();
         registry.register("cut_requests", "Requests cut off by the end of a drain", cut);
     }
--- a/crates/papayamux-agent/src/orders/engine_client.rs
+++ b/crates/papayamux-agent/src/orders/engine_client.rs
@@ -10,12 +10,12 @@
 use papayamux_transport::http::{HttpClient, HttpClientError};
 use thiserror::Error;
 
-use super::order_permit::{OrderPermit, PermitEnd};
+use super::order_permit::{OrderPermit, PermitError};
 
 /// How long the engine may take to answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Bytes of the longest state.
-const LONGEST_STATE: u64 = 1024 * 1024;
+const MAX_STATE_BYTES: u64 = 1024 * 1024;
 
 /// Why the engine's state is not known, or an order's fate.
 #[derive(Debug, Error)]
@@ -24,7 +24,7 @@
     #[error(transparent)]
     Client(#[from] HttpClientError),
     /// No answer came in time.
-    #[error("no answer within {ANSWER_WITHIN:?}")]
+    #[error("no answer within {ANSWER_TIMEOUT:?}")]
     Timeout,
     /// The answer is not what the interface promises.
     #[error("answer {status} is not as published: {help}")]
@@ -43,9 +43,9 @@
 #[derive(Debug)]
 pub enum OrderOutcome {
     /// It was not sent.
-    NotSent(PermitEnd),
+    NotSent(PermitError),
     /// The engine obeys it.
-    Obeyed,
+    Accepted,
     /// The engine has seen a higher fencing number.
     Stale {
         /// The highest one.
@@ -62,7 +62,7 @@
     pub fn label(&self) -> &'static str {
         match self {
             OrderOutcome::NotSent(end) => end.label(),
-            OrderOutcome::Obeyed => "obeyed",
+            OrderOutcome::Accepted => "obeyed",
             OrderOutcome::Stale { .. } => "stale_fence",
             OrderOutcome::Refused(_) => "refused",
             OrderOutcome::Unknown(_) => "unknown",
@@ -102,7 +102,7 @@
         return OrderOutcome::NotSent(end);
     }
     match exchange(client, request).await {
-        Ok((StatusCode::ACCEPTED, _)) => OrderOutcome::Obeyed,
+        Ok((StatusCode::ACCEPTED, _)) => OrderOutcome::Accepted,
         Ok((status, body)) => refusal(status, &body),
         Err(error) => OrderOutcome::Unknown(error),
     }
@@ -136,9 +136,9 @@
     let exchange = async {
         let answer = client.send_once(request).await?;
         let status = answer.head.status;
-        Ok((status, answer.whole_body(LONGEST_STATE).await?))
+        Ok((status, answer.whole_body(MAX_STATE_BYTES).await?))
     };
-    match monoio::time::timeout(ANSWER_WITHIN, exchange).await {
+    match monoio::time::timeout(ANSWER_TIMEOUT, exchange).await {
         Ok(outcome) => outcome,
         Err(_) => Err(EngineError::Timeout),
     }
--- a/crates/papayamux-agent/src/orders/model_gate.rs
+++ b/crates/papayamux-agent/src/orders/model_gate.rs
@@ -20,7 +20,7 @@
 /// While the engine's state is not known, nothing is refused: the engine itself says what it has.
 #[derive(Debug)]
 pub struct ModelGate {
-    fresh_for: Duration,
+    max_state_age: Duration,
     loaded: RefCell<Option<LoadedSet>>,
     closed: RefCell<BTreeSet<WeightsRef>>,
     running: RefCell<BTreeMap<WeightsRef, u64>>,
@@ -50,9 +50,9 @@
 
 impl ModelGate {
     /// A gate that relies on an engine's state for `fresh_for` after it was read.
-    pub fn new(fresh_for: Duration) -> Rc<Self> {
+    pub fn new(max_state_age: Duration) -> Rc<Self> {
         Rc::new(Self {
-            fresh_for,
+            max_state_age,
             loaded: RefCell::default(),
             closed: RefCell::default(),
             running: RefCell::default(),
@@ -61,7 +61,7 @@
     }
 
     /// Notes what the engine had loaded when its state was asked for at `read`.
-    pub fn note_loaded(&self, weights: BTreeSet<WeightsRef>, read: Instant) {
+    pub fn record_loaded(&self, weights: BTreeSet<WeightsRef>, read: Instant) {
         *self.loaded.borrow_mut() = Some(LoadedSet { weights, read });
     }
 
@@ -84,7 +84,8 @@
     pub fn is_serving(&self, weights: &WeightsRef, now: Instant) -> bool {
         !self.superseded.get()
             && !self.closed.borrow().contains(weights)
-            && self.fresh(now, self.fresh_for / 2, |loaded| loaded.contains(weights)) == Some(true)
+            && self.fresh(now, self.max_state_age / 2, |loaded| loaded.contains(weights))
+                == Some(true)
     }
 
     /// Requests that use `weights`.
@@ -119,7 +120,8 @@
         if self.closed.borrow().contains(weights) {
             return Err(RefusalReason::Unloading);
         }
-        match (self.fresh(now, self.fresh_for, |loaded| loaded.contains(weights)), weights.kind) {
+        match (self.fresh(now, self.max_state_age, |loaded| loaded.contains(weights)), weights.kind)
+        {
             (None | Some(true), _) => Ok(()),
             (Some(false), WeightsKind::Model) => Err(RefusalReason::ModelNotLoaded),
             (Some(false), WeightsKind::Adapter) => Err(RefusalReason::AdapterNotLoaded),
@@ -130,10 +132,10 @@
         &self,
         now: Instant,
         within: Duration,
-        look: impl FnOnce(&BTreeSet<WeightsRef>) -> T,
+        query: impl FnOnce(&BTreeSet<WeightsRef>) -> T,
     ) -> Option<T> {
         let loaded = self.loaded.borrow();
         let loaded = loaded.as_ref()?;
-        (now.saturating_duration_since(loaded.read) <= within).then(|| look(&loaded.weights))
+        (now.saturating_duration_since(loaded.read) <= within).then(|| query(&loaded.weights))
     }
 }
--- a/crates/papayamux-agent/src/orders/order_core.rs
+++ b/crates/papayamux-agent/src/orders/order_core.rs
@@ -15,7 +15,7 @@
 use super::target_watch::TargetWatch;
 
 /// Looks at the engine after which its state counts as unknown.
-const FRESH_LOOKS: u32 = 5;
+const MAX_STATE_AGE_POLLS: u32 = 5;
 
 /// What an agent knows of its engine and its orders.
 pub struct OrderCore {
@@ -53,7 +53,7 @@
             target.set(wanted);
         }
         Self {
-            gate: ModelGate::new(settings.look_every * FRESH_LOOKS),
+            gate: ModelGate::new(settings.look_every * MAX_STATE_AGE_POLLS),
             stops: RefCell::new(StopBook::new(settings.evidence_for, Instant::now())),
             settings,
             target,
@@ -76,7 +76,7 @@
     }
 
     /// Notes the last look at the engine.
-    pub fn note_report(&self, report: OrderReport) {
+    pub fn record_report(&self, report: OrderReport) {
         let plan = &report.plan;
         let open = plan.missing.len() + plan.outdated.len() + plan.surplus.len() + plan.loading;
         self.metrics.open_changes.set(open as i64);
--- a/crates/papayamux-agent/src/orders/order_permit.rs
+++ b/crates/papayamux-agent/src/orders/order_permit.rs
@@ -5,7 +5,7 @@
 use papayamux_coordination::orders::LoadSlots;
 
 /// How long after the engine's state was asked for an order may follow from it.
-pub const PERMIT_FOR: Duration = Duration::from_millis(500);
+pub const PERMIT_TTL: Duration = Duration::from_millis(500);
 
 /// A slot of the weight store that an order uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,25 +20,25 @@
 /// deadline lies on the monotonic clock, so that an agent that was paused reads everything again.
 #[derive(Debug)]
 pub struct OrderPermit {
-    until: Instant,
+    deadline: Instant,
     slot: Option<SlotUse>,
 }
 
 /// Why an order may not be sent any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PermitEnd {
+pub enum PermitError {
     /// The engine's state was read too long ago.
     Expired,
     /// The slot of the weight store has passed.
     SlotPassed,
 }
 
-impl PermitEnd {
+impl PermitError {
     /// The stable word for metrics.
     pub const fn label(self) -> &'static str {
         match self {
-            PermitEnd::Expired => "permit_expired",
-            PermitEnd::SlotPassed => "slot_passed",
+            PermitError::Expired => "permit_expired",
+            PermitError::SlotPassed => "slot_passed",
         }
     }
 }
@@ -52,22 +52,22 @@
     /// The permission that follows from a state that was asked for at `asked`, for an order that
     /// uses `slot`, if it begins a load.
     pub fn new(asked: Instant, slot: Option<SlotUse>) -> Self {
-        Self { until: asked + PERMIT_FOR, slot }
+        Self { deadline: asked + PERMIT_TTL, slot }
     }
 
     /// Ends earlier, at `until`.
-    pub fn end_by(&mut self, until: Instant) {
-        self.until = self.until.min(until);
+    pub fn limit_to(&mut self, deadline: Instant) {
+        self.deadline = self.deadline.min(deadline);
     }
 
     /// Whether an order may be sent now.
-    pub fn check(&self) -> Result<(), PermitEnd> {
-        if Instant::now() >= self.until {
-            return Err(PermitEnd::Expired);
+    pub fn check(&self) -> Result<(), PermitError> {
+        if Instant::now() >= self.deadline {
+            return Err(PermitError::Expired);
         }
         match self.slot {
             Some(used) if used.slots.open_slot(wall_clock()) != Some(used.number) => {
-                Err(PermitEnd::SlotPassed)
+                Err(PermitError::SlotPassed)
             }
             _ => Ok(()),
         }
--- a/crates/papayamux-agent/src/orders/order_settings.rs
+++ b/crates/papayamux-agent/src/orders/order_settings.rs
@@ -19,7 +19,7 @@
 const DEFAULT_LOOK_EVERY: Duration = Duration::from_secs(1);
 const DEFAULT_EVIDENCE_FOR: Duration = Duration::from_secs(5);
 /// Looks that have to fit into the time for which evidence counts.
-const LOOKS_PER_EVIDENCE: u32 = 4;
+const MIN_POLLS_PER_EVIDENCE: u32 = 4;
 
 /// How an agent orders its engine.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
@@ -109,8 +109,8 @@
     evidence_for: Option<Duration>,
 ) {
     let look_every = look_every.unwrap_or(DEFAULT_LOOK_EVERY);
-    if evidence_for.unwrap_or(DEFAULT_EVIDENCE_FOR) < look_every * LOOKS_PER_EVIDENCE {
-        let help = format!("make evidence_for at least {LOOKS_PER_EVIDENCE} times look_every");
+    if evidence_for.unwrap_or(DEFAULT_EVIDENCE_FOR) < look_every * MIN_POLLS_PER_EVIDENCE {
+        let help = format!("make evidence_for at least {MIN_POLLS_PER_EVIDENCE} times look_every");
         section.report("evidence_for", "evidence would run out between two looks", &help);
     }
 }
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -23,10 +23,10 @@
 
 /// Looks in a row without a fencing number after an obeyed order, after which the engine is taken
 /// to publish none.
-const MOST_UNSHOWN: u32 = 3;
+const MAX_MISSING_FENCES: u32 = 3;
 
 /// How a look at the engine ended.
-enum LookEnd {
+enum PollOutcome {
     /// The next look comes with the timer or with the next slot.
     Wait,
     /// Things have changed; the next look comes at once.
@@ -36,7 +36,7 @@
 }
 
 /// The engine's state as it was read.
-struct EngineLook {
+struct EnginePoll {
     asked: Instant,
     view: EngineReading,
     sight: FenceSight,
@@ -47,9 +47,9 @@
     core: Rc<AgentCore>,
     orders: Rc<OrderCore>,
     fence: FenceBook,
-    unshown: u32,
+    missing_fences: u32,
     backoff: LoadBackoff,
-    awaited: BTreeMap<WeightsRef, String>,
+    pending_loads: BTreeMap<WeightsRef, String>,
     stops: StopRequests,
     evidence: EvidenceTable,
     used_slot: Option<u64>,
@@ -75,9 +75,9 @@
             stops: StopRequests::new(client, orders.clone()),
             core,
             orders,
-            unshown: 0,
+            missing_fences: 0,
             backoff: LoadBackoff::default(),
-            awaited: BTreeMap::new(),
+            pending_loads: BTreeMap::new(),
             evidence: EvidenceTable::new(),
             used_slot: None,
             waits: Vec::new(),
@@ -87,10 +87,10 @@
     /// Orders until a newer agent does so, or the timer ends.
     pub async fn run(mut self, mut ticks: TimerSubscription) {
         loop {
-            match self.look().await {
-                LookEnd::Again => continue,
-                LookEnd::Superseded => return self.step_back(),
-                LookEnd::Wait => {}
+            match self.poll().await {
+                PollOutcome::Again => continue,
+                PollOutcome::Superseded => return self.stop_superseded(),
+                PollOutcome::Wait => {}
             }
             if !self.wait(&mut ticks).await {
                 return;
@@ -102,7 +102,7 @@
     async fn wait(&mut self, ticks: &mut TimerSubscription) -> bool {
         let slot = self.until_slot().unwrap_or(Duration::MAX / 4);
         let tick = std::pin::pin!(ticks.tick());
-        let slot = std::pin::pin!(sleep_long(slot));
+        let slot = std::pin::pin!(sleep_capped(slot));
         let Either::Left((tick, _)) = select(tick, slot).await else { return true };
         let Some(tick) = tick else { return false };
         if let Some(paused) = tick.paused {
@@ -126,57 +126,57 @@
         LoadSlots::new(&self.core.server, &fleet, self.orders.settings.load_rate)
     }
 
-    fn wait_for(&mut self, label: &'static str) -> LookEnd {
+    fn wait_for(&mut self, label: &'static str) -> PollOutcome {
         self.orders.metrics.waits.count(label);
         self.waits.push(label);
-        LookEnd::Wait
+        PollOutcome::Wait
     }
 
-    async fn look(&mut self) -> LookEnd {
+    async fn poll(&mut self) -> PollOutcome {
         self.waits.clear();
         let Some(target) = self.orders.target.current() else { return self.wait_for("no_target") };
         if let Err(error) = target.check() {
             log::warn!(error:% = error; "the target can't be ordered");
             return self.wait_for(error.label());
         }
-        let look = match self.read().await {
-            Ok(look) => look,
+        let poll = match self.read().await {
+            Ok(poll) => poll,
             Err(error) => {
                 log::warn!(server:% = self.core.server, error:% = error; "state unread");
                 return self.wait_for("state_unread");
             }
         };
-        if look.sight == FenceSight::Successor {
-            return LookEnd::Superseded;
+        if poll.sight == FenceSight::Successor {
+            return PollOutcome::Superseded;
         }
-        let plan = ChangePlan::new(&target, &look.view);
-        self.settle(&target, &look.view, &plan);
+        let plan = ChangePlan::new(&target, &poll.view);
+        self.settle(&target, &poll.view, &plan);
         let slots = self.slots(&target);
-        if self.stops.ask_next(&target, &plan, slots, &mut self.evidence, &self.backoff).await {
-            return LookEnd::Again;
+        if self.stops.query_next(&target, &plan, slots, &mut self.evidence, &self.backoff).await {
+            return PollOutcome::Again;
         }
         self.waits.append(&mut self.stops.take_waits());
-        let end = self.order(&target, &look, &plan, slots).await;
-        self.report(&target, look.view, plan);
+        let end = self.order(&target, &poll, &plan, slots).await;
+        self.report(&target, poll.view, plan);
         end
     }
 
     /// Reads the engine's state, and what its fencing number says.
-    async fn read(&mut self) -> Result<EngineLook, EngineError> {
+    async fn read(&mut self) -> Result<EnginePoll, EngineError> {
         let asked = Instant::now();
         let state = read_state(&self.core.client).await?;
         let view = EngineReading::from(&state);
         let sight = self.fence.observe(view.fence);
         self.orders.metrics.fences.count(sight.label());
-        self.orders.gate.note_loaded(view.loaded.keys().cloned().collect(), asked);
-        Ok(EngineLook { asked, view, sight })
+        self.orders.gate.record_loaded(view.loaded.keys().cloned().collect(), asked);
+        Ok(EnginePoll { asked, view, sight })
     }
 
     /// Notes loads that have ended, and serves on where stopping is not wanted any more.
     fn settle(&mut self, target: &ServerTarget, view: &EngineReading, plan: &ChangePlan) {
         let now = Instant::now();
-        let awaited = std::mem::take(&mut self.awaited);
-        for (weights, version) in awaited {
+        let pending_loads = std::mem::take(&mut self.pending_loads);
+        for (weights, version) in pending_loads {
             let label = match view.loaded.get(&weights) {
                 Some(loaded) if *loaded == version => "loaded",
                 _ if view.has_failed(&weights, &version) => {
@@ -186,7 +186,7 @@
                     "failed"
                 }
                 _ if view.is_loading(&weights, &version) => {
-                    self.awaited.insert(weights, version);
+                    self.pending_loads.insert(weights, version);
                     continue;
                 }
                 _ => "lost",
@@ -203,10 +203,10 @@
     async fn order(
         &mut self,
         target: &ServerTarget,
-        look: &EngineLook,
+        poll: &EnginePoll,
         plan: &ChangePlan,
         slots: LoadSlots,
-    ) -> LookEnd {
+    ) -> PollOutcome {
         let now = Instant::now();
         let load = next_load(target, plan, &self.backoff, &self.evidence, now);
         let slot = unused_slot(slots, self.used_slot).filter(|_| load.is_some());
@@ -215,16 +215,16 @@
         }
         let load = load.filter(|_| slot.is_some());
         let unload = self.stops.unloadable(plan, now);
-        let rights = StepRights { load, unload, claim: self.claims(look.sight) };
-        let Some(draft) = OrderDraft::next(target, &look.view, &rights) else {
-            return LookEnd::Wait;
+        let rights = StepRights { load, unload, claim: self.claims(poll.sight) };
+        let Some(draft) = OrderDraft::next(target, &poll.view, &rights) else {
+            return PollOutcome::Wait;
         };
-        let mut permit = OrderPermit::new(look.asked, slot);
+        let mut permit = OrderPermit::new(poll.asked, slot);
         let update = rights.load.as_ref().filter(|weights| plan.outdated.contains(weights));
         let deadline = update
             .and_then(|weights| update_deadline(target, weights, &self.evidence, now).flatten());
         if let Some(deadline) = deadline {
-            permit.end_by(deadline);
+            permit.limit_to(deadline);
         }
         self.send(target, &draft, &permit, rights.load.zip(slot)).await
     }
@@ -232,11 +232,11 @@
     /// Whether the engine has to be told who orders it.
     fn claims(&mut self, sight: FenceSight) -> bool {
         match sight {
-            FenceSight::Own => self.unshown = 0,
-            FenceSight::Restarted => self.unshown += 1,
+            FenceSight::Own => self.missing_fences = 0,
+            FenceSight::Restarted => self.missing_fences += 1,
             _ => {}
         }
-        sight != FenceSight::Own && self.unshown <= MOST_UNSHOWN
+        sight != FenceSight::Own && self.missing_fences <= MAX_MISSING_FENCES
     }
 
     async fn send(
@@ -245,10 +245,10 @@
         draft: &OrderDraft,
         permit: &OrderPermit,
         load: Option<(WeightsRef, SlotUse)>,
-    ) -> LookEnd {
+    ) -> PollOutcome {
         let fence = match self.fence.issue(target.revision) {
             Ok(fence) => fence,
-            Err(FenceError::Contended) => return LookEnd::Superseded,
+            Err(FenceError::Contended) => return PollOutcome::Superseded,
             Err(error) => {
                 log::error!(server:% = self.core.server, error:% = error; "no order possible");
                 return self.wait_for("fence_exhausted");
@@ -263,14 +263,14 @@
             "order"
         );
         match outcome {
-            OrderOutcome::NotSent(_) => return LookEnd::Wait,
+            OrderOutcome::NotSent(_) => return PollOutcome::Wait,
             OrderOutcome::Stale { highest } => {
                 return match self.fence.note_refused(highest) {
-                    FenceSight::Successor => LookEnd::Superseded,
-                    _ => LookEnd::Again,
+                    FenceSight::Successor => PollOutcome::Superseded,
+                    _ => PollOutcome::Again,
                 };
             }
-            OrderOutcome::Obeyed => self.fence.note_obeyed(),
+            OrderOutcome::Accepted => self.fence.note_obeyed(),
             OrderOutcome::Refused(status) => {
                 log::warn!(server:% = self.core.server, status:% = status; "order refused");
             }
@@ -282,45 +282,50 @@
         if let Some((weights, slot)) = load {
             self.used_slot = Some(slot.number);
             if let Some(version) = draft.weights.get(&weights) {
-                self.awaited.insert(weights, version.clone());
+                self.pending_loads.insert(weights, version.clone());
             }
         }
         self.check_effect(draft, &outcome).await
     }
 
-    async fn check_effect(&mut self, draft: &OrderDraft, outcome: &OrderOutcome) -> LookEnd {
+    async fn check_effect(&mut self, draft: &OrderDraft, outcome: &OrderOutcome) -> PollOutcome {
         let effects = self.orders.metrics.effects.clone();
         let Ok(after) = self.read().await else {
             effects.count("unread");
-            return LookEnd::Wait;
+            return PollOutcome::Wait;
         };
         if after.sight == FenceSight::Successor {
-            return LookEnd::Superseded;
+            return PollOutcome::Superseded;
         }
         let seen = draft.is_in_effect(&after.view);
         effects.count(if seen { "seen" } else { "missing" });
-        if matches!(outcome, OrderOutcome::Obeyed) && !seen {
+        if matches!(outcome, OrderOutcome::Accepted) && !seen {
             log::warn!(server:% = self.core.server; "the order's effect is not seen");
         }
-        LookEnd::Wait
+        PollOutcome::Wait
     }
 
     fn report(&self, target: &ServerTarget, view: EngineReading, plan: ChangePlan) {
         let waits = self.waits.clone();
-        self.orders.note_report(OrderReport { revision: Some(target.revision), view, plan, waits });
+        self.orders.record_report(OrderReport {
+            revision: Some(target.revision),
+            view,
+            plan,
+            waits,
+        });
     }
 
     /// A newer agent stands beside the engine: this one orders nothing more and takes no work.
-    fn step_back(&self) {
+    fn stop_superseded(&self) {
         log::warn!(server:% = self.core.server; "a newer agent orders the engine; stepping back");
         self.orders.metrics.superseded.set(1);
         self.orders.gate.supersede();
-        self.core.leaving.give();
+        self.core.draining.give();
     }
 }
 
 /// Sleeps for at most a day, which is as good as for ever beside a timer.
-async fn sleep_long(time: Duration) {
-    const LONGEST: Duration = Duration::from_secs(86_400);
-    monoio::time::sleep(time.min(LONGEST)).await;
+async fn sleep_capped(time: Duration) {
+    const MAX_SLEEP: Duration = Duration::from_secs(86_400);
+    monoio::time::sleep(time.min(MAX_SLEEP)).await;
 }
--- a/crates/papayamux-agent/src/orders/serving_client.rs
+++ b/crates/papayamux-agent/src/orders/serving_client.rs
@@ -14,9 +14,9 @@
 use super::metrics::OrderMetrics;
 
 /// How long another agent may take to answer, with the opening of the connection.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Servers that are asked at most.
-const MOST_ASKED: usize = 256;
+const MAX_QUERIED: usize = 256;
 
 /// Asks other agents on behalf of this one.
 #[derive(Debug, Clone)]
@@ -33,17 +33,17 @@
 
 impl ServingClient {
     /// Asks all `others` at once; gives the evidence of those that serve and answer in time.
-    pub async fn ask_all(
+    pub async fn query_all(
         &self,
         weights: &WeightsRef,
         others: &[(ServerId, SocketAddr)],
     ) -> Vec<ServingEvidence> {
-        let asks = others.iter().take(MOST_ASKED);
-        let asks = asks.map(|(other, address)| self.ask(other, *address, weights));
-        join_all(asks).await.into_iter().flatten().collect()
+        let queries = others.iter().take(MAX_QUERIED);
+        let queries = queries.map(|(other, address)| self.query(other, *address, weights));
+        join_all(queries).await.into_iter().flatten().collect()
     }
 
-    async fn ask(
+    async fn query(
         &self,
         other: &ServerId,
         address: SocketAddr,
@@ -51,7 +51,7 @@
     ) -> Option<ServingEvidence> {
         let asked = Instant::now();
         let exchange = self.exchange(other, address, weights);
-        let label = match monoio::time::timeout(ANSWER_WITHIN, exchange).await {
+        let label = match monoio::time::timeout(ANSWER_TIMEOUT, exchange).await {
             Ok(Ok(ServingAnswer::Serves)) => "serves",
             Ok(Ok(ServingAnswer::Refused(refusal))) => refusal.label(),
             Ok(Err(error)) => error.label(),
--- a/crates/papayamux-agent/src/orders/step_choice.rs
+++ b/crates/papayamux-agent/src/orders/step_choice.rs
@@ -32,7 +32,7 @@
     if keepers == 0 {
         return Some(None);
     }
-    let mut ends: Vec<_> = evidence.get(weights)?.iter().map(|word| word.until).collect();
+    let mut ends: Vec<_> = evidence.get(weights)?.iter().map(|entry| entry.until).collect();
     ends.sort_unstable_by(|left, right| right.cmp(left));
     let end = *ends.get(needed_keepers(keepers) - 1)?;
     (end > now).then_some(Some(end))
--- a/crates/papayamux-agent/src/orders/stop_requests.rs
+++ b/crates/papayamux-agent/src/orders/stop_requests.rs
@@ -21,17 +21,24 @@
 pub struct StopRequests {
     client: ServingClient,
     orders: Rc<OrderCore>,
-    next_ask: Instant,
-    turn: usize,
-    drains: BTreeMap<WeightsRef, Instant>,
+    next_query_at: Instant,
+    round_robin: usize,
+    drain_deadlines: BTreeMap<WeightsRef, Instant>,
     waits: Vec<&'static str>,
 }
 
 impl StopRequests {
     /// No wish yet.
     pub fn new(client: ServingClient, orders: Rc<OrderCore>) -> Self {
-        let (drains, waits) = (BTreeMap::new(), Vec::new());
-        Self { client, orders, next_ask: Instant::now(), turn: 0, drains, waits }
+        let (drain_deadlines, waits) = (BTreeMap::new(), Vec::new());
+        Self {
+            client,
+            orders,
+            next_query_at: Instant::now(),
+            round_robin: 0,
+            drain_deadlines,
+            waits,
+        }
     }
 
     /// What is waited for since the last call.
@@ -45,7 +52,7 @@
     }
 
     /// How long before its slot an update asks other servers: at least one look falls into it.
-    fn ask_before(&self) -> Duration {
+    fn query_lead_time(&self) -> Duration {
         (self.client.evidence_for / 4).max(self.orders.settings.look_every)
     }
 
@@ -59,19 +66,19 @@
     ) {
         let now = Instant::now();
         let mut stops = self.orders.stops.borrow_mut();
-        let wished: BTreeSet<_> = stops.stopping().chain(stops.stopped()).cloned().collect();
-        evidence.retain(|_, words| words.iter().any(|word| word.until > now));
-        for weights in wished {
+        let requested: BTreeSet<_> = stops.stopping().chain(stops.stopped()).cloned().collect();
+        evidence.retain(|_, entries| entries.iter().any(|entry| entry.until > now));
+        for weights in requested {
             let is_surplus = plan.surplus.contains(&weights);
             let is_updated = target.weights.get(&weights).is_some_and(|version| {
                 view.is_loading(&weights, version)
                     || plan.outdated.contains(&weights) && evidence.contains_key(&weights)
             });
-            let goes_on = is_surplus && stops.has_stopped(&weights) || is_updated;
-            if !goes_on {
+            let keeps_stopping = is_surplus && stops.has_stopped(&weights) || is_updated;
+            if !keeps_stopping {
                 stops.serve_on(&weights);
                 evidence.remove(&weights);
-                self.drains.remove(&weights);
+                self.drain_deadlines.remove(&weights);
             }
         }
         evidence.retain(|weights, _| plan.outdated.contains(weights));
@@ -89,14 +96,14 @@
         let stops = self.orders.stops.borrow();
         let is_drained = |weights: &&WeightsRef| {
             self.orders.gate.running(weights) == 0
-                || self.drains.get(*weights).is_some_and(|bound| *bound <= now)
+                || self.drain_deadlines.get(*weights).is_some_and(|deadline| *deadline <= now)
         };
         let stopped = plan.surplus.iter().filter(|weights| stops.has_stopped(weights));
         stopped.filter(is_drained).cloned().collect()
     }
 
     /// Brings one wish to stop forward; whether anything has changed by that.
-    pub async fn ask_next(
+    pub async fn query_next(
         &mut self,
         target: &ServerTarget,
         plan: &ChangePlan,
@@ -108,20 +115,20 @@
             return true;
         }
         let now = Instant::now();
-        let updates_near = slots.until_next(wall_clock()) <= self.ask_before();
+        let updates_near = slots.until_next(wall_clock()) <= self.query_lead_time();
         let outdated = plan.outdated.iter().filter(|weights| {
             updates_near && backoff.may_try(weights, now) && !evidence.contains_key(*weights)
         });
         let surplus = plan.surplus.iter();
-        let wishes: Vec<_> = {
+        let candidates: Vec<_> = {
             let stops = self.orders.stops.borrow();
             surplus.filter(|weights| !stops.has_stopped(weights)).chain(outdated).cloned().collect()
         };
-        if wishes.is_empty() {
+        if candidates.is_empty() {
             return false;
         }
-        self.turn = self.turn.wrapping_add(1);
-        let weights = wishes[self.turn % wishes.len()].clone();
+        self.round_robin = self.round_robin.wrapping_add(1);
+        let weights = candidates[self.round_robin % candidates.len()].clone();
         let keepers: Vec<_> =
             target.keepers(&weights).map(|(name, agent)| (name.clone(), agent)).collect();
         let is_surplus = plan.surplus.contains(&weights);
@@ -131,11 +138,11 @@
             }
             return false;
         }
-        if now < self.next_ask {
+        if now < self.next_query_at {
             self.wait_for("ask_later");
             return false;
         }
-        let kept = self.ask(&weights, &keepers).await;
+        let kept = self.query(&weights, &keepers).await;
         match kept {
             None => false,
             Some(kept) if is_surplus => self.stop(&weights, &kept, needed_keepers(keepers.len())),
@@ -148,13 +155,13 @@
 
     /// Stops serving what nobody may ask for any more.
     fn stop_unneeded(&mut self, target: &ServerTarget, plan: &ChangePlan) -> bool {
-        let bound = Instant::now() + self.orders.settings.unload_drain;
+        let deadline = Instant::now() + self.orders.settings.unload_drain;
         let mut stops = self.orders.stops.borrow_mut();
         let mut stopped = false;
         for weights in plan.surplus.iter().filter(|weights| !target.is_in_force(weights)) {
             if !stops.has_stopped(weights) {
                 stops.stop_unneeded(weights);
-                self.drains.insert(weights.clone(), bound);
+                self.drain_deadlines.insert(weights.clone(), deadline);
                 stopped = true;
             }
         }
@@ -164,19 +171,19 @@
     }
 
     /// Asks `keepers` to serve on; gives their evidence if it is enough.
-    async fn ask(
+    async fn query(
         &mut self,
         weights: &WeightsRef,
         keepers: &[(ServerId, SocketAddr)],
     ) -> Option<Vec<ServingEvidence>> {
         self.orders.stops.borrow_mut().begin_stop(weights);
-        let kept = self.client.ask_all(weights, keepers).await;
+        let kept = self.client.query_all(weights, keepers).await;
         if kept.len() >= needed_keepers(keepers.len()) {
             return Some(kept);
         }
         self.orders.stops.borrow_mut().serve_on(weights);
         let share: f64 = rand::random();
-        self.next_ask = Instant::now() + self.client.evidence_for.mul_f64(0.1 + 0.4 * share);
+        self.next_query_at = Instant::now() + self.client.evidence_for.mul_f64(0.1 + 0.4 * share);
         self.wait_for("too_few_keepers");
         None
     }
@@ -190,8 +197,8 @@
         drop(stops);
         if stopped {
             log::info!(weights:% = weights; "serves no more");
-            let bound = Instant::now() + self.orders.settings.unload_drain;
-            self.drains.insert(weights.clone(), bound);
+            let deadline = Instant::now() + self.orders.settings.unload_drain;
+            self.drain_deadlines.insert(weights.clone(), deadline);
             self.close_gate();
         }
         stopped
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -22,15 +22,15 @@
 use crate::agent_core::AgentCore;
 use crate::answers::{AnswerRecord, Attachment, AttachmentKey};
 use crate::claims::{serve_recall, RecallStream};
-use crate::farewell::{LinkFarewell, FAREWELL_PING};
-use crate::trust::{GreetingError, RouterReceiver, SilentLink, TrustedLink};
+use crate::link_shutdown::{LinkShutdown, SHUTDOWN_PING};
+use crate::trust::{AcceptedLink, HandshakeError, RouterReceiver, TrustedLink};
 
 /// Silence on a connection with open streams after which the router is pinged.
-const PING_AFTER: Duration = Duration::from_secs(2);
+const PING_IDLE_TIME: Duration = Duration::from_secs(2);
 /// Pings without any frame in between after which the connection counts as silent.
-const MOST_UNANSWERED: u32 = 3;
+const MAX_UNANSWERED_PINGS: u32 = 3;
 /// Streams open at once on one connection.
-const MOST_STREAMS: usize = 4_096;
+const MAX_STREAMS: usize = 4_096;
 /// Time after which a refused router may ask again.
 const RETRY_AFTER_MS: u32 = 500;
 /// Serves one connection to its end.
@@ -53,12 +53,12 @@
         sender,
         streams: RefCell::default(),
         recalls: RefCell::default(),
-        farewell: LinkFarewell::default(),
+        link_shutdown: LinkShutdown::default(),
     };
     core.crashes.connect(number, link.sender.clone());
     let end = link.serve(&mut receiver).await;
     core.crashes.disconnect(number);
-    link.lose();
+    link.handle_disconnect();
     match end {
         LinkEnd::Closed => {}
         LinkEnd::Silent => {
@@ -72,9 +72,9 @@
     }
 }
 
-async fn open_link(core: &AgentCore, stream: TcpStream) -> Result<TrustedLink, GreetingError> {
+async fn open_link(core: &AgentCore, stream: TcpStream) -> Result<TrustedLink, HandshakeError> {
     let (sender, receiver) = start_link(stream)?;
-    SilentLink::new(sender, receiver).greet(core).await?.verify().await
+    AcceptedLink::new(sender, receiver).receive_hello(core).await?.verify().await
 }
 
 /// Why a connection ended.
@@ -91,19 +91,20 @@
     sender: LinkSender<AgentMessage>,
     streams: RefCell<HashMap<u64, Rc<AnswerRecord>>>,
     recalls: RefCell<HashMap<u64, ShutdownSignal>>,
-    farewell: LinkFarewell,
+    link_shutdown: LinkShutdown,
 }
 
 impl RouterLink {
     /// Reads to the connection's end; says on the way when the agent leaves.
     async fn serve(&self, receiver: &mut RouterReceiver) -> LinkEnd {
         let read = std::pin::pin!(self.read_messages(receiver));
-        let leaving = std::pin::pin!(self.core.leaving.given());
-        match select(leaving, read).await {
+        let draining = std::pin::pin!(self.core.draining.given());
+        match select(draining, read).await {
             Either::Left(((), read)) => {
                 self.sender.send(CONNECTION, AgentMessage::Leaving);
-                let farewell = std::pin::pin!(self.farewell.say(&self.core.closing, &self.sender));
-                match select(farewell, read).await {
+                let link_shutdown =
+                    std::pin::pin!(self.link_shutdown.run(&self.core.closing, &self.sender));
+                match select(link_shutdown, read).await {
                     Either::Left(_) => LinkEnd::Closed,
                     Either::Right((outcome, _)) => outcome,
                 }
@@ -115,9 +116,9 @@
     async fn read_messages(&self, receiver: &mut RouterReceiver) -> LinkEnd {
         let mut unanswered = 0;
         loop {
-            match monoio::time::timeout(PING_AFTER, receiver.receive()).await {
-                Err(_) if !self.has_flowing_streams() => unanswered = 0,
-                Err(_) if unanswered == MOST_UNANSWERED => return LinkEnd::Silent,
+            match monoio::time::timeout(PING_IDLE_TIME, receiver.receive()).await {
+                Err(_) if !self.has_unsent_streams() => unanswered = 0,
+                Err(_) if unanswered == MAX_UNANSWERED_PINGS => return LinkEnd::Silent,
                 Err(_) => {
                     unanswered += 1;
                     self.send(CONNECTION, AgentMessage::Ping(u64::from(unanswered)));
@@ -134,11 +135,11 @@
 
     /// Whether the router's silence would matter. A stream whose end is sent needs no ping: a
     /// router that has not received it asks again.
-    fn has_flowing_streams(&self) -> bool {
+    fn has_unsent_streams(&self) -> bool {
         let mut streams = self.streams.borrow_mut();
         let now = Instant::now();
         streams.retain(|_, record| !record.is_expired(now));
-        streams.values().any(|record| record.is_flowing())
+        streams.values().any(|record| record.has_unsent())
     }
 
     fn take_message(&self, stream: u64, message: RouterMessage) {
@@ -153,7 +154,7 @@
                 }
             }
             RouterMessage::Cancel => self.close(stream, |record| record.cancel(key)),
-            RouterMessage::Received => self.close(stream, |record| record.arrive(key)),
+            RouterMessage::Received => self.close(stream, |record| record.acknowledge_end(key)),
             RouterMessage::Claim(claim) => self.answer_claim(stream, &claim),
             RouterMessage::ClaimNotice(notice) => self.core.witness.note(notice),
             RouterMessage::Recall(recall) => self.recall(stream, recall),
@@ -162,8 +163,8 @@
                 self.send(CONNECTION, AgentMessage::Pong(pong));
             }
             RouterMessage::Probe(probe) => self.answer_probe(stream, &probe),
-            RouterMessage::Moved(moved) => self.core.engine.note_moved(moved),
-            RouterMessage::Pong(FAREWELL_PING) => self.farewell.note_pong(),
+            RouterMessage::Moved(moved) => self.core.engine.record_moved(moved),
+            RouterMessage::Pong(SHUTDOWN_PING) => self.link_shutdown.record_pong(),
             RouterMessage::Pong(_) => {}
             RouterMessage::AskServing(question) => {
                 let answer = self.core.answer_question(&question);
@@ -190,7 +191,7 @@
 
     fn open(&self, stream: u64, open: OpenRequest) {
         let opened = OpenedStream { core: &self.core, attachment: self.attachment(stream) };
-        if self.streams.borrow().len() >= MOST_STREAMS {
+        if self.streams.borrow().len() >= MAX_STREAMS {
             self.core.book.refuse_unseen(open.id, open.start_before, self.core.clock());
             return opened.refuse(&open, RefusalReason::AtCapacity, None);
         }
@@ -222,9 +223,9 @@
     /// Lets an answer go on on this connection, or says what has become of its request.
     fn resume(&self, stream: u64, resume: &ResumeRequest) {
         let core = &self.core;
-        let known_life = resume.agent.is_none_or(|agent| agent == core.incarnation);
-        let has_room = self.streams.borrow().len() < MOST_STREAMS;
-        let record = core.answers.find(&resume.id).filter(|_| known_life && has_room);
+        let same_incarnation = resume.agent.is_none_or(|agent| agent == core.incarnation);
+        let has_room = self.streams.borrow().len() < MAX_STREAMS;
+        let record = core.answers.find(&resume.id).filter(|_| same_incarnation && has_room);
         if let Some(record) = record.filter(|record| record.belongs_to(&resume.organisation)) {
             let attached = record.attach(self.attachment(stream), resume.from);
             core.metrics.resumes.count(if attached { "resumed" } else { "not_held" });
@@ -239,7 +240,7 @@
             self.sender.send(stream, AgentMessage::Refused(notice));
             return;
         }
-        let unseen = known_life
+        let unseen = same_incarnation
             && resume.start_before.is_some_and(|start_before| {
                 core.book.refuse_unseen(resume.id, start_before, core.clock())
             });
@@ -266,7 +267,7 @@
 
     /// Answers a repeat with the first run's answer, once that has ended.
     fn recall(&self, stream: u64, recall: RecallRequest) {
-        if self.recalls.borrow().len() >= MOST_STREAMS {
+        if self.recalls.borrow().len() >= MAX_STREAMS {
             let notice = RefusalNotice::new(RefusalReason::AtCapacity, RETRY_AFTER_MS);
             self.core.metrics.refusals.count(notice.reason.label());
             self.sender.send(stream, AgentMessage::Refused(notice));
@@ -285,14 +286,14 @@
     fn refuse(&self, stream: u64, id: RequestId, reason: RefusalReason) {
         self.core.metrics.refusals.count(reason.label());
         let notice = RefusalNotice::new(reason, RETRY_AFTER_MS);
-        self.core.answers.note_refusal(id, notice.clone());
+        self.core.answers.record_refusal(id, notice.clone());
         self.send(stream, AgentMessage::Refused(notice));
     }
 
     /// The connection is gone; its router may ask for the streams again on another one.
-    fn lose(&self) {
+    fn handle_disconnect(&self) {
         for (stream, record) in self.streams.borrow_mut().drain() {
-            record.lose(AttachmentKey { link: self.number, stream });
+            record.handle_disconnect(AttachmentKey { link: self.number, stream });
         }
         self.recalls.borrow_mut().drain().for_each(|(_, closed)| closed.give());
     }
--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -15,7 +15,7 @@
 use crate::agent_core::AgentCore;
 use crate::answers::{AnswerRecord, EventTagger};
 use crate::claims::RunRecorder;
-use crate::crash_board::RunningContent;
+use crate::crash_notifier::RunningContent;
 use crate::server_exchange::{
     broken_connection, resume_stream, ResumeTarget, ServerError, ServerStep, ServerWatch,
 };
@@ -25,7 +25,7 @@
 
 /// How a request ended at the agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// The whole answer was read.
     Whole,
     /// The server could not be reached: nothing ran.
@@ -36,14 +36,14 @@
     Cancelled,
 }
 
-impl RunEnd {
+impl RunOutcome {
     /// The stable word for metrics.
     pub fn label(self) -> &'static str {
         match self {
-            RunEnd::Whole => "whole",
-            RunEnd::Unreachable => "unreachable",
-            RunEnd::Failed => "failed",
-            RunEnd::Cancelled => "cancelled",
+            RunOutcome::Whole => "whole",
+            RunOutcome::Unreachable => "unreachable",
+            RunOutcome::Failed => "failed",
+            RunOutcome::Cancelled => "cancelled",
         }
     }
 }
@@ -54,14 +54,14 @@
     open: OpenRequest,
     record: &AnswerRecord,
     recorder: Option<RunRecorder>,
-) -> RunEnd {
+) -> RunOutcome {
     let run = std::pin::pin!(run_to_end(core, open, record, recorder.as_ref()));
     let cancelled = std::pin::pin!(record.wait_cancelled());
     match select(run, cancelled).await {
         Either::Left((end, _)) => end,
         Either::Right(_) => {
             record.finish(AnswerEnd::Failed("nobody waits for the answer".to_string()));
-            RunEnd::Cancelled
+            RunOutcome::Cancelled
         }
     }
 }
@@ -71,17 +71,17 @@
     open: OpenRequest,
     record: &AnswerRecord,
     recorder: Option<&RunRecorder>,
-) -> RunEnd {
+) -> RunOutcome {
     let content = RunningContent::from(&open);
     match run_at_server(core, open, record, recorder).await {
-        Ok(RunEnd::Whole) => {
+        Ok(RunOutcome::Whole) => {
             core.crashes.note_run(content);
             record.finish(AnswerEnd::Whole(record.length()));
-            RunEnd::Whole
+            RunOutcome::Whole
         }
         Ok(end) => end,
         Err(error) => {
-            if matches!(error, ServerError::Ended(_)) {
+            if matches!(error, ServerError::Crashed(_)) {
                 core.crashes.note_crash(content);
             }
             fail(core, record, &error)
@@ -94,7 +94,7 @@
     open: OpenRequest,
     record: &AnswerRecord,
     recorder: Option<&RunRecorder>,
-) -> Result<RunEnd, ServerError> {
+) -> Result<RunOutcome, ServerError> {
     let idempotent = open.repeat == RepeatRule::Idempotent;
     let start_before = open.start_before;
     let not_run = |reason: RefusalReason| {
@@ -113,7 +113,7 @@
         let resumable = is_chat && asks_for_stream(&body);
         resumable.then(|| ResumeTarget { id: record.id(), events: 0 })
     };
-    let again = idempotent.then(|| request.clone());
+    let retry = idempotent.then(|| request.clone());
     let exchange = async {
         match idempotent {
             true => core.client.send_idempotent(request).await,
@@ -121,7 +121,7 @@
         }
     };
     let mut step = ServerWatch::new(core).wait_for(target, exchange).await;
-    if let (ServerStep::Gone, Some(request)) = (&step, again) {
+    if let (ServerStep::UnknownStream, Some(request)) = (&step, retry) {
         // Only streamed chats are asked for; nothing of the answer has come, and the request was
         // lost on a connection that went silent. A server that leaves gets it no more.
         if !core.book.is_leaving() {
@@ -130,17 +130,17 @@
         }
     }
     match step {
-        ServerStep::Came(Ok(answer)) => relay(core, answer, is_chat, record, recorder).await,
+        ServerStep::Ready(Ok(answer)) => relay(core, answer, is_chat, record, recorder).await,
         ServerStep::Replaced(answer) => relay(core, *answer, is_chat, record, recorder).await,
-        ServerStep::Came(Err(HttpClientError::NotAllowed)) => {
+        ServerStep::Ready(Err(HttpClientError::NotAllowed)) => {
             Ok(not_run(RefusalReason::DeadlinePassed))
         }
-        ServerStep::Came(Err(error)) if error.nothing_was_sent() => {
+        ServerStep::Ready(Err(error)) if error.nothing_was_sent() => {
             log::warn!(server:% = core.server, error:% = error; "server unreachable");
             Ok(not_run(RefusalReason::ServerUnreachable))
         }
-        ServerStep::Came(Err(error)) => Err(broken_connection(core, error).await),
-        ServerStep::Gone => Err(ServerError::Gone),
+        ServerStep::Ready(Err(error)) => Err(broken_connection(core, error).await),
+        ServerStep::UnknownStream => Err(ServerError::UnknownStream),
         ServerStep::Silent => Err(ServerError::Silent),
     }
 }
@@ -150,15 +150,15 @@
     serde_json::from_slice::<ChatRequest>(body).is_ok_and(|request| request.stream)
 }
 
-fn refuse(record: &AnswerRecord, reason: RefusalReason) -> RunEnd {
+fn refuse(record: &AnswerRecord, reason: RefusalReason) -> RunOutcome {
     record.refuse(RefusalNotice::new(reason, 0));
-    RunEnd::Unreachable
+    RunOutcome::Unreachable
 }
 
-fn fail(core: &AgentCore, record: &AnswerRecord, error: &ServerError) -> RunEnd {
+fn fail(core: &AgentCore, record: &AnswerRecord, error: &ServerError) -> RunOutcome {
     log::warn!(server:% = core.server, request:% = record.id(), error:% = error; "server failed");
     record.finish(AnswerEnd::Failed(error.to_string()));
-    RunEnd::Failed
+    RunOutcome::Failed
 }
 
 fn server_request(core: &AgentCore, open: OpenRequest) -> Option<Request<Bytes>> {
@@ -207,7 +207,7 @@
     is_chat: bool,
     record: &AnswerRecord,
     recorder: Option<&RunRecorder>,
-) -> Result<RunEnd, ServerError> {
+) -> Result<RunOutcome, ServerError> {
     let is_stream = is_chat && is_event_stream(&answer);
     let head = answer_head(&answer);
     if let Some(recorder) = recorder {
@@ -219,9 +219,9 @@
         false => relay_bytes(core, answer, record, recorder).await?,
     }
     if let Some(recorder) = recorder {
-        recorder.whole();
+        recorder.complete();
     }
-    Ok(RunEnd::Whole)
+    Ok(RunOutcome::Whole)
 }
 
 async fn relay_bytes(
@@ -233,7 +233,7 @@
     let mut watch = ServerWatch::new(core);
     loop {
         match watch.wait_for(|| None, answer.next_piece()).await {
-            ServerStep::Came(Some(piece)) => {
+            ServerStep::Ready(Some(piece)) => {
                 let piece = match piece {
                     Ok(piece) => piece,
                     Err(error) => return Err(broken_connection(core, error).await),
@@ -243,8 +243,8 @@
                 }
                 record.append(piece, &[]).await;
             }
-            ServerStep::Came(None) => break,
-            ServerStep::Silent | ServerStep::Gone | ServerStep::Replaced(_) => {
+            ServerStep::Ready(None) => break,
+            ServerStep::Silent | ServerStep::UnknownStream | ServerStep::Replaced(_) => {
                 return Err(ServerError::Silent);
             }
         }
@@ -263,16 +263,16 @@
     loop {
         let target = ResumeTarget { id: record.id(), events: tagger.numbered() };
         let replacement = match watch.wait_for(|| Some(target), answer.next_piece()).await {
-            ServerStep::Came(Some(Ok(piece))) => {
+            ServerStep::Ready(Some(Ok(piece))) => {
                 let tagged = tagger.take(&piece);
                 record.append(tagged.bytes, &tagged.event_ends).await;
                 continue;
             }
-            ServerStep::Came(None) => break,
-            ServerStep::Came(Some(Err(_))) if tagger.is_complete() => break,
-            ServerStep::Came(Some(Err(error))) => go_on(core, target, error).await?,
+            ServerStep::Ready(None) => break,
+            ServerStep::Ready(Some(Err(_))) if tagger.is_complete() => break,
+            ServerStep::Ready(Some(Err(error))) => resume_after_error(core, target, error).await?,
             ServerStep::Replaced(answer) => answer,
-            ServerStep::Gone => return Err(ServerError::Gone),
+            ServerStep::UnknownStream => return Err(ServerError::UnknownStream),
             ServerStep::Silent => return Err(ServerError::Silent),
         };
         tagger.drop_partial();
@@ -284,7 +284,7 @@
 }
 
 /// The rest of a stream whose connection broke with `error`.
-async fn go_on(
+async fn resume_after_error(
     core: &AgentCore,
     target: ResumeTarget,
     error: HttpClientError,
@@ -294,6 +294,6 @@
         ServerError::Client(error) => {
             resume_stream(core, target).await.ok_or(ServerError::Client(error))
         }
-        ended => Err(ended),
+        crashed => Err(crashed),
     }
 }
--- a/crates/papayamux-agent/src/server_exchange.rs
+++ b/crates/papayamux-agent/src/server_exchange.rs
@@ -21,13 +21,13 @@
 use crate::agent_core::AgentCore;
 
 /// How long the server may take to answer whether it lives.
-const CHECK_WITHIN: Duration = Duration::from_secs(2);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a probe whether the server listens may take. It stands on the agent's own instance.
-const PROBE_WITHIN: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Checks in a row without an answer after which the server counts as silent.
-const MOST_FAILED_CHECKS: u32 = 2;
+const MAX_FAILED_CHECKS: u32 = 2;
 /// Pauses between the attempts to resume a stream whose connection broke.
-const RESUME_PAUSES: [Duration; 3] =
+const RESUME_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(100), Duration::from_millis(400)];
 
 /// Why there is no further answer from the server.
@@ -38,19 +38,19 @@
     Client(#[from] HttpClientError),
     /// The connection failed, and nothing listens at the server's address any more.
     #[error("the server has ended: {0}")]
-    Ended(HttpClientError),
+    Crashed(HttpClientError),
     /// Neither this connection nor another one brought anything.
     #[error("the server is silent on every connection")]
     Silent,
     /// The connection is silent, and on another one the server does not know the stream.
     #[error("the server lives and does not know the stream")]
-    Gone,
+    UnknownStream,
 }
 
 /// Finds out whether the server has ended, after a connection to it failed with `error`.
 pub async fn broken_connection(core: &AgentCore, error: HttpClientError) -> ServerError {
-    match probe_listener(core.client.address(), PROBE_WITHIN).await {
-        ProbeResult::Refused => ServerError::Ended(error),
+    match probe_listener(core.client.address(), PROBE_TIMEOUT).await {
+        ProbeResult::Refused => ServerError::Crashed(error),
         ProbeResult::Accepted | ProbeResult::Unanswered => ServerError::Client(error),
     }
 }
@@ -67,19 +67,19 @@
 /// What a wait on the server's connection came to.
 pub enum ServerStep<T> {
     /// What was waited for.
-    Came(T),
+    Ready(T),
     /// The stream goes on on another connection.
     Replaced(Box<ClientAnswer>),
     /// The server lives and does not know the stream: its request never came, or it has ended.
-    Gone,
+    UnknownStream,
     /// The server is silent.
     Silent,
 }
 
 enum ServerCheck {
     Replaced(Box<ClientAnswer>),
-    Lives,
-    Gone,
+    Alive,
+    UnknownStream,
     Silent,
 }
 
@@ -108,8 +108,8 @@
         let mut failed_checks = 0;
         self.progress = Instant::now();
         loop {
-            if let Either::Left((came, _)) = select(step.as_mut(), self.timer.as_mut()).await {
-                return ServerStep::Came(came);
+            if let Either::Left((output, _)) = select(step.as_mut(), self.timer.as_mut()).await {
+                return ServerStep::Ready(output);
             }
             let is_quiet = self.progress.elapsed() >= self.core.progress_within;
             if is_quiet {
@@ -118,15 +118,15 @@
                         self.core.metrics.server_streams.count("replaced");
                         return ServerStep::Replaced(answer);
                     }
-                    ServerCheck::Gone => {
+                    ServerCheck::UnknownStream => {
                         self.core.metrics.server_streams.count("gone");
-                        return ServerStep::Gone;
+                        return ServerStep::UnknownStream;
                     }
-                    ServerCheck::Lives => failed_checks = 0,
+                    ServerCheck::Alive => failed_checks = 0,
                     ServerCheck::Silent => failed_checks += 1,
                 }
             }
-            if failed_checks == MOST_FAILED_CHECKS {
+            if failed_checks == MAX_FAILED_CHECKS {
                 self.core.metrics.server_streams.count("silent");
                 return ServerStep::Silent;
             }
@@ -145,14 +145,14 @@
 
 /// Asks the engine to go on with a stream whose connection broke.
 pub async fn resume_stream(core: &AgentCore, target: ResumeTarget) -> Option<Box<ClientAnswer>> {
-    for pause in RESUME_PAUSES {
+    for pause in RESUME_DELAYS {
         monoio::time::sleep(pause).await;
         match check_server(core, Some(target)).await {
             ServerCheck::Replaced(answer) => {
                 core.metrics.server_streams.count("resumed");
                 return Some(answer);
             }
-            ServerCheck::Lives | ServerCheck::Gone => break,
+            ServerCheck::Alive | ServerCheck::UnknownStream => break,
             ServerCheck::Silent => {}
         }
     }
@@ -168,16 +168,16 @@
     let request = Request::get(path)
         .header(http::header::HOST, core.client.address().to_string())
         .body(Bytes::new());
-    let Ok(request) = request else { return ServerCheck::Lives };
+    let Ok(request) = request else { return ServerCheck::Alive };
     let exchange = core.client.send_once(request);
-    match monoio::time::timeout(CHECK_WITHIN, exchange).await {
+    match monoio::time::timeout(CHECK_TIMEOUT, exchange).await {
         Ok(Ok(answer)) if target.is_some() && answer.head.status == StatusCode::OK => {
             ServerCheck::Replaced(Box::new(answer))
         }
         Ok(Ok(answer)) if target.is_some() && answer.head.status == StatusCode::NOT_FOUND => {
-            ServerCheck::Gone
+            ServerCheck::UnknownStream
         }
-        Ok(Ok(_)) => ServerCheck::Lives,
+        Ok(Ok(_)) => ServerCheck::Alive,
         Ok(Err(_)) | Err(_) => ServerCheck::Silent,
     }
 }
--- a/crates/papayamux-agent/src/trust.rs
+++ b/crates/papayamux-agent/src/trust.rs
@@ -18,7 +18,7 @@
 pub type RouterReceiver = LinkReceiver<AgentFrame, RouterFrame>;
 
 /// How long a router may take to say hello, and to prove itself.
-const HELLO_WITHIN: Duration = Duration::from_secs(5);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Which routers may connect.
 #[derive(Debug, Clone, Default)]
@@ -31,7 +31,7 @@
 
 /// Why a connection was not opened.
 #[derive(Debug, Error)]
-pub enum GreetingError {
+pub enum HandshakeError {
     /// The connection broke.
     #[error(transparent)]
     Link(#[from] LinkError),
@@ -49,30 +49,30 @@
     WrongProof,
 }
 
-impl GreetingError {
+impl HandshakeError {
     /// The stable word for metrics.
     pub fn label(&self) -> &'static str {
         match self {
-            GreetingError::Link(_) => "broken",
-            GreetingError::NoHello => "no_hello",
-            GreetingError::Version(_) => "version",
-            GreetingError::NoProof => "no_proof",
-            GreetingError::WrongProof => "wrong_proof",
+            HandshakeError::Link(_) => "broken",
+            HandshakeError::NoHello => "no_hello",
+            HandshakeError::Version(_) => "version",
+            HandshakeError::NoProof => "no_proof",
+            HandshakeError::WrongProof => "wrong_proof",
         }
     }
 }
 
 /// A connection whose router has said nothing yet.
-pub struct SilentLink {
+pub struct AcceptedLink {
     sender: LinkSender<AgentMessage>,
     receiver: RouterReceiver,
 }
 
 /// A connection whose router has been welcomed and still has to prove itself.
-pub struct GreetedLink {
+pub struct UnverifiedLink {
     sender: LinkSender<AgentMessage>,
     receiver: RouterReceiver,
-    awaited: Option<(SharedSecret, ProofContext)>,
+    expected_proof: Option<(SharedSecret, ProofContext)>,
 }
 
 /// A connection of a router that may give work.
@@ -83,35 +83,39 @@
     pub receiver: RouterReceiver,
 }
 
-impl SilentLink {
+impl AcceptedLink {
     /// A connection as it was accepted.
     pub fn new(sender: LinkSender<AgentMessage>, receiver: RouterReceiver) -> Self {
         Self { sender, receiver }
     }
 
     /// Takes the hello and answers it.
-    pub async fn greet(mut self, core: &AgentCore) -> Result<GreetedLink, GreetingError> {
+    pub async fn receive_hello(
+        mut self,
+        core: &AgentCore,
+    ) -> Result<UnverifiedLink, HandshakeError> {
         let Some(RouterMessage::Hello(hello)) = receive_within(&mut self.receiver).await? else {
-            return Err(GreetingError::NoHello);
+            return Err(HandshakeError::NoHello);
         };
-        let awaited = core.trust.secret.clone().map(|secret| (secret, context(core, &hello)));
-        self.sender.send(CONNECTION, AgentMessage::Welcome(welcome(core, awaited.as_ref())));
+        let expected_proof =
+            core.trust.secret.clone().map(|secret| (secret, context(core, &hello)));
+        self.sender.send(CONNECTION, AgentMessage::Welcome(welcome(core, expected_proof.as_ref())));
         if hello.version != PROTOCOL_VERSION {
-            return Err(GreetingError::Version(hello.version));
+            return Err(HandshakeError::Version(hello.version));
         }
-        Ok(GreetedLink { sender: self.sender, receiver: self.receiver, awaited })
+        Ok(UnverifiedLink { sender: self.sender, receiver: self.receiver, expected_proof })
     }
 }
 
-impl GreetedLink {
+impl UnverifiedLink {
     /// Waits for the router's proof, where one is asked for.
-    pub async fn verify(mut self) -> Result<TrustedLink, GreetingError> {
-        if let Some((secret, context)) = &self.awaited {
+    pub async fn verify(mut self) -> Result<TrustedLink, HandshakeError> {
+        if let Some((secret, context)) = &self.expected_proof {
             let Some(RouterMessage::Prove(tag)) = receive_within(&mut self.receiver).await? else {
-                return Err(GreetingError::NoProof);
+                return Err(HandshakeError::NoProof);
             };
             if !secret.accepts(ProofRole::Router, context, &tag) {
-                return Err(GreetingError::WrongProof);
+                return Err(HandshakeError::WrongProof);
             }
         }
         Ok(TrustedLink { sender: self.sender, receiver: self.receiver })
@@ -120,8 +124,8 @@
 
 async fn receive_within(
     receiver: &mut RouterReceiver,
-) -> Result<Option<RouterMessage>, GreetingError> {
-    match monoio::time::timeout(HELLO_WITHIN, receiver.receive()).await {
+) -> Result<Option<RouterMessage>, HandshakeError> {
+    match monoio::time::timeout(HELLO_TIMEOUT, receiver.receive()).await {
         Ok(Some(Ok(Addressed { message, .. }))) => Ok(Some(message)),
         Ok(Some(Err(error))) => Err(error.into()),
         Ok(None) | Err(_) => Ok(None),
@@ -139,14 +143,17 @@
     }
 }
 
-fn welcome(core: &AgentCore, awaited: Option<&(SharedSecret, ProofContext)>) -> AgentWelcome {
+fn welcome(
+    core: &AgentCore,
+    expected_proof: Option<&(SharedSecret, ProofContext)>,
+) -> AgentWelcome {
     AgentWelcome {
         version: PROTOCOL_VERSION,
         incarnation: core.incarnation,
         server: core.server.clone(),
         domain: core.domain.clone(),
         clock: core.clock(),
-        nonce: awaited.map(|(_, context)| context.agent_nonce),
-        proof: awaited.map(|(secret, context)| secret.prove(ProofRole::Agent, context)),
+        nonce: expected_proof.map(|(_, context)| context.agent_nonce),
+        proof: expected_proof.map(|(secret, context)| secret.prove(ProofRole::Agent, context)),
     }
 }
--- a/crates/papayamux-agent/tests/answer_records.rs
+++ b/crates/papayamux-agent/tests/answer_records.rs
@@ -42,10 +42,10 @@
     }
 }
 
-type RouterEnd = LinkReceiver<RouterFrame, AgentFrame>;
+type RouterReceiver = LinkReceiver<RouterFrame, AgentFrame>;
 
 /// Both ends of a connection: what the agent sends with, and what a router reads from.
-async fn link() -> (LinkSender<AgentMessage>, RouterEnd) {
+async fn link() -> (LinkSender<AgentMessage>, RouterReceiver) {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let router = connect(listener.local_addr().unwrap()).await.unwrap();
     let (agent, _) = listener.accept().await.unwrap();
@@ -66,7 +66,11 @@
 }
 
 /// Reads a stream's data, checks the order, and gives it with the stream's last message.
-async fn read_stream(receiver: &mut RouterEnd, stream: u64, start: u64) -> (Vec<u8>, AgentMessage) {
+async fn read_stream(
+    receiver: &mut RouterReceiver,
+    stream: u64,
+    start: u64,
+) -> (Vec<u8>, AgentMessage) {
     let mut body = Vec::new();
     loop {
         let addressed = receiver.receive().await.unwrap().unwrap();
@@ -83,17 +87,17 @@
 }
 
 #[test]
-fn a_lost_answer_goes_on_at_the_asked_offset_and_only_on_the_new_stream() {
+fn a_lost_answer_resumes_at_the_requested_offset_and_only_on_the_new_stream() {
     runtime::run(async {
         let (sender, mut receiver) = link().await;
         let record =
             store(1024).start_record(&open(1, RepeatRule::Idempotent), on_stream(1, &sender));
         record.set_head(AnswerHead { status: 200, headers: Vec::new() }, false);
         append_events(&record, 4).await;
-        record.lose(on_stream(1, &sender).key);
+        record.handle_disconnect(on_stream(1, &sender).key);
         append_events(&record, 3).await;
         assert!(record.attach(on_stream(2, &sender), ResumePoint::Offset(2)));
-        record.lose(on_stream(1, &sender).key);
+        record.handle_disconnect(on_stream(1, &sender).key);
         record.finish(AnswerEnd::Whole(7));
         let (body, last) = read_stream(&mut receiver, 2, 2).await;
         assert_eq!((body, last), (vec![2, 3, 0, 1, 2], AgentMessage::End(AnswerEnd::Whole(7))));
@@ -102,7 +106,7 @@
 }
 
 #[test]
-fn only_a_streamed_chat_keeps_what_was_acknowledged() {
+fn only_a_streamed_chat_keeps_acknowledged_bytes() {
     runtime::run(async {
         let (sender, _receiver) = link().await;
         for keeps_events in [true, false] {
@@ -122,14 +126,14 @@
 }
 
 #[test]
-fn the_window_holds_the_run_until_somebody_reads_or_nobody_can() {
+fn a_full_window_blocks_the_run_until_the_reader_expires() {
     runtime::run(async {
         let (sender, _receiver) = link().await;
         let store = store(1024);
         let record =
             store.start_record(&open(1, RepeatRule::AtMostOnce(None)), on_stream(1, &sender));
         record.append(Bytes::from(vec![0; STREAM_WINDOW as usize]), &[]).await;
-        record.lose(on_stream(1, &sender).key);
+        record.handle_disconnect(on_stream(1, &sender).key);
         let mut next = Box::pin(record.append(Bytes::from_static(b"x"), &[]));
         assert!(futures_util::poll!(next.as_mut()).is_pending());
         store.sweep(Instant::now() + GRACE);
@@ -141,7 +145,7 @@
 }
 
 #[test]
-fn idempotent_work_that_nobody_waits_for_is_cancelled_after_the_grace() {
+fn idempotent_work_without_a_reader_is_cancelled_after_the_grace_period() {
     runtime::run(async {
         let (sender, _receiver) = link().await;
         let store = store(1024);
@@ -157,7 +161,7 @@
 }
 
 #[test]
-fn the_store_keeps_within_its_bytes_and_lets_the_oldest_go_first() {
+fn the_store_stays_within_its_byte_limit_and_drops_the_oldest_answers_first() {
     runtime::run(async {
         let (sender, _receiver) = link().await;
         let store = store(1024);
@@ -167,14 +171,14 @@
             record.set_head(AnswerHead { status: 200, headers: Vec::new() }, true);
             record.append(Bytes::from(vec![0; 400]), &[400]).await;
             record.finish(AnswerEnd::Whole(400));
-            record.arrive(on_stream(number, &sender).key);
+            record.acknowledge_end(on_stream(number, &sender).key);
         }
         store.sweep(Instant::now());
         let held = |number| store.find(&open(number, RepeatRule::Idempotent).id).is_some();
         assert_eq!([held(0), held(1), held(2)], [false, true, true]);
-        assert!(store.held_bytes() <= 1024);
+        assert!(store.buffered_bytes() <= 1024);
         store.sweep(Instant::now() + GRACE);
-        assert_eq!((held(2), store.held_bytes()), (false, 0));
+        assert_eq!((held(2), store.buffered_bytes()), (false, 0));
     })
     .unwrap();
 }
--- a/crates/papayamux-agent/tests/event_ids.rs
+++ b/crates/papayamux-agent/tests/event_ids.rs
@@ -4,7 +4,7 @@
 use papayamux_agent::answers::EventTagger;
 
 /// Inputs tried by each property: at least as many as a second takes in a debug build.
-const GENERATED_INPUTS: usize = 150_000;
+const GENERATED_INPUT_COUNT: usize = 150_000;
 
 const STREAM: &str =
     "data: one\n\n: a comment\n\ndata: two\ndata: lines\r\n\r\n\n\ndata: [DONE]\n\nrest";
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn events_with_data_get_ids_at_every_size_of_pieces() {
+fn events_with_data_get_ids_for_every_piece_size() {
     for size in 1..=STREAM.len() {
         let (output, numbered) = tag(STREAM.as_bytes().chunks(size));
         assert_eq!(String::from_utf8(output).unwrap(), TAGGED, "pieces of {size} bytes");
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn any_bytes_come_out_again_without_the_id_lines() {
-    bolero::check!().with_iterations(GENERATED_INPUTS).with_type::<(Vec<u8>, u8)>().for_each(
+fn removing_the_id_lines_restores_the_input() {
+    bolero::check!().with_iterations(GENERATED_INPUT_COUNT).with_type::<(Vec<u8>, u8)>().for_each(
         |(bytes, size)| {
             let (output, numbered) = tag(bytes.chunks(usize::from(*size).max(1)));
             let lines = output.split_inclusive(|byte| *byte == b'\n');
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_partial_event_that_is_sent_again_counts_once() {
+fn a_resent_partial_event_is_numbered_once() {
     let mut tagger = tagger();
     tagger.take(b"data: one\n\ndata: tw");
     tagger.drop_partial();
--- a/crates/papayamux-agent/tests/kept_answers.rs
+++ b/crates/papayamux-agent/tests/kept_answers.rs
@@ -51,7 +51,7 @@
     let recorder = begin(kept, key);
     recorder.head(&AnswerHead { status: 200, headers: Vec::new() });
     recorder.data(&Bytes::from(vec![b'x'; length]));
-    recorder.whole();
+    recorder.complete();
 }
 
 fn recall(kept: &KeptAnswers, key: &str, path: &str) -> Result<usize, RefusalReason> {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_oldest_answers_go_first_and_too_long_ones_are_not_kept() {
+fn the_oldest_answers_are_dropped_first_and_oversized_ones_are_not_kept() {
     let kept = kept(10_000);
     for key in ["a", "b", "c"] {
         run(&kept, key, 4_000);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_run_that_ends_early_is_told_and_one_that_did_not_happen_is_forgotten() {
+fn a_failed_run_is_reported_and_a_run_that_never_happened_is_forgotten() {
     let kept = kept(1 << 20);
     drop(begin(&kept, "failed"));
     assert_eq!(recall(&kept, "failed", "/book"), Err(RefusalReason::FirstRunFailed));
--- a/crates/papayamux-agent/tests/operators_pages.rs
+++ b/crates/papayamux-agent/tests/operators_pages.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_page_of_settings_names_each_key() {
+fn the_settings_page_lists_every_key() {
     let findings = AgentSettings::read("agent.ini", UNKNOWN_KEYS).err().unwrap_or_default();
     let known: Vec<_> = findings
         .0
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_page_of_metrics_names_each_metric_and_no_other() {
+fn the_metrics_page_lists_exactly_the_registered_metrics() {
     let mut registry = Registry::default();
     AgentMetrics::default().register(&mut registry);
     OrderMetrics::default().register(&mut registry);
--- a/crates/papayamux-agent/tests/orders.rs
+++ b/crates/papayamux-agent/tests/orders.rs
@@ -11,7 +11,7 @@
 use papayamux_state::refusal::RefusalReason;
 use papayamux_state::weights::WeightsRef;
 
-const FRESH_FOR: Duration = Duration::from_secs(5);
+const MAX_STATE_AGE: Duration = Duration::from_secs(5);
 
 fn chat(model: &str, adapter: Option<&str>) -> ChatTarget {
     ChatTarget {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_target_is_what_is_declared_for_the_server() {
+fn a_target_matches_the_declarations_for_its_server() {
     let text = "[team]\nname = caverns\n\
         [model itinerary]\nversion = 3\nweights = itinerary-3\n\
         [model spare]\nversion = 1\nweights = spare-1\n\
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_target_never_becomes_older() {
+fn a_target_is_never_replaced_by_an_older_revision() {
     let watch = TargetWatch::default();
     let at = |revision| ServerTarget { revision, ..ServerTarget::default() };
     assert!(watch.current().is_none());
@@ -61,12 +61,12 @@
 }
 
 #[test]
-fn the_gate_refuses_what_is_not_loaded_and_counts_what_runs() {
-    let (gate, now) = (ModelGate::new(FRESH_FOR), Instant::now());
+fn the_gate_refuses_weights_that_are_not_loaded_and_counts_running_requests() {
+    let (gate, now) = (ModelGate::new(MAX_STATE_AGE), Instant::now());
     let itinerary = WeightsRef::model(&"itinerary".parse().unwrap());
     let unknown = gate.admit(Some(&chat("other", None)), now);
     assert!(unknown.is_ok(), "the engine's state is not known yet");
-    gate.note_loaded([itinerary.clone()].into(), now);
+    gate.record_loaded([itinerary.clone()].into(), now);
     let refusal = |chat: &ChatTarget, at| gate.admit(Some(chat), at).map(drop).unwrap_err();
     assert_eq!(refusal(&chat("other", None), now), RefusalReason::ModelNotLoaded);
     let adapted = chat("itinerary", Some("taiwanese"));
@@ -80,15 +80,18 @@
     assert_eq!(gate.running(&itinerary), 0);
     gate.set_closed([].into());
     assert!(gate.is_serving(&itinerary, now));
-    assert!(!gate.is_serving(&itinerary, now + FRESH_FOR), "others can't count on an old reading");
-    assert!(gate.admit(Some(&chat("other", None)), now + FRESH_FOR * 2).is_ok());
+    assert!(
+        !gate.is_serving(&itinerary, now + MAX_STATE_AGE),
+        "others can't count on an old reading"
+    );
+    assert!(gate.admit(Some(&chat("other", None)), now + MAX_STATE_AGE * 2).is_ok());
     gate.supersede();
     assert_eq!(refusal(&chat("itinerary", None), now), RefusalReason::Superseded);
     assert_eq!(gate.admit(None, now).map(drop).unwrap_err(), RefusalReason::Superseded);
 }
 
 #[test]
-fn wrong_orders_are_found() {
+fn invalid_order_settings_are_reported() {
     let text = "[agent]\nlisten = 127.0.0.1:1\noperations = 127.0.0.1:2\nfailure_domain = a\n\
         [server]\nname = engine-0\naddress = 127.0.0.1:3\n\
         [orders]\nmodels = itinerary@\nload_rate = 0\nrole = chief\nlook_every = 2s\n\
