--- a/crates/papayamux-agent/src/accept.rs
+++ b/crates/papayamux-agent/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of routers.
+//! Accepts connections of routers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use crate::agent_core::AgentCore;
 use crate::router_link::serve_router;
 
-/// Connections of routers open at once.
+/// Maximum number of open connections of routers.
 const MAX_LINKS: i64 = 2_048;
-/// How long the listener waits after it could not accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections of routers until the agent closes them.
+/// Accepts connections of routers until the agent closes its connections.
 pub async fn accept_routers(core: Rc<AgentCore>, listener: TcpListener) {
     loop {
         let closing = std::pin::pin!(core.closing.given());
@@ -27,12 +27,12 @@
         let stream = match accepted {
             Ok((_, peer)) if !admits(&core.trust.allow, peer.ip()) => {
                 core.metrics.link_failures.count("address");
-                log::warn!(peer:% = peer; "connection refused: its address may not connect");
+                log::warn!(peer:% = peer; "connection refused: the peer address is not allowed");
                 continue;
             }
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(error:% = error; "accepting failed");
+                log::warn!(error:% = error; "accepting a connection failed");
                 monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
--- a/crates/papayamux-agent/src/admitted_run.rs
+++ b/crates/papayamux-agent/src/admitted_run.rs
@@ -1,4 +1,4 @@
-//! From the arrival of a request to the end of its run.
+//! Admits, queues and runs the requests that routers send.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,18 +17,18 @@
 use crate::orders::GatePass;
 use crate::run::run_request;
 
-/// Time after which a refused router may ask again, where nothing better is known.
+/// Minimum retry delay of a refused request.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A stream that a router opened, before anything is decided.
+/// A stream that a router opened, before its request is admitted or refused.
 pub struct OpenedStream<'a> {
-    /// The agent.
+    /// The shared state of the agent.
     pub core: &'a AgentCore,
-    /// The connection's end of the stream.
+    /// The stream that delivers the answer.
     pub attachment: Attachment,
 }
 
-/// A request that was admitted.
+/// An admitted request.
 pub struct AdmittedRequest {
     /// The record of its answer.
     pub record: Rc<AnswerRecord>,
@@ -37,7 +37,7 @@
 }
 
 impl OpenedStream<'_> {
-    /// Decides on a request; `None` where it was refused.
+    /// Admits or refuses a request. Returns `None` if it was refused.
     pub fn admit(self, open: &OpenRequest) -> Option<AdmittedRequest> {
         let core = self.core;
         let now = core.clock();
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Refuses a request, and says what the server carries.
+    /// Refuses a request and reports the load of the server.
     pub fn refuse(&self, open: &OpenRequest, reason: RefusalReason, better: Option<ServerId>) {
         let notice = refusal_notice(self.core, open, reason, better);
         if reason != RefusalReason::SeenBefore {
@@ -86,13 +86,14 @@
 }
 
 impl AgentCore {
-    /// The request's place among those that use its model, where the agent orders the engine.
+    /// Passes the request through the model gate. Returns `None` if the agent gives the engine no
+    /// orders.
     fn gate_pass(&self, open: &OpenRequest) -> Result<Option<GatePass>, RefusalReason> {
         let gate = self.orders.as_ref().map(|orders| &orders.gate);
         gate.map(|gate| gate.admit(open.chat.as_ref(), Instant::now())).transpose()
     }
 
-    /// What the server carries, to be told beside another message.
+    /// Creates the load report that accompanies another message.
     fn load_message(&self, group: Option<GroupId>) -> AgentMessage {
         let message = AgentMessage::Load(self.load(group));
         self.metrics.control_bytes.send(agent_control_length(&message));
@@ -112,7 +113,7 @@
     RefusalNotice { reason, retry_after_ms, better }
 }
 
-/// Runs a request as soon as it has its place.
+/// Waits for a slot and runs the request.
 pub async fn run_admitted(core: Rc<AgentCore>, open: OpenRequest, admitted: AdmittedRequest) {
     let AdmittedRequest { record, admission, pass: _pass } = admitted;
     let permit = match admission {
--- a/crates/papayamux-agent/src/agent_core.rs
+++ b/crates/papayamux-agent/src/agent_core.rs
@@ -1,4 +1,4 @@
-//! What all connections of an agent share.
+//! The state shared by all connections and tasks of an agent.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,62 +20,62 @@
 use crate::orders::OrderCore;
 use crate::trust::RouterTrust;
 
-/// What all connections of an agent share.
+/// The state shared by all connections and tasks of an agent.
 pub struct AgentCore {
-    /// The agent's life.
+    /// The incarnation of the agent.
     pub incarnation: Incarnation,
-    /// The backend server.
+    /// The backend server of the agent.
     pub server: ServerId,
-    /// The agent's failure domain.
+    /// The failure domain of the agent.
     pub domain: FailureDomain,
-    /// What was admitted.
+    /// The admission of requests.
     pub book: Rc<AdmissionBook>,
     /// The witness of claims.
     pub witness: ClaimWitness,
-    /// Answers kept for repeats.
+    /// Answers kept for retries.
     pub kept: Rc<KeptAnswers>,
-    /// Repeats whose answer has not arrived.
+    /// The number of retries whose answer the router has not received yet.
     pub recalls: Cell<u64>,
-    /// Requests to the backend server.
+    /// The HTTP client for the backend server.
     pub client: HttpClient,
-    /// What is known of the engine.
+    /// The known state of the engine's cache and chats.
     pub engine: EngineView,
-    /// Requests under which servers end.
+    /// Quarantined requests, under which servers crashed.
     pub crashes: CrashNotifier,
-    /// The agent's metrics.
+    /// The metrics of the agent.
     pub metrics: AgentMetrics,
-    /// When the agent started.
+    /// The time at which the agent started.
     pub started: Instant,
-    /// Given when the agent leaves.
+    /// Fires when the agent starts to drain.
     pub draining: ShutdownSignal,
-    /// Given when all that was admitted has ended, and the connections are to be closed.
+    /// Fires when all admitted requests have completed and the connections must be closed.
     pub closing: ShutdownSignal,
-    /// The answers that may still be asked for.
+    /// The buffered answers.
     pub answers: Rc<AnswerStore>,
-    /// Which routers may connect.
+    /// The rules for which routers may connect.
     pub trust: RouterTrust,
-    /// How long the server may make no progress before it is asked whether it lives.
+    /// The time without progress after which the server is checked.
     pub progress_within: Duration,
-    /// The number of the next connection.
+    /// The number that the next connection gets.
     pub next_link: Cell<u64>,
-    /// Orders to the engine, where the agent gives any.
+    /// The state of the orders to the engine, or `None` if the agent gives no orders.
     pub orders: Option<Rc<OrderCore>>,
 }
 
 impl AgentCore {
-    /// The agent's clock.
+    /// Returns the current time of the agent's clock.
     pub fn clock(&self) -> AgentClock {
         AgentClock::default().after(self.started.elapsed())
     }
 
-    /// What the server carries, for a group of servers that it belongs to.
+    /// Returns the load of the server as a member of `group`, including the prefill backlog.
     pub fn load(&self, group: Option<GroupId>) -> LoadReport {
         let now = self.clock();
         let report = self.book.load(group, now);
         LoadReport { backlog: report.backlog + self.engine.prefill_left(now), ..report }
     }
 
-    /// Answers another server's agent that asks whether it can count on this server.
+    /// Answers the query of another server's agent whether this server will keep serving weights.
     pub(crate) fn answer_question(&self, question: &ServingQuestion) -> ServingAnswer {
         match &self.orders {
             Some(orders) => orders.answer_question(question, self.book.is_leaving()),
--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -1,4 +1,4 @@
-//! One request at the agent: what has come of its answer, and which stream it goes out on.
+//! The record of one request: the answer so far and the stream that delivers it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,50 +17,50 @@
 use super::StoreLimits;
 use papayamux_transport::agent_link::CONNECTION;
 
-/// Bytes of one data frame at most.
+/// Maximum number of body bytes in one data frame.
 const MAX_PIECE_BYTES: usize = 64 * 1024;
 
-/// A stream on one connection of one router.
+/// Identifies a stream on a router's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttachmentKey {
-    /// The connection's number at this agent.
+    /// The number that this agent gave the connection.
     pub link: u64,
-    /// The stream's number on it.
+    /// The number of the stream within the connection.
     pub stream: u64,
 }
 
-/// Where an answer goes out.
+/// The stream that delivers an answer.
 #[derive(Clone)]
 pub struct Attachment {
-    /// Which stream it is.
+    /// Identifies the stream.
     pub key: AttachmentKey,
-    /// The connection's sending half.
+    /// The sending half of the connection.
     pub sender: LinkSender<AgentMessage>,
 }
 
 impl Attachment {
-    /// Says something about the stream.
+    /// Sends a message on the stream.
     pub fn send(&self, message: AgentMessage) {
         self.sender.send(self.key.stream, message);
     }
 
-    /// Says something to the router that does not concern the stream.
+    /// Sends the router a message that concerns the connection rather than the stream.
     pub fn send_on_connection(&self, message: AgentMessage) {
         self.sender.send(CONNECTION, message);
     }
 }
 
-/// Who reads the answer.
+/// The reader of an answer.
 enum Reader {
-    /// A router that holds an open stream.
+    /// A router reads the answer on an open stream.
     Attached(Attachment),
-    /// Nobody, and somebody may come back until the time given.
+    /// No router reads the answer; one may resume it before `until`.
     Awaited { until: Instant },
-    /// Nobody any more.
+    /// The answer has no reader and can't be resumed.
     Detached,
 }
 
-/// How the record ended.
+/// The final state of a record.
 #[derive(Clone)]
 enum RecordEnd {
     Answered(AnswerEnd),
@@ -78,8 +78,8 @@
     reader: Reader,
 }
 
-/// The record of one admitted request. The task that runs it writes, the connections of routers
-/// read.
+/// The record of one admitted request. The task that runs the request writes to it, and the
+/// connections of routers read from it.
 pub struct AnswerRecord {
     id: RequestId,
     organisation: OrganisationId,
@@ -92,7 +92,7 @@
 }
 
 impl AnswerRecord {
-    /// The record of `open`, whose answer goes out on `attachment`.
+    /// Creates the record of `open`, whose answer is delivered on `attachment`.
     pub fn new(
         open: &OpenRequest,
         attachment: Attachment,
@@ -121,29 +121,30 @@
         })
     }
 
-    /// The request's id.
+    /// Returns the id of the request.
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Whether the answer is that organisation's.
+    /// Returns whether the answer belongs to `organisation`.
     pub fn belongs_to(&self, organisation: &OrganisationId) -> bool {
         self.organisation == *organisation
     }
 
-    // What the running task does.
+    // Called by the task that runs the request.
 
-    /// Whether the run is to stop: nobody waits for it, and it may be run again.
+    /// Returns whether the run must stop, because no reader is left and the request is idempotent.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.is_given()
     }
 
-    /// Waits until the run is to stop.
+    /// Waits until the run must stop.
     pub async fn wait_cancelled(&self) {
         self.cancelled.given().await;
     }
 
-    /// The answer's head; `keeps_events` where its events may be asked for again by the caller.
+    /// Sets and sends the head of the answer. With `keeps_events`, acknowledged events are kept so
+    /// that the caller can resume the stream.
     pub fn set_head(&self, head: AnswerHead, keeps_events: bool) {
         self.keeps_events.set(keeps_events);
         let mut state = self.state.borrow_mut();
@@ -153,14 +154,14 @@
         state.head = Some(head);
     }
 
-    /// Says something to the router that reads the answer, if one does.
+    /// Sends a connection message to the router that reads the answer, if there is one.
     pub fn send_on_connection(&self, message: AgentMessage) {
         if let Reader::Attached(attachment) = &self.state.borrow().reader {
             attachment.send_on_connection(message);
         }
     }
 
-    /// Adds to the body, once the window has room for it.
+    /// Waits until the window has room, then appends `bytes` to the body.
     pub async fn append(&self, bytes: Bytes, event_ends: &[usize]) {
         if bytes.is_empty() {
             return;
@@ -174,21 +175,21 @@
         self.send_waiting(&mut state);
     }
 
-    /// The answer has ended.
+    /// Records and sends the end of the answer.
     pub fn finish(&self, end: AnswerEnd) {
         let mut state = self.state.borrow_mut();
         state.end = Some((RecordEnd::Answered(end), Instant::now()));
         self.send_waiting(&mut state);
     }
 
-    /// The request was not run after all.
+    /// Records and sends the refusal of an admitted request that was not run.
     pub fn refuse(&self, notice: RefusalNotice) {
         let mut state = self.state.borrow_mut();
         state.end = Some((RecordEnd::Refused(notice), Instant::now()));
         self.send_waiting(&mut state);
     }
 
-    /// Bytes of the body so far.
+    /// Returns the number of body bytes so far.
     pub fn length(&self) -> u64 {
         self.state.borrow().buffer.end()
     }
@@ -213,9 +214,9 @@
         }
     }
 
-    // What the connections do.
+    // Called by the connections of routers.
 
-    /// The router's caller has taken the answer up to `offset`.
+    /// Records that the router's caller has received the body up to `offset`.
     pub fn acknowledge(&self, key: AttachmentKey, offset: u64) {
         let mut state = self.state.borrow_mut();
         if !state.is_attached(key) || offset > state.sent {
@@ -228,7 +229,7 @@
         self.signal_progress();
     }
 
-    /// The router has the answer's end.
+    /// Records that the router has received the end of the answer.
     pub fn acknowledge_end(&self, key: AttachmentKey) {
         let mut state = self.state.borrow_mut();
         if state.is_attached(key) {
@@ -237,8 +238,8 @@
         }
     }
 
-    /// The router's caller has gone. The caller of a streamed chat may come back to any router
-    /// for a short while.
+    /// Records that the router's caller has disconnected. The caller of a streamed chat may resume
+    /// it through any router within the grace period.
     pub fn cancel(&self, key: AttachmentKey) {
         let grace = match self.keeps_events.get() {
             true => self.limits.cancel_grace,
@@ -247,7 +248,7 @@
         self.detach(key, grace);
     }
 
-    /// The connection was lost; its router may come back.
+    /// Records that the connection was lost. Its router may resume the answer on another one.
     pub fn handle_disconnect(&self, key: AttachmentKey) {
         self.detach(key, self.limits.resume_within);
     }
@@ -272,12 +273,13 @@
         self.signal_progress();
     }
 
-    /// Whether something of the answer has still to be sent.
+    /// Returns whether part of the answer, or its end, has not been sent yet.
     pub fn has_unsent(&self) -> bool {
         !self.state.borrow().end_sent
     }
 
-    /// Lets the answer go on at `from` on `attachment`; `false` where that part is not held.
+    /// Resumes the answer at `from` on `attachment`. Returns `false` if that part is no longer
+    /// buffered or the run has been cancelled.
     pub fn attach(&self, attachment: Attachment, from: ResumePoint) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(offset) = state.offset_of(from) else { return false };
@@ -298,7 +300,7 @@
         true
     }
 
-    /// Sends what the window lets through, and the end behind it.
+    /// Sends as much of the body as the window allows, and the end after the last byte.
     fn send_waiting(&self, state: &mut RecordState) {
         let Reader::Attached(attachment) = &state.reader else { return };
         while state.sent < state.acknowledged + STREAM_WINDOW {
@@ -317,7 +319,7 @@
         }
     }
 
-    /// Lets go of what no one may ask for again.
+    /// Releases acknowledged bytes that can't be requested again.
     fn release(&self, state: &mut RecordState) {
         let kept = match self.keeps_events.get() {
             true => self.limits.answer_bytes,
@@ -328,27 +330,27 @@
         state.buffer.release_to(acknowledged.min(oldest_kept));
     }
 
-    // What the store does.
+    // Called by the store.
 
-    /// Lets go of all that has been acknowledged, also what a caller might ask for again.
+    /// Releases all acknowledged bytes, including events that a caller could still resume from.
     pub fn release_acknowledged(&self) {
         let mut state = self.state.borrow_mut();
         let acknowledged = state.acknowledged;
         state.buffer.release_to(acknowledged);
     }
 
-    /// When the answer ended, if it did.
+    /// Returns the time at which the answer ended, or `None` while it is incomplete.
     pub fn ended_at(&self) -> Option<Instant> {
         self.state.borrow().end.as_ref().map(|(_, at)| *at)
     }
 
-    /// Whether a router still has to receive something of the answer, or may come back for it.
+    /// Returns whether a router is still reading the answer or may resume it.
     pub fn is_awaited(&self) -> bool {
         !matches!(self.state.borrow().reader, Reader::Detached)
     }
 
-    /// Gives up on a reader that did not come back; `true` where the record is not needed any
-    /// more at `now`.
+    /// Abandons a reader that did not resume in time. Returns `true` if the record is no longer
+    /// needed at `now`.
     pub fn is_expired(&self, now: Instant) -> bool {
         let overdue = match &self.state.borrow().reader {
             Reader::Awaited { until } => *until <= now,
--- a/crates/papayamux-agent/src/answers/answer_store.rs
+++ b/crates/papayamux-agent/src/answers/answer_store.rs
@@ -1,4 +1,4 @@
-//! All answers that the agent holds, within bounds of bytes and time.
+//! The store of all answers that the agent buffers, limited in bytes and time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -13,25 +13,26 @@
 
 use super::{AnswerRecord, Attachment};
 
-/// How often the store looks for what has expired.
+/// Interval at which the store drops expired records.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// Records held at most.
+/// Maximum number of records.
 const MAX_RECORDS: usize = 16_384;
-/// Refusals remembered at most.
+/// Maximum number of remembered refusals.
 const MAX_REFUSALS: usize = 4_096;
 
-/// Bounds of an answer store.
+/// Limits of an answer store.
 #[derive(Debug, Clone, Copy, Builder)]
 pub struct StoreLimits {
-    /// How long an answer waits for a router whose connection was lost.
+    /// The duration for which an answer can be resumed after its router's connection was lost.
     pub resume_within: Duration,
-    /// How long a streamed chat runs on for a caller that has gone.
+    /// The duration for which a streamed chat continues after its caller disconnected.
     pub cancel_grace: Duration,
-    /// How long the events of a finished chat are kept.
+    /// The duration for which the events of a finished chat are kept.
     pub keep_for: Duration,
-    /// Bytes kept of all answers together, beside what is on its way.
+    /// Maximum number of bytes kept of all answers together. Unacknowledged bytes of running
+    /// answers may exceed it.
     pub total_bytes: u64,
-    /// Bytes kept of one answer.
+    /// Maximum number of acknowledged bytes kept of one answer.
     pub answer_bytes: u64,
 }
 
@@ -41,7 +42,7 @@
     order: VecDeque<RequestId>,
 }
 
-/// The agent's answers by request id.
+/// The answers of the agent by request id.
 pub struct AnswerStore {
     limits: StoreLimits,
     records: RefCell<HashMap<RequestId, Rc<AnswerRecord>>>,
@@ -50,7 +51,7 @@
 }
 
 impl AnswerStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new(limits: StoreLimits) -> Rc<Self> {
         Rc::new(Self {
             limits,
@@ -60,7 +61,7 @@
         })
     }
 
-    /// Starts the record of an admitted request.
+    /// Creates the record of an admitted request.
     pub fn start_record(&self, open: &OpenRequest, attachment: Attachment) -> Rc<AnswerRecord> {
         let record = AnswerRecord::new(open, attachment, self.limits, self.total_buffered.clone());
         self.make_room();
@@ -68,12 +69,12 @@
         record
     }
 
-    /// The record of a request.
+    /// Returns the record of a request.
     pub fn find(&self, id: &RequestId) -> Option<Rc<AnswerRecord>> {
         self.records.borrow().get(id).cloned()
     }
 
-    /// Remembers that a request was refused before it had a record.
+    /// Records that a request was refused before it had a record.
     pub fn record_refusal(&self, id: RequestId, notice: RefusalNotice) {
         let mut memory = self.refusals.borrow_mut();
         if memory.notices.insert(id, notice).is_none() {
@@ -86,29 +87,29 @@
         }
     }
 
-    /// How a request was refused, where that is remembered.
+    /// Returns the refusal of a request, if it is still remembered.
     pub fn refusal(&self, id: &RequestId) -> Option<RefusalNotice> {
         self.refusals.borrow().notices.get(id).cloned()
     }
 
-    /// Bytes of answers that are held.
+    /// Returns the number of buffered bytes, including the overhead of pieces and event ends.
     pub fn buffered_bytes(&self) -> u64 {
         self.total_buffered.get()
     }
 
-    /// Records that a router still has to receive, or may come back for.
+    /// Returns the number of records that a router is still reading or may resume.
     pub fn awaited(&self) -> usize {
         self.records.borrow().values().filter(|record| record.is_awaited()).count()
     }
 
-    /// Drops what has expired at `now`.
+    /// Drops the records that have expired at `now`.
     pub fn sweep(&self, now: Instant) {
         self.records.borrow_mut().retain(|_, record| !record.is_expired(now));
         self.make_room();
     }
 
-    /// Brings the store back within its bounds: finished answers go first, the oldest before the
-    /// others; then the parts of running ones that were acknowledged.
+    /// Brings the store back within its limits. Drops finished answers without a reader first,
+    /// starting with the oldest, then the acknowledged parts of all remaining answers.
     fn make_room(&self) {
         if self.is_within_bounds() {
             return;
@@ -136,7 +137,7 @@
     }
 }
 
-/// Sweeps the store for as long as the agent lives.
+/// Sweeps the store at a fixed interval until the timer ends.
 pub async fn sweep_answers(store: Rc<AnswerStore>, buffered_bytes: Gauge, timers: TimerService) {
     let mut sweeps = timers.every(SWEEP_INTERVAL);
     while sweeps.tick().await.is_some() {
--- a/crates/papayamux-agent/src/answers/buffered_bytes.rs
+++ b/crates/papayamux-agent/src/answers/buffered_bytes.rs
@@ -1,4 +1,4 @@
-//! The part of an answer's body that is held.
+//! The buffered part of an answer's body.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -6,12 +6,12 @@
 
 use bytes::Bytes;
 
-/// Bytes that a held piece costs beside its content: its place here and its allocation's.
+/// Bytes that a piece needs beyond its content: its entry in the queue and its allocation.
 const PIECE_OVERHEAD_BYTES: u64 = 2 * size_of::<BufferedPiece>() as u64;
-/// Bytes that a held event's end costs.
+/// Bytes that the end offset of an event needs.
 const EVENT_OVERHEAD_BYTES: u64 = size_of::<u64>() as u64;
 
-/// A piece with where it starts in the body.
+/// A piece of the body and the offset at which it starts.
 #[derive(Debug)]
 struct BufferedPiece {
     start: u64,
@@ -28,7 +28,7 @@
     }
 }
 
-/// A stretch of a body, with the ends of its numbered events.
+/// A contiguous part of a body with the end offsets of its numbered events.
 #[derive(Debug, Default)]
 pub struct BufferedBytes {
     pieces: VecDeque<BufferedPiece>,
@@ -40,7 +40,7 @@
 }
 
 impl BufferedBytes {
-    /// Holds nothing yet; what is held counts into `total`.
+    /// Creates an empty buffer whose size is added to `total`.
     pub fn new(total: Rc<Cell<u64>>) -> Self {
         Self {
             pieces: VecDeque::new(),
@@ -52,17 +52,17 @@
         }
     }
 
-    /// Where the held part starts.
+    /// Returns the offset at which the buffered part starts.
     pub fn start(&self) -> u64 {
         self.start
     }
 
-    /// Where the body ends so far.
+    /// Returns the length of the body so far.
     pub fn end(&self) -> u64 {
         self.end
     }
 
-    /// Adds to the end; `event_ends` are counted from the start of `bytes`.
+    /// Appends `bytes`. The offsets in `event_ends` are relative to the start of `bytes`.
     pub fn append(&mut self, bytes: Bytes, event_ends: &[usize]) {
         let base = self.end;
         self.event_ends.extend(event_ends.iter().map(|end| base + *end as u64));
@@ -75,14 +75,14 @@
         self.pieces.push_back(BufferedPiece { start: base, bytes });
     }
 
-    /// Counts `length` bytes that are not held, as if they had been held and let go.
+    /// Advances by `length` bytes without buffering them, as if they were appended and released.
     pub fn skip(&mut self, length: u64) {
         self.release_to(self.end);
         self.start += length;
         self.end += length;
     }
 
-    /// Lets go of what ends before `offset`, piece by piece.
+    /// Releases all pieces that end at or before `offset`.
     pub fn release_to(&mut self, offset: u64) {
         while self.pieces.front().is_some_and(|piece| piece.end() <= offset) {
             if let Some(piece) = self.pieces.pop_front() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Where the event after number `event` starts, if that is still held.
+    /// Returns the offset at which the event after number `event` starts, if it is still buffered.
     pub fn after_event(&self, event: u64) -> Option<u64> {
         if event == 0 {
             return (self.start == 0).then_some(0);
@@ -106,7 +106,7 @@
         self.event_ends.get(usize::try_from(index).ok()?).copied()
     }
 
-    /// The piece, or the rest of a piece, that starts at `offset`; at most `longest` bytes.
+    /// Returns at most `longest` bytes of the piece that contains `offset`, starting there.
     pub fn piece_at(&self, offset: u64, longest: usize) -> Option<Bytes> {
         let index = self.pieces.partition_point(|piece| piece.end() <= offset);
         let piece = self.pieces.get(index)?;
--- a/crates/papayamux-agent/src/answers/event_tagger.rs
+++ b/crates/papayamux-agent/src/answers/event_tagger.rs
@@ -1,4 +1,4 @@
-//! Ids on the events of a streamed answer.
+//! Adds ids to the events of a streamed answer.
 
 use std::fmt::Write;
 
@@ -6,24 +6,24 @@
 use papayamux_protocol::event_id::EventId;
 use papayamux_state::ids::{RequestId, ServerId};
 
-/// Bytes of the longest event that gets an id; a longer one passes without.
+/// Maximum number of buffered bytes of an incomplete event. If an event exceeds it, its bytes so
+/// far are passed on without an id.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
-/// What the event that ends a chat ends with.
+/// The end of the event that completes a chat.
 const LAST_FIELD: &[u8] = b"[DONE]\n";
-/// Bytes that the number in an id line needs at most, with the line's end.
+/// Maximum number of bytes that the number of an id line and its line break need.
 const MAX_NUMBER_BYTES: usize = 24;
 
-/// Whole events with their ids.
+/// Complete events with their ids.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaggedPiece {
-    /// The bytes.
+    /// The bytes of the events.
     pub bytes: Bytes,
-    /// Where each numbered event ends in the bytes.
+    /// The offset in `bytes` at which each numbered event ends.
     pub event_ends: Vec<usize>,
 }
 
-/// Adds an `id` line to each event that has data. Bytes of an event that is not whole yet are
-/// held back.
+/// Adds an `id` line to each event that has data. The bytes of an incomplete event are buffered.
 #[derive(Debug)]
 pub struct EventTagger {
     id_prefix: String,
@@ -32,38 +32,38 @@
     pending: Vec<u8>,
 }
 
-/// A whole event at the start of some bytes.
+/// The span of a complete event at the start of a byte slice.
 struct EventSpan {
-    /// Where its blank line starts.
+    /// The offset at which the blank line of the event starts.
     blank: usize,
-    /// Where it ends.
+    /// The offset at which the event ends.
     end: usize,
 }
 
 impl EventTagger {
-    /// A tagger for the answer to `request` by `server`.
+    /// Creates a tagger for the answer to `request` by `server`.
     pub fn new(server: ServerId, request: RequestId) -> Self {
         let id = EventId { server, request, number: 0 }.to_string();
         let id_prefix = format!("id: {}", id.trim_end_matches('0'));
         Self { id_prefix, number: 0, is_complete: false, pending: Vec::new() }
     }
 
-    /// Events numbered so far.
+    /// Returns the number of events that have got an id so far.
     pub fn numbered(&self) -> u64 {
         self.number
     }
 
-    /// Whether the event that ends a chat has come.
+    /// Returns whether the event that completes a chat has been received.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Forgets what has come of an event that is not whole; the server sends it again.
+    /// Discards the bytes of an incomplete event. A resumed stream sends the event again.
     pub fn drop_partial(&mut self) {
         self.pending.clear();
     }
 
-    /// Takes more of the answer and gives the events that are whole now.
+    /// Adds `bytes` of the answer and returns the events that are complete now.
     pub fn take(&mut self, bytes: &[u8]) -> TaggedPiece {
         if self.pending.is_empty() {
             return self.take_all(bytes);
@@ -91,12 +91,12 @@
         TaggedPiece { bytes: output.freeze(), event_ends }
     }
 
-    /// What is left at the answer's end without having become a whole event.
+    /// Returns the bytes of an incomplete event that are left at the end of the answer.
     pub fn rest(&mut self) -> Bytes {
         std::mem::take(&mut self.pending).into()
     }
 
-    /// Writes an event whose blank line starts at `blank`; `true` where it got a number.
+    /// Writes an event whose blank line starts at `blank`. Returns `true` if the event got an id.
     fn write_event(&mut self, event: &[u8], blank: usize, output: &mut BytesMut) -> bool {
         let (fields, blank_line) = event.split_at(blank);
         output.put_slice(fields);
@@ -105,7 +105,7 @@
             self.number += 1;
             self.is_complete |= fields.ends_with(LAST_FIELD);
             output.put_slice(self.id_prefix.as_bytes());
-            // Writing into a growing buffer can't fail.
+            // Writing to a growable buffer can't fail.
             let _ = writeln!(output, "{}", self.number);
         }
         output.put_slice(blank_line);
@@ -113,7 +113,7 @@
     }
 }
 
-/// The first event of `bytes`, where it is whole.
+/// Returns the span of the first event of `bytes` if that event is complete.
 fn first_event(bytes: &[u8]) -> Option<EventSpan> {
     let mut line_start = 0;
     loop {
--- a/crates/papayamux-agent/src/answers/mod.rs
+++ b/crates/papayamux-agent/src/answers/mod.rs
@@ -1,4 +1,4 @@
-//! Answers that the agent holds until they have arrived, so that a lost stream can go on.
+//! Buffers answers until routers have received them, so that an interrupted stream can resume.
 
 mod answer_record;
 mod answer_store;
--- a/crates/papayamux-agent/src/claims/claim_settings.rs
+++ b/crates/papayamux-agent/src/claims/claim_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of claims: section `[claims]` of the agent's settings.
+//! The section `[claims]` of the agent's settings.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,35 +7,35 @@
 use papayamux_state::claims::{DeclaredServer, FleetView};
 use papayamux_state::quantities::ByteCount;
 
-/// By how much the wall clocks of two instances may differ; see [`ClaimSettings::ready_in`].
+/// Maximum offset between the wall clocks of two instances; see [`ClaimSettings::ready_in`].
 const CLOCK_MARGIN: Duration = Duration::from_secs(1);
 
-/// Settings of claims. `retention`, `witnesses` and `fleet` must be the same in the whole fleet:
-/// the digest of the fleet that a claim names covers them.
+/// Settings of claims. `retention`, `witnesses` and `fleet` must be equal in the whole fleet,
+/// because they are part of the fleet digest that each claim carries.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct ClaimSettings {
-    /// How long a key is remembered.
+    /// The duration for which a key is remembered.
     #[builder(default = Duration::from_secs(900))]
     pub retention: Duration,
-    /// Witnesses of a key.
+    /// The number of witnesses of a key.
     #[builder(default = 3)]
     pub witnesses: usize,
-    /// The declared servers, each with its failure domain. Where none are given, the witness
-    /// learns of the fleet from the claims that it grants.
+    /// The declared servers, each with its failure domain. If the list is empty, the witness
+    /// learns the fleet from the claims that it grants.
     #[builder(default)]
     pub fleet: Vec<DeclaredServer>,
-    /// Seconds since 1970 at which the fleet takes its first calls with keys.
+    /// The Unix time in seconds from which the fleet accepts calls with keys.
     pub opens_at: Option<u64>,
-    /// Claims remembered at most.
+    /// Maximum number of remembered claims.
     #[builder(default = 65_536)]
     pub most_claims: usize,
-    /// Bytes of kept answers at most.
+    /// Maximum number of bytes of kept answers.
     #[builder(default = ByteCount::new(8 * 1024 * 1024))]
     pub kept_bytes: ByteCount,
 }
 
 impl ClaimSettings {
-    /// Reads section `[claims]`.
+    /// Reads the section `[claims]`.
     pub fn read(file: &IniFile) -> Self {
         let section = file.optional_section("claims");
         let settings = Self::builder()
@@ -53,7 +53,7 @@
         settings
     }
 
-    /// The declared fleet, where it is given.
+    /// Returns the declared fleet, or `None` if the settings declare none.
     pub fn view(&self) -> Option<FleetView> {
         if self.fleet.is_empty() {
             return None;
@@ -61,8 +61,10 @@
         FleetView::new(self.fleet.clone(), self.witnesses, self.retention).ok()
     }
 
-    /// How long after its start at `now` a witness grants nothing. A witness that starts before
-    /// the fleet takes its first calls can't have had a predecessor that granted any.
+    /// Returns the time from a start at `now` during which a witness grants nothing, since an
+    /// earlier incarnation may have granted keys. A witness that starts before `opens_at`, by more
+    /// than the clock margin, has to wait only until then: no earlier incarnation can have granted
+    /// any.
     pub fn ready_in(&self, now: SystemTime) -> Duration {
         let opens_at = self.opens_at.map(|seconds| UNIX_EPOCH + Duration::from_secs(seconds));
         let opens_in = opens_at.and_then(|opens_at| opens_at.duration_since(now).ok());
--- a/crates/papayamux-agent/src/claims/kept_answers.rs
+++ b/crates/papayamux-agent/src/claims/kept_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of runs with a key, kept for repeats of the key.
+//! The answers of runs with an idempotency key, kept for retries with the same key.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -15,17 +15,17 @@
 
 use super::{ClaimSettings, RunRecorder};
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptAnswer {
-    /// Status and headers.
+    /// The status and headers.
     pub head: AnswerHead,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl KeptAnswer {
-    /// What the answer counts for.
+    /// Returns the number of bytes that the answer counts towards the limit.
     fn size(&self) -> usize {
         let header_sizes = self
             .head
@@ -36,7 +36,7 @@
     }
 }
 
-/// How a run with a key stands.
+/// The state of a run with a key.
 #[derive(Debug, Clone)]
 enum RunState {
     Running,
@@ -68,8 +68,8 @@
     bytes: usize,
 }
 
-/// The runs with a key of one life of an agent. None is run a second time here, whatever the
-/// witnesses say.
+/// The runs with a key of one incarnation of an agent. A key that is present is never run again
+/// here, even if the witnesses grant it again.
 #[derive(Debug)]
 pub struct KeptAnswers {
     retention: Duration,
@@ -79,7 +79,7 @@
 }
 
 impl KeptAnswers {
-    /// No runs.
+    /// Creates an empty table of runs.
     pub fn new(settings: &ClaimSettings) -> Rc<Self> {
         Rc::new(Self {
             retention: settings.retention,
@@ -89,8 +89,8 @@
         })
     }
 
-    /// Begins a run at `now` after the agent's start: the recorder of its answer, or nothing for
-    /// a call without a key.
+    /// Begins a run at `now`, the time since the agent's start. Returns the recorder of its answer,
+    /// or `None` for a call without a key.
     pub fn begin(
         self: &Rc<Self>,
         open: &OpenRequest,
@@ -123,7 +123,7 @@
         Ok(Some(RunRecorder::new(self.clone(), claim_key)))
     }
 
-    /// The first run's answer, once that run has ended.
+    /// Waits until the first run has ended and returns its answer.
     pub async fn recall(&self, request: &RecallRequest) -> Result<KeptAnswer, RefusalReason> {
         let settled = self.find(request, |run| run.settled.clone())?;
         settled.given().await;
@@ -134,7 +134,7 @@
         })?
     }
 
-    /// Bytes kept.
+    /// Returns the number of bytes of kept answers.
     pub fn kept_bytes(&self) -> ByteCount {
         ByteCount::new(self.table.borrow().bytes as u64)
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Keeps the answer of a run that ended well, if it is not too long to be kept.
+    /// Records that a run completed, with its answer unless that is too long to be kept.
     pub(super) fn settle_complete(&self, key: ClaimKey, answer: Option<KeptAnswer>) {
         let mut table = self.table.borrow_mut();
         let size = answer.as_ref().map_or(0, KeptAnswer::size);
@@ -164,12 +164,12 @@
         table.drop_oldest_answers(self.max_bytes);
     }
 
-    /// Notes that a run ended without a whole answer.
+    /// Records that a run ended without a complete answer.
     pub(super) fn settle_failed(&self, key: ClaimKey) {
         self.table.borrow_mut().settle(key, RunState::Failed);
     }
 
-    /// Forgets a run that is proved not to have happened.
+    /// Removes a run that has provably not happened.
     pub(super) fn forget(&self, key: ClaimKey) {
         self.table.borrow_mut().remove(key);
     }
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Drops runs past their time; one that still runs is kept for another retention.
+    /// Drops expired runs. A run that is still in progress is kept for another retention period.
     fn expire(&mut self, now: Duration, retention: Duration) {
         while let Some(expiry) = self.expiries.front().copied() {
             if expiry.until > now {
--- a/crates/papayamux-agent/src/claims/mod.rs
+++ b/crates/papayamux-agent/src/claims/mod.rs
@@ -1,4 +1,5 @@
-//! Keys of non-idempotent calls: the agent as a witness of claims, and the answers it keeps.
+//! Idempotency keys of non-idempotent calls: the agent grants claims as a witness and keeps the
+//! answers for retries.
 
 mod claim_settings;
 mod kept_answers;
--- a/crates/papayamux-agent/src/claims/recall.rs
+++ b/crates/papayamux-agent/src/claims/recall.rs
@@ -1,4 +1,4 @@
-//! Answering a repeat with the answer of the first run.
+//! Answers a retry with the answer of the first run.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use super::kept_answers::KeptAnswer;
 use crate::agent_core::AgentCore;
 
-/// Bytes of one piece of an answer at most.
+/// Maximum number of body bytes in one data frame.
 const MAX_PIECE_BYTES: usize = 64 * 1024;
-/// How long a router may take to say that the answer has arrived.
+/// The time within which a router must confirm that it has received the answer.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The stream on which a router asked for an answer.
+/// The stream on which a router requested a kept answer.
 pub struct RecallStream {
-    /// The connection's sending half.
+    /// The sending half of the connection.
     pub sender: LinkSender<AgentMessage>,
-    /// The stream's number.
+    /// The number of the stream.
     pub stream: u64,
-    /// Given when the router has the answer, does not want it any more, or is gone.
+    /// Fires when the router has received the answer, cancels the stream or disconnects.
     pub closed: ShutdownSignal,
 }
 
@@ -30,7 +30,7 @@
         self.sender.send(self.stream, message);
     }
 
-    /// Sends a whole answer: it is no longer than the window.
+    /// Sends a complete answer without flow control, since it fits into the window.
     fn send_answer(&self, answer: KeptAnswer) {
         let length = answer.body.len() as u64;
         self.send(AgentMessage::Head(answer.head));
@@ -46,8 +46,8 @@
     }
 }
 
-/// Sends the first run's answer once that run has ended, or says why there is none; ends when
-/// the router has it.
+/// Waits for the first run to end and sends its answer, or a refusal with the reason why there
+/// is none. Returns when the router has closed the stream, or after a timeout.
 pub async fn serve_recall(core: &AgentCore, request: &RecallRequest, stream: RecallStream) {
     let recalled = std::pin::pin!(core.kept.recall(request));
     let closed = std::pin::pin!(stream.closed.given());
--- a/crates/papayamux-agent/src/claims/run_recorder.rs
+++ b/crates/papayamux-agent/src/claims/run_recorder.rs
@@ -1,4 +1,4 @@
-//! Recording the answer of one run with a key.
+//! Records the answer of one run with a key.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,7 +9,8 @@
 
 use super::kept_answers::{KeptAnswer, KeptAnswers};
 
-/// Bytes of the longest answer that is kept: it can be sent without waiting for the window.
+/// Maximum size of a kept answer in bytes. Such an answer can be sent without waiting for the
+/// window.
 const MAX_KEPT_BYTES: usize = STREAM_WINDOW as usize;
 
 #[derive(Debug, Default)]
@@ -20,8 +21,8 @@
     settled: bool,
 }
 
-/// Collects the answer while it is sent. Dropped without another word it says that the run
-/// failed on the way.
+/// Collects an answer while it is relayed. Dropping the recorder before [`RunRecorder::complete`]
+/// or [`RunRecorder::not_run`] records the run as failed.
 #[derive(Debug)]
 pub struct RunRecorder {
     kept: Rc<KeptAnswers>,
@@ -34,12 +35,12 @@
         Self { kept, key, answer: RefCell::default() }
     }
 
-    /// Takes the answer's head.
+    /// Records the head of the answer.
     pub fn head(&self, head: &AnswerHead) {
         self.answer.borrow_mut().head = Some(head.clone());
     }
 
-    /// Takes a piece of the answer's body.
+    /// Appends a piece of the body. An answer that exceeds the limit is discarded.
     pub fn data(&self, bytes: &Bytes) {
         let mut answer = self.answer.borrow_mut();
         if answer.body.len() + bytes.len() > MAX_KEPT_BYTES {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The answer is whole.
+    /// Records that the answer is complete.
     pub fn complete(&self) {
         let mut answer = self.answer.borrow_mut();
         answer.settled = true;
@@ -63,7 +64,7 @@
         self.kept.settle_complete(self.key, kept);
     }
 
-    /// The call was not run, which is proved.
+    /// Records that the call has provably not been run.
     pub fn not_run(&self) {
         self.answer.borrow_mut().settled = true;
         self.kept.forget(self.key);
--- a/crates/papayamux-agent/src/claims/witness.rs
+++ b/crates/papayamux-agent/src/claims/witness.rs
@@ -1,4 +1,4 @@
-//! The agent as a witness of claims.
+//! Grants claims on idempotency keys as a witness, one member of the quorum.
 
 use std::cell::RefCell;
 use std::time::{Duration, SystemTime};
@@ -12,19 +12,19 @@
 
 use super::ClaimSettings;
 
-/// Milliseconds after which it is worth asking again for a key that is held.
+/// Retry delay in milliseconds for a key that another attempt holds.
 const HELD_RETRY_MS: u32 = 1_000;
-/// Milliseconds after which it is worth asking again where the witness itself was in the way.
+/// Retry delay in milliseconds if the witness itself was unable to grant the key.
 const WITNESS_RETRY_MS: u32 = 5_000;
 
-/// Grants each key to one attempt.
+/// Grants each key to at most one attempt at a time.
 pub struct ClaimWitness {
     incarnation: Incarnation,
     table: RefCell<ClaimTable>,
 }
 
 impl ClaimWitness {
-    /// A witness whose life starts now.
+    /// Creates a witness whose incarnation starts now.
     pub fn new(incarnation: Incarnation, settings: &ClaimSettings) -> Self {
         let ready = settings.ready_in(SystemTime::now());
         let mut table = ClaimTable::new(settings.retention, settings.most_claims).ready_from(ready);
@@ -34,17 +34,17 @@
         Self { incarnation, table: RefCell::new(table) }
     }
 
-    /// Time until the witness grants claims.
+    /// Returns the time from `now` until the witness grants claims.
     pub fn ready_in(&self, now: Duration) -> Duration {
         self.table.borrow().ready_in(now)
     }
 
-    /// Keys held.
+    /// Returns the number of held keys.
     pub fn held_keys(&self) -> usize {
         self.table.borrow().len()
     }
 
-    /// Answers a claim at `now` after the agent's start.
+    /// Answers a claim at `now`, the time since the agent's start.
     pub fn answer(&self, request: &ClaimRequest, now: Duration) -> ClaimReply {
         if request.agent != self.incarnation {
             return refuse(RefusalReason::WrongIncarnation, HELD_RETRY_MS, None);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Notes what became of an attempt.
+    /// Records where an attempt was placed, or that it released its key.
     pub fn note(&self, notice: ClaimNotice) {
         let mut table = self.table.borrow_mut();
         match notice.change {
--- a/crates/papayamux-agent/src/crash_notifier.rs
+++ b/crates/papayamux-agent/src/crash_notifier.rs
@@ -1,4 +1,4 @@
-//! Requests under which servers end, as the agent tells them to routers.
+//! Notifies routers of requests under which servers crash.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,10 +11,10 @@
 use papayamux_transport::agent_link::CONNECTION;
 use papayamux_transport::link::LinkSender;
 
-/// Notices in one message.
+/// Maximum number of notices in one message.
 const MAX_NOTICES: usize = 64;
 
-/// A request that is about to run.
+/// The content of a request that is about to run.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningContent {
     fingerprint: RequestFingerprint,
@@ -27,7 +27,7 @@
     }
 }
 
-/// What the agent has seen of such requests, and whom it tells.
+/// The agent's quarantine of requests under which servers crash, and the routers to notify.
 #[derive(Default)]
 pub struct CrashNotifier {
     quarantine: RefCell<CrashQuarantine>,
@@ -35,7 +35,7 @@
 }
 
 impl CrashNotifier {
-    /// Tells a router on a new connection what is held, and from now on what changes.
+    /// Sends the quarantined requests to a router on a new connection, and all later changes.
     pub fn connect(&self, link: u64, sender: LinkSender<AgentMessage>) {
         let held = self.quarantine.borrow_mut().next_held(MAX_NOTICES, Instant::now());
         if !held.is_empty() {
@@ -44,30 +44,34 @@
         self.routers.borrow_mut().insert(link, sender);
     }
 
-    /// Forgets a connection.
+    /// Removes a connection.
     pub fn disconnect(&self, link: u64) {
         self.routers.borrow_mut().remove(&link);
     }
 
-    /// Notes that the server ended under a request. Routers hear of it before they hear that its answer
-    /// is lost, so that none of them sends it elsewhere without that knowledge.
+    /// Records that the server crashed during a request. Routers are notified before they receive
+    /// the failure of the answer, so that no router sends the request to another server without
+    /// knowing of the crash.
     pub fn note_crash(&self, content: RunningContent) {
         let RunningContent { fingerprint, sent_after } = content;
         let mut quarantine = self.quarantine.borrow_mut();
         quarantine.forget_old(Instant::now());
         if quarantine.note_crash(fingerprint, sent_after, 0.0, Instant::now()).is_some() {
             let crashes = sent_after.crashes + 1;
-            log::warn!(fingerprint:% = fingerprint, crashes = crashes; "server ended under a request");
+            log::warn!(
+                fingerprint:% = fingerprint, crashes = crashes;
+                "server crashed during a request"
+            );
         }
         self.announce(&mut quarantine);
     }
 
-    /// Notes that the server has run a request to its end.
+    /// Records that the server has completed a request.
     pub fn note_run(&self, content: RunningContent) {
         let RunningContent { fingerprint, sent_after } = content;
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.note_run(fingerprint, sent_after, Instant::now()) {
-            log::info!(fingerprint:% = fingerprint; "suspect request was served");
+            log::info!(fingerprint:% = fingerprint; "suspect request completed");
         }
         self.announce(&mut quarantine);
     }
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The agent's life: start, serve, drain, end.
+//! The life cycle of the agent daemon: start, serve, drain, exit.
 
 use std::cell::Cell;
 use std::error::Error;
@@ -35,11 +35,11 @@
 use crate::settings::AgentSettings;
 use crate::trust::RouterTrust;
 
-/// How often a draining agent looks whether all has finished.
+/// Interval at which a draining agent checks whether all requests have completed.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the routers may take to answer a leaving agent's farewell.
+/// The time within which routers must complete the shutdown handshake of their connections.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Which part of all kept bytes one answer may have.
+/// One answer may use at most the limit of all kept bytes divided by this.
 const ANSWER_BYTES_DIVISOR: u64 = 16;
 
 struct AgentView {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Runs an agent until a signal ends it.
+/// Runs an agent until a signal stops it.
 pub fn run_agent(settings: AgentSettings) -> Result<(), Box<dyn Error>> {
     start_logging("papayamux-agent", log::LevelFilter::Info);
     let mut signals = catch_end_signals()?;
@@ -100,17 +100,17 @@
     })?
 }
 
-/// An agent that takes work.
+/// An agent that accepts requests.
 struct ServingAgent {
     core: Rc<AgentCore>,
 }
 
-/// An agent that takes no new work and lets what runs finish.
+/// An agent that accepts no new requests and completes those it has admitted.
 struct DrainingAgent {
     core: Rc<AgentCore>,
 }
 
-/// What a drain's end cut off.
+/// The error of a drain that was interrupted before all requests had completed.
 #[derive(Debug, Error)]
 #[error("{cause} cut off {requests} requests")]
 struct InterruptedDrain {
@@ -123,7 +123,7 @@
         Ok(Self { core: start_agent(settings)? })
     }
 
-    /// Takes no new work from now on, and tells the routers so.
+    /// Stops accepting new requests and notifies the routers.
     fn leave(self) -> DrainingAgent {
         log::info!("agent drains");
         self.core.book.leave();
@@ -133,8 +133,9 @@
 }
 
 impl DrainingAgent {
-    /// Waits until all that ran has ended and the routers have received it, or can't any more,
-    /// and until every router that answers has read the refusals of what it sent meanwhile.
+    /// Waits until all admitted requests have completed and their answers have been received or
+    /// have expired. Then waits until each router that responds has read the refusals of the
+    /// requests it sent in the meantime.
     async fn finish(&self) {
         while self.unfinished() > 0 {
             monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
@@ -152,7 +153,7 @@
         (self.core.book.running() + self.core.book.waiting()).get().max(waited_for)
     }
 
-    /// Ends the drain before its end.
+    /// Interrupts the drain and returns its error.
     fn interrupt(&self, cause: &'static str) -> Box<dyn Error> {
         let requests = self.unfinished();
         self.core.metrics.cut_requests.inc_by(requests);
@@ -235,10 +236,10 @@
     Ok(core)
 }
 
-/// Logs from when on the agent grants claims.
+/// Logs when the witness becomes ready to grant claims.
 async fn announce_witness(core: Rc<AgentCore>) {
     let ready_in = core.witness.ready_in(core.started.elapsed());
-    log::info!(ready_in_ms = ready_in.as_millis() as u64; "witness remembers too little yet");
+    log::info!(ready_in_ms = ready_in.as_millis() as u64; "witness grants no claims yet");
     monoio::time::sleep(ready_in).await;
     log::info!("witness grants claims");
 }
--- a/crates/papayamux-agent/src/engine_follower.rs
+++ b/crates/papayamux-agent/src/engine_follower.rs
@@ -1,4 +1,4 @@
-//! Following an engine: its cache events, snapshots after gaps, and the size of its batch.
+//! Polls an engine for its cache events, for snapshots after gaps, and for its batch limit.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,20 +16,20 @@
 
 use crate::agent_core::AgentCore;
 
-/// How often the engine is asked for events.
+/// Interval between polls for cache events.
 const EVENTS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pages of events that are read in one go.
+/// Maximum number of event pages read in one poll.
 const MAX_PAGES: usize = 16;
-/// The least time between two snapshots.
+/// Minimum interval between two snapshots.
 const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the engine is asked for its load.
+/// Interval between polls of the engine's load.
 const LOAD_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long an answer may take.
+/// The time within which the engine must answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of the longest answer.
+/// Maximum size of an answer in bytes.
 const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Follows the engine for as long as the agent lives, from its first chat on.
+/// Polls the engine from the first chat on until the timer ends.
 pub async fn follow_engine(core: Rc<AgentCore>, timer: TimerService) {
     core.engine.first_chat().await;
     let mut ticks = timer.every(EVENTS_POLL_INTERVAL);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Reads one page of events; `true` where there may be more.
+    /// Reads one page of events. Returns `true` if there may be more.
     async fn read_events(&self) -> bool {
         let after = self.core.engine.index().borrow().position();
         let path = format!("{CACHE_EVENTS_PATH}?after={after}&limit={LONGEST_EVENT_PAGE}");
--- a/crates/papayamux-agent/src/engine_view.rs
+++ b/crates/papayamux-agent/src/engine_view.rs
@@ -1,4 +1,4 @@
-//! What the agent knows of its engine's cache and of the chats that it is the home of.
+//! The agent's view of its engine's cache and of the chats whose home it is.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -16,10 +16,11 @@
 use papayamux_state::quantities::TokenCount;
 use papayamux_transport::shutdown::ShutdownSignal;
 
-/// One part in so many of a prompt has to be cached here for its chat to count as being here.
+/// The context of a chat counts as local if at least the prompt's number of blocks divided by
+/// this is cached here.
 const LOCAL_CONTEXT_DIVISOR: usize = 4;
 
-/// A prompt as blocks of the engine's cache.
+/// A prompt split into blocks of the engine's cache.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptBlocks {
     hashes: Vec<u64>,
@@ -27,7 +28,7 @@
 }
 
 impl PromptBlocks {
-    /// The blocks of a chat's prompt; `None` where the body is no chat.
+    /// Returns the blocks of a chat's prompt, or `None` if `body` is not a chat request.
     pub fn read(target: &ChatTarget, body: &[u8]) -> Option<Self> {
         let request: ChatRequest = serde_json::from_slice(body).ok()?;
         let prompt = render_prompt(&request.messages);
@@ -38,7 +39,7 @@
     }
 }
 
-/// The agent's knowledge of its engine; it stays empty beside a plain service.
+/// The agent's view of its engine. It stays empty if the backend server is a plain service.
 #[derive(Debug)]
 pub struct EngineView {
     index: RefCell<CacheIndex>,
@@ -48,7 +49,7 @@
 }
 
 impl EngineView {
-    /// A view of an engine that computes so many prompt tokens a second.
+    /// Creates a view of an engine that prefills `tokens_per_second` prompt tokens per second.
     pub fn new(tokens_per_second: TokenCount) -> Self {
         Self {
             index: RefCell::default(),
@@ -58,27 +59,27 @@
         }
     }
 
-    /// Waits until chats come, which says that an engine stands beside the agent.
+    /// Waits for the first chat or chat probe, which shows that the backend server is an engine.
     pub async fn first_chat(&self) {
         self.first_chat.given().await;
     }
 
-    /// The index of the engine's cache.
+    /// Returns the index of the engine's cache.
     pub fn index(&self) -> &RefCell<CacheIndex> {
         &self.index
     }
 
-    /// Prompt tokens that the engine computes in a second.
+    /// Returns the number of prompt tokens that the engine prefills per second.
     pub fn prefill_rate(&self) -> TokenCount {
         self.backlog.rate()
     }
 
-    /// How long the engine still computes prompts that it was given.
+    /// Returns the time that the engine still needs to prefill the prompts it has been given.
     pub fn prefill_left(&self, now: AgentClock) -> std::time::Duration {
         self.backlog.left(now)
     }
 
-    /// Leading checkpoints of a probe that are cached.
+    /// Returns the number of leading checkpoints of a probe that are cached.
     pub fn warm_checkpoints(&self, probe: &LoadProbe) -> u32 {
         if probe.chat != 0 {
             self.first_chat.give();
@@ -87,17 +88,18 @@
         self.index.borrow().warm_prefix(hashes, Instant::now()) as u32
     }
 
-    /// Where a chat was served last, when that was not here.
+    /// Returns the server that last served a chat, if that was another one.
     pub fn elsewhere(&self, chat: u64) -> Option<ServerId> {
         self.moved.borrow().get(chat, Instant::now()).cloned()
     }
 
-    /// A chat of which this is the home was served elsewhere.
+    /// Records that a chat whose home is this server was served by another one.
     pub fn record_moved(&self, moved: MovedChat) {
         self.moved.borrow_mut().note(moved.chat, moved.server, Instant::now());
     }
 
-    /// Where the context of a request is, when it was served elsewhere and is not cached here.
+    /// Returns the server that has the context of a request, if another one served the chat last
+    /// and too little of the prompt is cached here.
     pub fn context_elsewhere(&self, open: &OpenRequest) -> Option<ServerId> {
         let target = open.chat.as_ref()?;
         let server = self.elsewhere(chat_hash(&target.chat))?;
@@ -112,7 +114,7 @@
         self.index.borrow().warm_prefix(hashes, Instant::now())
     }
 
-    /// Notes that the engine is given a request now.
+    /// Records that a request is sent to the engine now.
     pub fn record_start(&self, open: &OpenRequest, now: AgentClock) {
         let Some(target) = &open.chat else { return };
         self.first_chat.give();
--- a/crates/papayamux-agent/src/lib.rs
+++ b/crates/papayamux-agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The agent: stands beside one backend server, decides what it takes, and runs it there.
+//! The agent of one backend server: admits requests from routers, runs them at the server and
+//! delivers the answers.
 
 mod accept;
 mod admitted_run;
--- a/crates/papayamux-agent/src/link_shutdown.rs
+++ b/crates/papayamux-agent/src/link_shutdown.rs
@@ -1,4 +1,4 @@
-//! The last words on a connection of a router, before a leaving agent ends.
+//! The shutdown handshake on a router's connection, before a drained agent exits.
 
 use std::cell::RefCell;
 
@@ -8,22 +8,22 @@
 
 use papayamux_transport::agent_link::CONNECTION;
 
-/// The ping by which a leaving agent learns that a router has read all before it.
+/// The number of the ping whose pong confirms that a router has read all earlier messages.
 pub const SHUTDOWN_PING: u64 = u64::MAX;
-/// How often a leaving agent asks so.
+/// The number of pings in the handshake; see [`LinkShutdown::run`].
 const SHUTDOWN_ROUNDS: usize = 2;
 
-/// The farewell on one connection.
+/// The shutdown handshake on one connection.
 #[derive(Default)]
 pub struct LinkShutdown {
     answered: RefCell<Option<ShutdownSignal>>,
 }
 
 impl LinkShutdown {
-    /// Waits for `closing`, then until nothing is under way on the connection any more.
+    /// Waits for `closing`, then until no message is in flight on the connection.
     ///
-    /// After the first round the router knows that the agent leaves, and every request that it had
-    /// sent before is refused; after the second it has read those refusals.
+    /// After the first round, the router knows that the agent is draining, and all requests that it
+    /// sent before have been refused. After the second round, it has read those refusals.
     pub async fn run(&self, closing: &ShutdownSignal, sender: &LinkSender<AgentMessage>) {
         closing.given().await;
         for _ in 0..SHUTDOWN_ROUNDS {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The router has answered the ping.
+    /// Records that the router has answered the ping.
     pub fn record_pong(&self) {
         if let Some(answered) = self.answered.take() {
             answered.give();
--- a/crates/papayamux-agent/src/metrics.rs
+++ b/crates/papayamux-agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The agent's metrics.
+//! The metrics of the agent.
 
 use papayamux_daemon::metrics::{ControlBytes, ReasonCounters};
 use prometheus_client::metrics::counter::Counter;
@@ -8,42 +8,42 @@
 /// All metrics of an agent.
 #[derive(Debug, Clone, Default)]
 pub struct AgentMetrics {
-    /// Requests admitted.
+    /// Admitted requests.
     pub admitted: Counter,
-    /// Requests admitted and not finished.
+    /// Requests that run at the backend server.
     pub running: Gauge,
-    /// Requests refused, by reason.
+    /// Refused requests, by reason.
     pub refusals: ReasonCounters,
-    /// Keys granted to an attempt.
+    /// Claims granted to an attempt.
     pub claims_granted: Counter,
-    /// Claims refused, by reason.
+    /// Refused claims, by reason.
     pub claim_refusals: ReasonCounters,
-    /// Repeats that got the first run's answer.
+    /// Retries answered with the answer of the first run.
     pub answers_recalled: Counter,
-    /// Answers by how they ended.
+    /// Answers, by outcome.
     pub answers: ReasonCounters,
-    /// Requests that had to wait for a place.
+    /// Requests that were queued before they got a slot.
     pub queued: Counter,
-    /// Readings of the engine's cache, by kind: snapshots, gaps, failures.
+    /// Reads of the engine's state, by kind: snapshot, gap or failure.
     pub cache_reads: ReasonCounters,
-    /// Bytes of control messages.
+    /// Bytes of control messages, sent and received.
     pub control_bytes: ControlBytes,
-    /// Connections of routers.
+    /// Open connections of routers.
     pub router_links: Gauge,
-    /// Connections that were refused or broke, by reason.
+    /// Connections that were refused or failed, by reason.
     pub link_failures: ReasonCounters,
-    /// Streams that routers asked to go on with, by outcome.
+    /// Streams that routers asked to resume, by outcome.
     pub resumes: ReasonCounters,
-    /// Streams of the server that were replaced or given up, by outcome.
+    /// Streams of the server that were resumed, replaced or abandoned, by outcome.
     pub server_streams: ReasonCounters,
-    /// Bytes of answers that are held.
+    /// Buffered bytes of answers.
     pub buffered_bytes: Gauge,
-    /// Requests that the end of a drain cut off.
+    /// Requests that were interrupted by the end of a drain.
     pub cut_requests: Counter,
 }
 
 impl AgentMetrics {
-    /// Registers the metrics.
+    /// Registers the metrics under the prefix `papayamux_agent`.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("papayamux_agent");
         registry.register("admitted_requests", "Requests admitted", self.admitted.clone());
--- a/crates/papayamux-agent/src/orders/engine_client.rs
+++ b/crates/papayamux-agent/src/orders/engine_client.rs
@@ -1,4 +1,4 @@
-//! The engine's interface for orders.
+//! The client of the engine's order interface.
 
 use std::time::Duration;
 
@@ -12,26 +12,26 @@
 
 use super::order_permit::{OrderPermit, PermitError};
 
-/// How long the engine may take to answer.
+/// The time within which the engine must answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of the longest state.
+/// Maximum size of an answer in bytes.
 const MAX_STATE_BYTES: u64 = 1024 * 1024;
 
-/// Why the engine's state is not known, or an order's fate.
+/// The error of reading the engine's state or sending an order.
 #[derive(Debug, Error)]
 pub enum EngineError {
     /// The connection failed.
     #[error(transparent)]
     Client(#[from] HttpClientError),
-    /// No answer came in time.
+    /// The engine did not answer in time.
     #[error("no answer within {ANSWER_TIMEOUT:?}")]
     Timeout,
-    /// The answer is not what the interface promises.
-    #[error("answer {status} is not as published: {help}")]
+    /// The answer does not conform to the interface.
+    #[error("answer with status {status} does not conform to the order interface: {help}")]
     Answer {
-        /// The status.
+        /// The status of the answer.
         status: StatusCode,
-        /// What is wrong with it.
+        /// The reason why the answer does not conform.
         help: String,
     },
     /// The request could not be built.
@@ -39,26 +39,26 @@
     Request(#[from] http::Error),
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug)]
 pub enum OrderOutcome {
-    /// It was not sent.
+    /// The order was not sent.
     NotSent(PermitError),
-    /// The engine obeys it.
+    /// The engine accepted the order.
     Accepted,
     /// The engine has seen a higher fencing number.
     Stale {
-        /// The highest one.
+        /// The highest fencing number that the engine has seen.
         highest: u64,
     },
-    /// The engine refused it for another reason.
+    /// The engine refused the order for another reason.
     Refused(StatusCode),
-    /// It may have been obeyed or not.
+    /// It is unknown whether the engine accepted the order.
     Unknown(EngineError),
 }
 
 impl OrderOutcome {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub fn label(&self) -> &'static str {
         match self {
             OrderOutcome::NotSent(end) => end.label(),
@@ -75,13 +75,14 @@
     let request = engine_request(client, Method::GET, STATE_PATH, Bytes::new())?;
     let (status, body) = exchange(client, request).await?;
     if status != StatusCode::OK {
-        return Err(EngineError::Answer { status, help: "a state has status 200".to_string() });
+        return Err(EngineError::Answer { status, help: "expected status 200".to_string() });
     }
     serde_json::from_slice(&body)
         .map_err(|error| EngineError::Answer { status, help: error.to_string() })
 }
 
-/// Sends an order if `permit` still lets it; the permission is checked last of all.
+/// Sends an order if `permit` is still valid. The permit is checked immediately before the order is
+/// sent.
 pub async fn send_order(
     client: &HttpClient,
     order: &EngineOrder,
--- a/crates/papayamux-agent/src/orders/metrics.rs
+++ b/crates/papayamux-agent/src/orders/metrics.rs
@@ -1,36 +1,36 @@
-//! Metrics of the orders.
+//! The metrics of the orders to the engine.
 
 use papayamux_daemon::metrics::ReasonCounters;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// All metrics of an agent's orders.
+/// All metrics of the orders to the engine.
 #[derive(Debug, Clone, Default)]
 pub struct OrderMetrics {
-    /// Orders sent, by each of their reasons.
+    /// Sent orders, by each of their reasons.
     pub orders: ReasonCounters,
-    /// Orders by what the engine answered.
+    /// Orders, by the engine's answer.
     pub outcomes: ReasonCounters,
-    /// Orders by whether the state read afterwards shows their effect.
+    /// Orders, by whether the state read afterwards shows their effect.
     pub effects: ReasonCounters,
-    /// Looks at the engine after which nothing was ordered, by what is waited for.
+    /// Waits of the order task, by what it waits for.
     pub waits: ReasonCounters,
-    /// What the engine's fencing number said, at each look.
+    /// Observations of the engine's fencing number, by what the number shows.
     pub fences: ReasonCounters,
-    /// Loads by how they ended.
+    /// Loads, by outcome.
     pub loads: ReasonCounters,
-    /// Other servers asked whether they serve, by answer.
+    /// Queries to other servers whether they serve weights, by answer.
     pub serving_asked: ReasonCounters,
-    /// Questions of other servers whether this one serves, by answer.
+    /// Queries from other servers whether this server serves weights, by answer.
     pub serving_answers: ReasonCounters,
-    /// 1 where a newer agent orders the engine.
+    /// 1 if a newer agent controls the engine.
     pub superseded: Gauge,
-    /// Models and adapters that are not yet as declared.
+    /// Models and adapters whose state differs from the target.
     pub open_changes: Gauge,
 }
 
 impl OrderMetrics {
-    /// Registers the metrics.
+    /// Registers the metrics under the prefix `papayamux_agent`.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("papayamux_agent");
         registry.register("orders", "Orders sent, by reason", self.orders.0.clone());
--- a/crates/papayamux-agent/src/orders/mod.rs
+++ b/crates/papayamux-agent/src/orders/mod.rs
@@ -1,4 +1,5 @@
-//! Orders: the agent brings its engine to what is declared, and refuses what is not loaded.
+//! Orders to the engine: the agent reconciles its engine with the declared target, and refuses
+//! requests for weights that are not loaded.
 
 mod engine_client;
 mod metrics;
--- a/crates/papayamux-agent/src/orders/model_gate.rs
+++ b/crates/papayamux-agent/src/orders/model_gate.rs
@@ -1,4 +1,4 @@
-//! Which models and adapters the agent takes requests for.
+//! Admits requests by the models and adapters that the engine has loaded.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,9 +15,10 @@
     read: Instant,
 }
 
-/// What the engine has loaded as far as the agent knows, and the requests that use it.
+/// The last known set of weights that the engine has loaded, and the requests that use them.
 ///
-/// While the engine's state is not known, nothing is refused: the engine itself says what it has.
+/// While the engine's state is unknown, no request is refused for weights that are not loaded: the
+/// engine itself refuses those that it can't serve.
 #[derive(Debug)]
 pub struct ModelGate {
     max_state_age: Duration,
@@ -27,7 +28,7 @@
     superseded: Cell<bool>,
 }
 
-/// A request's place at the gate; dropping it says that the request has ended.
+/// Counts a request as running on its weights until the pass is dropped.
 #[derive(Debug)]
 pub struct GatePass {
     gate: Rc<ModelGate>,
@@ -49,7 +50,7 @@
 }
 
 impl ModelGate {
-    /// A gate that relies on an engine's state for `fresh_for` after it was read.
+    /// Creates a gate that relies on an engine's state for `max_state_age` after it was read.
     pub fn new(max_state_age: Duration) -> Rc<Self> {
         Rc::new(Self {
             max_state_age,
@@ -60,27 +61,28 @@
         })
     }
 
-    /// Notes what the engine had loaded when its state was asked for at `read`.
+    /// Records the weights that the engine had loaded when its state was requested at `read`.
     pub fn record_loaded(&self, weights: BTreeSet<WeightsRef>, read: Instant) {
         *self.loaded.borrow_mut() = Some(LoadedSet { weights, read });
     }
 
-    /// Takes no requests for `closed`, and again for all others.
+    /// Refuses requests for `closed` and admits those for all other weights again.
     pub fn set_closed(&self, closed: BTreeSet<WeightsRef>) {
         *self.closed.borrow_mut() = closed;
     }
 
-    /// Takes no requests at all any more: a newer agent stands beside the engine.
+    /// Refuses all requests from now on, because a newer agent controls the engine.
     pub fn supersede(&self) {
         self.superseded.set(true);
     }
 
-    /// Whether a newer agent stands beside the engine.
+    /// Returns whether a newer agent controls the engine.
     pub fn is_superseded(&self) -> bool {
         self.superseded.get()
     }
 
-    /// Whether requests for `weights` are known to be answered at `now`, by a state read recently.
+    /// Returns whether requests for `weights` are known to be served at `now`, according to a state
+    /// that is at most half of the maximum age old.
     pub fn is_serving(&self, weights: &WeightsRef, now: Instant) -> bool {
         !self.superseded.get()
             && !self.closed.borrow().contains(weights)
@@ -88,12 +90,12 @@
                 == Some(true)
     }
 
-    /// Requests that use `weights`.
+    /// Returns the number of running requests that use `weights`.
     pub fn running(&self, weights: &WeightsRef) -> u64 {
         self.running.borrow().get(weights).copied().unwrap_or(0)
     }
 
-    /// Decides on a chat at `now`.
+    /// Admits or refuses a request at `now`. `chat` is `None` for a request that is not a chat.
     pub fn admit(
         self: &Rc<Self>,
         chat: Option<&ChatTarget>,
--- a/crates/papayamux-agent/src/orders/order_core.rs
+++ b/crates/papayamux-agent/src/orders/order_core.rs
@@ -1,4 +1,4 @@
-//! What the order task shares with the rest of the agent.
+//! The state that the order task shares with the rest of the agent.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,39 +14,39 @@
 use super::order_settings::OrderSettings;
 use super::target_watch::TargetWatch;
 
-/// Looks at the engine after which its state counts as unknown.
+/// Number of poll intervals after which the engine's last known state counts as unknown.
 const MAX_STATE_AGE_POLLS: u32 = 5;
 
-/// What an agent knows of its engine and its orders.
+/// The state of the agent's orders to its engine.
 pub struct OrderCore {
-    /// How the orders are given.
+    /// The settings of the orders.
     pub settings: OrderSettings,
-    /// What the engine is to be brought to.
+    /// The target state of the engine.
     pub target: TargetWatch,
-    /// Which requests are taken.
+    /// The gate that admits requests by their model and adapter.
     pub gate: Rc<ModelGate>,
-    /// What this server wants to stop serving.
+    /// The weights that this server wants to stop or has stopped serving.
     pub stops: RefCell<StopBook>,
-    /// The metrics.
+    /// The metrics of the orders.
     pub metrics: OrderMetrics,
     report: RefCell<OrderReport>,
 }
 
-/// The last look at the engine.
+/// The result of the last poll of the engine.
 #[derive(Debug, Clone, Default)]
 pub struct OrderReport {
-    /// The revision of the target.
+    /// The revision of the target, or `None` before the first report.
     pub revision: Option<u64>,
-    /// The engine's state.
+    /// The state of the engine.
     pub view: EngineReading,
-    /// What separates it from the target.
+    /// The changes that lead from that state to the target.
     pub plan: ChangePlan,
-    /// What is waited for.
+    /// The labels of what the order task waits for.
     pub waits: Vec<&'static str>,
 }
 
 impl OrderCore {
-    /// The core of an agent that starts now.
+    /// Creates the state of an agent that starts now.
     pub fn new(settings: OrderSettings, metrics: OrderMetrics) -> Self {
         let target = TargetWatch::default();
         if let Some(wanted) = settings.target.clone() {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Answers another server's agent that asks whether it can count on this server.
+    /// Answers the query of another server's agent whether this server will keep serving weights.
     pub fn answer_question(&self, question: &ServingQuestion, is_leaving: bool) -> ServingAnswer {
         let now = Instant::now();
         let is_serving = !is_leaving && self.gate.is_serving(&question.weights, now);
@@ -75,7 +75,7 @@
         answer
     }
 
-    /// Notes the last look at the engine.
+    /// Records the result of the last poll of the engine.
     pub fn record_report(&self, report: OrderReport) {
         let plan = &report.plan;
         let open = plan.missing.len() + plan.outdated.len() + plan.surplus.len() + plan.loading;
@@ -83,7 +83,7 @@
         *self.report.borrow_mut() = report;
     }
 
-    /// The state, for people and programs.
+    /// Returns the status as JSON.
     pub fn status(&self) -> serde_json::Value {
         let report = self.report.borrow();
         let loaded = report.view.loaded.iter().map(|(weights, version)| {
--- a/crates/papayamux-agent/src/orders/order_permit.rs
+++ b/crates/papayamux-agent/src/orders/order_permit.rs
@@ -1,40 +1,42 @@
-//! The permission to send one order: short, and checked right before the order is sent.
+//! The short-lived permit to send one order, checked immediately before the order is sent.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use papayamux_coordination::orders::LoadSlots;
 
-/// How long after the engine's state was asked for an order may follow from it.
+/// The duration, from the request for the engine's state, for which orders may be based on that
+/// state.
 pub const PERMIT_TTL: Duration = Duration::from_millis(500);
 
-/// A slot of the weight store that an order uses.
+/// The slot of the weight store that an order uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotUse {
-    /// The engine's slots.
+    /// The slots of the engine.
     pub slots: LoadSlots,
-    /// The slot.
+    /// The number of the slot.
     pub number: u64,
 }
 
-/// The permission to send one order. It is renewed by reading the engine's state, and its
-/// deadline lies on the monotonic clock, so that an agent that was paused reads everything again.
+/// The permit to send one order. Only reading the engine's state again gives a new permit. The
+/// deadline is a time of the monotonic clock, so that an agent that was paused reads the state
+/// again before it sends an order.
 #[derive(Debug)]
 pub struct OrderPermit {
     deadline: Instant,
     slot: Option<SlotUse>,
 }
 
-/// Why an order may not be sent any more.
+/// The reason why a permit is no longer valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitError {
-    /// The engine's state was read too long ago.
+    /// The engine's state was read too long ago, or the evidence for the order has expired.
     Expired,
-    /// The slot of the weight store has passed.
+    /// The slot of the weight store is no longer open.
     SlotPassed,
 }
 
 impl PermitError {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub const fn label(self) -> &'static str {
         match self {
             PermitError::Expired => "permit_expired",
@@ -43,24 +45,24 @@
     }
 }
 
-/// Time since the epoch on the wall clock.
+/// Returns the time since the Unix epoch on the wall clock.
 pub fn wall_clock() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
 impl OrderPermit {
-    /// The permission that follows from a state that was asked for at `asked`, for an order that
-    /// uses `slot`, if it begins a load.
+    /// Creates the permit based on an engine state that was requested at `asked`. `slot` is the
+    /// slot that the order uses if it begins a load.
     pub fn new(asked: Instant, slot: Option<SlotUse>) -> Self {
         Self { deadline: asked + PERMIT_TTL, slot }
     }
 
-    /// Ends earlier, at `until`.
+    /// Limits the permit to `deadline`, if that is earlier.
     pub fn limit_to(&mut self, deadline: Instant) {
         self.deadline = self.deadline.min(deadline);
     }
 
-    /// Whether an order may be sent now.
+    /// Returns an error if the order may no longer be sent.
     pub fn check(&self) -> Result<(), PermitError> {
         if Instant::now() >= self.deadline {
             return Err(PermitError::Expired);
--- a/crates/papayamux-agent/src/orders/order_settings.rs
+++ b/crates/papayamux-agent/src/orders/order_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the orders: `[orders]` and `[peer NAME]`.
+//! The settings of the orders, from the sections `[orders]` and `[peer NAME]`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -13,29 +13,29 @@
 use papayamux_state::ids::{AdapterId, IdError, ModelId, ServerId};
 use papayamux_state::weights::WeightsRef;
 
-/// Loads a second of a weight store that the settings say nothing of.
+/// Loads per second of the weight store if the settings give no rate.
 const DEFAULT_LOAD_RATE: &str = "10";
 
 const DEFAULT_LOOK_EVERY: Duration = Duration::from_secs(1);
 const DEFAULT_EVIDENCE_FOR: Duration = Duration::from_secs(5);
-/// Looks that have to fit into the time for which evidence counts.
+/// Minimum number of poll intervals in the duration for which evidence is valid.
 const MIN_POLLS_PER_EVIDENCE: u32 = 4;
 
-/// How an agent orders its engine.
+/// The settings of the orders to the engine.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct OrderSettings {
-    /// What the engine is to be brought to, where the settings say so.
+    /// The target state of the engine, or `None` if the declarations determine it.
     pub target: Option<ServerTarget>,
-    /// Loads a second that the weight store answers to the whole fleet.
+    /// The number of loads per second that the weight store serves to the whole fleet.
     pub load_rate: LoadRate,
-    /// How often the engine's state is compared with its target.
+    /// Interval at which the engine's state is compared with its target.
     #[builder(default = DEFAULT_LOOK_EVERY)]
     pub look_every: Duration,
-    /// How long another server's word that it serves counts, and for how long after its start
-    /// others can't count on this one; equal in the whole fleet.
+    /// The duration for which another server's confirmation that it serves is valid, and the time
+    /// after its start during which this server gives none. Must be equal in the whole fleet.
     #[builder(default = DEFAULT_EVIDENCE_FOR)]
     pub evidence_for: Duration,
-    /// How long requests may take to finish before their model is unloaded.
+    /// The time within which running requests must complete before their model is unloaded.
     #[builder(default = Duration::from_secs(600))]
     pub unload_drain: Duration,
 }
@@ -65,7 +65,7 @@
     }
 }
 
-/// Reads the sections; `None` where there is no `[orders]`, so that the agent orders nothing.
+/// Reads the sections. Returns `None` without a section `[orders]`; the agent then gives no orders.
 pub fn read_orders(file: &IniFile) -> Option<OrderSettings> {
     let peers = file.names_of("peer").into_iter().filter_map(|name| read_peer(file, &name));
     let peers: BTreeMap<ServerId, PeerServer> = peers.collect();
@@ -102,7 +102,7 @@
     Some(settings)
 }
 
-/// An update's evidence has to last from the look before its slot to the slot.
+/// Checks that the evidence for an update stays valid from the poll before its slot to the slot.
 fn check_times(
     section: &SectionReader<'_>,
     look_every: Option<Duration>,
@@ -111,7 +111,7 @@
     let look_every = look_every.unwrap_or(DEFAULT_LOOK_EVERY);
     if evidence_for.unwrap_or(DEFAULT_EVIDENCE_FOR) < look_every * MIN_POLLS_PER_EVIDENCE {
         let help = format!("make evidence_for at least {MIN_POLLS_PER_EVIDENCE} times look_every");
-        section.report("evidence_for", "evidence would run out between two looks", &help);
+        section.report("evidence_for", "evidence would expire between two polls", &help);
     }
 }
 
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -1,4 +1,5 @@
-//! The task that brings the engine to its target: read, compare, order, check, again and again.
+//! The task that reconciles the engine with its target in a loop: read the engine's state, compare
+//! it with the target, send an order, check the effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -21,28 +22,28 @@
 use super::stop_requests::StopRequests;
 use crate::agent_core::AgentCore;
 
-/// Looks in a row without a fencing number after an obeyed order, after which the engine is taken
-/// to publish none.
+/// Number of consecutive observations without a fencing number after an accepted order, after
+/// which the engine is assumed to publish none.
 const MAX_MISSING_FENCES: u32 = 3;
 
-/// How a look at the engine ended.
+/// The outcome of one poll of the engine.
 enum PollOutcome {
-    /// The next look comes with the timer or with the next slot.
+    /// The next poll follows at the next timer tick or slot.
     Wait,
-    /// Things have changed; the next look comes at once.
+    /// The state has changed; the next poll follows at once.
     Again,
-    /// A newer agent orders the engine.
+    /// A newer agent controls the engine.
     Superseded,
 }
 
-/// The engine's state as it was read.
+/// The engine's state as read in one poll.
 struct EnginePoll {
     asked: Instant,
     view: EngineReading,
     sight: FenceSight,
 }
 
-/// The one task that orders the engine.
+/// The only task that sends orders to the engine.
 pub struct OrderTask {
     core: Rc<AgentCore>,
     orders: Rc<OrderCore>,
@@ -57,7 +58,7 @@
 }
 
 impl OrderTask {
-    /// The task of an agent that knows nothing of its engine yet.
+    /// Creates the task of an agent that has not read its engine's state yet.
     pub fn new(core: Rc<AgentCore>, orders: Rc<OrderCore>) -> Self {
         let identity = LinkIdentity {
             incarnation: core.incarnation,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Orders until a newer agent does so, or the timer ends.
+    /// Sends orders until a newer agent controls the engine or the timer ends.
     pub async fn run(mut self, mut ticks: TimerSubscription) {
         loop {
             match self.poll().await {
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Waits for the timer, or for the engine's slot where a load waits for it.
+    /// Waits for the timer, or for the engine's next slot if a load needs it. Returns `false` if
+    /// the timer has ended.
     async fn wait(&mut self, ticks: &mut TimerSubscription) -> bool {
         let slot = self.until_slot().unwrap_or(Duration::MAX / 4);
         let tick = std::pin::pin!(ticks.tick());
@@ -113,7 +115,7 @@
         true
     }
 
-    /// Time to the engine's next slot, where it is of use.
+    /// Returns the time until the engine's next slot, if a load waits for it.
     fn until_slot(&self) -> Option<Duration> {
         let waits_for_slot = self.waits.contains(&"load_slot");
         let target = self.orders.target.current().filter(|_| waits_for_slot)?;
@@ -136,13 +138,16 @@
         self.waits.clear();
         let Some(target) = self.orders.target.current() else { return self.wait_for("no_target") };
         if let Err(error) = target.check() {
-            log::warn!(error:% = error; "the target can't be ordered");
+            log::warn!(error:% = error; "the target can't be turned into orders");
             return self.wait_for(error.label());
         }
         let poll = match self.read().await {
             Ok(poll) => poll,
             Err(error) => {
-                log::warn!(server:% = self.core.server, error:% = error; "state unread");
+                log::warn!(
+                    server:% = self.core.server, error:% = error;
+                    "reading the engine's state failed"
+                );
                 return self.wait_for("state_unread");
             }
         };
@@ -161,7 +166,7 @@
         end
     }
 
-    /// Reads the engine's state, and what its fencing number says.
+    /// Reads the engine's state and observes its fencing number.
     async fn read(&mut self) -> Result<EnginePoll, EngineError> {
         let asked = Instant::now();
         let state = read_state(&self.core.client).await?;
@@ -172,7 +177,7 @@
         Ok(EnginePoll { asked, view, sight })
     }
 
-    /// Notes loads that have ended, and serves on where stopping is not wanted any more.
+    /// Records loads that have ended, and resumes serving weights whose stop is no longer wanted.
     fn settle(&mut self, target: &ServerTarget, view: &EngineReading, plan: &ChangePlan) {
         let now = Instant::now();
         let pending_loads = std::mem::take(&mut self.pending_loads);
@@ -199,7 +204,7 @@
         self.stops.settle(target, view, plan, &mut self.evidence);
     }
 
-    /// Sends the next order, if there is one, and checks its effect.
+    /// Sends the next order, if any, and checks its effect.
     async fn order(
         &mut self,
         target: &ServerTarget,
@@ -229,7 +234,7 @@
         self.send(target, &draft, &permit, rights.load.zip(slot)).await
     }
 
-    /// Whether the engine has to be told who orders it.
+    /// Returns whether the next order must claim the engine for this agent.
     fn claims(&mut self, sight: FenceSight) -> bool {
         match sight {
             FenceSight::Own => self.missing_fences = 0,
@@ -250,7 +255,10 @@
             Ok(fence) => fence,
             Err(FenceError::Contended) => return PollOutcome::Superseded,
             Err(error) => {
-                log::error!(server:% = self.core.server, error:% = error; "no order possible");
+                log::error!(
+                    server:% = self.core.server, error:% = error;
+                    "no fencing number left for an order"
+                );
                 return self.wait_for("fence_exhausted");
             }
         };
@@ -272,10 +280,16 @@
             }
             OrderOutcome::Accepted => self.fence.note_obeyed(),
             OrderOutcome::Refused(status) => {
-                log::warn!(server:% = self.core.server, status:% = status; "order refused");
+                log::warn!(
+                    server:% = self.core.server, status:% = status;
+                    "engine refused an order"
+                );
             }
             OrderOutcome::Unknown(ref error) => {
-                log::warn!(server:% = self.core.server, error:% = error; "order unanswered");
+                log::warn!(
+                    server:% = self.core.server, error:% = error;
+                    "outcome of an order is unknown"
+                );
             }
         }
         reasons.iter().for_each(|reason| self.orders.metrics.orders.count(reason));
@@ -300,7 +314,10 @@
         let seen = draft.is_in_effect(&after.view);
         effects.count(if seen { "seen" } else { "missing" });
         if matches!(outcome, OrderOutcome::Accepted) && !seen {
-            log::warn!(server:% = self.core.server; "the order's effect is not seen");
+            log::warn!(
+                server:% = self.core.server;
+                "engine's state does not show the effect of an order"
+            );
         }
         PollOutcome::Wait
     }
@@ -315,16 +332,17 @@
         });
     }
 
-    /// A newer agent stands beside the engine: this one orders nothing more and takes no work.
+    /// Stops accepting requests, because a newer agent controls the engine.
     fn stop_superseded(&self) {
-        log::warn!(server:% = self.core.server; "a newer agent orders the engine; stepping back");
+        log::warn!(server:% = self.core.server; "a newer agent controls the engine; stopping");
         self.orders.metrics.superseded.set(1);
         self.orders.gate.supersede();
         self.core.draining.give();
     }
 }
 
-/// Sleeps for at most a day, which is as good as for ever beside a timer.
+/// Sleeps for `time`, but at most a day. A day is long enough, because the caller also waits for a
+/// timer.
 async fn sleep_capped(time: Duration) {
     const MAX_SLEEP: Duration = Duration::from_secs(86_400);
     monoio::time::sleep(time.min(MAX_SLEEP)).await;
--- a/crates/papayamux-agent/src/orders/serving_client.rs
+++ b/crates/papayamux-agent/src/orders/serving_client.rs
@@ -1,4 +1,5 @@
-//! Asking other servers' agents whether their servers serve weights on while this one stops.
+//! Queries the agents of other servers whether their servers keep serving weights that this server
+//! wants to stop serving.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,26 +14,27 @@
 
 use super::metrics::OrderMetrics;
 
-/// How long another agent may take to answer, with the opening of the connection.
+/// The time within which another agent must answer, including the opening of the connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Servers that are asked at most.
+/// Maximum number of queried servers.
 const MAX_QUERIED: usize = 256;
 
-/// Asks other agents on behalf of this one.
+/// Queries other agents on behalf of this agent.
 #[derive(Debug, Clone)]
 pub struct ServingClient {
-    /// What this agent says of itself.
+    /// The identity that this agent presents.
     pub identity: LinkIdentity,
-    /// Its server.
+    /// The server of this agent.
     pub server: ServerId,
-    /// How long an answer counts.
+    /// The duration for which an answer is valid, from the start of the query.
     pub evidence_for: Duration,
-    /// Its metrics.
+    /// The metrics of the orders.
     pub metrics: OrderMetrics,
 }
 
 impl ServingClient {
-    /// Asks all `others` at once; gives the evidence of those that serve and answer in time.
+    /// Queries all `others` concurrently. Returns the evidence of those that confirm on time that
+    /// they serve `weights`.
     pub async fn query_all(
         &self,
         weights: &WeightsRef,
--- a/crates/papayamux-agent/src/orders/step_choice.rs
+++ b/crates/papayamux-agent/src/orders/step_choice.rs
@@ -1,4 +1,4 @@
-//! What the order task may do at one look: which load is next, and what may be unloaded.
+//! Chooses the next load of the order task and determines until when an update may be ordered.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,18 +10,19 @@
 
 use super::order_permit::{wall_clock, SlotUse};
 
-/// Evidence by the weights that this server is to stop serving.
+/// Evidence that other servers keep serving, by the weights that this server wants to stop serving.
 pub type EvidenceTable = BTreeMap<WeightsRef, Vec<ServingEvidence>>;
 
-/// The slot of the weight store that is open now, unless it was used.
+/// Returns the slot of the weight store that is open now, unless it has been used.
 pub fn unused_slot(slots: LoadSlots, used: Option<u64>) -> Option<SlotUse> {
     let number = slots.open_slot(wall_clock())?;
     (used != Some(number)).then_some(SlotUse { slots, number })
 }
 
-/// Until when the update of `weights` may be ordered: while enough other servers count. `None`
-/// where they do not; a server that is declared alone needs nobody, since
-/// its engine answers with the old version until the new one is loaded.
+/// Returns the time until which the update of `weights` may be ordered, which is as long as the
+/// evidence of enough other servers is valid. Returns `None` if it may not be ordered now, and
+/// `Some(None)` without a limit for a server that alone is declared to serve `weights`: its
+/// engine answers with the old version until the new one is loaded.
 pub fn update_deadline(
     target: &ServerTarget,
     weights: &WeightsRef,
@@ -38,7 +39,7 @@
     (end > now).then_some(Some(end))
 }
 
-/// The next weights to load: what is missing goes before what is outdated.
+/// Returns the next weights to load. Missing weights come before outdated ones.
 pub fn next_load(
     target: &ServerTarget,
     plan: &ChangePlan,
--- a/crates/papayamux-agent/src/orders/stop_requests.rs
+++ b/crates/papayamux-agent/src/orders/stop_requests.rs
@@ -1,4 +1,4 @@
-//! The wishes of this server to stop serving weights, and the evidence that they need.
+//! The requests of this server to stop serving weights, and the evidence that they need.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use super::serving_client::ServingClient;
 use super::step_choice::EvidenceTable;
 
-/// Asks other servers, one stop at a time, and keeps the gate closed for what has stopped.
+/// Queries other servers for one stop at a time, and keeps the gate closed for stopped weights.
 pub struct StopRequests {
     client: ServingClient,
     orders: Rc<OrderCore>,
@@ -28,7 +28,7 @@
 }
 
 impl StopRequests {
-    /// No wish yet.
+    /// Creates an empty set of stop requests.
     pub fn new(client: ServingClient, orders: Rc<OrderCore>) -> Self {
         let (drain_deadlines, waits) = (BTreeMap::new(), Vec::new());
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What is waited for since the last call.
+    /// Returns the labels of what was waited for since the last call.
     pub fn take_waits(&mut self) -> Vec<&'static str> {
         std::mem::take(&mut self.waits)
     }
@@ -51,12 +51,13 @@
         self.waits.push(label);
     }
 
-    /// How long before its slot an update asks other servers: at least one look falls into it.
+    /// Returns the time before its slot at which an update queries other servers. At least one poll
+    /// falls into it.
     fn query_lead_time(&self) -> Duration {
         (self.client.evidence_for / 4).max(self.orders.settings.look_every)
     }
 
-    /// Serves on where stopping is not wanted any more, or its evidence has run out.
+    /// Resumes serving the weights whose stop is no longer wanted or whose evidence has expired.
     pub fn settle(
         &mut self,
         target: &ServerTarget,
@@ -91,7 +92,8 @@
         self.orders.gate.set_closed(stops.stopped().cloned().collect());
     }
 
-    /// What may be unloaded at `now`: stopped, and not used by any request any more.
+    /// Returns the weights that may be unloaded at `now`: they are stopped, and either no running
+    /// request uses them or their drain deadline has passed.
     pub fn unloadable(&self, plan: &ChangePlan, now: Instant) -> BTreeSet<WeightsRef> {
         let stops = self.orders.stops.borrow();
         let is_drained = |weights: &&WeightsRef| {
@@ -102,7 +104,7 @@
         stopped.filter(is_drained).cloned().collect()
     }
 
-    /// Brings one wish to stop forward; whether anything has changed by that.
+    /// Advances one stop request. Returns whether this changed the state.
     pub async fn query_next(
         &mut self,
         target: &ServerTarget,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Stops serving what nobody may ask for any more.
+    /// Stops serving surplus weights that are no longer declared anywhere. This needs no evidence.
     fn stop_unneeded(&mut self, target: &ServerTarget, plan: &ChangePlan) -> bool {
         let deadline = Instant::now() + self.orders.settings.unload_drain;
         let mut stops = self.orders.stops.borrow_mut();
@@ -170,7 +172,7 @@
         stopped
     }
 
-    /// Asks `keepers` to serve on; gives their evidence if it is enough.
+    /// Queries whether `keepers` keep serving `weights`. Returns their evidence if it is enough.
     async fn query(
         &mut self,
         weights: &WeightsRef,
@@ -196,7 +198,7 @@
         }
         drop(stops);
         if stopped {
-            log::info!(weights:% = weights; "serves no more");
+            log::info!(weights:% = weights; "stopped serving weights");
             let deadline = Instant::now() + self.orders.settings.unload_drain;
             self.drain_deadlines.insert(weights.clone(), deadline);
             self.close_gate();
--- a/crates/papayamux-agent/src/orders/target_watch.rs
+++ b/crates/papayamux-agent/src/orders/target_watch.rs
@@ -1,4 +1,4 @@
-//! What the engine is to be brought to, whoever says so.
+//! The target state of the engine, from the settings or from the declarations.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -17,14 +17,14 @@
     highest: u64,
 }
 
-/// The present target; clones share it.
+/// The current target. Clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct TargetWatch {
     state: Rc<RefCell<WatchState>>,
 }
 
 impl TargetWatch {
-    /// Puts a target in place of the present one; `false` where it is older than one before.
+    /// Replaces the current target. Returns `false` if `target` is older than an earlier one.
     pub fn set(&self, target: ServerTarget) -> bool {
         let mut state = self.state.borrow_mut();
         if target.revision < state.highest {
@@ -35,18 +35,18 @@
         true
     }
 
-    /// No target is known any more, until the next one.
+    /// Removes the current target until the next one is set.
     pub fn clear(&self) {
         self.state.borrow_mut().current = None;
     }
 
-    /// The present target; `None` while none is known.
+    /// Returns the current target, or `None` while none is known.
     pub fn current(&self) -> Option<Rc<ServerTarget>> {
         self.state.borrow().current.clone()
     }
 
-    /// Keeps to what is declared for `server`. While the process has not asked its peers, since
-    /// it started or was paused, there is no target: what it knows may be old.
+    /// Follows the declarations for `server`. There is no target until the process has queried its
+    /// peers after a start or a pause, because its configuration may be outdated.
     pub async fn follow(self, configuration: ConfigurationView, server: ServerId) {
         let mut changes = configuration.subscribe();
         loop {
@@ -63,8 +63,8 @@
     }
 }
 
-/// What is declared for the engine of `server`; `None` where no such engine is declared, whose
-/// state is then left as it is.
+/// Returns the target declared for the engine of `server`. Returns `None` if no such engine is
+/// declared; its state is then left unchanged.
 pub fn declared_target(in_force: &InForce, server: &ServerId) -> Option<ServerTarget> {
     let declared = in_force.engine_target(server)?;
     let models = declared.models.iter();
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -1,4 +1,4 @@
-//! Connections of routers: one task each, and one for each stream.
+//! Serves connections of routers, with one task per connection and one per stream.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,15 +25,15 @@
 use crate::link_shutdown::{LinkShutdown, SHUTDOWN_PING};
 use crate::trust::{AcceptedLink, HandshakeError, RouterReceiver, TrustedLink};
 
-/// Silence on a connection with open streams after which the router is pinged.
+/// The time without a frame after which a router with unsent streams is pinged.
 const PING_IDLE_TIME: Duration = Duration::from_secs(2);
-/// Pings without any frame in between after which the connection counts as silent.
+/// Number of consecutive pings without any frame after which the connection counts as silent.
 const MAX_UNANSWERED_PINGS: u32 = 3;
-/// Streams open at once on one connection.
+/// Maximum number of open streams on one connection.
 const MAX_STREAMS: usize = 4_096;
-/// Time after which a refused router may ask again.
+/// Retry delay of a refused request in milliseconds.
 const RETRY_AFTER_MS: u32 = 500;
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 pub async fn serve_router(core: &Rc<AgentCore>, stream: TcpStream) {
     let peer = stream.peer_addr().map(|address| address.to_string()).unwrap_or_default();
     let link = match open_link(core, stream).await {
@@ -63,7 +63,7 @@
         LinkEnd::Closed => {}
         LinkEnd::Silent => {
             core.metrics.link_failures.count("silent");
-            log::warn!(peer = peer; "connection of a router went silent");
+            log::warn!(peer = peer; "connection of a router became silent");
         }
         LinkEnd::Broken(error) => {
             core.metrics.link_failures.count("broken");
@@ -77,14 +77,14 @@
     AcceptedLink::new(sender, receiver).receive_hello(core).await?.verify().await
 }
 
-/// Why a connection ended.
+/// The reason why a connection ended.
 enum LinkEnd {
     Closed,
     Silent,
     Broken(LinkError),
 }
 
-/// One connection of a router that may give work.
+/// One connection of a router that has passed the handshake.
 struct RouterLink {
     core: Rc<AgentCore>,
     number: u64,
@@ -95,7 +95,7 @@
 }
 
 impl RouterLink {
-    /// Reads to the connection's end; says on the way when the agent leaves.
+    /// Reads messages until the connection ends, and notifies the router when the agent drains.
     async fn serve(&self, receiver: &mut RouterReceiver) -> LinkEnd {
         let read = std::pin::pin!(self.read_messages(receiver));
         let draining = std::pin::pin!(self.core.draining.given());
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Whether the router's silence would matter. A stream whose end is sent needs no ping: a
-    /// router that has not received it asks again.
+    /// Returns whether the router must be pinged while it is silent. A stream whose end has been
+    /// sent needs no ping, because a router that has not received the end resumes the stream.
     fn has_unsent_streams(&self) -> bool {
         let mut streams = self.streams.borrow_mut();
         let now = Instant::now();
@@ -220,7 +220,7 @@
         self.sender.send(stream, message);
     }
 
-    /// Lets an answer go on on this connection, or says what has become of its request.
+    /// Resumes an answer on this connection, or replies with the state of its request.
     fn resume(&self, stream: u64, resume: &ResumeRequest) {
         let core = &self.core;
         let same_incarnation = resume.agent.is_none_or(|agent| agent == core.incarnation);
@@ -265,7 +265,7 @@
         self.send(stream, AgentMessage::Claim(reply));
     }
 
-    /// Answers a repeat with the first run's answer, once that has ended.
+    /// Answers a retry with the answer of the first run once that has ended.
     fn recall(&self, stream: u64, recall: RecallRequest) {
         if self.recalls.borrow().len() >= MAX_STREAMS {
             let notice = RefusalNotice::new(RefusalReason::AtCapacity, RETRY_AFTER_MS);
@@ -290,7 +290,7 @@
         self.send(stream, AgentMessage::Refused(notice));
     }
 
-    /// The connection is gone; its router may ask for the streams again on another one.
+    /// Detaches the streams of a lost connection. Its router may resume them on another one.
     fn handle_disconnect(&self) {
         for (stream, record) in self.streams.borrow_mut().drain() {
             record.handle_disconnect(AttachmentKey { link: self.number, stream });
--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Running one request at the backend server and recording its answer.
+//! Runs one request at the backend server and records its answer.
 
 use bytes::Bytes;
 use futures_util::future::{select, Either};
@@ -23,21 +23,21 @@
 /// The media type of streamed answers.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// How a request ended at the agent.
+/// The outcome of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The whole answer was read.
+    /// The complete answer was read.
     Whole,
-    /// The server could not be reached: nothing ran.
+    /// The request was not run, because the server was unreachable or the request was refused.
     Unreachable,
-    /// The server failed on the way.
+    /// The server failed during the run.
     Failed,
-    /// Nobody waited for the answer any more.
+    /// The run was cancelled because the answer had no reader left.
     Cancelled,
 }
 
 impl RunOutcome {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub fn label(self) -> &'static str {
         match self {
             RunOutcome::Whole => "whole",
@@ -48,7 +48,7 @@
     }
 }
 
-/// Runs a request that was admitted.
+/// Runs an admitted request until it completes or is cancelled.
 pub async fn run_request(
     core: &AgentCore,
     open: OpenRequest,
@@ -122,8 +122,9 @@
     };
     let mut step = ServerWatch::new(core).wait_for(target, exchange).await;
     if let (ServerStep::UnknownStream, Some(request)) = (&step, retry) {
-        // Only streamed chats are asked for; nothing of the answer has come, and the request was
-        // lost on a connection that went silent. A server that leaves gets it no more.
+        // Only streamed chats are checked for their stream. No part of the answer has been
+        // received, so the request was lost on a connection that became silent. It is not sent
+        // again while the agent drains.
         if !core.book.is_leaving() {
             let exchange = core.client.send_once(request);
             step = ServerWatch::new(core).wait_for(target, exchange).await;
@@ -145,7 +146,8 @@
     }
 }
 
-/// Whether the caller of a chat wants its answer as events. Only read where the server stalls.
+/// Returns whether the caller of a chat requested a streamed answer. The body is parsed only when
+/// the server makes no progress.
 fn asks_for_stream(body: &[u8]) -> bool {
     serde_json::from_slice::<ChatRequest>(body).is_ok_and(|request| request.stream)
 }
@@ -156,7 +158,10 @@
 }
 
 fn fail(core: &AgentCore, record: &AnswerRecord, error: &ServerError) -> RunOutcome {
-    log::warn!(server:% = core.server, request:% = record.id(), error:% = error; "server failed");
+    log::warn!(
+        server:% = core.server, request:% = record.id(), error:% = error;
+        "server failed during a request"
+    );
     record.finish(AnswerEnd::Failed(error.to_string()));
     RunOutcome::Failed
 }
@@ -194,7 +199,7 @@
     AnswerHead { status: answer.head.status.as_u16(), headers }
 }
 
-/// Whether the answer is a chat's stream of events, which get ids and can be resumed.
+/// Returns whether the answer is a stream of events, which can get ids and be resumed.
 fn is_event_stream(answer: &ClientAnswer) -> bool {
     let media_type = answer.head.headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
     answer.head.status == StatusCode::OK
@@ -283,13 +288,16 @@
     Ok(())
 }
 
-/// The rest of a stream whose connection broke with `error`.
+/// Resumes a stream whose connection broke with `error`, unless the server has crashed.
 async fn resume_after_error(
     core: &AgentCore,
     target: ResumeTarget,
     error: HttpClientError,
 ) -> Result<Box<ClientAnswer>, ServerError> {
-    log::warn!(server:% = core.server, request:% = target.id, error:% = error; "stream broke");
+    log::warn!(
+        server:% = core.server, request:% = target.id, error:% = error;
+        "connection of a stream broke; resuming the stream"
+    );
     match broken_connection(core, error).await {
         ServerError::Client(error) => {
             resume_stream(core, target).await.ok_or(ServerError::Client(error))
--- a/crates/papayamux-agent/src/server_exchange.rs
+++ b/crates/papayamux-agent/src/server_exchange.rs
@@ -1,8 +1,8 @@
-//! Exchanges with the backend server that notice when nothing comes any more.
+//! Exchanges with the backend server that detect a lack of progress.
 //!
-//! A server that is slow but lives is never given up: after a time without progress it is asked
-//! over another connection. A model engine is asked to go on with the stream there, which also
-//! replaces a connection that went silent for good.
+//! A server that is slow but alive is never abandoned: after a time without progress, it is
+//! checked over another connection. A model engine is asked to resume the stream there, which
+//! also replaces a connection that has become permanently silent.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -20,17 +20,18 @@
 
 use crate::agent_core::AgentCore;
 
-/// How long the server may take to answer whether it lives.
+/// The time within which the server must answer a check.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a probe whether the server listens may take. It stands on the agent's own instance.
+/// The timeout of a probe of the server's listener. It is short because the server runs on the
+/// agent's own instance.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Checks in a row without an answer after which the server counts as silent.
+/// Number of consecutive unanswered checks after which the server counts as silent.
 const MAX_FAILED_CHECKS: u32 = 2;
-/// Pauses between the attempts to resume a stream whose connection broke.
+/// Delays before each attempt to resume a stream whose connection broke.
 const RESUME_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(100), Duration::from_millis(400)];
 
-/// Why there is no further answer from the server.
+/// The error of an exchange with the server.
 #[derive(Debug, Error)]
 pub enum ServerError {
     /// The connection failed.
@@ -39,15 +40,17 @@
     /// The connection failed, and nothing listens at the server's address any more.
     #[error("the server has ended: {0}")]
     Crashed(HttpClientError),
-    /// Neither this connection nor another one brought anything.
+    /// The server answered neither on this connection nor on another one.
     #[error("the server is silent on every connection")]
     Silent,
-    /// The connection is silent, and on another one the server does not know the stream.
+    /// The connection is silent, and the server said on another one that it does not know the
+    /// stream.
     #[error("the server lives and does not know the stream")]
     UnknownStream,
 }
 
-/// Finds out whether the server has ended, after a connection to it failed with `error`.
+/// Probes the server's listener after a connection failed with `error`, and returns whether the
+/// server crashed or only the connection failed.
 pub async fn broken_connection(core: &AgentCore, error: HttpClientError) -> ServerError {
     match probe_listener(core.client.address(), PROBE_TIMEOUT).await {
         ProbeResult::Refused => ServerError::Crashed(error),
@@ -55,24 +58,25 @@
     }
 }
 
-/// A stream of an engine and where it is to go on.
+/// A stream of an engine and the event after which it resumes.
 #[derive(Debug, Clone, Copy)]
 pub struct ResumeTarget {
-    /// The request's id.
+    /// The id of the request.
     pub id: RequestId,
-    /// Events that have come.
+    /// The number of events received so far.
     pub events: u64,
 }
 
-/// What a wait on the server's connection came to.
+/// The result of waiting on a connection to the server.
 pub enum ServerStep<T> {
-    /// What was waited for.
+    /// The output of the step.
     Ready(T),
-    /// The stream goes on on another connection.
+    /// The stream resumes on another connection.
     Replaced(Box<ClientAnswer>),
-    /// The server lives and does not know the stream: its request never came, or it has ended.
+    /// The server is alive and does not know the stream: the request was never received, or the
+    /// stream has ended.
     UnknownStream,
-    /// The server is silent.
+    /// The server answered none of the checks.
     Silent,
 }
 
@@ -83,7 +87,7 @@
     Silent,
 }
 
-/// Watches one exchange for progress, with one timer however many steps it has.
+/// Watches one exchange for progress, with a single timer for all of its steps.
 pub struct ServerWatch<'a> {
     core: &'a AgentCore,
     timer: Pin<Box<Sleep>>,
@@ -91,14 +95,14 @@
 }
 
 impl<'a> ServerWatch<'a> {
-    /// Watches from now on.
+    /// Starts watching an exchange.
     pub fn new(core: &'a AgentCore) -> Self {
         let timer = Box::pin(monoio::time::sleep(core.progress_within));
         Self { core, timer, progress: Instant::now() }
     }
 
-    /// Waits for `step`; whenever the exchange makes no progress for a while, the server is
-    /// checked, and asked to go on with `target` where there is one.
+    /// Waits for `step`. Whenever the exchange has made no progress for the configured time, checks
+    /// the server and asks it to resume `target`, if there is one.
     pub async fn wait_for<T>(
         &mut self,
         target: impl Fn() -> Option<ResumeTarget>,
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Lets the timer end once the exchange could have been quiet for long enough.
+    /// Resets the timer to the earliest time at which the exchange can have been silent too long.
     fn rearm(&mut self, was_quiet: bool) {
         let from = if was_quiet { Instant::now() } else { self.progress };
         let next = from + self.core.progress_within;
@@ -143,7 +147,7 @@
     }
 }
 
-/// Asks the engine to go on with a stream whose connection broke.
+/// Asks the engine to resume a stream whose connection broke.
 pub async fn resume_stream(core: &AgentCore, target: ResumeTarget) -> Option<Box<ClientAnswer>> {
     for pause in RESUME_DELAYS {
         monoio::time::sleep(pause).await;
--- a/crates/papayamux-agent/src/settings.rs
+++ b/crates/papayamux-agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! The agent's settings.
+//! The settings of the agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,65 +19,66 @@
 /// All settings of an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct AgentSettings {
-    /// Where routers connect.
+    /// The address on which the agent listens for routers.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// The address on which the agent listens for operators.
     pub operations: SocketAddr,
-    /// The agent's failure domain.
+    /// The failure domain of the agent.
     pub domain: FailureDomain,
-    /// The backend server beside it.
+    /// The backend server of the agent.
     pub server: ServerId,
-    /// Where the backend server listens.
+    /// The address on which the backend server listens.
     pub server_address: SocketAddr,
-    /// Requests that may run at once.
+    /// Maximum number of concurrently running requests.
     #[builder(default = RequestCount::new(64))]
     pub capacity: RequestCount,
-    /// Requests that may wait for a place; with 0, those without a place are refused at once.
+    /// Maximum number of queued requests. With 0, a request without a free slot is refused at once.
     #[builder(default = RequestCount::new(256))]
     pub queue: RequestCount,
-    /// The longest that a request may wait.
+    /// Maximum time for which a request is queued.
     #[builder(default = Duration::from_secs(10))]
     pub longest_wait: Duration,
-    /// How far the server's load may lie above the mean of its group.
+    /// The factor by which the server's load may exceed the mean of its group.
     #[builder(default = LoadFactor::DEFAULT)]
     pub load_factor: LoadFactor,
-    /// Prompt tokens that the engine computes in a second.
+    /// The number of prompt tokens that the engine prefills per second.
     #[builder(default = TokenCount::new(30_000))]
     pub prefill_rate: TokenCount,
-    /// How long requests in flight may take to finish at a shutdown.
+    /// The time within which requests in flight must complete at shutdown.
     #[builder(default = Duration::from_secs(600))]
     pub drain_within: Duration,
-    /// How long an answer waits for a router whose connection was lost.
+    /// The duration for which an answer can be resumed after its router's connection was lost.
     #[builder(default = Duration::from_secs(10))]
     pub resume_within: Duration,
-    /// How long a streamed chat runs on for a caller that has gone.
+    /// The duration for which a streamed chat continues after its caller disconnected.
     #[builder(default = Duration::from_secs(2))]
     pub cancel_grace: Duration,
-    /// How long the events of a finished chat are kept.
+    /// The duration for which the events of a finished chat are kept.
     #[builder(default = Duration::from_secs(60))]
     pub keep_answers_for: Duration,
-    /// Bytes of answers that are kept, beside what is on its way.
+    /// Maximum number of bytes kept of all answers together. Unacknowledged bytes of running
+    /// answers may exceed it.
     #[builder(default = ByteCount::new(8 * 1024 * 1024))]
     pub keep_answer_bytes: ByteCount,
-    /// How long the server may make no progress before it is asked whether it lives.
+    /// The time without progress after which the server is checked.
     #[builder(default = Duration::from_secs(10))]
     pub progress_within: Duration,
-    /// The fleet's secret, where routers have to know it.
+    /// The secret of the fleet, or `None` if routers need no proof.
     pub secret: Option<SharedSecret>,
-    /// Addresses of routers; all where it is empty.
+    /// The addresses from which routers may connect. If empty, all addresses are allowed.
     #[builder(default)]
     pub allow: Vec<AddressRange>,
-    /// Claims of idempotency keys.
+    /// The settings of claims on idempotency keys.
     #[builder(default = ClaimSettings::builder().build())]
     pub claims: ClaimSettings,
-    /// How the configuration is spread, where it is.
+    /// The settings of the configuration spread, or `None` if the agent takes no part in it.
     pub spread: Option<SpreadSettings>,
-    /// How the engine is ordered; the agent orders nothing where this is missing.
+    /// The settings of the orders to the engine, or `None` if the agent gives no orders.
     pub orders: Option<OrderSettings>,
 }
 
 impl AgentSettings {
-    /// The limits that the settings give to admissions.
+    /// Returns the limits for the admission of requests.
     pub fn limits(&self) -> AdmissionLimits {
         AdmissionLimits {
             capacity: self.capacity,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Reads the settings from the text of an INI file, or reports all that is wrong with it.
+    /// Reads the settings from the text of an INI file, or returns all findings.
     pub fn read(name: &str, text: &str) -> Result<Self, Findings> {
         let file = IniFile::parse(name, text)?;
         let settings = read_agent(&file);
--- a/crates/papayamux-agent/src/trust.rs
+++ b/crates/papayamux-agent/src/trust.rs
@@ -1,4 +1,4 @@
-//! Whom the agent lets in, and how a router's connection opens.
+//! Authorises routers and performs the handshake of their connections.
 
 use std::time::Duration;
 
@@ -14,43 +14,43 @@
 
 use crate::agent_core::AgentCore;
 
-/// The receiving half of a router's connection.
+/// The receiving half of a connection of a router.
 pub type RouterReceiver = LinkReceiver<AgentFrame, RouterFrame>;
 
-/// How long a router may take to say hello, and to prove itself.
+/// The time within which a router must send its hello message, and then its proof.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Which routers may connect.
+/// The rules for which routers may connect.
 #[derive(Debug, Clone, Default)]
 pub struct RouterTrust {
-    /// The fleet's secret, where routers have to know it.
+    /// The secret of the fleet, or `None` if routers need no proof.
     pub secret: Option<SharedSecret>,
-    /// Addresses that may connect; all where it is empty.
+    /// The addresses from which routers may connect. If empty, all addresses are allowed.
     pub allow: Vec<AddressRange>,
 }
 
-/// Why a connection was not opened.
+/// The error of a failed handshake.
 #[derive(Debug, Error)]
 pub enum HandshakeError {
     /// The connection broke.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The router said no hello in time.
-    #[error("the router said no hello")]
+    /// The router did not send a hello message in time.
+    #[error("the router did not send a hello message")]
     NoHello,
-    /// The router speaks another version.
-    #[error("the router speaks version {0}, this agent {PROTOCOL_VERSION}")]
+    /// The router uses another protocol version.
+    #[error("the router uses protocol version {0}, this agent uses {PROTOCOL_VERSION}")]
     Version(u32),
-    /// The router sent no proof of the fleet's secret.
-    #[error("the router did not prove itself")]
+    /// The router sent no proof of the fleet's secret in time.
+    #[error("the router did not send a proof of the fleet's secret")]
     NoProof,
-    /// The router's proof is wrong.
-    #[error("the router's proof is wrong")]
+    /// The router sent an invalid proof.
+    #[error("the router sent an invalid proof of the fleet's secret")]
     WrongProof,
 }
 
 impl HandshakeError {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub fn label(&self) -> &'static str {
         match self {
             HandshakeError::Link(_) => "broken",
@@ -62,34 +62,34 @@
     }
 }
 
-/// A connection whose router has said nothing yet.
+/// An accepted connection whose router has not sent a hello message yet.
 pub struct AcceptedLink {
     sender: LinkSender<AgentMessage>,
     receiver: RouterReceiver,
 }
 
-/// A connection whose router has been welcomed and still has to prove itself.
+/// A connection whose hello message was answered and whose proof is still to be verified.
 pub struct UnverifiedLink {
     sender: LinkSender<AgentMessage>,
     receiver: RouterReceiver,
     expected_proof: Option<(SharedSecret, ProofContext)>,
 }
 
-/// A connection of a router that may give work.
+/// A connection of a router that has passed the handshake.
 pub struct TrustedLink {
-    /// The sending half.
+    /// The sending half of the connection.
     pub sender: LinkSender<AgentMessage>,
-    /// The receiving half.
+    /// The receiving half of the connection.
     pub receiver: RouterReceiver,
 }
 
 impl AcceptedLink {
-    /// A connection as it was accepted.
+    /// Creates an accepted connection from its two halves.
     pub fn new(sender: LinkSender<AgentMessage>, receiver: RouterReceiver) -> Self {
         Self { sender, receiver }
     }
 
-    /// Takes the hello and answers it.
+    /// Receives the hello message and answers it.
     pub async fn receive_hello(
         mut self,
         core: &AgentCore,
@@ -108,7 +108,7 @@
 }
 
 impl UnverifiedLink {
-    /// Waits for the router's proof, where one is asked for.
+    /// Receives and verifies the router's proof, if a secret is set.
     pub async fn verify(mut self) -> Result<TrustedLink, HandshakeError> {
         if let Some((secret, context)) = &self.expected_proof {
             let Some(RouterMessage::Prove(tag)) = receive_within(&mut self.receiver).await? else {
@@ -132,7 +132,8 @@
     }
 }
 
-/// A router without a nonce asks for no proof; the agent then covers one of its own drawing.
+/// Creates the context that the proofs cover. A router that sends no nonce requests no proof; the
+/// agent then generates one in its place.
 fn context(core: &AgentCore, hello: &RouterHello) -> ProofContext {
     ProofContext {
         router_nonce: hello.nonce.unwrap_or_else(ProofNonce::draw),
--- a/crates/papayamux-agent/tests/answer_records.rs
+++ b/crates/papayamux-agent/tests/answer_records.rs
@@ -1,4 +1,4 @@
-//! What the agent holds of an answer, and to whom it gives it.
+//! The parts of an answer that the agent buffers, and the streams that may read them.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use std::rc::Rc;
@@ -44,7 +44,7 @@
 
 type RouterReceiver = LinkReceiver<RouterFrame, AgentFrame>;
 
-/// Both ends of a connection: what the agent sends with, and what a router reads from.
+/// Opens a connection. Returns the agent's sending half and the router's receiving half.
 async fn link() -> (LinkSender<AgentMessage>, RouterReceiver) {
     let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let router = connect(listener.local_addr().unwrap()).await.unwrap();
@@ -58,14 +58,14 @@
     Attachment { key: AttachmentKey { link: 0, stream }, sender: sender.clone() }
 }
 
-/// Appends whole events of one byte each.
+/// Appends complete events of one byte each.
 async fn append_events(record: &AnswerRecord, count: usize) {
     for number in 0..count {
         record.append(Bytes::from(vec![number as u8]), &[1]).await;
     }
 }
 
-/// Reads a stream's data, checks the order, and gives it with the stream's last message.
+/// Reads the data of a stream and checks its offsets. Returns it with the stream's last message.
 async fn read_stream(
     receiver: &mut RouterReceiver,
     stream: u64,
--- a/crates/papayamux-agent/tests/event_ids.rs
+++ b/crates/papayamux-agent/tests/event_ids.rs
@@ -1,9 +1,9 @@
-//! Events keep their bytes and get their ids, however the stream is cut into pieces.
+//! Events keep their bytes and get the same ids, however the stream is split into pieces.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use papayamux_agent::answers::EventTagger;
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Number of inputs generated for each property, which take at least a second in a debug build.
 const GENERATED_INPUT_COUNT: usize = 150_000;
 
 const STREAM: &str =
--- a/crates/papayamux-agent/tests/kept_answers.rs
+++ b/crates/papayamux-agent/tests/kept_answers.rs
@@ -1,4 +1,4 @@
-//! What an agent keeps of runs with a key, and what it says where it keeps nothing.
+//! The answers that an agent keeps of runs with a key, and its refusals if it keeps none.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use std::rc::Rc;
--- a/crates/papayamux-agent/tests/operators_pages.rs
+++ b/crates/papayamux-agent/tests/operators_pages.rs
@@ -1,4 +1,4 @@
-//! The example, the page of settings and the page of metrics agree with the agent.
+//! The example settings, the settings page and the metrics page agree with the agent.
 
 use papayamux_agent::metrics::AgentMetrics;
 use papayamux_agent::orders::OrderMetrics;
@@ -9,7 +9,7 @@
 const SETTINGS_PAGE: &str = include_str!("../../../docs/operators/settings.md");
 const METRICS_PAGE: &str = include_str!("../../../docs/metrics.md");
 
-/// One section of each kind, each with a key that no reader knows.
+/// One section of each kind, each with an unknown key.
 const UNKNOWN_KEYS: &str =
     "[agent]\nzzz = 1\n[server]\nzzz = 1\n[claims]\nzzz = 1\n[spread]\nzzz = 1\n\
      [orders]\nzzz = 1\n[peer a]\nzzz = 1\n";
@@ -46,7 +46,8 @@
     assert_page("papayamux_agent_", &registry);
 }
 
-/// The text form of a registry leaves out families without values, `Debug` does not.
+/// Compares the registered metrics with the metrics page. Uses the `Debug` form of the registry,
+/// because the text form omits families without values.
 fn assert_page(prefix: &str, registry: &Registry) {
     let text = format!("{registry:?}");
     let mut registered: Vec<_> = text
--- a/crates/papayamux-agent/tests/orders.rs
+++ b/crates/papayamux-agent/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Targets, and the gate before the engine.
+//! Targets of the engine, and the gate that admits requests by model.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use std::time::{Duration, Instant};
--- a/crates/papayamux-agent/tests/settings.rs
+++ b/crates/papayamux-agent/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The agent's settings and their findings.
+//! The settings of the agent and their findings.
 
 use papayamux_agent::settings::AgentSettings;
 
