--- a/crates/papayamux-agent/src/admitted_run.rs
+++ b/crates/papayamux-agent/src/admitted_run.rs
@@ -42,25 +42,25 @@
         let core = self.core;
         let now = core.clock();
         if let Some(load) = &open.placement.group_load {
-            core.book.hear_mean(load, now);
+            core.admissions.hear_mean(load, now);
         }
         let elsewhere = match open.placement.may_redirect {
             true => core.engine.context_elsewhere(open),
             false => None,
         };
-        if elsewhere.is_some() && core.book.refuse_unseen(open.id, open.start_before, now) {
+        if elsewhere.is_some() && core.admissions.refuse_unseen(open.id, open.start_before, now) {
             self.refuse(open, RefusalReason::ContextElsewhere, elsewhere);
             return None;
         }
         let pass = core.gate_pass(open);
         match pass {
-            Err(reason) if core.book.refuse_unseen(open.id, open.start_before, now) => {
+            Err(reason) if core.admissions.refuse_unseen(open.id, open.start_before, now) => {
                 self.refuse(open, reason, None);
                 return None;
             }
             _ => {}
         }
-        match (core.book.admit(open, now), pass) {
+        match (core.admissions.admit(open, now), pass) {
             (Ok(admission), Ok(pass)) => {
                 let record = core.answers.start_record(open, self.attachment);
                 Some(AdmittedRequest { record, admission, pass })
@@ -108,7 +108,7 @@
     better: Option<ServerId>,
 ) -> RefusalNotice {
     core.metrics.refusals.count(reason.label());
-    let wait = core.book.retry_after(open.priority).max(RETRY_AFTER);
+    let wait = core.admissions.retry_after(open.priority).max(RETRY_AFTER);
     let retry_after_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     RefusalNotice { reason, retry_after_ms, better }
 }
@@ -161,7 +161,7 @@
     core.engine.record_start(&open, core.clock());
     let started = Instant::now();
     let end = run_request(core, open, record, recorder).await;
-    core.book.note_run(started.elapsed());
+    core.admissions.note_run(started.elapsed());
     core.metrics.running.dec();
     core.metrics.answers.count(end.label());
     drop(permit);
--- a/crates/papayamux-agent/src/agent_core.rs
+++ b/crates/papayamux-agent/src/agent_core.rs
@@ -29,7 +29,7 @@
     /// The failure domain of the agent.
     pub domain: FailureDomain,
     /// The admission of requests.
-    pub book: Rc<AdmissionBook>,
+    pub admissions: Rc<AdmissionBook>,
     /// The witness of claims.
     pub witness: ClaimWitness,
     /// Answers kept for retries.
@@ -71,14 +71,14 @@
     /// Returns the load of the server as a member of `group`, including the prefill backlog.
     pub fn load(&self, group: Option<GroupId>) -> LoadReport {
         let now = self.clock();
-        let report = self.book.load(group, now);
+        let report = self.admissions.load(group, now);
         LoadReport { backlog: report.backlog + self.engine.prefill_left(now), ..report }
     }
 
     /// Answers the query of another server's agent whether this server will keep serving weights.
-    pub(crate) fn answer_question(&self, question: &ServingQuestion) -> ServingAnswer {
+    pub(crate) fn answer_query(&self, query: &ServingQuestion) -> ServingAnswer {
         match &self.orders {
-            Some(orders) => orders.answer_question(question, self.book.is_leaving()),
+            Some(orders) => orders.answer_query(query, self.admissions.is_leaving()),
             None => ServingAnswer::Refused(ServingRefusal::NotServing),
         }
     }
--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -54,8 +54,8 @@
 enum Reader {
     /// A router reads the answer on an open stream.
     Attached(Attachment),
-    /// No router reads the answer; one may resume it before `until`.
-    Awaited { until: Instant },
+    /// No router reads the answer; one may resume it before `deadline`.
+    Awaited { deadline: Instant },
     /// The answer has no reader and can't be resumed.
     Detached,
 }
@@ -258,7 +258,7 @@
         if !state.is_attached(key) {
             return;
         }
-        state.reader = Reader::Awaited { until: Instant::now() + grace };
+        state.reader = Reader::Awaited { deadline: Instant::now() + grace };
         drop(state);
         if grace.is_zero() {
             self.abandon();
@@ -353,7 +353,7 @@
     /// needed at `now`.
     pub fn is_expired(&self, now: Instant) -> bool {
         let overdue = match &self.state.borrow().reader {
-            Reader::Awaited { until } => *until <= now,
+            Reader::Awaited { deadline } => *deadline <= now,
             _ => false,
         };
         if overdue {
--- a/crates/papayamux-agent/src/claims/kept_answers.rs
+++ b/crates/papayamux-agent/src/claims/kept_answers.rs
@@ -52,13 +52,13 @@
     fingerprint: CallFingerprint,
     state: RunState,
     settled: ShutdownSignal,
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct RunExpiry {
     key: ClaimKey,
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -109,17 +109,17 @@
         if table.expiries.len() >= self.max_runs {
             return Err(RefusalReason::ClaimsFull);
         }
-        let until = now + self.retention;
+        let expires_at = now + self.retention;
         let run = KeptRun {
             organisation: open.organisation.clone(),
             key: key.clone(),
             fingerprint: CallFingerprint::new(&open.method, &open.path, &open.body),
             state: RunState::Running,
             settled: ShutdownSignal::new(),
-            until,
+            expires_at,
         };
         table.runs.insert(claim_key, run);
-        table.expiries.push_back(RunExpiry { key: claim_key, until });
+        table.expiries.push_back(RunExpiry { key: claim_key, expires_at });
         Ok(Some(RunRecorder::new(self.clone(), claim_key)))
     }
 
@@ -200,16 +200,16 @@
     /// Drops expired runs. A run that is still in progress is kept for another retention period.
     fn expire(&mut self, now: Duration, retention: Duration) {
         while let Some(expiry) = self.expiries.front().copied() {
-            if expiry.until > now {
+            if expiry.expires_at > now {
                 break;
             }
             self.expiries.pop_front();
             match self.runs.get_mut(&expiry.key) {
                 Some(run) if matches!(run.state, RunState::Running) => {
-                    run.until = now + retention;
-                    self.expiries.push_back(RunExpiry { until: run.until, ..expiry });
+                    run.expires_at = now + retention;
+                    self.expiries.push_back(RunExpiry { expires_at: run.expires_at, ..expiry });
                 }
-                Some(run) if run.until <= now => self.remove(expiry.key),
+                Some(run) if run.expires_at <= now => self.remove(expiry.key),
                 _ => {}
             }
         }
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -55,7 +55,7 @@
 
 impl OperationsView for AgentView {
     fn is_ready(&self) -> bool {
-        !self.core.book.is_leaving() && !self.is_superseded()
+        !self.core.admissions.is_leaving() && !self.is_superseded()
     }
 
     fn status(&self) -> serde_json::Value {
@@ -65,10 +65,10 @@
             "incarnation": self.core.incarnation.to_string(),
             "failure_domain": self.core.domain.to_string(),
             "server": self.core.server.to_string(),
-            "leaving": self.core.book.is_leaving(),
+            "leaving": self.core.admissions.is_leaving(),
             "configuration": self.configuration.as_ref().map(ConfigurationView::status),
-            "waiting": self.core.book.waiting().get(),
-            "running": self.core.book.running().get(),
+            "waiting": self.core.admissions.waiting().get(),
+            "running": self.core.admissions.running().get(),
             "held_answer_bytes": self.core.answers.buffered_bytes(),
             "witness_ready_in_ms":
                 self.core.witness.ready_in(self.core.started.elapsed()).as_millis() as u64,
@@ -126,7 +126,7 @@
     /// Stops accepting new requests and notifies the routers.
     fn leave(self) -> DrainingAgent {
         log::info!("agent drains");
-        self.core.book.leave();
+        self.core.admissions.leave();
         self.core.draining.give();
         DrainingAgent { core: self.core }
     }
@@ -150,7 +150,7 @@
 
     fn unfinished(&self) -> u64 {
         let waited_for = self.core.answers.awaited() as u64 + self.core.recalls.get();
-        (self.core.book.running() + self.core.book.waiting()).get().max(waited_for)
+        (self.core.admissions.running() + self.core.admissions.waiting()).get().max(waited_for)
     }
 
     /// Interrupts the drain and returns its error.
@@ -198,7 +198,7 @@
         incarnation,
         server: settings.server.clone(),
         domain: settings.domain.clone(),
-        book: AdmissionBook::new(incarnation, settings.limits()),
+        admissions: AdmissionBook::new(incarnation, settings.limits()),
         engine: EngineView::new(settings.prefill_rate),
         client: HttpClient::new(settings.server_address),
         witness: ClaimWitness::new(incarnation, &settings.claims),
--- a/crates/papayamux-agent/src/engine_follower.rs
+++ b/crates/papayamux-agent/src/engine_follower.rs
@@ -73,7 +73,7 @@
     async fn read_load(&self) {
         let load: Option<EngineLoad> = self.fetch(LOAD_PATH).await;
         if let Some(load) = load.filter(|load| load.batch_limit > 0) {
-            self.core.book.set_batch(RequestCount::new(load.batch_limit));
+            self.core.admissions.set_batch(RequestCount::new(load.batch_limit));
         }
     }
 
--- a/crates/papayamux-agent/src/orders/order_core.rs
+++ b/crates/papayamux-agent/src/orders/order_core.rs
@@ -63,10 +63,10 @@
     }
 
     /// Answers the query of another server's agent whether this server will keep serving weights.
-    pub fn answer_question(&self, question: &ServingQuestion, is_leaving: bool) -> ServingAnswer {
+    pub fn answer_query(&self, query: &ServingQuestion, is_leaving: bool) -> ServingAnswer {
         let now = Instant::now();
-        let is_serving = !is_leaving && self.gate.is_serving(&question.weights, now);
-        let answered = self.stops.borrow().answer(&question.weights, is_serving, now);
+        let is_serving = !is_leaving && self.gate.is_serving(&query.weights, now);
+        let answered = self.stops.borrow().answer(&query.weights, is_serving, now);
         let (answer, label) = match answered {
             Ok(()) => (ServingAnswer::Serves, "serves"),
             Err(refusal) => (ServingAnswer::Refused(refusal), refusal.label()),
--- a/crates/papayamux-agent/src/orders/order_permit.rs
+++ b/crates/papayamux-agent/src/orders/order_permit.rs
@@ -51,10 +51,10 @@
 }
 
 impl OrderPermit {
-    /// Creates the permit based on an engine state that was requested at `asked`. `slot` is the
-    /// slot that the order uses if it begins a load.
-    pub fn new(asked: Instant, slot: Option<SlotUse>) -> Self {
-        Self { deadline: asked + PERMIT_TTL, slot }
+    /// Creates the permit based on an engine state that was requested at `requested_at`. `slot` is
+    /// the slot that the order uses if it begins a load.
+    pub fn new(requested_at: Instant, slot: Option<SlotUse>) -> Self {
+        Self { deadline: requested_at + PERMIT_TTL, slot }
     }
 
     /// Limits the permit to `deadline`, if that is earlier.
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -38,7 +38,7 @@
 
 /// The engine's state as read in one poll.
 struct EnginePoll {
-    asked: Instant,
+    requested_at: Instant,
     view: EngineReading,
     sight: FenceSight,
 }
@@ -168,13 +168,13 @@
 
     /// Reads the engine's state and observes its fencing number.
     async fn read(&mut self) -> Result<EnginePoll, EngineError> {
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let state = read_state(&self.core.client).await?;
         let view = EngineReading::from(&state);
         let sight = self.fence.observe(view.fence);
         self.orders.metrics.fences.count(sight.label());
-        self.orders.gate.record_loaded(view.loaded.keys().cloned().collect(), asked);
-        Ok(EnginePoll { asked, view, sight })
+        self.orders.gate.record_loaded(view.loaded.keys().cloned().collect(), requested_at);
+        Ok(EnginePoll { requested_at, view, sight })
     }
 
     /// Records loads that have ended, and resumes serving weights whose stop is no longer wanted.
@@ -224,7 +224,7 @@
         let Some(draft) = OrderDraft::next(target, &poll.view, &rights) else {
             return PollOutcome::Wait;
         };
-        let mut permit = OrderPermit::new(poll.asked, slot);
+        let mut permit = OrderPermit::new(poll.requested_at, slot);
         let update = rights.load.as_ref().filter(|weights| plan.outdated.contains(weights));
         let deadline = update
             .and_then(|weights| update_deadline(target, weights, &self.evidence, now).flatten());
--- a/crates/papayamux-agent/src/orders/serving_client.rs
+++ b/crates/papayamux-agent/src/orders/serving_client.rs
@@ -51,7 +51,7 @@
         address: SocketAddr,
         weights: &WeightsRef,
     ) -> Option<ServingEvidence> {
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let exchange = self.exchange(other, address, weights);
         let label = match monoio::time::timeout(ANSWER_TIMEOUT, exchange).await {
             Ok(Ok(ServingAnswer::Serves)) => "serves",
@@ -60,7 +60,8 @@
             Err(_) => "timeout",
         };
         self.metrics.serving_asked.count(label);
-        let evidence = ServingEvidence { server: other.clone(), until: asked + self.evidence_for };
+        let evidence =
+            ServingEvidence { server: other.clone(), until: started_at + self.evidence_for };
         (label == "serves").then_some(evidence)
     }
 
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -166,8 +166,8 @@
             RouterMessage::Moved(moved) => self.core.engine.record_moved(moved),
             RouterMessage::Pong(SHUTDOWN_PING) => self.link_shutdown.record_pong(),
             RouterMessage::Pong(_) => {}
-            RouterMessage::AskServing(question) => {
-                let answer = self.core.answer_question(&question);
+            RouterMessage::AskServing(query) => {
+                let answer = self.core.answer_query(&query);
                 self.send(stream, AgentMessage::Serving(answer));
             }
             RouterMessage::Hello(_) => self.core.metrics.link_failures.count("second_hello"),
@@ -192,7 +192,7 @@
     fn open(&self, stream: u64, open: OpenRequest) {
         let opened = OpenedStream { core: &self.core, attachment: self.attachment(stream) };
         if self.streams.borrow().len() >= MAX_STREAMS {
-            self.core.book.refuse_unseen(open.id, open.start_before, self.core.clock());
+            self.core.admissions.refuse_unseen(open.id, open.start_before, self.core.clock());
             return opened.refuse(&open, RefusalReason::AtCapacity, None);
         }
         if let Some(admitted) = opened.admit(&open) {
@@ -204,7 +204,7 @@
     fn answer_probe(&self, stream: u64, probe: &LoadProbe) {
         let core = &self.core;
         if let Some(load) = &probe.group_load {
-            core.book.hear_mean(load, core.clock());
+            core.admissions.hear_mean(load, core.clock());
         }
         let reply = ProbeReply {
             load: core.load(probe.group_load.map(|load| load.group)),
@@ -242,7 +242,7 @@
         }
         let unseen = same_incarnation
             && resume.start_before.is_some_and(|start_before| {
-                core.book.refuse_unseen(resume.id, start_before, core.clock())
+                core.admissions.refuse_unseen(resume.id, start_before, core.clock())
             });
         if unseen {
             core.metrics.resumes.count("never_arrived");
--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -125,7 +125,7 @@
         // Only streamed chats are checked for their stream. No part of the answer has been
         // received, so the request was lost on a connection that became silent. It is not sent
         // again while the agent drains.
-        if !core.book.is_leaving() {
+        if !core.admissions.is_leaving() {
             let exchange = core.client.send_once(request);
             step = ServerWatch::new(core).wait_for(target, exchange).await;
         }
--- a/crates/papayamux-agent/src/server_exchange.rs
+++ b/crates/papayamux-agent/src/server_exchange.rs
@@ -115,8 +115,8 @@
             if let Either::Left((output, _)) = select(step.as_mut(), self.timer.as_mut()).await {
                 return ServerStep::Ready(output);
             }
-            let is_quiet = self.progress.elapsed() >= self.core.progress_within;
-            if is_quiet {
+            let is_stalled = self.progress.elapsed() >= self.core.progress_within;
+            if is_stalled {
                 match check_server(self.core, target()).await {
                     ServerCheck::Replaced(answer) => {
                         self.core.metrics.server_streams.count("replaced");
@@ -134,13 +134,13 @@
                 self.core.metrics.server_streams.count("silent");
                 return ServerStep::Silent;
             }
-            self.rearm(is_quiet);
+            self.rearm(is_stalled);
         }
     }
 
     /// Resets the timer to the earliest time at which the exchange can have been silent too long.
-    fn rearm(&mut self, was_quiet: bool) {
-        let from = if was_quiet { Instant::now() } else { self.progress };
+    fn rearm(&mut self, was_stalled: bool) {
+        let from = if was_stalled { Instant::now() } else { self.progress };
         let next = from + self.core.progress_within;
         self.timer.as_mut().reset(next.into());
         self.progress = from;
