--- a/crates/papayamux-agent/src/agent_core.rs
+++ b/crates/papayamux-agent/src/agent_core.rs
@@ -46,7 +46,7 @@
     pub metrics: AgentMetrics,
     /// The time at which the agent started.
     pub started: Instant,
-    /// Fires when the agent starts to drain.
+    /// Fires when the agent starts to drain, or when a newer agent controls the engine.
     pub draining: ShutdownSignal,
     /// Fires when all admitted requests have completed and the connections must be closed.
     pub closing: ShutdownSignal,
--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -54,9 +54,10 @@
 enum Reader {
     /// A router reads the answer on an open stream.
     Attached(Attachment),
-    /// No router reads the answer; one may resume it before `deadline`.
+    /// No router reads the answer; the run waits until `deadline` for one to resume it.
     Awaited { deadline: Instant },
-    /// The answer has no reader and can't be resumed.
+    /// No router reads the answer, and the run doesn't wait for one. Bytes that are still
+    /// buffered can be resumed.
     Detached,
 }
 
@@ -344,7 +345,7 @@
         self.state.borrow().end.as_ref().map(|(_, at)| *at)
     }
 
-    /// Returns whether a router is still reading the answer or may resume it.
+    /// Returns whether a router still reads the answer or is expected to resume it.
     pub fn is_awaited(&self) -> bool {
         !matches!(self.state.borrow().reader, Reader::Detached)
     }
--- a/crates/papayamux-agent/src/answers/answer_store.rs
+++ b/crates/papayamux-agent/src/answers/answer_store.rs
@@ -97,7 +97,7 @@
         self.total_buffered.get()
     }
 
-    /// Returns the number of records that a router is still reading or may resume.
+    /// Returns the number of records that a router still reads or is expected to resume.
     pub fn awaited(&self) -> usize {
         self.records.borrow().values().filter(|record| record.is_awaited()).count()
     }
--- a/crates/papayamux-agent/src/main.rs
+++ b/crates/papayamux-agent/src/main.rs
@@ -8,7 +8,7 @@
 
 const NAME: DaemonName = DaemonName {
     program: "papayamux-agent",
-    purpose: "stands beside one backend server, decides what it takes, and runs it there",
+    purpose: "admits the requests of routers to one backend server and runs them there",
 };
 
 fn main() -> ExitCode {
