--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -296,7 +296,7 @@
 ) -> Result<Box<ClientAnswer>, ServerError> {
     log::warn!(
         server:% = core.server, request:% = target.id, error:% = error;
-        "connection of a stream broke; resuming the stream"
+        "connection of a stream broke"
     );
     match broken_connection(core, error).await {
         ServerError::Client(error) => {
