--- a/crates/papayamux-agent/src/accept.rs
+++ b/crates/papayamux-agent/src/accept.rs
@@ -27,12 +27,12 @@
         let stream = match accepted {
             Ok((_, peer)) if !admits(&core.trust.allow, peer.ip()) => {
                 core.metrics.link_failures.count("address");
-                log::warn!(peer:% = peer; "connection refused: the peer address is not allowed");
+                log::warn!(peer:% = peer; "connection refused: its address may not connect");
                 continue;
             }
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(error:% = error; "accepting a connection failed");
+                log::warn!(error:% = error; "accepting failed");
                 monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
--- a/crates/papayamux-agent/src/crash_notifier.rs
+++ b/crates/papayamux-agent/src/crash_notifier.rs
@@ -60,7 +60,7 @@
             let crashes = sent_after.crashes + 1;
             log::warn!(
                 fingerprint:% = fingerprint, crashes = crashes;
-                "server crashed during a request"
+                "server ended under a request"
             );
         }
         self.announce(&mut quarantine);
@@ -71,7 +71,7 @@
         let RunningContent { fingerprint, sent_after } = content;
         let mut quarantine = self.quarantine.borrow_mut();
         if quarantine.note_run(fingerprint, sent_after, Instant::now()) {
-            log::info!(fingerprint:% = fingerprint; "suspect request completed");
+            log::info!(fingerprint:% = fingerprint; "suspect request was served");
         }
         self.announce(&mut quarantine);
     }
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -239,7 +239,7 @@
 /// Logs when the witness becomes ready to grant claims.
 async fn announce_witness(core: Rc<AgentCore>) {
     let ready_in = core.witness.ready_in(core.started.elapsed());
-    log::info!(ready_in_ms = ready_in.as_millis() as u64; "witness grants no claims yet");
+    log::info!(ready_in_ms = ready_in.as_millis() as u64; "witness remembers too little yet");
     monoio::time::sleep(ready_in).await;
     log::info!("witness grants claims");
 }
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -138,7 +138,7 @@
         self.waits.clear();
         let Some(target) = self.orders.target.current() else { return self.wait_for("no_target") };
         if let Err(error) = target.check() {
-            log::warn!(error:% = error; "the target can't be turned into orders");
+            log::warn!(error:% = error; "the target can't be ordered");
             return self.wait_for(error.label());
         }
         let poll = match self.read().await {
@@ -146,7 +146,7 @@
             Err(error) => {
                 log::warn!(
                     server:% = self.core.server, error:% = error;
-                    "reading the engine's state failed"
+                    "state unread"
                 );
                 return self.wait_for("state_unread");
             }
@@ -257,7 +257,7 @@
             Err(error) => {
                 log::error!(
                     server:% = self.core.server, error:% = error;
-                    "no fencing number left for an order"
+                    "no order possible"
                 );
                 return self.wait_for("fence_exhausted");
             }
@@ -282,13 +282,13 @@
             OrderOutcome::Refused(status) => {
                 log::warn!(
                     server:% = self.core.server, status:% = status;
-                    "engine refused an order"
+                    "order refused"
                 );
             }
             OrderOutcome::Unknown(ref error) => {
                 log::warn!(
                     server:% = self.core.server, error:% = error;
-                    "outcome of an order is unknown"
+                    "order unanswered"
                 );
             }
         }
@@ -316,7 +316,7 @@
         if matches!(outcome, OrderOutcome::Accepted) && !seen {
             log::warn!(
                 server:% = self.core.server;
-                "engine's state does not show the effect of an order"
+                "the order's effect is not seen"
             );
         }
         PollOutcome::Wait
@@ -334,7 +334,7 @@
 
     /// Stops accepting requests, because a newer agent controls the engine.
     fn stop_superseded(&self) {
-        log::warn!(server:% = self.core.server; "a newer agent controls the engine; stopping");
+        log::warn!(server:% = self.core.server; "a newer agent orders the engine; stepping back");
         self.orders.metrics.superseded.set(1);
         self.orders.gate.supersede();
         self.core.draining.give();
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -63,7 +63,7 @@
         LinkEnd::Closed => {}
         LinkEnd::Silent => {
             core.metrics.link_failures.count("silent");
-            log::warn!(peer = peer; "connection of a router became silent");
+            log::warn!(peer = peer; "connection of a router went silent");
         }
         LinkEnd::Broken(error) => {
             core.metrics.link_failures.count("broken");
--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -160,7 +160,7 @@
 fn fail(core: &AgentCore, record: &AnswerRecord, error: &ServerError) -> RunOutcome {
     log::warn!(
         server:% = core.server, request:% = record.id(), error:% = error;
-        "server failed during a request"
+        "server failed"
     );
     record.finish(AnswerEnd::Failed(error.to_string()));
     RunOutcome::Failed
@@ -296,7 +296,7 @@
 ) -> Result<Box<ClientAnswer>, ServerError> {
     log::warn!(
         server:% = core.server, request:% = target.id, error:% = error;
-        "connection of a stream broke"
+        "stream broke"
     );
     match broken_connection(core, error).await {
         ServerError::Client(error) => {
