--- a/crates/papayamux-agent/src/accept.rs
+++ b/crates/papayamux-agent/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of routers.
+//! Accepts connections of routers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use crate::agent_core::AgentCore;
 use crate::router_link::serve_router;
 
-/// Connections of routers open at once.
-const MOST_LINKS: i64 = 2_048;
-/// How long the listener waits after it could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of open connections of routers.
+const MAX_LINKS: i64 = 2_048;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections of routers until the agent closes them.
+/// Accepts connections of routers until the agent closes its connections.
 pub async fn accept_routers(core: Rc<AgentCore>, listener: TcpListener) {
     loop {
         let closing = std::pin::pin!(core.closing.given());
@@ -33,11 +33,11 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(error:% = error; "accepting failed");
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if core.metrics.router_links.get() >= MOST_LINKS {
+        if core.metrics.router_links.get() >= MAX_LINKS {
             core.metrics.link_failures.count("too_many");
             continue;
         }
--- a/crates/papayamux-agent/src/admitted_run.rs
+++ b/crates/papayamux-agent/src/admitted_run.rs
@@ -1,4 +1,4 @@
-//! From the arrival of a request to the end of its run.
+//! Admits, queues and runs the requests that routers send.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,18 +17,18 @@
 use crate::orders::GatePass;
 use crate::run::run_request;
 
-/// Time after which a refused router may ask again, where nothing better is known.
+/// Minimum retry delay of a refused request.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A stream that a router opened, before anything is decided.
+/// A stream that a router opened, before its request is admitted or refused.
 pub struct OpenedStream<'a> {
-    /// The agent.
+    /// The shared state of the agent.
     pub core: &'a AgentCore,
-    /// The connection's end of the stream.
+    /// The stream that delivers the answer.
     pub attachment: Attachment,
 }
 
-/// A request that was admitted.
+/// An admitted request.
 pub struct AdmittedRequest {
     /// The record of its answer.
     pub record: Rc<AnswerRecord>,
@@ -37,30 +37,30 @@
 }
 
 impl OpenedStream<'_> {
-    /// Decides on a request; `None` where it was refused.
+    /// Admits or refuses a request. Returns `None` if it was refused.
     pub fn admit(self, open: &OpenRequest) -> Option<AdmittedRequest> {
         let core = self.core;
         let now = core.clock();
         if let Some(load) = &open.placement.group_load {
-            core.book.record_mean_load(load, now);
+            core.admissions.record_mean_load(load, now);
         }
         let elsewhere = match open.placement.may_redirect {
             true => core.engine.context_elsewhere(open),
             false => None,
         };
-        if elsewhere.is_some() && core.book.refuse_unseen(open.id, open.start_before, now) {
+        if elsewhere.is_some() && core.admissions.refuse_unseen(open.id, open.start_before, now) {
             self.refuse(open, RefusalReason::ContextElsewhere, elsewhere);
             return None;
         }
         let pass = core.gate_pass(open);
         match pass {
-            Err(reason) if core.book.refuse_unseen(open.id, open.start_before, now) => {
+            Err(reason) if core.admissions.refuse_unseen(open.id, open.start_before, now) => {
                 self.refuse(open, reason, None);
                 return None;
             }
             _ => {}
         }
-        match (core.book.admit(open, now), pass) {
+        match (core.admissions.admit(open, now), pass) {
             (Ok(admission), Ok(pass)) => {
                 let record = core.answers.start_record(open, self.attachment);
                 Some(AdmittedRequest { record, admission, pass })
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Refuses a request, and says what the server carries.
+    /// Refuses a request and reports the load of the server.
     pub fn refuse(&self, open: &OpenRequest, reason: RefusalReason, better: Option<ServerId>) {
         let notice = refusal_notice(self.core, open, reason, better);
         if reason != RefusalReason::SeenBefore {
-            self.core.answers.note_refusal(open.id, notice.clone());
+            self.core.answers.record_refusal(open.id, notice.clone());
         }
-        self.attachment.tell(self.core.load_message(group_of(open)));
+        self.attachment.send_on_connection(self.core.load_message(group_of(open)));
         let message = AgentMessage::Refused(notice);
         self.core.metrics.control_bytes.send(agent_control_length(&message));
         self.attachment.send(message);
@@ -86,13 +86,14 @@
 }
 
 impl AgentCore {
-    /// The request's place among those that use its model, where the agent orders the engine.
+    /// Passes the request through the model gate. Returns `None` if the agent gives the engine no
+    /// orders.
     fn gate_pass(&self, open: &OpenRequest) -> Result<Option<GatePass>, RefusalReason> {
         let gate = self.orders.as_ref().map(|orders| &orders.gate);
         gate.map(|gate| gate.admit(open.chat.as_ref(), Instant::now())).transpose()
     }
 
-    /// What the server carries, to be told beside another message.
+    /// Creates the load report that accompanies another message.
     fn load_message(&self, group: Option<GroupId>) -> AgentMessage {
         let message = AgentMessage::Load(self.load(group));
         self.metrics.control_bytes.send(agent_control_length(&message));
@@ -107,17 +108,17 @@
     better: Option<ServerId>,
 ) -> RefusalNotice {
     core.metrics.refusals.count(reason.label());
-    let wait = core.book.retry_after(open.priority).max(RETRY_AFTER);
+    let wait = core.admissions.retry_after(open.priority).max(RETRY_AFTER);
     let retry_after_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
     RefusalNotice { reason, retry_after_ms, better }
 }
 
-/// Runs a request as soon as it has its place.
+/// Waits for a slot and runs the request.
 pub async fn run_admitted(core: Rc<AgentCore>, open: OpenRequest, admitted: AdmittedRequest) {
     let AdmittedRequest { record, admission, pass: _pass } = admitted;
     let permit = match admission {
         Admission::Admitted(permit) => Ok(permit),
-        Admission::Waiting(ticket) => wait_for_place(&core, &open, &record, ticket).await,
+        Admission::Waiting(ticket) => wait_for_slot(&core, &open, &record, ticket).await,
     };
     match permit {
         Ok(permit) => run_now(&core, open, &record, permit).await,
@@ -125,7 +126,7 @@
     }
 }
 
-async fn wait_for_place(
+async fn wait_for_slot(
     core: &AgentCore,
     open: &OpenRequest,
     record: &AnswerRecord,
@@ -157,14 +158,14 @@
     let group = group_of(&open);
     core.metrics.admitted.inc();
     core.metrics.running.inc();
-    core.engine.note_start(&open, core.clock());
+    core.engine.record_start(&open, core.clock());
     let started = Instant::now();
     let end = run_request(core, open, record, recorder).await;
-    core.book.record_run(started.elapsed());
+    core.admissions.record_run(started.elapsed());
     core.metrics.running.dec();
     core.metrics.answers.count(end.label());
     drop(permit);
-    record.tell(core.load_message(group));
+    record.send_on_connection(core.load_message(group));
 }
 
 fn group_of(open: &OpenRequest) -> Option<GroupId> {
--- a/crates/papayamux-agent/src/answers/mod.rs
+++ b/crates/papayamux-agent/src/answers/mod.rs
@@ -1,9 +1,9 @@
-//! Answers that the agent holds until they have arrived, so that a lost stream can go on.
+//! Buffers answers until routers have received them, so that an interrupted stream can resume.
 
 mod answer_record;
 mod answer_store;
+mod buffered_bytes;
 mod event_tagger;
-mod held_bytes;
 
 pub use answer_record::{AnswerRecord, Attachment, AttachmentKey};
 pub use answer_store::{sweep_answers, AnswerStore, StoreLimits};
--- a/crates/papayamux-agent/src/claims/kept_answers.rs
+++ b/crates/papayamux-agent/src/claims/kept_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of runs with a key, kept for repeats of the key.
+//! The answers of runs with an idempotency key, kept for retries with the same key.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -15,17 +15,17 @@
 
 use super::{ClaimSettings, RunRecorder};
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptAnswer {
-    /// Status and headers.
+    /// The status and headers.
     pub head: AnswerHead,
-    /// The body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl KeptAnswer {
-    /// What the answer counts for.
+    /// Returns the number of bytes that the answer counts towards the limit.
     fn size(&self) -> usize {
         let header_sizes = self
             .head
@@ -36,11 +36,11 @@
     }
 }
 
-/// How a run with a key stands.
+/// The state of a run with a key.
 #[derive(Debug, Clone)]
 enum RunState {
     Running,
-    Whole(KeptAnswer),
+    Complete(KeptAnswer),
     NotKept,
     Failed,
 }
@@ -52,13 +52,13 @@
     fingerprint: CallFingerprint,
     state: RunState,
     settled: ShutdownSignal,
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct RunExpiry {
     key: ClaimKey,
-    until: Duration,
+    expires_at: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -68,29 +68,29 @@
     bytes: usize,
 }
 
-/// The runs with a key of one life of an agent. None is run a second time here, whatever the
-/// witnesses say.
+/// The runs with a key of one incarnation of an agent. A key that is present is never run again
+/// here, even if the witnesses grant it again.
 #[derive(Debug)]
 pub struct KeptAnswers {
     retention: Duration,
-    most_runs: usize,
-    most_bytes: usize,
+    max_runs: usize,
+    max_bytes: usize,
     table: RefCell<RunTable>,
 }
 
 impl KeptAnswers {
-    /// No runs.
+    /// Creates an empty table of runs.
     pub fn new(settings: &ClaimSettings) -> Rc<Self> {
         Rc::new(Self {
             retention: settings.retention,
-            most_runs: settings.most_claims,
-            most_bytes: settings.kept_bytes.get() as usize,
+            max_runs: settings.most_claims,
+            max_bytes: settings.kept_bytes.get() as usize,
             table: RefCell::default(),
         })
     }
 
-    /// Begins a run at `now` after the agent's start: the recorder of its answer, or nothing for
-    /// a call without a key.
+    /// Begins a run at `now`, the time since the agent's start. Returns the recorder of its answer,
+    /// or `None` for a call without a key.
     pub fn begin(
         self: &Rc<Self>,
         open: &OpenRequest,
@@ -106,35 +106,35 @@
         if table.runs.contains_key(&claim_key) {
             return Err(RefusalReason::KeyRunBefore);
         }
-        if table.expiries.len() >= self.most_runs {
+        if table.expiries.len() >= self.max_runs {
             return Err(RefusalReason::ClaimsFull);
         }
-        let until = now + self.retention;
+        let expires_at = now + self.retention;
         let run = KeptRun {
             organisation: open.organisation.clone(),
             key: key.clone(),
             fingerprint: CallFingerprint::new(&open.method, &open.path, &open.body),
             state: RunState::Running,
             settled: ShutdownSignal::new(),
-            until,
+            expires_at,
         };
         table.runs.insert(claim_key, run);
-        table.expiries.push_back(RunExpiry { key: claim_key, until });
+        table.expiries.push_back(RunExpiry { key: claim_key, expires_at });
         Ok(Some(RunRecorder::new(self.clone(), claim_key)))
     }
 
-    /// The first run's answer, once that run has ended.
+    /// Waits until the first run has ended and returns its answer.
     pub async fn recall(&self, request: &RecallRequest) -> Result<KeptAnswer, RefusalReason> {
         let settled = self.find(request, |run| run.settled.clone())?;
         settled.given().await;
         self.find(request, |run| match &run.state {
-            RunState::Whole(answer) => Ok(answer.clone()),
+            RunState::Complete(answer) => Ok(answer.clone()),
             RunState::Running | RunState::NotKept => Err(RefusalReason::AnswerNotKept),
             RunState::Failed => Err(RefusalReason::FirstRunFailed),
         })?
     }
 
-    /// Bytes kept.
+    /// Returns the number of bytes of kept answers.
     pub fn kept_bytes(&self) -> ByteCount {
         ByteCount::new(self.table.borrow().bytes as u64)
     }
@@ -155,21 +155,21 @@
         }
     }
 
-    /// Keeps the answer of a run that ended well, if it is not too long to be kept.
-    pub(super) fn settle_whole(&self, key: ClaimKey, answer: Option<KeptAnswer>) {
+    /// Records that a run completed, with its answer unless that is too long to be kept.
+    pub(super) fn settle_complete(&self, key: ClaimKey, answer: Option<KeptAnswer>) {
         let mut table = self.table.borrow_mut();
         let size = answer.as_ref().map_or(0, KeptAnswer::size);
-        table.settle(key, answer.map_or(RunState::NotKept, RunState::Whole));
+        table.settle(key, answer.map_or(RunState::NotKept, RunState::Complete));
         table.bytes += size;
-        table.drop_oldest_answers(self.most_bytes);
+        table.drop_oldest_answers(self.max_bytes);
     }
 
-    /// Notes that a run ended without a whole answer.
+    /// Records that a run ended without a complete answer.
     pub(super) fn settle_failed(&self, key: ClaimKey) {
         self.table.borrow_mut().settle(key, RunState::Failed);
     }
 
-    /// Forgets a run that is proved not to have happened.
+    /// Removes a run that has provably not happened.
     pub(super) fn forget(&self, key: ClaimKey) {
         self.table.borrow_mut().remove(key);
     }
@@ -183,13 +183,13 @@
         }
     }
 
-    fn drop_oldest_answers(&mut self, most_bytes: usize) {
+    fn drop_oldest_answers(&mut self, max_bytes: usize) {
         for expiry in &self.expiries {
-            if self.bytes <= most_bytes {
+            if self.bytes <= max_bytes {
                 break;
             }
             if let Some(run) = self.runs.get_mut(&expiry.key) {
-                if let RunState::Whole(answer) = &run.state {
+                if let RunState::Complete(answer) = &run.state {
                     self.bytes -= answer.size();
                     run.state = RunState::NotKept;
                 }
@@ -197,19 +197,19 @@
         }
     }
 
-    /// Drops runs past their time; one that still runs is kept for another retention.
+    /// Drops expired runs. A run that is still in progress is kept for another retention period.
     fn expire(&mut self, now: Duration, retention: Duration) {
         while let Some(expiry) = self.expiries.front().copied() {
-            if expiry.until > now {
+            if expiry.expires_at > now {
                 break;
             }
             self.expiries.pop_front();
             match self.runs.get_mut(&expiry.key) {
                 Some(run) if matches!(run.state, RunState::Running) => {
-                    run.until = now + retention;
-                    self.expiries.push_back(RunExpiry { until: run.until, ..expiry });
+                    run.expires_at = now + retention;
+                    self.expiries.push_back(RunExpiry { expires_at: run.expires_at, ..expiry });
                 }
-                Some(run) if run.until <= now => self.remove(expiry.key),
+                Some(run) if run.expires_at <= now => self.remove(expiry.key),
                 _ => {}
             }
         }
@@ -217,7 +217,7 @@
 
     fn remove(&mut self, key: ClaimKey) {
         if let Some(run) = self.runs.remove(&key) {
-            if let RunState::Whole(answer) = run.state {
+            if let RunState::Complete(answer) = run.state {
                 self.bytes -= answer.size();
             }
             run.settled.give();
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The agent's life: start, serve, drain, end.
+//! The life cycle of the agent daemon: start, serve, drain, exit.
 
 use std::cell::Cell;
 use std::error::Error;
@@ -27,7 +27,7 @@
 use crate::agent_core::AgentCore;
 use crate::answers::{sweep_answers, AnswerStore, StoreLimits};
 use crate::claims::{ClaimWitness, KeptAnswers};
-use crate::crash_board::CrashBoard;
+use crate::crash_notifier::CrashNotifier;
 use crate::engine_follower::follow_engine;
 use crate::engine_view::EngineView;
 use crate::metrics::AgentMetrics;
@@ -35,12 +35,12 @@
 use crate::settings::AgentSettings;
 use crate::trust::RouterTrust;
 
-/// How often a draining agent looks whether all has finished.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// How long the routers may take to answer a leaving agent's farewell.
-const CLOSE_WITHIN: Duration = Duration::from_secs(2);
-/// Which part of all kept bytes one answer may have.
-const ANSWER_SHARE: u64 = 16;
+/// Interval at which a draining agent checks whether all requests have completed.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time within which routers must complete the shutdown handshake of their connections.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// One answer may use at most the limit of all kept bytes divided by this.
+const ANSWER_BYTES_DIVISOR: u64 = 16;
 
 struct AgentView {
     core: Rc<AgentCore>,
@@ -55,7 +55,7 @@
 
 impl OperationsView for AgentView {
     fn is_ready(&self) -> bool {
-        !self.core.book.is_draining() && !self.is_superseded()
+        !self.core.admissions.is_draining() && !self.is_superseded()
     }
 
     fn status(&self) -> serde_json::Value {
@@ -65,11 +65,11 @@
             "incarnation": self.core.incarnation.to_string(),
             "failure_domain": self.core.domain.to_string(),
             "server": self.core.server.to_string(),
-            "leaving": self.core.book.is_draining(),
+            "leaving": self.core.admissions.is_draining(),
             "configuration": self.configuration.as_ref().map(ConfigurationView::status),
-            "waiting": self.core.book.waiting().get(),
-            "running": self.core.book.running().get(),
-            "held_answer_bytes": self.core.answers.held_bytes(),
+            "waiting": self.core.admissions.waiting().get(),
+            "running": self.core.admissions.running().get(),
+            "held_answer_bytes": self.core.answers.buffered_bytes(),
             "witness_ready_in_ms":
                 self.core.witness.ready_in(self.core.started.elapsed()).as_millis() as u64,
             "held_keys": self.core.witness.held_keys(),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Runs an agent until a signal ends it.
+/// Runs an agent until a signal stops it.
 pub fn run_agent(settings: AgentSettings) -> Result<(), Box<dyn Error>> {
     start_logging("papayamux-agent", log::LevelFilter::Info);
     let mut signals = catch_end_signals()?;
@@ -88,32 +88,32 @@
         let agent = ServingAgent::start(&settings)?;
         signals.next().await;
         let agent = agent.leave();
-        let bound = std::pin::pin!(monoio::time::sleep(settings.drain_within));
-        let cut = std::pin::pin!(select(signals.next(), bound));
+        let deadline = std::pin::pin!(monoio::time::sleep(settings.drain_within));
+        let interrupt = std::pin::pin!(select(signals.next(), deadline));
         let finish = std::pin::pin!(agent.finish());
-        let cause = match select(finish, cut).await {
+        let cause = match select(finish, interrupt).await {
             Either::Left(_) => return Ok(()),
             Either::Right((Either::Left(_), _)) => "a second signal",
             Either::Right((Either::Right(_), _)) => "the drain's bound",
         };
-        Err(agent.cut(cause))
+        Err(agent.interrupt(cause))
     })?
 }
 
-/// An agent that takes work.
+/// An agent that accepts requests.
 struct ServingAgent {
     core: Rc<AgentCore>,
 }
 
-/// An agent that takes no new work and lets what runs finish.
+/// An agent that accepts no new requests and completes those it has admitted.
 struct DrainingAgent {
     core: Rc<AgentCore>,
 }
 
-/// What a drain's end cut off.
+/// The error of a drain that was interrupted before all requests had completed.
 #[derive(Debug, Error)]
 #[error("{cause} cut off {requests} requests")]
-struct DrainCut {
+struct InterruptedDrain {
     cause: &'static str,
     requests: u64,
 }
@@ -123,41 +123,42 @@
         Ok(Self { core: start_agent(settings)? })
     }
 
-    /// Takes no new work from now on, and tells the routers so.
+    /// Stops accepting new requests and notifies the routers.
     fn leave(self) -> DrainingAgent {
         log::info!("agent drains");
-        self.core.book.start_draining();
-        self.core.leaving.give();
+        self.core.admissions.start_draining();
+        self.core.draining.give();
         DrainingAgent { core: self.core }
     }
 }
 
 impl DrainingAgent {
-    /// Waits until all that ran has ended and the routers have received it, or can't any more,
-    /// and until every router that answers has read the refusals of what it sent meanwhile.
+    /// Waits until all admitted requests have completed and their answers have been received or
+    /// have expired. Then waits until each router that responds has read the refusals of the
+    /// requests it sent in the meantime.
     async fn finish(&self) {
         while self.unfinished() > 0 {
-            monoio::time::sleep(DRAIN_LOOK).await;
+            monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         self.core.closing.give();
         let closing = Instant::now();
-        while self.core.metrics.router_links.get() > 0 && closing.elapsed() < CLOSE_WITHIN {
-            monoio::time::sleep(DRAIN_LOOK).await;
+        while self.core.metrics.router_links.get() > 0 && closing.elapsed() < CLOSE_TIMEOUT {
+            monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         log::info!("agent drained");
     }
 
     fn unfinished(&self) -> u64 {
         let waited_for = self.core.answers.awaited() as u64 + self.core.recalls.get();
-        (self.core.book.running() + self.core.book.waiting()).get().max(waited_for)
+        (self.core.admissions.running() + self.core.admissions.waiting()).get().max(waited_for)
     }
 
-    /// Ends the drain before its end.
-    fn cut(&self, cause: &'static str) -> Box<dyn Error> {
+    /// Interrupts the drain and returns its error.
+    fn interrupt(&self, cause: &'static str) -> Box<dyn Error> {
         let requests = self.unfinished();
         self.core.metrics.cut_requests.inc_by(requests);
         log::warn!(cause = cause, requests = requests; "drain cut off");
-        DrainCut { cause, requests }.into()
+        InterruptedDrain { cause, requests }.into()
     }
 }
 
@@ -197,16 +198,16 @@
         incarnation,
         server: settings.server.clone(),
         domain: settings.domain.clone(),
-        book: AdmissionController::new(incarnation, settings.limits()),
+        admissions: AdmissionController::new(incarnation, settings.limits()),
         engine: EngineView::new(settings.prefill_rate),
         client: HttpClient::new(settings.server_address),
         witness: ClaimWitness::new(incarnation, &settings.claims),
         kept: KeptAnswers::new(&settings.claims),
         recalls: Cell::new(0),
-        crashes: CrashBoard::default(),
+        crashes: CrashNotifier::default(),
         metrics,
         started: Instant::now(),
-        leaving: ShutdownSignal::new(),
+        draining: ShutdownSignal::new(),
         closing: ShutdownSignal::new(),
         answers: AnswerStore::new(store_limits(settings)),
         trust: RouterTrust { secret: settings.secret.clone(), allow: settings.allow.clone() },
@@ -226,8 +227,8 @@
     let timers = TimerService::start();
     monoio::spawn(follow_engine(core.clone(), timers.clone()));
     monoio::spawn(announce_witness(core.clone()));
-    let held_bytes = core.metrics.held_bytes.clone();
-    monoio::spawn(sweep_answers(core.answers.clone(), held_bytes, timers.clone()));
+    let buffered_bytes = core.metrics.buffered_bytes.clone();
+    monoio::spawn(sweep_answers(core.answers.clone(), buffered_bytes, timers.clone()));
     if let Some(orders) = core.orders.clone() {
         let ticks = timers.every(orders.settings.look_every);
         monoio::spawn(OrderTask::new(core.clone(), orders).run(ticks));
@@ -235,7 +236,7 @@
     Ok(core)
 }
 
-/// Logs from when on the agent grants claims.
+/// Logs when the witness becomes ready to grant claims.
 async fn announce_witness(core: Rc<AgentCore>) {
     let ready_in = core.witness.ready_in(core.started.elapsed());
     log::info!(ready_in_ms = ready_in.as_millis() as u64; "witness remembers too little yet");
@@ -250,6 +251,6 @@
         .cancel_grace(settings.cancel_grace)
         .keep_for(settings.keep_answers_for)
         .total_bytes(total)
-        .answer_bytes(total / ANSWER_SHARE)
+        .answer_bytes(total / ANSWER_BYTES_DIVISOR)
         .build()
 }
--- a/crates/papayamux-agent/src/lib.rs
+++ b/crates/papayamux-agent/src/lib.rs
@@ -1,15 +1,16 @@
-//! The agent: stands beside one backend server, decides what it takes, and runs it there.
+//! The agent of one backend server: admits requests from routers, runs them at the server and
+//! delivers the answers.
 
 mod accept;
 mod admitted_run;
 mod agent_core;
 pub mod answers;
 pub mod claims;
-mod crash_board;
+mod crash_notifier;
 pub mod daemon;
 mod engine_follower;
 mod engine_view;
-mod farewell;
+mod link_shutdown;
 pub mod metrics;
 pub mod orders;
 mod router_link;
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -1,4 +1,5 @@
-//! The task that brings the engine to its target: read, compare, order, check, again and again.
+//! The task that reconciles the engine with its target in a loop: read the engine's state, compare
+//! it with the target, send an order, check the effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -21,35 +22,35 @@
 use super::stop_requests::StopRequests;
 use crate::agent_core::AgentCore;
 
-/// Looks in a row without a fencing number after an obeyed order, after which the engine is taken
-/// to publish none.
-const MOST_UNSHOWN: u32 = 3;
+/// Number of consecutive observations without a fencing number after an accepted order, after
+/// which the engine is assumed to publish none.
+const MAX_MISSING_FENCES: u32 = 3;
 
-/// How a look at the engine ended.
-enum LookEnd {
-    /// The next look comes with the timer or with the next slot.
+/// The outcome of one poll of the engine.
+enum PollOutcome {
+    /// The next poll follows at the next timer tick or slot.
     Wait,
-    /// Things have changed; the next look comes at once.
+    /// The state has changed; the next poll follows at once.
     Again,
-    /// A newer agent orders the engine.
+    /// A newer agent controls the engine.
     Superseded,
 }
 
-/// The engine's state as it was read.
-struct EngineLook {
-    asked: Instant,
+/// The engine's state as read in one poll.
+struct EnginePoll {
+    requested_at: Instant,
     view: EngineSnapshot,
     sight: FenceObservation,
 }
 
-/// The one task that orders the engine.
+/// The only task that sends orders to the engine.
 pub struct OrderTask {
     core: Rc<AgentCore>,
     orders: Rc<OrderCore>,
     fence: FenceTracker,
-    unshown: u32,
+    missing_fences: u32,
     backoff: LoadBackoff,
-    awaited: BTreeMap<WeightsRef, String>,
+    pending_loads: BTreeMap<WeightsRef, String>,
     stops: StopRequests,
     evidence: EvidenceTable,
     used_slot: Option<u64>,
@@ -57,7 +58,7 @@
 }
 
 impl OrderTask {
-    /// The task of an agent that knows nothing of its engine yet.
+    /// Creates the task of an agent that has not read its engine's state yet.
     pub fn new(core: Rc<AgentCore>, orders: Rc<OrderCore>) -> Self {
         let identity = LinkIdentity {
             incarnation: core.incarnation,
@@ -75,22 +76,22 @@
             stops: StopRequests::new(client, orders.clone()),
             core,
             orders,
-            unshown: 0,
+            missing_fences: 0,
             backoff: LoadBackoff::default(),
-            awaited: BTreeMap::new(),
+            pending_loads: BTreeMap::new(),
             evidence: EvidenceTable::new(),
             used_slot: None,
             waits: Vec::new(),
         }
     }
 
-    /// Orders until a newer agent does so, or the timer ends.
+    /// Sends orders until a newer agent controls the engine or the timer ends.
     pub async fn run(mut self, mut ticks: TimerSubscription) {
         loop {
-            match self.look().await {
-                LookEnd::Again => continue,
-                LookEnd::Superseded => return self.step_back(),
-                LookEnd::Wait => {}
+            match self.poll().await {
+                PollOutcome::Again => continue,
+                PollOutcome::Superseded => return self.stop_superseded(),
+                PollOutcome::Wait => {}
             }
             if !self.wait(&mut ticks).await {
                 return;
@@ -98,11 +99,12 @@
         }
     }
 
-    /// Waits for the timer, or for the engine's slot where a load waits for it.
+    /// Waits for the timer, or for the engine's next slot if a load needs it. Returns `false` if
+    /// the timer has ended.
     async fn wait(&mut self, ticks: &mut TimerSubscription) -> bool {
         let slot = self.until_slot().unwrap_or(Duration::MAX / 4);
         let tick = std::pin::pin!(ticks.tick());
-        let slot = std::pin::pin!(sleep_long(slot));
+        let slot = std::pin::pin!(sleep_capped(slot));
         let Either::Left((tick, _)) = select(tick, slot).await else { return true };
         let Some(tick) = tick else { return false };
         if let Some(paused) = tick.paused {
@@ -113,7 +115,7 @@
         true
     }
 
-    /// Time to the engine's next slot, where it is of use.
+    /// Returns the time until the engine's next slot, if a load waits for it.
     fn until_slot(&self) -> Option<Duration> {
         let waits_for_slot = self.waits.contains(&"load_slot");
         let target = self.orders.target.current().filter(|_| waits_for_slot)?;
@@ -126,57 +128,57 @@
         LoadSlots::new(&self.core.server, &fleet, self.orders.settings.load_rate)
     }
 
-    fn wait_for(&mut self, label: &'static str) -> LookEnd {
+    fn wait_for(&mut self, label: &'static str) -> PollOutcome {
         self.orders.metrics.waits.count(label);
         self.waits.push(label);
-        LookEnd::Wait
+        PollOutcome::Wait
     }
 
-    async fn look(&mut self) -> LookEnd {
+    async fn poll(&mut self) -> PollOutcome {
         self.waits.clear();
         let Some(target) = self.orders.target.current() else { return self.wait_for("no_target") };
         if let Err(error) = target.check() {
             log::warn!(error:% = error; "the target can't be ordered");
             return self.wait_for(error.label());
         }
-        let look = match self.read().await {
-            Ok(look) => look,
+        let poll = match self.read().await {
+            Ok(poll) => poll,
             Err(error) => {
                 log::warn!(server:% = self.core.server, error:% = error; "state unread");
                 return self.wait_for("state_unread");
             }
         };
-        if look.sight == FenceObservation::Successor {
-            return LookEnd::Superseded;
+        if poll.sight == FenceObservation::Successor {
+            return PollOutcome::Superseded;
         }
-        let plan = ChangePlan::new(&target, &look.view);
-        self.settle(&target, &look.view, &plan);
+        let plan = ChangePlan::new(&target, &poll.view);
+        self.settle(&target, &poll.view, &plan);
         let slots = self.slots(&target);
-        if self.stops.ask_next(&target, &plan, slots, &mut self.evidence, &self.backoff).await {
-            return LookEnd::Again;
+        if self.stops.query_next(&target, &plan, slots, &mut self.evidence, &self.backoff).await {
+            return PollOutcome::Again;
         }
         self.waits.append(&mut self.stops.take_waits());
-        let end = self.order(&target, &look, &plan, slots).await;
-        self.report(&target, look.view, plan);
+        let end = self.order(&target, &poll, &plan, slots).await;
+        self.report(&target, poll.view, plan);
         end
     }
 
-    /// Reads the engine's state, and what its fencing number says.
-    async fn read(&mut self) -> Result<EngineLook, EngineError> {
-        let asked = Instant::now();
+    /// Reads the engine's state and observes its fencing number.
+    async fn read(&mut self) -> Result<EnginePoll, EngineError> {
+        let requested_at = Instant::now();
         let state = read_state(&self.core.client).await?;
         let view = EngineSnapshot::from(&state);
         let sight = self.fence.observe(view.fence);
         self.orders.metrics.fences.count(sight.label());
-        self.orders.gate.note_loaded(view.loaded.keys().cloned().collect(), asked);
-        Ok(EngineLook { asked, view, sight })
+        self.orders.gate.record_loaded(view.loaded.keys().cloned().collect(), requested_at);
+        Ok(EnginePoll { requested_at, view, sight })
     }
 
-    /// Notes loads that have ended, and serves on where stopping is not wanted any more.
+    /// Records loads that have ended, and resumes serving weights whose stop is no longer wanted.
     fn settle(&mut self, target: &ServerTarget, view: &EngineSnapshot, plan: &ChangePlan) {
         let now = Instant::now();
-        let awaited = std::mem::take(&mut self.awaited);
-        for (weights, version) in awaited {
+        let pending_loads = std::mem::take(&mut self.pending_loads);
+        for (weights, version) in pending_loads {
             let label = match view.loaded.get(&weights) {
                 Some(loaded) if *loaded == version => "loaded",
                 _ if view.has_failed(&weights, &version) => {
@@ -186,7 +188,7 @@
                     "failed"
                 }
                 _ if view.is_loading(&weights, &version) => {
-                    self.awaited.insert(weights, version);
+                    self.pending_loads.insert(weights, version);
                     continue;
                 }
                 _ => "lost",
@@ -199,14 +201,14 @@
         self.stops.settle(target, view, plan, &mut self.evidence);
     }
 
-    /// Sends the next order, if there is one, and checks its effect.
+    /// Sends the next order, if any, and checks its effect.
     async fn order(
         &mut self,
         target: &ServerTarget,
-        look: &EngineLook,
+        poll: &EnginePoll,
         plan: &ChangePlan,
         slots: LoadSlots,
-    ) -> LookEnd {
+    ) -> PollOutcome {
         let now = Instant::now();
         let load = next_load(target, plan, &self.backoff, &self.evidence, now);
         let slot = unused_slot(slots, self.used_slot).filter(|_| load.is_some());
@@ -215,28 +217,28 @@
         }
         let load = load.filter(|_| slot.is_some());
         let unload = self.stops.unloadable(plan, now);
-        let rights = StepRights { load, unload, claim: self.claims(look.sight) };
-        let Some(draft) = OrderDraft::next(target, &look.view, &rights) else {
-            return LookEnd::Wait;
+        let rights = StepRights { load, unload, claim: self.claims(poll.sight) };
+        let Some(draft) = OrderDraft::next(target, &poll.view, &rights) else {
+            return PollOutcome::Wait;
         };
-        let mut permit = OrderPermit::new(look.asked, slot);
+        let mut permit = OrderPermit::new(poll.requested_at, slot);
         let update = rights.load.as_ref().filter(|weights| plan.outdated.contains(weights));
         let deadline = update
             .and_then(|weights| update_deadline(target, weights, &self.evidence, now).flatten());
         if let Some(deadline) = deadline {
-            permit.end_by(deadline);
+            permit.limit_to(deadline);
         }
         self.send(target, &draft, &permit, rights.load.zip(slot)).await
     }
 
-    /// Whether the engine has to be told who orders it.
+    /// Returns whether the next order must claim the engine for this agent.
     fn claims(&mut self, sight: FenceObservation) -> bool {
         match sight {
-            FenceObservation::Own => self.unshown = 0,
-            FenceObservation::Restarted => self.unshown += 1,
+            FenceObservation::Own => self.missing_fences = 0,
+            FenceObservation::Restarted => self.missing_fences += 1,
             _ => {}
         }
-        sight != FenceObservation::Own && self.unshown <= MOST_UNSHOWN
+        sight != FenceObservation::Own && self.missing_fences <= MAX_MISSING_FENCES
     }
 
     async fn send(
@@ -245,10 +247,10 @@
         draft: &OrderDraft,
         permit: &OrderPermit,
         load: Option<(WeightsRef, SlotUse)>,
-    ) -> LookEnd {
+    ) -> PollOutcome {
         let fence = match self.fence.issue(target.revision) {
             Ok(fence) => fence,
-            Err(FenceError::Contended) => return LookEnd::Superseded,
+            Err(FenceError::Contended) => return PollOutcome::Superseded,
             Err(error) => {
                 log::error!(server:% = self.core.server, error:% = error; "no order possible");
                 return self.wait_for("fence_exhausted");
@@ -263,14 +265,14 @@
             "order"
         );
         match outcome {
-            OrderOutcome::NotSent(_) => return LookEnd::Wait,
+            OrderOutcome::NotSent(_) => return PollOutcome::Wait,
             OrderOutcome::Stale { highest } => {
                 return match self.fence.record_refusal(highest) {
-                    FenceObservation::Successor => LookEnd::Superseded,
-                    _ => LookEnd::Again,
+                    FenceObservation::Successor => PollOutcome::Superseded,
+                    _ => PollOutcome::Again,
                 };
             }
-            OrderOutcome::Obeyed => self.fence.record_obeyed(),
+            OrderOutcome::Accepted => self.fence.record_obeyed(),
             OrderOutcome::Refused(status) => {
                 log::warn!(server:% = self.core.server, status:% = status; "order refused");
             }
@@ -282,45 +284,51 @@
         if let Some((weights, slot)) = load {
             self.used_slot = Some(slot.number);
             if let Some(version) = draft.weights.get(&weights) {
-                self.awaited.insert(weights, version.clone());
+                self.pending_loads.insert(weights, version.clone());
             }
         }
         self.check_effect(draft, &outcome).await
     }
 
-    async fn check_effect(&mut self, draft: &OrderDraft, outcome: &OrderOutcome) -> LookEnd {
+    async fn check_effect(&mut self, draft: &OrderDraft, outcome: &OrderOutcome) -> PollOutcome {
         let effects = self.orders.metrics.effects.clone();
         let Ok(after) = self.read().await else {
             effects.count("unread");
-            return LookEnd::Wait;
+            return PollOutcome::Wait;
         };
         if after.sight == FenceObservation::Successor {
-            return LookEnd::Superseded;
+            return PollOutcome::Superseded;
         }
         let seen = draft.is_in_effect(&after.view);
         effects.count(if seen { "seen" } else { "missing" });
-        if matches!(outcome, OrderOutcome::Obeyed) && !seen {
+        if matches!(outcome, OrderOutcome::Accepted) && !seen {
             log::warn!(server:% = self.core.server; "the order's effect is not seen");
         }
-        LookEnd::Wait
+        PollOutcome::Wait
     }
 
     fn report(&self, target: &ServerTarget, view: EngineSnapshot, plan: ChangePlan) {
         let waits = self.waits.clone();
-        self.orders.note_report(OrderReport { revision: Some(target.revision), view, plan, waits });
+        self.orders.record_report(OrderReport {
+            revision: Some(target.revision),
+            view,
+            plan,
+            waits,
+        });
     }
 
-    /// A newer agent stands beside the engine: this one orders nothing more and takes no work.
-    fn step_back(&self) {
+    /// Stops accepting requests, because a newer agent controls the engine.
+    fn stop_superseded(&self) {
         log::warn!(server:% = self.core.server; "a newer agent orders the engine; stepping back");
         self.orders.metrics.superseded.set(1);
         self.orders.gate.supersede();
-        self.core.leaving.give();
+        self.core.draining.give();
     }
 }
 
-/// Sleeps for at most a day, which is as good as for ever beside a timer.
-async fn sleep_long(time: Duration) {
-    const LONGEST: Duration = Duration::from_secs(86_400);
-    monoio::time::sleep(time.min(LONGEST)).await;
+/// Sleeps for `time`, but at most a day. A day is long enough, because the caller also waits for a
+/// timer.
+async fn sleep_capped(time: Duration) {
+    const MAX_SLEEP: Duration = Duration::from_secs(86_400);
+    monoio::time::sleep(time.min(MAX_SLEEP)).await;
 }
--- a/crates/papayamux-agent/tests/operators_pages.rs
+++ b/crates/papayamux-agent/tests/operators_pages.rs
@@ -1,4 +1,4 @@
-//! The example, the page of settings and the page of metrics agree with the agent.
+//! The example settings, the settings page and the metrics page agree with the agent.
 
 use papayamux_agent::metrics::AgentMetrics;
 use papayamux_agent::orders::OrderMetrics;
@@ -9,7 +9,7 @@
 const SETTINGS_PAGE: &str = include_str!("../../../docs/operators/settings.md");
 const METRICS_PAGE: &str = include_str!("../../../docs/metrics.md");
 
-/// One section of each kind, each with a key that no reader knows.
+/// One section of each kind, each with an unknown key.
 const UNKNOWN_KEYS: &str =
     "[agent]\nzzz = 1\n[server]\nzzz = 1\n[claims]\nzzz = 1\n[spread]\nzzz = 1\n\
      [orders]\nzzz = 1\n[peer a]\nzzz = 1\n";
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_page_of_settings_names_each_key() {
+fn the_settings_page_lists_every_key() {
     let findings = AgentSettings::read("agent.ini", UNKNOWN_KEYS).err().unwrap_or_default();
     let known: Vec<_> = findings
         .0
@@ -39,14 +39,15 @@
 }
 
 #[test]
-fn the_page_of_metrics_names_each_metric_and_no_other() {
+fn the_metrics_page_lists_exactly_the_registered_metrics() {
     let mut registry = Registry::default();
     AgentMetrics::default().register(&mut registry);
     OrderMetrics::default().register(&mut registry);
     assert_page("papayamux_agent_", &registry);
 }
 
-/// The text form of a registry leaves out families without values, `Debug` does not.
+/// Compares the registered metrics with the metrics page. Uses the `Debug` form of the registry,
+/// because the text form omits families without values.
 fn assert_page(prefix: &str, registry: &Registry) {
     let text = format!("{registry:?}");
     let mut registered: Vec<_> = text
