--- a/crates/papayamux-agent/src/accept.rs
+++ b/crates/papayamux-agent/src/accept.rs
@@ -18,7 +18,7 @@
 /// Accepts connections of routers until the agent closes them.
 pub async fn accept_routers(core: Rc<AgentCore>, listener: TcpListener) {
     loop {
-        let closing = std::pin::pin!(core.closing.given());
+        let closing = std::pin::pin!(core.closing.triggered());
         let accept = std::pin::pin!(listener.accept());
         let accepted = match select(closing, accept).await {
             Either::Left(_) => return,
--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -135,12 +135,12 @@
 
     /// Whether the run is to stop: nobody waits for it, and it may be run again.
     pub fn is_cancelled(&self) -> bool {
-        self.cancelled.is_given()
+        self.cancelled.is_triggered()
     }
 
     /// Waits until the run is to stop.
     pub async fn wait_cancelled(&self) {
-        self.cancelled.given().await;
+        self.cancelled.triggered().await;
     }
 
     /// The answer's head; `keeps_events` where its events may be asked for again by the caller.
@@ -194,10 +194,10 @@
     }
 
     async fn wait_window(&self) {
-        while self.is_window_full() && !self.cancelled.is_given() {
+        while self.is_window_full() && !self.cancelled.is_triggered() {
             let signal = ShutdownSignal::new();
             self.moved.set(Some(signal.clone()));
-            signal.given().await;
+            signal.triggered().await;
         }
     }
 
@@ -209,7 +209,7 @@
 
     fn note_move(&self) {
         if let Some(signal) = self.moved.take() {
-            signal.give();
+            signal.trigger();
         }
     }
 
@@ -267,7 +267,7 @@
     fn give_up(&self) {
         self.state.borrow_mut().reader = Reader::Gone;
         if self.may_cancel {
-            self.cancelled.give();
+            self.cancelled.trigger();
         }
         self.note_move();
     }
@@ -281,7 +281,7 @@
     pub fn attach(&self, attachment: Attachment, from: ResumePoint) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(offset) = state.offset_of(from) else { return false };
-        if self.cancelled.is_given() {
+        if self.cancelled.is_triggered() {
             return false;
         }
         if let Reader::Attached(previous) = &state.reader {
--- a/crates/papayamux-agent/src/claims/kept_answers.rs
+++ b/crates/papayamux-agent/src/claims/kept_answers.rs
@@ -126,7 +126,7 @@
     /// The first run's answer, once that run has ended.
     pub async fn recall(&self, request: &RecallRequest) -> Result<KeptAnswer, RefusalReason> {
         let settled = self.find(request, |run| run.settled.clone())?;
-        settled.given().await;
+        settled.triggered().await;
         self.find(request, |run| match &run.state {
             RunState::Whole(answer) => Ok(answer.clone()),
             RunState::Running | RunState::NotKept => Err(RefusalReason::AnswerNotKept),
@@ -179,7 +179,7 @@
     fn settle(&mut self, key: ClaimKey, state: RunState) {
         if let Some(run) = self.runs.get_mut(&key) {
             run.state = state;
-            run.settled.give();
+            run.settled.trigger();
         }
     }
 
@@ -220,7 +220,7 @@
             if let RunState::Whole(answer) = run.state {
                 self.bytes -= answer.size();
             }
-            run.settled.give();
+            run.settled.trigger();
         }
     }
 }
--- a/crates/papayamux-agent/src/claims/recall.rs
+++ b/crates/papayamux-agent/src/claims/recall.rs
@@ -50,7 +50,7 @@
 /// the router has it.
 pub async fn serve_recall(core: &AgentCore, request: &RecallRequest, stream: RecallStream) {
     let recalled = std::pin::pin!(core.kept.recall(request));
-    let closed = std::pin::pin!(stream.closed.given());
+    let closed = std::pin::pin!(stream.closed.triggered());
     match select(recalled, closed).await {
         Either::Left((Ok(answer), _)) => {
             core.metrics.answers_recalled.inc();
@@ -63,5 +63,5 @@
         }
         Either::Right(_) => return,
     }
-    let _ = monoio::time::timeout(ARRIVE_WITHIN, stream.closed.given()).await;
+    let _ = monoio::time::timeout(ARRIVE_WITHIN, stream.closed.triggered()).await;
 }
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -127,7 +127,7 @@
     fn leave(self) -> DrainingAgent {
         log::info!("agent drains");
         self.core.book.leave();
-        self.core.leaving.give();
+        self.core.leaving.trigger();
         DrainingAgent { core: self.core }
     }
 }
@@ -139,7 +139,7 @@
         while self.unfinished() > 0 {
             monoio::time::sleep(DRAIN_LOOK).await;
         }
-        self.core.closing.give();
+        self.core.closing.trigger();
         let closing = Instant::now();
         while self.core.metrics.router_links.get() > 0 && closing.elapsed() < CLOSE_WITHIN {
             monoio::time::sleep(DRAIN_LOOK).await;
--- a/crates/papayamux-agent/src/engine_view.rs
+++ b/crates/papayamux-agent/src/engine_view.rs
@@ -60,7 +60,7 @@
 
     /// Waits until chats come, which says that an engine stands beside the agent.
     pub async fn chats_came(&self) {
-        self.chats_came.given().await;
+        self.chats_came.triggered().await;
     }
 
     /// The index of the engine's cache.
@@ -81,7 +81,7 @@
     /// Leading checkpoints of a probe that are cached.
     pub fn warm_checkpoints(&self, probe: &LoadProbe) -> u32 {
         if probe.chat != 0 {
-            self.chats_came.give();
+            self.chats_came.trigger();
         }
         let hashes = probe.checkpoints.iter().copied();
         self.index.borrow().warm_prefix(hashes, Instant::now()) as u32
@@ -114,7 +114,7 @@
     /// Notes that the engine is given a request now.
     pub fn note_start(&self, open: &OpenRequest, now: AgentClock) {
         let Some(target) = &open.chat else { return };
-        self.chats_came.give();
+        self.chats_came.trigger();
         self.moved.borrow_mut().forget(chat_hash(&target.chat));
         let Some(blocks) = PromptBlocks::read(target, &open.body) else { return };
         let warm = self.warm_blocks(&blocks) * TOKENS_PER_BLOCK;
--- a/crates/papayamux-agent/src/farewell.rs
+++ b/crates/papayamux-agent/src/farewell.rs
@@ -25,19 +25,19 @@
     /// After the first round the router knows that the agent leaves, and every request that it had
     /// sent before is refused; after the second it has read those refusals.
     pub async fn say(&self, closing: &ShutdownSignal, sender: &LinkSender<AgentMessage>) {
-        closing.given().await;
+        closing.triggered().await;
         for _ in 0..FAREWELL_ROUNDS {
             let answered = ShutdownSignal::new();
             self.answered.replace(Some(answered.clone()));
             sender.send(CONNECTION, AgentMessage::Ping(FAREWELL_PING));
-            answered.given().await;
+            answered.triggered().await;
         }
     }
 
     /// The router has answered the ping.
     pub fn note_pong(&self) {
         if let Some(answered) = self.answered.take() {
-            answered.give();
+            answered.trigger();
         }
     }
 }
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -315,7 +315,7 @@
         log::warn!(server:% = self.core.server; "a newer agent orders the engine; stepping back");
         self.orders.metrics.superseded.set(1);
         self.orders.gate.supersede();
-        self.core.leaving.give();
+        self.core.leaving.trigger();
     }
 }
 
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -98,7 +98,7 @@
     /// Reads to the connection's end; says on the way when the agent leaves.
     async fn serve(&self, receiver: &mut RouterReceiver) -> LinkEnd {
         let read = std::pin::pin!(self.read_messages(receiver));
-        let leaving = std::pin::pin!(self.core.leaving.given());
+        let leaving = std::pin::pin!(self.core.leaving.triggered());
         match select(leaving, read).await {
             Either::Left(((), read)) => {
                 self.sender.send(CONNECTION, AgentMessage::Leaving);
@@ -176,7 +176,7 @@
 
     fn close(&self, stream: u64, act: impl FnOnce(&AnswerRecord)) {
         if let Some(closed) = self.recalls.borrow_mut().remove(&stream) {
-            closed.give();
+            closed.trigger();
         }
         if let Some(record) = self.streams.borrow_mut().remove(&stream) {
             act(&record);
@@ -294,6 +294,6 @@
         for (stream, record) in self.streams.borrow_mut().drain() {
             record.lose(AttachmentKey { link: self.number, stream });
         }
-        self.recalls.borrow_mut().drain().for_each(|(_, closed)| closed.give());
+        self.recalls.borrow_mut().drain().for_each(|(_, closed)| closed.trigger());
     }
 }
--- a/crates/papayamux-router/src/agents/agent_link.rs
+++ b/crates/papayamux-router/src/agents/agent_link.rs
@@ -14,7 +14,7 @@
 };
 use papayamux_protocol::wire::{agent_control_length, router_control_length};
 use papayamux_state::ids::RequestId;
-use papayamux_transport::agent_link::{AgentReceiver, ProvedLink, CONNECTION};
+use papayamux_transport::agent_link::{AgentReceiver, AuthenticatedLink, CONNECTION};
 use papayamux_transport::link::{LinkError, LinkSender};
 
 use super::pending_probes::PendingProbes;
@@ -52,11 +52,11 @@
     /// Creates the link for a connection whose ends are authenticated. The caller has to read the
     /// returned receiver with [`read_messages`].
     pub fn new(
-        proved: ProvedLink,
+        proved: AuthenticatedLink,
         updates: Rc<AgentUpdates>,
         metrics: RouterMetrics,
     ) -> (Rc<Self>, AgentReceiver) {
-        let ProvedLink { sender, receiver, welcome } = proved;
+        let AuthenticatedLink { sender, receiver, welcome } = proved;
         let server = welcome.server.clone();
         let sample = ClockSample { clock: welcome.clock, sampled_at: Instant::now() };
         let link = Self {
--- a/crates/papayamux-router/src/agents/agent_peer.rs
+++ b/crates/papayamux-router/src/agents/agent_peer.rs
@@ -127,7 +127,7 @@
             _ => None,
         };
         if let Some(done) = pending {
-            done.given().await;
+            done.triggered().await;
             return self.current_link().ok_or(AgentLinkError::NoWelcome);
         }
         self.establish().await
@@ -176,6 +176,6 @@
         if matches!(*state, PeerState::Connecting(_)) {
             *state = PeerState::Down;
         }
-        self.done.give();
+        self.done.trigger();
     }
 }
--- a/crates/papayamux-router/src/daemon.rs
+++ b/crates/papayamux-router/src/daemon.rs
@@ -189,7 +189,7 @@
         admitted
     };
     HttpLimits {
-        write_within: settings.caller_stall,
+        write_timeout: settings.caller_stall,
         admits: Some(AddressCheck(Rc::new(check))),
         ..HttpLimits::default()
     }
@@ -221,7 +221,7 @@
     async fn finish(&self) -> DrainEnd {
         let settings = &self.view.settings;
         monoio::time::sleep(settings.balancer_delay).await;
-        self.shutdown.give();
+        self.shutdown.trigger();
         let Some(served) = self.served.take() else { return DrainEnd::Complete };
         match monoio::time::timeout(settings.drain_within, served).await {
             Ok(_) => {
--- a/crates/papayamux-router/src/direct/attempt.rs
+++ b/crates/papayamux-router/src/direct/attempt.rs
@@ -131,7 +131,7 @@
         Waited::TimeUp => return Err(LostAttempt::unknown(TIME_UP)),
     };
     active.hear();
-    if let Some(took) = answer.connecting_took() {
+    if let Some(took) = answer.connect_time() {
         active.note_connection(took);
     }
     if let Some(queue) = interface.reported_queue(&answer.head) {
--- a/crates/papayamux-router/src/direct/attempt_watch.rs
+++ b/crates/papayamux-router/src/direct/attempt_watch.rs
@@ -59,13 +59,13 @@
                 return alarm;
             }
             let signal = self.signal.borrow().clone();
-            signal.given().await;
+            signal.triggered().await;
         }
     }
 
     fn ring(&self, alarm: AttemptAlarm) {
         self.alarm.set(Some(alarm));
-        self.signal.take().give();
+        self.signal.take().trigger();
     }
 
     fn look(&self, fleet: &Fleet, now: Instant) {
--- a/crates/papayamux-router/src/direct/daemon.rs
+++ b/crates/papayamux-router/src/direct/daemon.rs
@@ -143,7 +143,7 @@
     });
     let limits = HttpLimits {
         connections: settings.most_callers(),
-        head_within: IDLE_WITHIN,
+        head_timeout: IDLE_WITHIN,
         ..HttpLimits::default()
     };
     let shutdown = ShutdownSignal::new();
@@ -204,7 +204,7 @@
         self.peers.leave();
         log::info!(in_flight = self.view.fleet.in_flight(); "router drains");
         monoio::time::sleep(grace.mul_f64(ACCEPT_PART)).await;
-        self.shutdown.give();
+        self.shutdown.trigger();
         let end = begun + grace.saturating_sub(END_MARGIN);
         let mut served = self.served;
         while Instant::now() < end {
--- a/crates/papayamux-router/src/direct/fleet/beliefs.rs
+++ b/crates/papayamux-router/src/direct/fleet/beliefs.rs
@@ -49,7 +49,7 @@
     pub(super) fn note_confirmation(&self, known: BootInstant) {
         self.freshness.borrow_mut().confirm(known);
         self.vouched_for.set(false);
-        self.confirmed.take().give();
+        self.confirmed.take().trigger();
     }
 
     /// When configuration and servers were known to be the newest, by a read of this router or of one
@@ -100,7 +100,7 @@
                 age_ms = now.since(known).as_millis() as u64; "configuration is vouched for"
             );
         }
-        self.confirmed.take().give();
+        self.confirmed.take().trigger();
     }
 
     /// Whether API keys may be accepted by what this router has read itself, without the word of
@@ -129,17 +129,17 @@
         let confirmed = self.confirmed.borrow().clone();
         self.poke();
         // A refusal follows where no confirmation came, so that the timeout needs no handling.
-        let _ = monoio::time::timeout(limit, confirmed.given()).await;
+        let _ = monoio::time::timeout(limit, confirmed.triggered()).await;
     }
 
     /// Asks for a read of the source at once.
     pub(super) fn poke(&self) {
-        self.poke.take().give();
+        self.poke.take().trigger();
     }
 
     /// Waits until somebody asks for a confirmation.
     pub async fn poked(&self) {
         let poke = self.poke.borrow().clone();
-        poke.given().await;
+        poke.triggered().await;
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/crash_records.rs
+++ b/crates/papayamux-router/src/direct/fleet/crash_records.rs
@@ -64,7 +64,7 @@
             fingerprint:% = fingerprint, server:% = server, crashes = record.crashes,
             held_ms = held.as_millis() as u64; "server ended under a request"
         );
-        self.crash_noted.take().give();
+        self.crash_noted.take().trigger();
     }
 
     /// Notes that a server has run a request to its end.
@@ -72,7 +72,7 @@
         if self.quarantine.borrow_mut().note_run(fingerprint, sent, Instant::now()) {
             self.metrics.crash_records.count("cleared");
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
-            self.crash_noted.take().give();
+            self.crash_noted.take().trigger();
         }
     }
 
@@ -99,7 +99,7 @@
             }
         }
         if learnt {
-            self.crash_noted.take().give();
+            self.crash_noted.take().trigger();
         }
     }
 
@@ -118,7 +118,7 @@
             if !news.seen.is_empty() || !news.heard.is_empty() {
                 return news;
             }
-            noted.given().await;
+            noted.triggered().await;
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -195,7 +195,7 @@
     /// Closes the connections kept to a newcomer's address: they lead to whoever had it before.
     fn forget_connections(&self, id: &ServerId) {
         if let Some(server) = self.presence.borrow().catalog().get(id) {
-            self.pool.forget(server.address);
+            self.pool.close_idle(server.address);
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -58,7 +58,7 @@
         let asked = Instant::now();
         let (reply, answer) = oneshot::channel();
         self.mail.inquiries.borrow_mut().push(PartInquiry { part, reply });
-        self.mail.waiting.take().give();
+        self.mail.waiting.take().trigger();
         // Without an answer the home is believed to hold the part, as if nobody had been asked.
         let Ok(Ok(answer)) = monoio::time::timeout(patience, answer).await else {
             self.metrics.part_inquiries.count("unanswered");
@@ -84,7 +84,7 @@
     pub(super) fn tell_owner(&self, started: StartedReading) {
         if self.uses(Mechanism::PartOwners) {
             self.mail.notes.borrow_mut().push(started);
-            self.mail.waiting.take().give();
+            self.mail.waiting.take().trigger();
         }
     }
 
@@ -94,7 +94,7 @@
             self.mail.inquiries.borrow().is_empty() && self.mail.notes.borrow().is_empty();
         if is_empty {
             let waiting = self.mail.waiting.borrow().clone();
-            waiting.given().await;
+            waiting.triggered().await;
         }
         (self.mail.inquiries.take(), self.mail.notes.take())
     }
--- a/crates/papayamux-router/src/direct/fleet/part_waits.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_waits.rs
@@ -56,7 +56,7 @@
             waited = true;
             let left = until.saturating_duration_since(now);
             let read = self.part_read.borrow().clone();
-            if left.is_zero() || monoio::time::timeout(left, read.given()).await.is_err() {
+            if left.is_zero() || monoio::time::timeout(left, read.triggered()).await.is_err() {
                 break;
             }
         }
@@ -112,14 +112,14 @@
 
     fn tell_reading(&self, started: StartedReading) {
         self.readings.borrow_mut().push(started);
-        self.reading_begun.take().give();
+        self.reading_begun.take().trigger();
     }
 
     /// Waits until a reading has begun that the other routers should hear of; returns all such.
     pub(in crate::direct) async fn next_readings(&self) -> Vec<StartedReading> {
         if self.readings.borrow().is_empty() {
             let begun = self.reading_begun.borrow().clone();
-            begun.given().await;
+            begun.triggered().await;
         }
         self.readings.take()
     }
@@ -135,7 +135,7 @@
             }
             None => {
                 self.flights.borrow_mut().end_elsewhere(server, prefixes);
-                self.part_read.take().give();
+                self.part_read.take().trigger();
             }
         }
     }
@@ -146,6 +146,6 @@
         if let Some(told) = own.told {
             self.tell_reading(StartedReading { reading: None, ..told });
         }
-        self.part_read.take().give();
+        self.part_read.take().trigger();
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -106,7 +106,7 @@
             self.evidence.borrow_mut().note(&server.id, kind, Instant::now());
         }
         if kind == EvidenceKind::Unreachable {
-            self.pool.forget(server.address);
+            self.pool.close_idle(server.address);
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -161,7 +161,7 @@
     /// Waits until there is something newer to tell; then what, and to whom.
     pub(in crate::direct) async fn next_news(&self) -> Vec<(IpAddr, FleetNews)> {
         let advanced = self.knowledge.advanced.borrow().clone();
-        advanced.given().await;
+        advanced.triggered().await;
         let followers = self.knowledge.followers.borrow_mut().current(Instant::now());
         let news = followers.iter();
         news.filter_map(|(router, entry)| Some((*router, self.news_for(entry)?))).collect()
@@ -255,7 +255,7 @@
     }
 
     fn tell_followers(&self) {
-        self.knowledge.advanced.take().give();
+        self.knowledge.advanced.take().trigger();
     }
 
     fn news_for(&self, entry: &FollowerEntry) -> Option<FleetNews> {
--- a/crates/papayamux-router/src/direct/fleet/turns.rs
+++ b/crates/papayamux-router/src/direct/fleet/turns.rs
@@ -37,7 +37,7 @@
 impl Turn {
     fn decide(&self, outcome: TurnOutcome) {
         self.outcome.set(Some(outcome));
-        self.decided.give();
+        self.decided.trigger();
     }
 }
 
@@ -87,7 +87,7 @@
             LineArrival::Waits(wait) => wait,
         };
         let guard = LineGuard { fleet: self, service, turn: &turn };
-        turn.decided.given().await;
+        turn.decided.triggered().await;
         drop(guard);
         match turn.outcome.get() {
             Some(TurnOutcome::TurnedAway(refusal)) => Err(refusal),
--- a/crates/papayamux-spread/src/core.rs
+++ b/crates/papayamux-spread/src/core.rs
@@ -13,7 +13,7 @@
 use papayamux_state::ids::{FailureDomain, Incarnation};
 use rand::seq::IndexedRandom;
 
-use crate::exchange::{ByteBudget, FetchBook, PartialBody, PeerLink};
+use crate::exchange::{ByteBudget, FetchTracker, PartialBody, PeerLink};
 use crate::files::{EncodedBody, FileStore, FileVersion, JoinOutcome};
 use crate::instances::is_instances;
 use crate::metrics::SpreadMetrics;
@@ -23,7 +23,7 @@
 use crate::settling::{SettlingFacts, SettlingState};
 
 /// Encoded bodies kept for further parts and further peers.
-const MOST_BODIES: usize = 8;
+const MAX_CACHED_BODIES: usize = 8;
 
 /// Where a version came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,7 +60,7 @@
             return body.clone();
         }
         let body = encode();
-        if self.0.len() >= MOST_BODIES {
+        if self.0.len() >= MAX_CACHED_BODIES {
             self.0.remove(0);
         }
         self.0.push((is_delta, body.clone()));
@@ -70,7 +70,7 @@
 
 /// What is known of the service.
 #[derive(Debug, Clone, Copy, Default)]
-struct ServiceKnowledge {
+struct ServiceView {
     /// The highest revision that anyone has seen.
     known_revision: u64,
     /// The latest reading that the versions held reflect.
@@ -90,9 +90,9 @@
     pub(crate) table: RefCell<PeerTable>,
     pub(crate) links: RefCell<HashMap<u64, Rc<PeerLink>>>,
     pub(crate) budget: ByteBudget,
-    pub(crate) fetches: RefCell<FetchBook>,
+    pub(crate) fetches: RefCell<FetchTracker>,
     pub(crate) partials: RefCell<HashMap<VersionKey, PartialBody>>,
-    knowledge: Cell<ServiceKnowledge>,
+    service_view: Cell<ServiceView>,
     settling: Cell<SettlingState>,
     last_link: Cell<u64>,
     subscribers: RefCell<Vec<mpsc::Sender<()>>>,
@@ -119,8 +119,8 @@
             budget: ByteBudget::new(settings.bytes_per_second),
             fetches: RefCell::default(),
             partials: RefCell::default(),
-            knowledge: Cell::default(),
-            settling: Cell::new(SettlingState::Asking(Instant::now())),
+            service_view: Cell::default(),
+            settling: Cell::new(SettlingState::Querying(Instant::now())),
             last_link: Cell::new(0),
             subscribers: RefCell::default(),
             settings,
@@ -143,7 +143,7 @@
         PeerSummary {
             digest: self.store.borrow().digest(),
             known_revision: self.known_revision(),
-            reading: self.knowledge.get().reading.map(|(revision, read)| ServiceReading {
+            reading: self.service_view.get().reading.map(|(revision, read)| ServiceReading {
                 revision,
                 age_ms: read.elapsed().as_millis() as u64,
             }),
@@ -154,7 +154,7 @@
 
     /// Takes a version, announces it to the peers that are not known to have it, and tells the
     /// subscribers.
-    pub(crate) fn take_version(
+    pub(crate) fn store_version(
         &self,
         version: FileVersion,
         source: VersionSource,
@@ -163,8 +163,8 @@
         let key = version.key.clone();
         let outcome = self.store.borrow_mut().join(version);
         match outcome {
-            JoinOutcome::Taken => self.spread_version(&key, source, from),
-            JoinOutcome::Known => {}
+            JoinOutcome::Stored => self.announce_version(&key, source, from),
+            JoinOutcome::AlreadyStored => {}
             JoinOutcome::Older => self.metrics.dropped.count("older_version"),
             JoinOutcome::TooLarge => {
                 self.metrics.dropped.count("too_large");
@@ -174,25 +174,25 @@
         outcome
     }
 
-    fn spread_version(&self, key: &VersionKey, source: VersionSource, from: Option<u64>) {
+    fn announce_version(&self, key: &VersionKey, source: VersionSource, from: Option<u64>) {
         self.metrics.taken.count(source.label());
         log::info!(
             file = key.name, revision = key.revision, source = source.label();
             "version taken"
         );
         if !is_instances(&key.name) {
-            self.note_known_revision(key.revision);
+            self.record_known_revision(key.revision);
         }
         let holders = self.fetches.borrow().sources_of(key).to_vec();
         for link in self.links.borrow().values() {
             if Some(link.id) != from && !holders.contains(&link.id) {
-                link.plan_announcement(key.clone());
+                link.queue_announcement(key.clone());
             }
         }
-        self.tell_subscribers();
+        self.notify_subscribers();
     }
 
-    fn tell_subscribers(&self) {
+    fn notify_subscribers(&self) {
         self.subscribers.borrow_mut().retain_mut(|subscriber| {
             let _ = subscriber.try_send(());
             !subscriber.is_closed()
@@ -208,30 +208,30 @@
 
     /// The highest service revision that anyone has seen, as far as is known.
     pub(crate) fn known_revision(&self) -> u64 {
-        self.knowledge.get().known_revision
+        self.service_view.get().known_revision
     }
 
     /// The service revision that the versions held reflect.
     pub(crate) fn reflected_revision(&self) -> Option<u64> {
-        self.knowledge.get().reading.map(|(revision, _)| revision)
+        self.service_view.get().reading.map(|(revision, _)| revision)
     }
 
     /// Notes that someone has seen the service at `revision`.
-    pub(crate) fn note_known_revision(&self, revision: u64) {
-        let mut knowledge = self.knowledge.get();
-        knowledge.known_revision = knowledge.known_revision.max(revision);
-        self.knowledge.set(knowledge);
+    pub(crate) fn record_known_revision(&self, revision: u64) {
+        let mut service_view = self.service_view.get();
+        service_view.known_revision = service_view.known_revision.max(revision);
+        self.service_view.set(service_view);
     }
 
     /// Notes a reading that the versions held reflect; one of a revision below the highest known
     /// is no news.
-    pub(crate) fn note_reading(&self, revision: u64, read: Instant) {
-        let mut knowledge = self.knowledge.get();
-        let later = knowledge.reading.is_none_or(|(_, known)| read > known);
-        if revision >= knowledge.known_revision && later {
-            knowledge.known_revision = revision;
-            knowledge.reading = Some((revision, read));
-            self.knowledge.set(knowledge);
+    pub(crate) fn record_reading(&self, revision: u64, read: Instant) {
+        let mut service_view = self.service_view.get();
+        let later = service_view.reading.is_none_or(|(_, known)| read > known);
+        if revision >= service_view.known_revision && later {
+            service_view.known_revision = revision;
+            service_view.reading = Some((revision, read));
+            self.service_view.set(service_view);
         }
     }
 
@@ -240,13 +240,13 @@
         let Some(reading) = reading else { return };
         let age = Duration::from_millis(reading.age_ms);
         if let Some(read) = Instant::now().checked_sub(age) {
-            self.note_reading(reading.revision, read);
+            self.record_reading(reading.revision, read);
         }
     }
 
     /// How long ago the service was read at what is held.
     pub(crate) fn age(&self) -> Option<Duration> {
-        self.knowledge.get().reading.map(|(_, read)| read.elapsed())
+        self.service_view.get().reading.map(|(_, read)| read.elapsed())
     }
 
     /// Whether the process may serve with what it holds.
@@ -255,50 +255,54 @@
     }
 
     /// Has the process ask its peers before it counts as settled again.
-    pub(crate) fn ask_again(&self) {
-        self.settling.set(SettlingState::Asking(Instant::now()));
+    pub(crate) fn restart_settling(&self) {
+        self.settling.set(SettlingState::Querying(Instant::now()));
         for link in self.links.borrow().values() {
             link.agreed.set(false);
             link.peer_settled.set(None);
-            link.plan_summary(true);
+            link.queue_summary(true);
         }
     }
 
     /// Asks peers at once whether they hold the same, while the process is not settled.
-    pub(crate) fn ask_while_unsettled(&self) {
+    pub(crate) fn query_peers_if_unsettled(&self) {
         if !self.is_settled() {
-            self.links.borrow().values().for_each(|link| link.plan_summary(true));
+            self.links.borrow().values().for_each(|link| link.queue_summary(true));
         }
     }
 
     /// Settles the process where the facts allow it.
-    pub(crate) fn look_whether_settled(&self) {
-        let SettlingState::Asking(since) = self.settling.get() else { return };
+    pub(crate) fn update_settling(&self) {
+        let SettlingState::Querying(since) = self.settling.get() else { return };
         if self.settling_facts(since).is_settled(self.settings.ask_within) {
             self.settling.set(SettlingState::Settled);
             log::info!(
                 revision = self.store.borrow().revision(), asked_ms = since.elapsed().as_millis() as u64;
                 "configuration settled"
             );
-            self.links.borrow().values().for_each(|link| link.plan_summary(false));
-            self.tell_subscribers();
+            self.links.borrow().values().for_each(|link| link.queue_summary(false));
+            self.notify_subscribers();
         }
     }
 
     fn settling_facts(&self, since: Instant) -> SettlingFacts {
         let links = self.links.borrow();
-        let heard = links.values().filter(|link| link.peer_settled.get().is_some());
+        let responded = links.values().filter(|link| link.peer_settled.get().is_some());
         let agreed = links.values().filter(|link| link.agreed.get()).count();
         let settled = links.values().filter(|link| link.peer_settled.get() == Some(true));
         SettlingFacts {
-            asked_for: since.elapsed(),
+            query_time: since.elapsed(),
             has_peers: !self.settings.peers.is_empty() || !links.is_empty(),
-            heard: heard.count(),
+            responded: responded.count(),
             agreed,
             disagreed: settled.filter(|link| !link.agreed.get()).count(),
-            has_reading: self.knowledge.get().reading.is_some_and(|(_, read)| read >= since),
+            has_read_service: self
+                .service_view
+                .get()
+                .reading
+                .is_some_and(|(_, read)| read >= since),
             holds_files: self.store.borrow().files() > 0,
-            fetches: !self.is_fetch_idle(),
+            is_fetching: !self.is_fetch_idle(),
         }
     }
 
--- a/crates/papayamux-spread/src/exchange/byte_budget.rs
+++ b/crates/papayamux-spread/src/exchange/byte_budget.rs
@@ -5,10 +5,10 @@
 use local_sync::semaphore::Semaphore;
 use papayamux_state::quantities::ByteCount;
 
-use crate::pace::TokenBucket;
+use crate::rate_limit::TokenBucket;
 
 /// The longest message that need not wait its turn behind parts of bodies, in bytes.
-const LONGEST_URGENT: u64 = 1_024;
+const MAX_URGENT_BYTES: u64 = 1_024;
 /// Share of a second's bytes that may be saved up.
 const BURST_SHARE: f64 = 0.1;
 /// Share of a second's bytes that urgent messages may overdraw.
@@ -20,7 +20,7 @@
 pub(crate) struct ByteBudget {
     bucket: TokenBucket,
     urgent_debt: f64,
-    bulk_turn: Semaphore,
+    bulk_permit: Semaphore,
 }
 
 impl ByteBudget {
@@ -31,13 +31,13 @@
         Self {
             bucket: TokenBucket::new(rate, burst, burst, Instant::now()),
             urgent_debt: rate * URGENT_DEBT_SHARE,
-            bulk_turn: Semaphore::new(1),
+            bulk_permit: Semaphore::new(1),
         }
     }
 
     /// Waits until `bytes` may be sent.
     pub(crate) async fn take(&self, bytes: u64) {
-        match bytes <= LONGEST_URGENT {
+        match bytes <= MAX_URGENT_BYTES {
             true => self.bucket.take(bytes as f64, self.urgent_debt).await,
             false => self.take_bulk(bytes).await,
         }
@@ -45,7 +45,7 @@
 
     /// Waits until `bytes` of a body may be sent or asked for.
     pub(crate) async fn take_bulk(&self, bytes: u64) {
-        let _turn = self.bulk_turn.acquire().await;
+        let _permit = self.bulk_permit.acquire().await;
         self.bucket.take(bytes as f64, 0.0).await;
     }
 
--- a/crates/papayamux-spread/src/exchange/dialer.rs
+++ b/crates/papayamux-spread/src/exchange/dialer.rs
@@ -15,36 +15,36 @@
 use super::link_reader::run_link;
 use super::peer_error::PeerError;
 use crate::core::SpreadCore;
-use crate::pace::{RetryBackoff, TokenBucket};
-use crate::peers::ALIVE_WITHIN;
+use crate::peers::PEER_ALIVE_TIMEOUT;
+use crate::rate_limit::{RetryBackoff, TokenBucket};
 
 /// Connections of peers open at once. One more closes the oldest, whose peer knows others by
 /// then, so that a process that has just started always finds a seed that takes it.
-const MOST_ACCEPTED: usize = 12;
+const MAX_ACCEPTED_LINKS: usize = 12;
 /// Connections accepted a second, and how many may be saved up: when many processes start at once
 /// and know the same seeds, they wait in the listener's backlog instead of overdrawing the budget.
 const ACCEPT_RATE: f64 = 8.0;
 const ACCEPT_BURST: f64 = 8.0;
 /// Seeds tried at once by a process that knows no one else: the first that answers names others.
-const SEEKING_DIALS: usize = 2;
+const MAX_SEED_DIALS: usize = 2;
 /// How long the listener waits after it could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The first and the longest pause before a peer that could not be reached is tried again.
-const REDIAL_FIRST: Duration = Duration::from_millis(500);
-const REDIAL_LONGEST: Duration = Duration::from_secs(10);
+const INITIAL_REDIAL_DELAY: Duration = Duration::from_millis(500);
+const MAX_REDIAL_DELAY: Duration = Duration::from_secs(10);
 /// Addresses whose failures are remembered.
-const MOST_FAILURES: usize = 512;
+const MAX_FAILURES: usize = 512;
 /// About how often one connection is replaced by one to another peer, so that halves that were
 /// parted find each other and the connections stay mixed.
-const RENEW_EVERY: Duration = Duration::from_secs(30);
+const RENEW_INTERVAL: Duration = Duration::from_secs(30);
 /// About how often a peer that is not heard any more is tried beside the connections open.
-const PROBE_EVERY: Duration = Duration::from_secs(8);
+const PROBE_INTERVAL: Duration = Duration::from_secs(8);
 
 /// Accepts peers for ever.
 pub(crate) async fn accept_peers(core: Rc<SpreadCore>, listener: TcpListener) {
-    let pace = TokenBucket::new(ACCEPT_RATE, ACCEPT_BURST, ACCEPT_BURST, Instant::now());
+    let rate_limit = TokenBucket::new(ACCEPT_RATE, ACCEPT_BURST, ACCEPT_BURST, Instant::now());
     loop {
-        pace.take(1.0, 0.0).await;
+        rate_limit.take(1.0, 0.0).await;
         let stream = match listener.accept().await {
             Ok((_, from)) if !admits(&core.settings.allow, from.ip()) => {
                 core.metrics.lost_links.count(PeerError::Address.label());
@@ -53,23 +53,23 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(error:% = error; "accepting a peer failed");
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if core.count_links(false) >= MOST_ACCEPTED {
+        if core.count_links(false) >= MAX_ACCEPTED_LINKS {
             core.metrics.lost_links.count("made_room");
             core.close_accepted_link();
         }
         let core = core.clone();
         monoio::spawn(async move {
             let outcome = run_link(&core, stream, false).await;
-            note_end(&core, outcome);
+            record_link_end(&core, outcome);
         });
     }
 }
 
-fn note_end(core: &SpreadCore, outcome: Result<(), PeerError>) {
+fn record_link_end(core: &SpreadCore, outcome: Result<(), PeerError>) {
     let Err(error) = outcome else { return };
     core.metrics.lost_links.count(error.label());
     log::debug!(error:% = error; "connection of a peer ended");
@@ -77,7 +77,7 @@
 
 struct DialFailure {
     backoff: RetryBackoff,
-    until: Instant,
+    retry_at: Instant,
 }
 
 /// Keeps connections to peers open.
@@ -101,10 +101,10 @@
     /// It was open for a while.
     Ended(SocketAddr),
     /// It leads back to this process.
-    Itself(SocketAddr),
+    SelfConnection(SocketAddr),
 }
 
-fn about(period: Duration) -> Duration {
+fn jittered(period: Duration) -> Duration {
     period.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
@@ -119,26 +119,26 @@
         failures: HashMap::new(),
         ended,
         report,
-        renew_at: now + about(RENEW_EVERY),
-        probe_at: now + about(PROBE_EVERY),
+        renew_at: now + jittered(RENEW_INTERVAL),
+        probe_at: now + jittered(PROBE_INTERVAL),
     };
-    dialer.look(now);
+    dialer.maintain_links(now);
     while ticks.tick().await.is_some() {
-        dialer.take_ends();
-        dialer.look(Instant::now());
+        dialer.handle_ended_dials();
+        dialer.maintain_links(Instant::now());
     }
 }
 
 impl PeerDialer {
-    fn take_ends(&mut self) {
+    fn handle_ended_dials(&mut self) {
         while let Ok(end) = self.ended.try_recv() {
             match end {
-                DialEnd::Failed(address) => self.note_failure(address),
+                DialEnd::Failed(address) => self.record_failure(address),
                 DialEnd::Ended(address) => {
                     self.failures.remove(&address);
                     self.dialing.retain(|dialed| *dialed != address);
                 }
-                DialEnd::Itself(address) => {
+                DialEnd::SelfConnection(address) => {
                     self.dialing.retain(|dialed| *dialed != address);
                     self.own.push(address);
                 }
@@ -146,39 +146,40 @@
         }
     }
 
-    fn note_failure(&mut self, address: SocketAddr) {
+    fn record_failure(&mut self, address: SocketAddr) {
         self.dialing.retain(|dialed| *dialed != address);
-        if self.failures.len() >= MOST_FAILURES {
+        if self.failures.len() >= MAX_FAILURES {
             self.failures.clear();
         }
         let failure = self.failures.entry(address).or_insert_with(|| DialFailure {
-            backoff: RetryBackoff::new(REDIAL_FIRST, REDIAL_LONGEST),
-            until: Instant::now(),
+            backoff: RetryBackoff::new(INITIAL_REDIAL_DELAY, MAX_REDIAL_DELAY),
+            retry_at: Instant::now(),
         });
-        failure.until = Instant::now() + failure.backoff.pause();
+        failure.retry_at = Instant::now() + failure.backoff.next_delay();
     }
 
-    fn look(&mut self, now: Instant) {
+    fn maintain_links(&mut self, now: Instant) {
         let open = self.dialing.len();
         let fanout = self.core.settings.fanout;
         for _ in open..fanout {
-            let alive = self.pick(now, Wanted::Alive);
-            let seeks = alive.is_none() && self.dialing.len() < SEEKING_DIALS;
-            let Some(address) = alive.or_else(|| seeks.then(|| self.pick(now, Wanted::Any))?)
+            let alive = self.pick(now, PeerFilter::Alive);
+            let dials_seeds = alive.is_none() && self.dialing.len() < MAX_SEED_DIALS;
+            let Some(address) =
+                alive.or_else(|| dials_seeds.then(|| self.pick(now, PeerFilter::Any))?)
             else {
                 break;
             };
             self.dial(address);
         }
         if now >= self.renew_at {
-            self.renew_at = now + about(RENEW_EVERY);
-            if open > fanout || (open == fanout && self.pick(now, Wanted::Alive).is_some()) {
+            self.renew_at = now + jittered(RENEW_INTERVAL);
+            if open > fanout || (open == fanout && self.pick(now, PeerFilter::Alive).is_some()) {
                 self.core.close_opened_link();
             }
         }
         if now >= self.probe_at {
-            self.probe_at = now + about(PROBE_EVERY);
-            if let Some(address) = self.pick(now, Wanted::Silent) {
+            self.probe_at = now + jittered(PROBE_INTERVAL);
+            if let Some(address) = self.pick(now, PeerFilter::Silent) {
                 self.dial(address);
             }
         }
@@ -186,18 +187,18 @@
 
     /// A peer that is not connected, at random; those of other failure domains as likely as those
     /// of the own one.
-    fn pick(&self, now: Instant, wanted: Wanted) -> Option<SocketAddr> {
+    fn pick(&self, now: Instant, filter: PeerFilter) -> Option<SocketAddr> {
         let table = self.core.table.borrow();
         let mut near = Vec::new();
         let mut far = Vec::new();
         for peer in table.all().filter(|peer| self.may_dial(peer.address, now)) {
-            let alive = now.saturating_duration_since(peer.heard) < ALIVE_WITHIN;
-            if wanted.takes(alive) {
+            let alive = now.saturating_duration_since(peer.last_contact) < PEER_ALIVE_TIMEOUT;
+            if filter.accepts(alive) {
                 let is_near = peer.domain == self.core.domain;
                 if is_near { &mut near } else { &mut far }.push(peer.address);
             }
         }
-        if wanted != Wanted::Alive {
+        if filter != PeerFilter::Alive {
             let seeds = self.core.settings.peers.iter().copied();
             let unknown = |seed: &SocketAddr| table.all().all(|peer| peer.address != *seed);
             far.extend(seeds.filter(unknown).filter(|seed| self.may_dial(*seed, now)));
@@ -208,7 +209,7 @@
     }
 
     fn may_dial(&self, address: SocketAddr, now: Instant) -> bool {
-        let backs_off = self.failures.get(&address).is_some_and(|failure| failure.until > now);
+        let backs_off = self.failures.get(&address).is_some_and(|failure| failure.retry_at > now);
         let is_own = self.own.contains(&address);
         !backs_off && !is_own && !self.dialing.contains(&address) && !self.core.is_linked(address)
     }
@@ -230,16 +231,16 @@
     let outcome = run_link(core, stream, true).await;
     let end = match &outcome {
         Ok(()) | Err(PeerError::Silent) => DialEnd::Ended(address),
-        Err(PeerError::Itself) => DialEnd::Itself(address),
+        Err(PeerError::SelfConnection) => DialEnd::SelfConnection(address),
         Err(_) => DialEnd::Failed(address),
     };
-    note_end(core, outcome);
+    record_link_end(core, outcome);
     end
 }
 
 /// Which peers are wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wanted {
+enum PeerFilter {
     /// Those heard lately.
     Alive,
     /// Those not heard lately, and seeds.
@@ -248,12 +249,12 @@
     Any,
 }
 
-impl Wanted {
-    fn takes(self, alive: bool) -> bool {
+impl PeerFilter {
+    fn accepts(self, alive: bool) -> bool {
         match self {
-            Wanted::Alive => alive,
-            Wanted::Silent => !alive,
-            Wanted::Any => true,
+            PeerFilter::Alive => alive,
+            PeerFilter::Silent => !alive,
+            PeerFilter::Any => true,
         }
     }
 }
--- a/crates/papayamux-spread/src/exchange/fetch.rs
+++ b/crates/papayamux-spread/src/exchange/fetch.rs
@@ -14,20 +14,20 @@
 use super::peer_link::{FetchAnswer, PeerLink};
 use super::shared_fetch::fetch_shared;
 use crate::core::{SpreadCore, VersionSource};
-use crate::files::{BodyError, EncodedBody, FileVersion, LONGEST_BODY};
+use crate::files::{BodyError, EncodedBody, FileVersion, MAX_BODY_BYTES};
 
 /// Fetches that run at once.
-const MOST_FETCHES: usize = 4;
+const MAX_CONCURRENT_FETCHES: usize = 4;
 /// Versions that may be wanted at once.
-const MOST_WANTED: usize = 8_192;
+const MAX_WANTED_VERSIONS: usize = 8_192;
 /// Peers noted as having a version.
-const MOST_SOURCES: usize = 16;
+const MAX_SOURCES: usize = 16;
 /// How long a part may take to come.
-const PART_WITHIN: Duration = Duration::from_secs(10);
+const PART_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes taken from the budget for a first part, before its length is known.
 const FIRST_PART_BYTES: u64 = 512;
 /// Bodies above this are fetched from several peers and passed on while they come.
-const SHARED_ABOVE: u64 = 16 * 1024;
+const SHARED_FETCH_THRESHOLD_BYTES: u64 = 16 * 1024;
 /// Bytes of a part beside its data, about.
 pub(crate) const PART_OVERHEAD: u64 = 128;
 
@@ -66,32 +66,32 @@
 
 /// The versions wanted, each with the links of peers that have it.
 #[derive(Debug, Default)]
-pub(crate) struct FetchBook {
+pub(crate) struct FetchTracker {
     sources: HashMap<VersionKey, Vec<u64>>,
     queue: VecDeque<VersionKey>,
     running: usize,
 }
 
-impl FetchBook {
+impl FetchTracker {
     /// Whether nothing is being fetched.
     pub(crate) fn is_idle(&self) -> bool {
         self.sources.is_empty()
     }
 
     /// Notes that a peer has a version; `true` where a fetch must be started for it.
-    fn note(&mut self, key: &VersionKey, link: u64) -> bool {
+    fn add_source(&mut self, key: &VersionKey, link: u64) -> bool {
         if let Some(sources) = self.sources.get_mut(key) {
-            if sources.len() < MOST_SOURCES && !sources.contains(&link) {
+            if sources.len() < MAX_SOURCES && !sources.contains(&link) {
                 sources.push(link);
             }
             return false;
         }
-        if self.sources.len() >= MOST_WANTED {
+        if self.sources.len() >= MAX_WANTED_VERSIONS {
             return false;
         }
         self.sources.insert(key.clone(), vec![link]);
         self.queue.push_back(key.clone());
-        let starts = self.running < MOST_FETCHES;
+        let starts = self.running < MAX_CONCURRENT_FETCHES;
         self.running += usize::from(starts);
         starts
     }
@@ -109,17 +109,17 @@
 }
 
 /// Notes that the peer on `link` has these versions, and fetches those that are of use.
-pub(crate) fn want_versions(core: &Rc<SpreadCore>, link: &PeerLink, keys: Vec<VersionKey>) {
+pub(crate) fn request_versions(core: &Rc<SpreadCore>, link: &PeerLink, keys: Vec<VersionKey>) {
     for key in keys {
         if !core.store.borrow().wants(&key) {
             continue;
         }
         if key.removed {
             let version = FileVersion::removed(&key.name, key.revision);
-            core.take_version(version, VersionSource::Peer, Some(link.id));
+            core.store_version(version, VersionSource::Peer, Some(link.id));
             continue;
         }
-        if core.fetches.borrow_mut().note(&key, link.id) {
+        if core.fetches.borrow_mut().add_source(&key, link.id) {
             monoio::spawn(run_fetches(core.clone()));
         }
     }
@@ -132,7 +132,7 @@
         fetch_version(&core, &key).await;
         core.fetches.borrow_mut().sources.remove(&key);
         if core.is_fetch_idle() {
-            core.ask_while_unsettled();
+            core.query_peers_if_unsettled();
         }
     }
 }
@@ -148,7 +148,7 @@
         match fetch_from(core, &link, key).await {
             Ok(version) => {
                 let fetched = version.key.clone();
-                core.take_version(version, VersionSource::Peer, Some(link.id));
+                core.store_version(version, VersionSource::Peer, Some(link.id));
                 if fetched.revision >= key.revision {
                     return;
                 }
@@ -181,7 +181,7 @@
 ) -> Result<FileVersion, FetchError> {
     let base = core.store.borrow().newest(&key.name).cloned();
     let base_key = base.as_ref().filter(|base| !base.key.removed).map(|base| &base.key);
-    let base_place = base_key.map(|base| (base.revision, base.checksum));
+    let base_id = base_key.map(|base| (base.revision, base.checksum));
     let mut body = BytesMut::new();
     let mut expected = FIRST_PART_BYTES;
     loop {
@@ -190,11 +190,11 @@
             false => core.budget.take_bulk(expected).await,
         }
         let offset = body.len() as u64;
-        let request = FetchRequest { key: key.clone(), base: base_place, offset };
+        let request = FetchRequest { key: key.clone(), base: base_id, offset };
         let part = receive_part(link, request).await?;
         core.budget.charge(part.data.len() as u64 + PART_OVERHEAD, expected);
         check_part(&part, offset)?;
-        if offset == 0 && part.total > SHARED_ABOVE && part.key == *key {
+        if offset == 0 && part.total > SHARED_FETCH_THRESHOLD_BYTES && part.key == *key {
             return fetch_shared(core, part).await;
         }
         body.extend_from_slice(&part.data);
@@ -214,7 +214,7 @@
     link: &PeerLink,
     request: FetchRequest,
 ) -> Result<BodyPart, FetchError> {
-    match monoio::time::timeout(PART_WITHIN, link.ask(request)).await {
+    match monoio::time::timeout(PART_TIMEOUT, link.request_part(request)).await {
         Ok(Ok(FetchAnswer::Part(part))) => Ok(part),
         Ok(Ok(FetchAnswer::Absent)) => Err(FetchError::Absent),
         Ok(Err(_)) => Err(FetchError::LinkLost),
@@ -227,7 +227,7 @@
     let fits = part.offset == offset
         && part.key.name == part.asked.name
         && !part.data.is_empty()
-        && part.total <= LONGEST_BODY as u64
+        && part.total <= MAX_BODY_BYTES as u64
         && end <= part.total;
     match fits {
         true => Ok(()),
--- a/crates/papayamux-spread/src/exchange/handshake.rs
+++ b/crates/papayamux-spread/src/exchange/handshake.rs
@@ -13,12 +13,12 @@
 use crate::core::SpreadCore;
 
 /// How long each of the peer's first messages may take.
-const MESSAGE_WITHIN: Duration = Duration::from_secs(5);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(crate) type PeerReceiver = LinkReceiver<PeerFrame, PeerFrame>;
 
 /// Says hello, hears the peer's, and has both prove the secret where this process has one.
-pub(crate) async fn shake_hands(
+pub(crate) async fn perform_handshake(
     core: &SpreadCore,
     sender: &LinkSender<PeerMessage>,
     receiver: &mut PeerReceiver,
@@ -33,7 +33,7 @@
         return Err(PeerError::Version(hello.version));
     }
     if hello.incarnation == core.incarnation {
-        return Err(PeerError::Itself);
+        return Err(PeerError::SelfConnection);
     }
     if let (Some(secret), Some(own)) = (&core.secret, nonce) {
         let theirs = hello.nonce.ok_or(PeerError::Proof)?;
@@ -67,7 +67,7 @@
 }
 
 async fn receive(receiver: &mut PeerReceiver) -> Result<PeerMessage, PeerError> {
-    match monoio::time::timeout(MESSAGE_WITHIN, receiver.receive()).await {
+    match monoio::time::timeout(MESSAGE_TIMEOUT, receiver.receive()).await {
         Ok(Some(Ok(Addressed { message, .. }))) => Ok(message),
         Ok(Some(Err(error))) => Err(error.into()),
         Ok(None) | Err(_) => Err(PeerError::NoHello),
--- a/crates/papayamux-spread/src/exchange/link_reader.rs
+++ b/crates/papayamux-spread/src/exchange/link_reader.rs
@@ -10,17 +10,17 @@
 use papayamux_protocol::wire::PeerFrame;
 use papayamux_transport::link::start_link;
 
-use super::fetch::want_versions;
-use super::handshake::{shake_hands, PeerReceiver};
+use super::fetch::request_versions;
+use super::handshake::{perform_handshake, PeerReceiver};
 use super::link_writer::{write_bodies, write_messages};
-use super::peer_error::{PeerError, SILENCE_WITHIN};
+use super::peer_error::{PeerError, SILENCE_TIMEOUT};
 use super::peer_link::{FetchAnswer, PeerLink};
 use crate::core::SpreadCore;
 use crate::peers::KnownPeer;
 
 /// Summaries in a row that differ before versions are compared: a change on its way makes one
 /// or two differ.
-const DIFFERING_BEFORE_COMPARE: u32 = 2;
+const MIN_DIFFERING_SUMMARIES: u32 = 2;
 
 /// Exchanges versions over `stream` until the link ends.
 pub(crate) async fn run_link(
@@ -30,16 +30,16 @@
 ) -> Result<(), PeerError> {
     let (sender, mut receiver) = start_link::<PeerFrame, PeerFrame, PeerMessage>(stream)?;
     let side = if outgoing { PeerSide::Opener } else { PeerSide::Acceptor };
-    let hello = shake_hands(core, &sender, &mut receiver, side).await?;
+    let hello = perform_handshake(core, &sender, &mut receiver, side).await?;
     let (link, wakes) = PeerLink::new(core.next_link(), hello, outgoing, sender);
     let link = Rc::new(link);
     core.links.borrow_mut().insert(link.id, link.clone());
     core.metrics.peer_links.inc();
     monoio::spawn(write_messages(core.clone(), link.clone(), wakes.messages));
     monoio::spawn(write_bodies(core.clone(), link.clone(), wakes.requests));
-    greet(core, &link);
+    send_first_messages(core, &link);
     let read = std::pin::pin!(read_messages(core, &link, &mut receiver));
-    let outcome = match select(std::pin::pin!(link.closing()), read).await {
+    let outcome = match select(std::pin::pin!(link.closed()), read).await {
         Either::Left(_) => Ok(()),
         Either::Right((outcome, _)) => outcome,
     };
@@ -51,12 +51,12 @@
 
 /// Passes peers on before anything else: a link to a seed may be closed soon to make room, and
 /// what a process that starts needs most is to know others.
-fn greet(core: &SpreadCore, link: &PeerLink) {
-    note_heard(core, link);
+fn send_first_messages(core: &SpreadCore, link: &PeerLink) {
+    record_contact(core, link);
     let peers = link.peers_message(core);
     core.budget.charge(peers.wire_bytes(), 0);
     link.send(core, peers);
-    link.plan_summary(true);
+    link.queue_summary(true);
 }
 
 async fn read_messages(
@@ -65,23 +65,23 @@
     receiver: &mut PeerReceiver,
 ) -> Result<(), PeerError> {
     loop {
-        let received = match monoio::time::timeout(SILENCE_WITHIN, receiver.receive()).await {
+        let received = match monoio::time::timeout(SILENCE_TIMEOUT, receiver.receive()).await {
             Ok(Some(received)) => received?,
             Ok(None) => return Ok(()),
             Err(_) => return Err(PeerError::Silent),
         };
-        note_heard(core, link);
+        record_contact(core, link);
         count_received(core, &received.message);
-        take_message(core, link, received.message)?;
+        handle_message(core, link, received.message)?;
     }
 }
 
-fn note_heard(core: &SpreadCore, link: &PeerLink) {
+fn record_contact(core: &SpreadCore, link: &PeerLink) {
     let now = Instant::now();
-    link.heard.set(now);
+    link.last_contact.set(now);
     let PeerHello { incarnation, domain, listen, .. } = link.hello.clone();
-    let peer = KnownPeer { address: listen, domain, incarnation, heard: now };
-    core.table.borrow_mut().note(peer, now);
+    let peer = KnownPeer { address: listen, domain, incarnation, last_contact: now };
+    core.table.borrow_mut().update(peer, now);
 }
 
 fn count_received(core: &SpreadCore, message: &PeerMessage) {
@@ -92,72 +92,72 @@
     }
 }
 
-fn take_message(
+fn handle_message(
     core: &Rc<SpreadCore>,
     link: &Rc<PeerLink>,
     message: PeerMessage,
 ) -> Result<(), PeerError> {
     match message {
-        PeerMessage::Hello(_) | PeerMessage::Proof(_) => return Err(PeerError::Turn),
-        PeerMessage::Summary(summary) => take_summary(core, link, summary),
-        PeerMessage::Buckets(digests) => take_buckets(core, link, &digests),
+        PeerMessage::Hello(_) | PeerMessage::Proof(_) => return Err(PeerError::UnexpectedMessage),
+        PeerMessage::Summary(summary) => handle_summary(core, link, summary),
+        PeerMessage::Buckets(digests) => handle_buckets(core, link, &digests),
         PeerMessage::Inventory { buckets, versions } => {
-            take_inventory(core, link, &buckets, versions);
+            handle_inventory(core, link, &buckets, versions);
         }
-        PeerMessage::Announce(keys) => want_versions(core, link, keys),
-        PeerMessage::Fetch(request) => link.take_request(request),
+        PeerMessage::Announce(keys) => request_versions(core, link, keys),
+        PeerMessage::Fetch(request) => link.queue_request(request),
         PeerMessage::Part(part) => {
             let asked = part.asked.clone();
-            if !link.answer_fetch(&asked, FetchAnswer::Part(part)) {
+            if !link.complete_fetch(&asked, FetchAnswer::Part(part)) {
                 core.metrics.dropped.count("stray_part");
             }
         }
         PeerMessage::Absent(key) => {
-            link.answer_fetch(&key, FetchAnswer::Absent);
+            link.complete_fetch(&key, FetchAnswer::Absent);
         }
         PeerMessage::Peers(records) => {
             let now = Instant::now();
             let mut table = core.table.borrow_mut();
-            records.into_iter().for_each(|record| table.note_record(record, now));
+            records.into_iter().for_each(|record| table.update_from_record(record, now));
         }
     }
     Ok(())
 }
 
-fn take_summary(core: &Rc<SpreadCore>, link: &PeerLink, summary: PeerSummary) {
+fn handle_summary(core: &Rc<SpreadCore>, link: &PeerLink, summary: PeerSummary) {
     let is_first = link.peer_settled.get().is_none();
     link.peer_settled.set(Some(summary.settled));
-    core.note_known_revision(summary.known_revision);
+    core.record_known_revision(summary.known_revision);
     if summary.asks {
-        link.plan_summary(false);
+        link.queue_summary(false);
     }
     if summary.digest == core.store.borrow().digest() {
         link.differing.set(0);
         link.agreed.set(summary.settled);
         core.adopt_reading(summary.reading);
-        core.look_whether_settled();
+        core.update_settling();
         return;
     }
     let differing = link.differing.get() + 1;
     link.differing.set(differing);
-    let compares = is_first || (differing >= DIFFERING_BEFORE_COMPARE && core.is_fetch_idle());
+    let compares = is_first || (differing >= MIN_DIFFERING_SUMMARIES && core.is_fetch_idle());
     if link.outgoing && compares {
-        link.plan_buckets();
+        link.queue_buckets();
     }
 }
 
-fn take_buckets(core: &SpreadCore, link: &PeerLink, digests: &[u64]) {
+fn handle_buckets(core: &SpreadCore, link: &PeerLink, digests: &[u64]) {
     let store = core.store.borrow();
     let differing = store
         .buckets()
         .iter()
         .enumerate()
         .filter(|(bucket, own)| digests.get(*bucket).is_none_or(|digest| digest != *own));
-    link.plan_inventory(differing.map(|(bucket, _)| bucket));
+    link.queue_inventory(differing.map(|(bucket, _)| bucket));
 }
 
 /// Fetches what the peer has and this process lacks, and announces the reverse.
-fn take_inventory(
+fn handle_inventory(
     core: &Rc<SpreadCore>,
     link: &Rc<PeerLink>,
     buckets: &[u32],
@@ -165,7 +165,7 @@
 ) {
     let own = core.store.borrow().inventory(|bucket| buckets.contains(&(bucket as u32)));
     own.into_iter().filter(|key| !versions.contains(key)).for_each(|key| {
-        link.plan_announcement(key);
+        link.queue_announcement(key);
     });
-    want_versions(core, link, versions);
+    request_versions(core, link, versions);
 }
--- a/crates/papayamux-spread/src/exchange/link_writer.rs
+++ b/crates/papayamux-spread/src/exchange/link_writer.rs
@@ -39,7 +39,7 @@
     while wakes.next().await.is_some() {
         while let Some(request) = link.next_request() {
             let Some(part) = part_for(&core, &request) else {
-                link.plan_absent(request.key);
+                link.queue_absent(request.key);
                 continue;
             };
             let message = PeerMessage::Part(part);
@@ -82,5 +82,5 @@
     }
     let newest = store.newest(name).filter(|newest| newest.key.revision > request.key.revision);
     let version = store.version(&request.key).or(newest)?;
-    Some(core.bodies.borrow_mut().get_or(&version.key, false, || EncodedBody::whole(version)))
+    Some(core.bodies.borrow_mut().get_or(&version.key, false, || EncodedBody::full(version)))
 }
--- a/crates/papayamux-spread/src/exchange/mod.rs
+++ b/crates/papayamux-spread/src/exchange/mod.rs
@@ -13,6 +13,6 @@
 
 pub(crate) use byte_budget::ByteBudget;
 pub(crate) use dialer::{accept_peers, dial_peers};
-pub(crate) use fetch::FetchBook;
+pub(crate) use fetch::FetchTracker;
 pub(crate) use partial_body::PartialBody;
 pub(crate) use peer_link::PeerLink;
--- a/crates/papayamux-spread/src/exchange/partial_body.rs
+++ b/crates/papayamux-spread/src/exchange/partial_body.rs
@@ -19,7 +19,7 @@
 impl PartialBody {
     /// A body of which `first` is the first part; `None` where the part does not lead to the
     /// version asked for.
-    pub(crate) fn begin(first: BodyPart) -> Option<Self> {
+    pub(crate) fn from_first_part(first: BodyPart) -> Option<Self> {
         if first.key != first.asked {
             return None;
         }
@@ -28,11 +28,11 @@
         let key = first.key.clone();
         let checksum = first.body_checksum;
         let mut body = Self { key, checksum, total, parts: vec![None; count], missing: count };
-        body.take(first).then_some(body)
+        body.add_part(first).then_some(body)
     }
 
     /// Takes a part; `false` where it does not fit.
-    pub(crate) fn take(&mut self, part: BodyPart) -> bool {
+    pub(crate) fn add_part(&mut self, part: BodyPart) -> bool {
         let is_same = part.body_checksum == self.checksum && part.total == self.total as u64;
         let index = part.offset as usize / PART_BYTES;
         let fits = is_same
@@ -59,12 +59,12 @@
     }
 
     /// Whether all parts are here.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.missing == 0
     }
 
     /// The whole body, with the checksum that it must have.
-    pub(crate) fn join(&self) -> (Bytes, u64) {
+    pub(crate) fn assemble(&self) -> (Bytes, u64) {
         let mut body = BytesMut::with_capacity(self.total);
         self.parts.iter().flatten().for_each(|part| body.extend_from_slice(part));
         (body.freeze(), self.checksum)
--- a/crates/papayamux-spread/src/exchange/peer_error.rs
+++ b/crates/papayamux-spread/src/exchange/peer_error.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// How long a peer may be silent; it sends a summary every two seconds.
-pub(crate) const SILENCE_WITHIN: Duration = Duration::from_secs(8);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Why a link ended.
 #[derive(Debug, Error)]
@@ -22,9 +22,9 @@
     Version(u32),
     /// The connection leads back to this process.
     #[error("the connection leads back to this process")]
-    Itself,
+    SelfConnection,
     /// The peer fell silent.
-    #[error("the peer was silent for {SILENCE_WITHIN:?}")]
+    #[error("the peer was silent for {SILENCE_TIMEOUT:?}")]
     Silent,
     /// The peer did not prove that it knows the fleet's secret.
     #[error("the peer did not prove that it knows the fleet's secret")]
@@ -34,7 +34,7 @@
     Address,
     /// A message came out of its turn.
     #[error("a message came out of its turn")]
-    Turn,
+    UnexpectedMessage,
 }
 
 impl PeerError {
@@ -44,11 +44,11 @@
             PeerError::Link(_) => "broken",
             PeerError::NoHello => "no_hello",
             PeerError::Version(_) => "version",
-            PeerError::Itself => "itself",
+            PeerError::SelfConnection => "itself",
             PeerError::Silent => "silent",
             PeerError::Proof => "proof",
             PeerError::Address => "address",
-            PeerError::Turn => "turn",
+            PeerError::UnexpectedMessage => "turn",
         }
     }
 }
--- a/crates/papayamux-spread/src/exchange/peer_link.rs
+++ b/crates/papayamux-spread/src/exchange/peer_link.rs
@@ -15,9 +15,9 @@
 use crate::core::SpreadCore;
 
 /// Requests of one peer that may wait for their answers.
-const MOST_REQUESTS: usize = 16;
+const MAX_PENDING_REQUESTS: usize = 16;
 /// Peers passed on beside the watchers.
-const OTHER_RECORDS: usize = 4;
+const NON_WATCHER_RECORDS: usize = 4;
 
 /// What a peer answers to a fetch.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
     /// Whether this process opened it.
     pub(crate) outgoing: bool,
     /// When the last message came.
-    pub(crate) heard: Cell<Instant>,
+    pub(crate) last_contact: Cell<Instant>,
     /// Whether a settled peer has held the same versions as this process.
     pub(crate) agreed: Cell<bool>,
     /// Whether the peer is settled, once it has said so.
@@ -63,8 +63,8 @@
     requests: RefCell<VecDeque<FetchRequest>>,
     message_wake: RefCell<mpsc::Sender<()>>,
     request_wake: RefCell<mpsc::Sender<()>>,
-    waiting: RefCell<HashMap<VersionKey, oneshot::Sender<FetchAnswer>>>,
-    closing: ShutdownSignal,
+    pending_fetches: RefCell<HashMap<VersionKey, oneshot::Sender<FetchAnswer>>>,
+    closed: ShutdownSignal,
 }
 
 /// What wakes a link's two writers.
@@ -90,7 +90,7 @@
             address: hello.listen,
             hello,
             outgoing,
-            heard: Cell::new(Instant::now()),
+            last_contact: Cell::new(Instant::now()),
             agreed: Cell::new(false),
             peer_settled: Cell::new(None),
             differing: Cell::new(0),
@@ -99,76 +99,78 @@
             requests: RefCell::default(),
             message_wake: RefCell::new(message_wake),
             request_wake: RefCell::new(request_wake),
-            waiting: RefCell::default(),
-            closing: ShutdownSignal::new(),
+            pending_fetches: RefCell::default(),
+            closed: ShutdownSignal::new(),
         };
         (link, LinkWakes { messages, requests })
     }
 
     /// Has the link end.
     pub(crate) fn close(&self) {
-        self.closing.give();
+        self.closed.trigger();
         self.message_wake.borrow_mut().close_channel();
         self.request_wake.borrow_mut().close_channel();
-        self.waiting.borrow_mut().clear();
+        self.pending_fetches.borrow_mut().clear();
     }
 
     /// Waits until the link is to end.
-    pub(crate) async fn closing(&self) {
-        self.closing.given().await;
+    pub(crate) async fn closed(&self) {
+        self.closed.triggered().await;
     }
 
-    fn plan(&self, change: impl FnOnce(&mut PendingMessages)) {
+    fn update_pending(&self, change: impl FnOnce(&mut PendingMessages)) {
         change(&mut self.pending.borrow_mut());
         let _ = self.message_wake.borrow_mut().try_send(());
     }
 
     /// Has a summary sent, which may ask for one in return.
-    pub(crate) fn plan_summary(&self, asks: bool) {
-        self.plan(|pending| pending.summary = Some(asks || pending.summary == Some(true)));
+    pub(crate) fn queue_summary(&self, asks: bool) {
+        self.update_pending(|pending| {
+            pending.summary = Some(asks || pending.summary == Some(true))
+        });
     }
 
     /// Has a version announced; a later one of the same file takes its place.
-    pub(crate) fn plan_announcement(&self, key: VersionKey) {
-        self.plan(|pending| {
+    pub(crate) fn queue_announcement(&self, key: VersionKey) {
+        self.update_pending(|pending| {
             pending.announced.insert(key.name.clone(), key);
         });
     }
 
     /// Has the digests of the buckets sent.
-    pub(crate) fn plan_buckets(&self) {
-        self.plan(|pending| pending.buckets = true);
+    pub(crate) fn queue_buckets(&self) {
+        self.update_pending(|pending| pending.buckets = true);
     }
 
     /// Has the versions in `buckets` sent.
-    pub(crate) fn plan_inventory(&self, buckets: impl Iterator<Item = usize>) {
-        self.plan(|pending| pending.inventory.extend(buckets));
+    pub(crate) fn queue_inventory(&self, buckets: impl Iterator<Item = usize>) {
+        self.update_pending(|pending| pending.inventory.extend(buckets));
     }
 
     /// Has peers passed on.
-    pub(crate) fn plan_peers(&self) {
-        self.plan(|pending| pending.peers = true);
+    pub(crate) fn queue_peers(&self) {
+        self.update_pending(|pending| pending.peers = true);
     }
 
     /// Asks for a part of a body; the answer comes through the receiver, which ends with the link.
-    pub(crate) fn ask(&self, request: FetchRequest) -> oneshot::Receiver<FetchAnswer> {
+    pub(crate) fn request_part(&self, request: FetchRequest) -> oneshot::Receiver<FetchAnswer> {
         let (sender, receiver) = oneshot::channel();
-        self.waiting.borrow_mut().insert(request.key.clone(), sender);
-        self.plan(|pending| pending.fetches.push_back(request));
+        self.pending_fetches.borrow_mut().insert(request.key.clone(), sender);
+        self.update_pending(|pending| pending.fetches.push_back(request));
         receiver
     }
 
     /// Passes an answer on to the fetch that waits for it; `false` when none does.
-    pub(crate) fn answer_fetch(&self, asked: &VersionKey, answer: FetchAnswer) -> bool {
-        let waiting = self.waiting.borrow_mut().remove(asked);
-        waiting.is_some_and(|sender| sender.send(answer).is_ok())
+    pub(crate) fn complete_fetch(&self, asked: &VersionKey, answer: FetchAnswer) -> bool {
+        let pending_fetches = self.pending_fetches.borrow_mut().remove(asked);
+        pending_fetches.is_some_and(|sender| sender.send(answer).is_ok())
     }
 
     /// Takes a request of the peer.
-    pub(crate) fn take_request(&self, request: FetchRequest) {
+    pub(crate) fn queue_request(&self, request: FetchRequest) {
         let mut requests = self.requests.borrow_mut();
-        if requests.len() >= MOST_REQUESTS {
-            self.plan_absent(request.key);
+        if requests.len() >= MAX_PENDING_REQUESTS {
+            self.queue_absent(request.key);
             return;
         }
         requests.push_back(request);
@@ -176,9 +178,9 @@
     }
 
     /// Tells the peer that a version can't be given.
-    pub(crate) fn plan_absent(&self, key: VersionKey) {
-        self.plan(|pending| {
-            if pending.absent.len() < MOST_REQUESTS {
+    pub(crate) fn queue_absent(&self, key: VersionKey) {
+        self.update_pending(|pending| {
+            if pending.absent.len() < MAX_PENDING_REQUESTS {
                 pending.absent.push_back(key);
             }
         });
@@ -218,7 +220,7 @@
 
     /// The peers to pass on.
     pub(crate) fn peers_message(&self, core: &SpreadCore) -> PeerMessage {
-        PeerMessage::Peers(core.table.borrow().records(OTHER_RECORDS, Instant::now()))
+        PeerMessage::Peers(core.table.borrow().records(NON_WATCHER_RECORDS, Instant::now()))
     }
 
     /// Sends a message that was paid for; `false` when the connection is gone.
--- a/crates/papayamux-spread/src/exchange/shared_fetch.rs
+++ b/crates/papayamux-spread/src/exchange/shared_fetch.rs
@@ -17,11 +17,11 @@
 use crate::files::{EncodedBody, FileVersion};
 
 /// Parts asked for at once, each from another peer.
-const PARTS_AT_ONCE: usize = 2;
+const MAX_CONCURRENT_PARTS: usize = 2;
 /// The pause after a peer has not got a part yet.
-const ABSENT_PAUSE: Duration = Duration::from_millis(100);
+const ABSENT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long no part may come before the fetch is given up.
-const PROGRESS_WITHIN: Duration = Duration::from_secs(30);
+const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Fetches the rest of a body of which the first part is here.
 pub(crate) async fn fetch_shared(
@@ -29,13 +29,13 @@
     first: BodyPart,
 ) -> Result<FileVersion, FetchError> {
     let key = first.key.clone();
-    let body = PartialBody::begin(first).ok_or(FetchError::Parts)?;
+    let body = PartialBody::from_first_part(first).ok_or(FetchError::Parts)?;
     core.partials.borrow_mut().insert(key.clone(), body);
-    core.links.borrow().values().for_each(|link| link.plan_announcement(key.clone()));
+    core.links.borrow().values().for_each(|link| link.queue_announcement(key.clone()));
     let outcome = fetch_parts(core, &key).await;
     let body = core.partials.borrow_mut().remove(&key);
     outcome?;
-    let (bytes, checksum) = body.ok_or(FetchError::Parts)?.join();
+    let (bytes, checksum) = body.ok_or(FetchError::Parts)?.assemble();
     match xxh3_64(&bytes) == checksum {
         true => Ok(EncodedBody::decode(&key, &bytes, "")?),
         false => Err(FetchError::Parts),
@@ -51,9 +51,9 @@
 async fn fetch_parts(core: &Rc<SpreadCore>, key: &VersionKey) -> Result<(), FetchError> {
     let mut asked: Vec<(u64, u64)> = Vec::new();
     let mut running = FuturesUnordered::new();
-    let mut progress = Instant::now();
-    while !is_whole(core, key) {
-        while running.len() < PARTS_AT_ONCE {
+    let mut last_progress = Instant::now();
+    while !is_complete(core, key) {
+        while running.len() < MAX_CONCURRENT_PARTS {
             let Some((link, offset)) = pick_next(core, key, &asked) else { break };
             asked.push((link.id, offset));
             running.push(fetch_part(core, link, key, offset));
@@ -61,21 +61,21 @@
         match running.next().await {
             Some(outcome) => {
                 asked.retain(|(link, _)| *link != outcome.link);
-                if take_outcome(core, key, outcome) {
-                    progress = Instant::now();
+                if handle_outcome(core, key, outcome) {
+                    last_progress = Instant::now();
                 }
             }
-            None => monoio::time::sleep(ABSENT_PAUSE).await,
+            None => monoio::time::sleep(ABSENT_RETRY_DELAY).await,
         }
-        if progress.elapsed() > PROGRESS_WITHIN {
+        if last_progress.elapsed() > PROGRESS_TIMEOUT {
             return Err(FetchError::Timeout);
         }
     }
     Ok(())
 }
 
-fn is_whole(core: &SpreadCore, key: &VersionKey) -> bool {
-    core.partials.borrow().get(key).is_none_or(PartialBody::is_whole)
+fn is_complete(core: &SpreadCore, key: &VersionKey) -> bool {
+    core.partials.borrow().get(key).is_none_or(PartialBody::is_complete)
 }
 
 /// A missing part, and a peer that is not asked for another already.
@@ -105,18 +105,18 @@
     let received = part.as_ref().map_or(0, |part| part.data.len() as u64 + PART_OVERHEAD);
     core.budget.charge(received, prepaid);
     if matches!(part, Err(FetchError::Absent)) {
-        monoio::time::sleep(ABSENT_PAUSE).await;
+        monoio::time::sleep(ABSENT_RETRY_DELAY).await;
     }
     PartOutcome { link: link.id, offset, part }
 }
 
 /// Takes a part; `true` where it fits.
-fn take_outcome(core: &SpreadCore, key: &VersionKey, outcome: PartOutcome) -> bool {
+fn handle_outcome(core: &SpreadCore, key: &VersionKey, outcome: PartOutcome) -> bool {
     match outcome.part {
         Ok(part) => {
             let mut partials = core.partials.borrow_mut();
             let fits = part.offset == outcome.offset
-                && partials.get_mut(key).is_some_and(|body| body.take(part));
+                && partials.get_mut(key).is_some_and(|body| body.add_part(part));
             if !fits {
                 core.metrics.fetch_retries.count(FetchError::Parts.label());
             }
--- a/crates/papayamux-spread/src/files/delta.rs
+++ b/crates/papayamux-spread/src/files/delta.rs
@@ -10,16 +10,16 @@
 use super::file_version::FileVersion;
 
 /// A delta is kept only where it is shorter than this share of the text.
-const WORTHWHILE_SHARE: usize = 4;
+const MIN_TEXT_TO_DELTA_RATIO: usize = 4;
 /// Bytes of the longest delta kept.
-const LONGEST_DELTA: usize = 64 * 1024;
+const MAX_DELTA_BYTES: usize = 64 * 1024;
 
 /// Why a delta can't be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DeltaError {
     /// It copies lines that its base has not got.
     #[error("the delta copies lines beyond its base")]
-    Beyond,
+    OutOfRange,
     /// Its result is longer than a file may be.
     #[error("the delta's result is too long")]
     TooLong,
@@ -61,8 +61,8 @@
             return None;
         }
         let steps = WireDelta::between(&base.text, &target.text).encode_to_vec();
-        let worthwhile = steps.len() * WORTHWHILE_SHARE < target.text.len();
-        if !worthwhile || steps.len() > LONGEST_DELTA {
+        let worthwhile = steps.len() * MIN_TEXT_TO_DELTA_RATIO < target.text.len();
+        if !worthwhile || steps.len() > MAX_DELTA_BYTES {
             return None;
         }
         Some(Self { base: base.key.clone(), target: target.key.clone(), steps: steps.into() })
@@ -72,14 +72,15 @@
 impl WireDelta {
     fn between(base: &str, target: &str) -> Self {
         let base: Vec<&str> = base.split_inclusive('\n').collect();
-        let mut places: HashMap<&str, Vec<usize>> = HashMap::new();
+        let mut positions: HashMap<&str, Vec<usize>> = HashMap::new();
         for (index, line) in base.iter().enumerate() {
-            places.entry(line).or_default().push(index);
+            positions.entry(line).or_default().push(index);
         }
         let mut delta = Self::default();
         let mut next = 0;
         for line in target.split_inclusive('\n') {
-            let Some(found) = places.get(line).map(|places| nearest(places, next)) else {
+            let Some(found) = positions.get(line).map(|positions| next_occurrence(positions, next))
+            else {
                 delta.insert(line);
                 continue;
             };
@@ -114,7 +115,7 @@
         for step in &self.steps {
             let first = step.first_line as usize;
             let end = first.saturating_add(step.lines as usize);
-            let copied = base.get(first..end).ok_or(DeltaError::Beyond)?;
+            let copied = base.get(first..end).ok_or(DeltaError::OutOfRange)?;
             let length: usize = copied.iter().map(|line| line.len()).sum();
             if text.len() + length + step.insert.len() > LONGEST_FILE {
                 return Err(DeltaError::TooLong);
@@ -127,7 +128,7 @@
 }
 
 /// The first of `places` at or after `next`, or else the first of all.
-fn nearest(places: &[usize], next: usize) -> usize {
-    let after = places.partition_point(|place| *place < next);
-    places.get(after).or(places.first()).copied().unwrap_or(0)
+fn next_occurrence(positions: &[usize], next: usize) -> usize {
+    let after = positions.partition_point(|position| *position < next);
+    positions.get(after).or(positions.first()).copied().unwrap_or(0)
 }
--- a/crates/papayamux-spread/src/files/encoded_body.rs
+++ b/crates/papayamux-spread/src/files/encoded_body.rs
@@ -14,9 +14,9 @@
 /// How hard the compressor tries, from 0 to 10.
 const COMPRESSION_LEVEL: u8 = 6;
 /// Bytes that a compressed body may take: the bound of a text and what headers may add.
-pub(crate) const LONGEST_BODY: usize = LONGEST_FILE + 4_096;
+pub(crate) const MAX_BODY_BYTES: usize = LONGEST_FILE + 4_096;
 
-const WHOLE: u8 = 0;
+const FULL: u8 = 0;
 const DELTA: u8 = 1;
 
 /// Why a body does not lead to its version.
@@ -55,8 +55,8 @@
 
 impl EncodedBody {
     /// The body of a whole version.
-    pub fn whole(version: &FileVersion) -> Self {
-        Self::new(version.key.clone(), WHOLE, version.text.as_bytes())
+    pub fn full(version: &FileVersion) -> Self {
+        Self::new(version.key.clone(), FULL, version.text.as_bytes())
     }
 
     /// The body of a delta.
@@ -78,10 +78,10 @@
             return Ok(FileVersion::removed(&key.name, key.revision));
         }
         let (form, compressed) = body.split_first().ok_or(BodyError::Form)?;
-        let content = decompress_to_vec_with_limit(compressed, LONGEST_BODY)
+        let content = decompress_to_vec_with_limit(compressed, MAX_BODY_BYTES)
             .map_err(|_| BodyError::Compression)?;
         let text = match *form {
-            WHOLE => String::from_utf8(content).map_err(|_| BodyError::Text)?,
+            FULL => String::from_utf8(content).map_err(|_| BodyError::Text)?,
             DELTA => WireDelta::decode(content.as_slice())?.apply(base)?,
             _ => return Err(BodyError::Form),
         };
--- a/crates/papayamux-spread/src/files/file_store.rs
+++ b/crates/papayamux-spread/src/files/file_store.rs
@@ -14,11 +14,11 @@
 use crate::instances::is_instances;
 
 /// Files that a store may hold, removed ones included.
-const MOST_FILES: usize = 4_096;
+const MAX_FILES: usize = 4_096;
 /// Bytes of text that a store may hold.
-const MOST_BYTES: usize = 16 * 1024 * 1024;
+const MAX_STORE_BYTES: usize = 16 * 1024 * 1024;
 /// Deltas kept for each file.
-const MOST_DELTAS: usize = 4;
+const MAX_DELTAS: usize = 4;
 
 /// Whether a text may come into force by itself. It must depend on its arguments alone.
 pub type FileCheck = fn(name: &str, text: &str) -> bool;
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JoinOutcome {
     /// It is held now.
-    Taken,
+    Stored,
     /// It was held already.
-    Known,
+    AlreadyStored,
     /// A newer one is held, and it adds nothing.
     Older,
     /// The store's bounds do not allow it.
@@ -101,9 +101,9 @@
             return outcome;
         }
         let passes = version.key.removed || (self.check)(&version.key.name, &version.text);
-        let of_use =
-            self.files.get(&version.key.name).is_none_or(|file| file.lacks(&version, passes));
-        if !of_use {
+        let is_needed =
+            self.files.get(&version.key.name).is_none_or(|file| file.needs(&version, passes));
+        if !is_needed {
             return JoinOutcome::Older;
         }
         let name = version.key.name.clone();
@@ -111,29 +111,29 @@
             self.revision = self.revision.max(version.key.revision);
         }
         let mut file = self.files.remove(&name).unwrap_or_default();
-        self.forget(&file);
+        self.subtract_totals(&file);
         file.take(version, passes);
-        self.remember(&file);
+        self.add_totals(&file);
         self.files.insert(name, file);
-        JoinOutcome::Taken
+        JoinOutcome::Stored
     }
 
     /// The outcome for a version that need not be checked.
     fn refuse_early(&self, version: &FileVersion) -> Option<JoinOutcome> {
         let key = &version.key;
         if self.holds(key) {
-            return Some(JoinOutcome::Known);
+            return Some(JoinOutcome::AlreadyStored);
         }
         if !self.wants(key) {
             return Some(JoinOutcome::Older);
         }
         let too_long = version.text.len() > LONGEST_FILE || key.name.len() > LONGEST_FILE_NAME;
-        let too_much = self.bytes + version.text.len() > MOST_BYTES;
-        let too_many = !self.files.contains_key(&key.name) && self.files.len() >= MOST_FILES;
+        let too_much = self.bytes + version.text.len() > MAX_STORE_BYTES;
+        let too_many = !self.files.contains_key(&key.name) && self.files.len() >= MAX_FILES;
         (too_long || too_much || too_many).then_some(JoinOutcome::TooLarge)
     }
 
-    fn forget(&mut self, file: &StoredFile) {
+    fn subtract_totals(&mut self, file: &StoredFile) {
         for version in file.versions() {
             let bucket = &mut self.buckets[bucket_of(&version.key.name)];
             *bucket = bucket.wrapping_sub(digest_of(&version.key));
@@ -141,7 +141,7 @@
         }
     }
 
-    fn remember(&mut self, file: &StoredFile) {
+    fn add_totals(&mut self, file: &StoredFile) {
         for version in file.versions() {
             let bucket = &mut self.buckets[bucket_of(&version.key.name)];
             *bucket = bucket.wrapping_add(digest_of(&version.key));
@@ -230,7 +230,7 @@
     }
 
     /// Whether a version would be of use, given whether it passes its check.
-    fn lacks(&self, version: &FileVersion, passes: bool) -> bool {
+    fn needs(&self, version: &FileVersion, passes: bool) -> bool {
         let key = &version.key;
         outranks(key, self.newest.as_ref())
             || (passes && !self.newest_passes && outranks(key, self.accepted.as_ref()))
@@ -257,7 +257,7 @@
 
     fn keep_delta(&mut self, previous: &FileVersion, version: &FileVersion) {
         self.deltas.extend(DeltaStep::between(previous, version));
-        let surplus = self.deltas.len().saturating_sub(MOST_DELTAS);
+        let surplus = self.deltas.len().saturating_sub(MAX_DELTAS);
         self.deltas.drain(..surplus);
     }
 }
--- a/crates/papayamux-spread/src/files/mod.rs
+++ b/crates/papayamux-spread/src/files/mod.rs
@@ -6,7 +6,7 @@
 mod file_version;
 
 pub use delta::{DeltaError, DeltaStep};
-pub(crate) use encoded_body::LONGEST_BODY;
+pub(crate) use encoded_body::MAX_BODY_BYTES;
 pub use encoded_body::{BodyError, EncodedBody};
 pub use file_store::{FileCheck, FileStore, JoinOutcome, LatestVersion};
 pub use file_version::FileVersion;
--- a/crates/papayamux-spread/src/node.rs
+++ b/crates/papayamux-spread/src/node.rs
@@ -20,11 +20,11 @@
 use crate::settings::SpreadSettings;
 
 /// How often summaries go to peers.
-const SUMMARY_EVERY: Duration = Duration::from_secs(2);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
 /// Summaries between two lists of peers.
-const SUMMARIES_PER_PEERS: u64 = 3;
+const SUMMARIES_PER_PEER_LIST: u64 = 3;
 /// How often the dialer and the reader look whether there is something to do.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Who a process is.
 #[derive(Debug, Clone)]
@@ -72,11 +72,11 @@
         let core = SpreadCore::new(settings, identity, own, store, metrics);
         let core = Rc::new(core);
         monoio::spawn(accept_peers(core.clone(), listener));
-        monoio::spawn(dial_peers(core.clone(), timer.every(LOOK_EVERY)));
-        monoio::spawn(give_summaries(core.clone(), timer.every(SUMMARY_EVERY)));
-        monoio::spawn(watch_clock(core.clone(), timer.every(LOOK_EVERY)));
-        monoio::spawn(read_service(core.clone(), timer.every(LOOK_EVERY)));
-        monoio::spawn(read_instances(core.clone(), timer.every(LOOK_EVERY)));
+        monoio::spawn(dial_peers(core.clone(), timer.every(POLL_INTERVAL)));
+        monoio::spawn(send_summaries(core.clone(), timer.every(SUMMARY_INTERVAL)));
+        monoio::spawn(watch_clock(core.clone(), timer.every(POLL_INTERVAL)));
+        monoio::spawn(read_service(core.clone(), timer.every(POLL_INTERVAL)));
+        monoio::spawn(read_instances(core.clone(), timer.every(POLL_INTERVAL)));
         Ok(Self { core })
     }
 
@@ -91,8 +91,8 @@
     }
 
     /// Looks at the versions held.
-    pub fn with_files<T>(&self, look: impl FnOnce(&FileStore) -> T) -> T {
-        look(&self.core.store.borrow())
+    pub fn with_files<T>(&self, read: impl FnOnce(&FileStore) -> T) -> T {
+        read(&self.core.store.borrow())
     }
 
     pub(crate) fn metrics(&self) -> &SpreadMetrics {
@@ -128,14 +128,14 @@
     }
 }
 
-async fn give_summaries(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
+async fn send_summaries(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     let mut count = 0_u32;
     while ticks.tick().await.is_some() {
         count = count.wrapping_add(1);
         for link in core.links.borrow().values() {
-            link.plan_summary(false);
-            if (link.id + u64::from(count)).is_multiple_of(SUMMARIES_PER_PEERS) {
-                link.plan_peers();
+            link.queue_summary(false);
+            if (link.id + u64::from(count)).is_multiple_of(SUMMARIES_PER_PEER_LIST) {
+                link.queue_peers();
             }
         }
     }
@@ -148,9 +148,9 @@
         if let Some(paused) = tick.paused {
             core.metrics.pauses.inc();
             log::warn!(paused_ms = paused.as_millis() as u64; "the process was paused");
-            core.ask_again();
+            core.restart_settling();
         }
-        core.look_whether_settled();
+        core.update_settling();
         set_gauges(&core);
     }
 }
--- a/crates/papayamux-spread/src/peers/mod.rs
+++ b/crates/papayamux-spread/src/peers/mod.rs
@@ -2,5 +2,5 @@
 
 mod peer_table;
 
-pub(crate) use peer_table::ALIVE_WITHIN;
+pub(crate) use peer_table::PEER_ALIVE_TIMEOUT;
 pub use peer_table::{watch_rank, KnownPeer, PeerTable};
--- a/crates/papayamux-spread/src/peers/peer_table.rs
+++ b/crates/papayamux-spread/src/peers/peer_table.rs
@@ -14,13 +14,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Processes that a table holds at most.
-const MOST_PEERS: usize = 128;
+const MAX_PEERS: usize = 128;
 /// Failure domains whose watchers are kept for sure.
-const MOST_DOMAINS: usize = 8;
+const MAX_DOMAINS: usize = 8;
 /// A process not heard for so long is not counted as alive.
-pub(crate) const ALIVE_WITHIN: Duration = Duration::from_secs(30);
+pub(crate) const PEER_ALIVE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A process not heard for so long is forgotten, unless it is a seed.
-const FORGET_AFTER: Duration = Duration::from_secs(15 * 60);
+const PEER_RETENTION: Duration = Duration::from_secs(15 * 60);
 
 /// A process that is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Its life.
     pub incarnation: Incarnation,
     /// When it was last heard by anyone, as far as is known.
-    pub heard: Instant,
+    pub last_contact: Instant,
 }
 
 /// The rank of a process among the watchers of its failure domain; the highest watch.
@@ -50,7 +50,7 @@
             address: self.address,
             domain: self.domain.clone(),
             incarnation: self.incarnation,
-            heard_ms: now.saturating_duration_since(self.heard).as_millis() as u64,
+            heard_ms: now.saturating_duration_since(self.last_contact).as_millis() as u64,
         }
     }
 }
@@ -70,44 +70,47 @@
     }
 
     /// Notes a process that was heard `heard`; what was heard later wins.
-    pub fn note(&mut self, peer: KnownPeer, now: Instant) {
+    pub fn update(&mut self, peer: KnownPeer, now: Instant) {
         if peer.address == self.own {
             return;
         }
         let known = self.peers.get(&peer.address);
-        let is_news = known
-            .is_none_or(|known| (peer.incarnation, peer.heard) > (known.incarnation, known.heard));
-        if is_news {
+        let is_newer = known.is_none_or(|known| {
+            (peer.incarnation, peer.last_contact) > (known.incarnation, known.last_contact)
+        });
+        if is_newer {
             self.peers.insert(peer.address, peer);
-            self.shrink(now);
+            self.evict(now);
         }
     }
 
     /// Notes what another process knows.
-    pub fn note_record(&mut self, record: PeerRecord, now: Instant) {
+    pub fn update_from_record(&mut self, record: PeerRecord, now: Instant) {
         let age = Duration::from_millis(record.heard_ms);
-        let Some(heard) = now.checked_sub(age) else { return };
-        if age > FORGET_AFTER {
+        let Some(last_contact) = now.checked_sub(age) else { return };
+        if age > PEER_RETENTION {
             return;
         }
         let PeerRecord { address, domain, incarnation, .. } = record;
-        self.note(KnownPeer { address, domain, incarnation, heard }, now);
+        self.update(KnownPeer { address, domain, incarnation, last_contact }, now);
     }
 
-    fn shrink(&mut self, now: Instant) {
-        self.peers.retain(|_, peer| now.saturating_duration_since(peer.heard) < FORGET_AFTER);
-        while self.peers.len() > MOST_PEERS {
+    fn evict(&mut self, now: Instant) {
+        self.peers
+            .retain(|_, peer| now.saturating_duration_since(peer.last_contact) < PEER_RETENTION);
+        while self.peers.len() > MAX_PEERS {
             let kept = self.top_watchers(now);
             let others = self.peers.values().filter(|peer| !kept.contains(&peer.address));
-            let Some(oldest) = others.min_by_key(|peer| peer.heard) else { break };
+            let Some(oldest) = others.min_by_key(|peer| peer.last_contact) else { break };
             let address = oldest.address;
             self.peers.remove(&address);
         }
     }
 
     fn alive(&self, now: Instant) -> impl Iterator<Item = &KnownPeer> {
-        let is_alive =
-            move |peer: &&KnownPeer| now.saturating_duration_since(peer.heard) < ALIVE_WITHIN;
+        let is_alive = move |peer: &&KnownPeer| {
+            now.saturating_duration_since(peer.last_contact) < PEER_ALIVE_TIMEOUT
+        };
         self.peers.values().filter(is_alive)
     }
 
@@ -119,7 +122,7 @@
         }
         let mut domains: Vec<_> = domains.into_iter().collect();
         domains.sort_by_key(|(domain, _)| *domain);
-        domains.truncate(MOST_DOMAINS);
+        domains.truncate(MAX_DOMAINS);
         let mut top = Vec::new();
         for (_, mut peers) in domains {
             peers.sort_by_key(|peer| std::cmp::Reverse(peer.rank()));
--- a/crates/papayamux-spread/src/pace.rs
+++ b/crates/papayamux-spread/src/rate_limit.rs
@@ -12,7 +12,7 @@
     rate: Cell<f64>,
     burst: Cell<f64>,
     tokens: Cell<f64>,
-    filled: Cell<Instant>,
+    refilled_at: Cell<Instant>,
 }
 
 impl TokenBucket {
@@ -22,28 +22,28 @@
             rate: Cell::new(rate),
             burst: Cell::new(burst),
             tokens: Cell::new(tokens),
-            filled: Cell::new(now),
+            refilled_at: Cell::new(now),
         }
     }
 
     /// Changes rate and burst from now on.
     pub fn set_rate(&self, rate: f64, burst: f64, now: Instant) {
-        self.fill(now);
+        self.refill(now);
         self.rate.set(rate);
         self.burst.set(burst);
         self.tokens.set(self.tokens.get().min(burst));
     }
 
-    fn fill(&self, now: Instant) {
-        let gained = now.saturating_duration_since(self.filled.get()).as_secs_f64();
+    fn refill(&self, now: Instant) {
+        let gained = now.saturating_duration_since(self.refilled_at.get()).as_secs_f64();
         let tokens = self.tokens.get() + gained * self.rate.get();
         self.tokens.set(tokens.min(self.burst.get()));
-        self.filled.set(now);
+        self.refilled_at.set(now);
     }
 
     /// Takes `count` tokens and says how long to wait until the bucket owes no more than `debt`.
     pub fn reserve(&self, count: f64, debt: f64, now: Instant) -> Duration {
-        self.fill(now);
+        self.refill(now);
         let left = self.tokens.get() - count;
         self.tokens.set(left);
         let missing = (-left - debt).max(0.0);
@@ -67,26 +67,26 @@
 /// Growing pauses between attempts that fail, spread at random.
 #[derive(Debug, Clone)]
 pub struct RetryBackoff {
-    first: Duration,
-    longest: Duration,
-    bound: Duration,
+    initial_delay: Duration,
+    max_delay: Duration,
+    next_max: Duration,
 }
 
 impl RetryBackoff {
     /// Pauses of up to `first` at the beginning and up to `longest` in the end.
-    pub fn new(first: Duration, longest: Duration) -> Self {
-        Self { first, longest, bound: first }
+    pub fn new(initial_delay: Duration, max_delay: Duration) -> Self {
+        Self { initial_delay, max_delay, next_max: initial_delay }
     }
 
     /// The next pause: between half the bound and the bound, which then doubles.
-    pub fn pause(&mut self) -> Duration {
-        let bound = self.bound;
-        self.bound = (bound * 2).min(self.longest);
-        bound.mul_f64(rand::rng().random_range(0.5..1.0))
+    pub fn next_delay(&mut self) -> Duration {
+        let next_max = self.next_max;
+        self.next_max = (next_max * 2).min(self.max_delay);
+        next_max.mul_f64(rand::rng().random_range(0.5..1.0))
     }
 
     /// Starts over after a success.
     pub fn reset(&mut self) {
-        self.bound = self.first;
+        self.next_max = self.initial_delay;
     }
 }
--- a/crates/papayamux-spread/src/service/instance_reader.rs
+++ b/crates/papayamux-spread/src/service/instance_reader.rs
@@ -16,14 +16,14 @@
 use crate::core::{SpreadCore, VersionSource};
 use crate::files::FileVersion;
 use crate::instances::{wall_clock_ms, INSTANCES_FILE};
-use crate::pace::RetryBackoff;
+use crate::rate_limit::RetryBackoff;
 
 /// How often a watcher reads the list, about.
-const READ_EVERY: Duration = Duration::from_secs(1);
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 /// Pauses after calls that failed.
-const PAUSES: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
 /// For how long a reading must stand before it is published over another.
-const STANDS_AFTER: Duration = Duration::from_secs(10);
+const REPUBLISH_DELAY: Duration = Duration::from_secs(10);
 
 struct InstanceReader {
     core: Rc<SpreadCore>,
@@ -39,8 +39,8 @@
     let mut reader = InstanceReader {
         client: ServiceClient::new(address, core.metrics.clone()),
         last: None,
-        next_call: Instant::now() + about(READ_EVERY),
-        backoff: RetryBackoff::new(PAUSES.0, PAUSES.1),
+        next_call: Instant::now() + jittered(READ_INTERVAL),
+        backoff: RetryBackoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1),
         core,
     };
     while ticks.tick().await.is_some() {
@@ -51,7 +51,7 @@
     }
 }
 
-fn about(period: Duration) -> Duration {
+fn jittered(period: Duration) -> Duration {
     period.mul_f64(rand::rng().random_range(0.75..1.25))
 }
 
@@ -60,30 +60,31 @@
         match self.client.instances().await {
             Ok(text) => {
                 self.backoff.reset();
-                self.next_call = Instant::now() + about(READ_EVERY);
-                self.take(text);
+                self.next_call = Instant::now() + jittered(READ_INTERVAL);
+                self.handle_list(text);
             }
-            Err(error) => self.note_failure(&error),
+            Err(error) => self.record_failure(&error),
         }
     }
 
-    fn note_failure(&mut self, error: &ServiceError) {
+    fn record_failure(&mut self, error: &ServiceError) {
         self.core.metrics.service_errors.count("instances");
         log::warn!(error:% = error; "reading the list of instances failed");
-        self.next_call = Instant::now() + self.backoff.pause();
+        self.next_call = Instant::now() + self.backoff.next_delay();
     }
 
-    fn take(&mut self, text: String) {
+    fn handle_list(&mut self, text: String) {
         let now = Instant::now();
-        let since = match &self.last {
-            Some((last, since)) if *last == text => Some(*since),
+        let unchanged_since = match &self.last {
+            Some((last, unchanged_since)) if *last == text => Some(*unchanged_since),
             _ => None,
         };
-        let stands = since.is_some_and(|since| now.duration_since(since) >= STANDS_AFTER);
-        if since.is_none() || stands {
+        let is_stable = unchanged_since
+            .is_some_and(|unchanged_since| now.duration_since(unchanged_since) >= REPUBLISH_DELAY);
+        if unchanged_since.is_none() || is_stable {
             self.publish(&text);
         }
-        self.last = Some((text, since.unwrap_or(now)));
+        self.last = Some((text, unchanged_since.unwrap_or(now)));
     }
 
     fn publish(&self, text: &str) {
@@ -96,6 +97,6 @@
         let bytes = ByteCount::new(text.len() as u64);
         log::info!(revision = revision, bytes:% = bytes; "the list of instances has changed");
         let version = FileVersion::new(INSTANCES_FILE, revision, text.to_string());
-        self.core.take_version(version, VersionSource::Service, None);
+        self.core.store_version(version, VersionSource::Service, None);
     }
 }
--- a/crates/papayamux-spread/src/service/service_client.rs
+++ b/crates/papayamux-spread/src/service/service_client.rs
@@ -17,9 +17,9 @@
 use crate::metrics::SpreadMetrics;
 
 /// How long a call may take beyond the time that it waits at the service.
-const CALL_WITHIN: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Bytes of the longest answer: a value, with what JSON adds to it.
-const LONGEST_ANSWER: u64 = 4 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Why a call gave nothing.
 #[derive(Debug, Error)]
@@ -32,7 +32,7 @@
     Timeout,
     /// The service takes no more calls for now.
     #[error("the service takes no more calls for now")]
-    Limited,
+    RateLimited,
     /// The service refused the call.
     #[error("the service answered {0}")]
     Status(StatusCode),
@@ -64,7 +64,7 @@
         match self {
             ServiceError::Client(_) => "unreachable",
             ServiceError::Timeout => "timeout",
-            ServiceError::Limited => "limited",
+            ServiceError::RateLimited => "limited",
             ServiceError::Status(_) => "status",
             ServiceError::Json(_) => "malformed",
             ServiceError::Request(_) => "request",
@@ -127,12 +127,12 @@
         let exchange = async {
             let answer = self.client.send_idempotent(request).await?;
             match answer.head.status {
-                StatusCode::OK => Ok(answer.whole_body(LONGEST_ANSWER).await?),
-                StatusCode::TOO_MANY_REQUESTS => Err(ServiceError::Limited),
+                StatusCode::OK => Ok(answer.whole_body(MAX_ANSWER_BYTES).await?),
+                StatusCode::TOO_MANY_REQUESTS => Err(ServiceError::RateLimited),
                 status => Err(ServiceError::Status(status)),
             }
         };
-        let body = monoio::time::timeout(wait + CALL_WITHIN, exchange)
+        let body = monoio::time::timeout(wait + CALL_TIMEOUT, exchange)
             .await
             .map_err(|_| ServiceError::Timeout)??;
         self.metrics.service_bytes.inc_by(body.len() as u64);
--- a/crates/papayamux-spread/src/service/service_reader.rs
+++ b/crates/papayamux-spread/src/service/service_reader.rs
@@ -15,36 +15,38 @@
 use super::service_client::{ServiceClient, ServiceError};
 use crate::core::{SpreadCore, VersionSource};
 use crate::files::{FileVersion, JoinOutcome};
-use crate::pace::{RetryBackoff, TokenBucket};
+use crate::rate_limit::{RetryBackoff, TokenBucket};
 
 /// Calls a second of a process that does not watch; 1,020 such processes stay below 2,000.
-const SLOW_RATE: f64 = 1.0;
+const NON_WATCHER_RATE: f64 = 1.0;
 /// Calls a second of a watcher.
 const WATCHER_RATE: f64 = 8.0;
 /// Calls that may be saved up.
 const READ_BURST: f64 = 20.0;
 /// Calls that a process may make at once when it has just started.
-const START_READS: f64 = 1.0;
+const INITIAL_READS: f64 = 1.0;
 /// The time over which processes that start together spread their first call.
-const START_SPREAD: Duration = Duration::from_secs(3);
+const MAX_START_DELAY: Duration = Duration::from_secs(3);
 /// How long a process must have run, with as many peers as it wants, before it counts as a watcher
 /// for its pace: else it may know too few others to know that it is none.
-const WATCHER_AFTER: Duration = Duration::from_secs(10);
+const MIN_WATCHER_UPTIME: Duration = Duration::from_secs(10);
 /// Pauses between failed calls of a watcher.
-const WATCHER_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
+const WATCHER_RETRY_DELAYS: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_secs(5));
 /// Pauses between failed calls of another process.
-const OTHER_PAUSES: (Duration, Duration) = (Duration::from_secs(2), Duration::from_secs(60));
+const NON_WATCHER_RETRY_DELAYS: (Duration, Duration) =
+    (Duration::from_secs(2), Duration::from_secs(60));
 /// How much longer than asked a watch may take before its answer counts as of its start.
-const WATCH_SLACK: Duration = Duration::from_secs(1);
+const WATCH_TOLERANCE: Duration = Duration::from_secs(1);
 
 struct ServiceReader {
     core: Rc<SpreadCore>,
     client: ServiceClient,
-    pace: TokenBucket,
+    rate_limit: TokenBucket,
     started: Instant,
     next_call: Instant,
     watcher_backoff: RetryBackoff,
-    other_backoff: RetryBackoff,
+    non_watcher_backoff: RetryBackoff,
     /// The age from which this process reads for itself.
     stale_after: Duration,
 }
@@ -60,7 +62,7 @@
                     continue;
                 }
             } else if reader.is_stale() {
-                reader.read_for_itself().await;
+                reader.read_directly().await;
             }
         }
         if ticks.tick().await.is_none() {
@@ -73,17 +75,20 @@
     fn new(core: Rc<SpreadCore>) -> Self {
         let now = Instant::now();
         let is_alone = core.settings.peers.is_empty();
-        let tokens = if is_alone { READ_BURST } else { START_READS };
-        let first = START_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0));
+        let tokens = if is_alone { READ_BURST } else { INITIAL_READS };
+        let first = MAX_START_DELAY.mul_f64(rand::rng().random_range(0.0..1.0));
         let client = ServiceClient::new(core.settings.service, core.metrics.clone());
         let stale_after = core.settings.fresh_within.mul_f64(rand::rng().random_range(1.0..1.5));
         Self {
             client,
-            pace: TokenBucket::new(SLOW_RATE, READ_BURST, tokens, now),
+            rate_limit: TokenBucket::new(NON_WATCHER_RATE, READ_BURST, tokens, now),
             started: now,
             next_call: if is_alone { now } else { now + first },
-            watcher_backoff: RetryBackoff::new(WATCHER_PAUSES.0, WATCHER_PAUSES.1),
-            other_backoff: RetryBackoff::new(OTHER_PAUSES.0, OTHER_PAUSES.1),
+            watcher_backoff: RetryBackoff::new(WATCHER_RETRY_DELAYS.0, WATCHER_RETRY_DELAYS.1),
+            non_watcher_backoff: RetryBackoff::new(
+                NON_WATCHER_RETRY_DELAYS.0,
+                NON_WATCHER_RETRY_DELAYS.1,
+            ),
             stale_after,
             core,
         }
@@ -95,9 +100,9 @@
         let table = self.core.table.borrow();
         let watches = table.is_watcher(&self.core.domain, now);
         let is_connected = self.core.links.borrow().len() >= self.core.settings.fanout;
-        let is_sure = now.duration_since(self.started) >= WATCHER_AFTER && is_connected;
-        let rate = if watches && is_sure { WATCHER_RATE } else { SLOW_RATE };
-        self.pace.set_rate(rate, READ_BURST, now);
+        let is_confirmed = now.duration_since(self.started) >= MIN_WATCHER_UPTIME && is_connected;
+        let rate = if watches && is_confirmed { WATCHER_RATE } else { NON_WATCHER_RATE };
+        self.rate_limit.set_rate(rate, READ_BURST, now);
         self.core.metrics.watching.set(i64::from(watches));
         watches
     }
@@ -106,8 +111,8 @@
         self.core.age().is_none_or(|age| age > self.stale_after)
     }
 
-    async fn take_turn(&self) {
-        self.pace.take(1.0, 0.0).await;
+    async fn wait_for_quota(&self) {
+        self.rate_limit.take(1.0, 0.0).await;
     }
 
     /// Waits at the service for a change, and reads what has changed; `true` when it went well.
@@ -116,16 +121,17 @@
             Some(after) => self.watch_after(after).await,
             None => self.read_all().await,
         };
-        self.plan_next(outcome, true)
+        self.record_outcome(outcome, true)
     }
 
-    async fn read_for_itself(&mut self) {
+    async fn read_directly(&mut self) {
         let outcome = self.read_all().await;
-        self.plan_next(outcome, false);
+        self.record_outcome(outcome, false);
     }
 
-    fn plan_next(&mut self, outcome: Result<(), ServiceError>, watches: bool) -> bool {
-        let backoff = if watches { &mut self.watcher_backoff } else { &mut self.other_backoff };
+    fn record_outcome(&mut self, outcome: Result<(), ServiceError>, watches: bool) -> bool {
+        let backoff =
+            if watches { &mut self.watcher_backoff } else { &mut self.non_watcher_backoff };
         match outcome {
             Ok(()) => {
                 backoff.reset();
@@ -134,20 +140,20 @@
             Err(error) => {
                 self.core.metrics.service_errors.count(error.label());
                 log::warn!(error:% = error; "reading the configuration service failed");
-                self.next_call = Instant::now() + backoff.pause();
+                self.next_call = Instant::now() + backoff.next_delay();
                 false
             }
         }
     }
 
     async fn watch_after(&self, after: u64) -> Result<(), ServiceError> {
-        self.take_turn().await;
+        self.wait_for_quota().await;
         let started = Instant::now();
         let wait = self.core.settings.watch_for;
         let listing = self.client.watch(after, wait).await?;
-        let is_prompt = started.elapsed() < wait + WATCH_SLACK;
+        let is_prompt = started.elapsed() < wait + WATCH_TOLERANCE;
         let read = if is_prompt { Instant::now() } else { started };
-        self.take_listing(&listing, read).await
+        self.apply_listing(&listing, read).await
     }
 
     /// An answer of a revision below the highest known is dropped.
@@ -162,19 +168,23 @@
 
     /// Reads the list of files and those that are not held yet.
     async fn read_all(&self) -> Result<(), ServiceError> {
-        self.take_turn().await;
+        self.wait_for_quota().await;
         let started = Instant::now();
         let listing = self.client.list().await?;
-        self.take_listing(&listing, started).await
+        self.apply_listing(&listing, started).await
     }
 
     /// Brings what is held to a listing made at `read`.
-    async fn take_listing(&self, listing: &FileListing, read: Instant) -> Result<(), ServiceError> {
+    async fn apply_listing(
+        &self,
+        listing: &FileListing,
+        read: Instant,
+    ) -> Result<(), ServiceError> {
         self.refuse_stale(listing.revision)?;
-        self.core.note_known_revision(listing.revision);
+        self.core.record_known_revision(listing.revision);
         self.read_listed(listing).await?;
-        self.core.note_reading(listing.revision, read);
-        self.core.look_whether_settled();
+        self.core.record_reading(listing.revision, read);
+        self.core.update_settling();
         Ok(())
     }
 
@@ -189,10 +199,10 @@
             }
             if file.removed {
                 let version = FileVersion::removed(&file.name, file.revision);
-                self.core.take_version(version, VersionSource::Service, None);
+                self.core.store_version(version, VersionSource::Service, None);
                 continue;
             }
-            self.take_turn().await;
+            self.wait_for_quota().await;
             if self.holds(&file.name, file.revision) {
                 continue;
             }
@@ -202,7 +212,7 @@
                 self.core.metrics.dropped.count("stale_file");
                 return Err(ServiceError::Stale { revision, known: file.revision });
             }
-            let outcome = self.core.take_version(version, VersionSource::Service, None);
+            let outcome = self.core.store_version(version, VersionSource::Service, None);
             if outcome == JoinOutcome::TooLarge {
                 return Err(ServiceError::TooLarge { name: file.name.clone() });
             }
--- a/crates/papayamux-spread/src/settings.rs
+++ b/crates/papayamux-spread/src/settings.rs
@@ -68,8 +68,8 @@
             section.report(key, "must be at least 1", "");
         }
     }
-    if bytes_per_second.is_some_and(|rate: ByteCount| rate.get() < LEAST_RATE) {
-        section.report("bytes_per_second", &format!("must be at least {LEAST_RATE}"), "");
+    if bytes_per_second.is_some_and(|rate: ByteCount| rate.get() < MIN_BYTES_PER_SECOND) {
+        section.report("bytes_per_second", &format!("must be at least {MIN_BYTES_PER_SECOND}"), "");
     }
     section.refuse_other_keys();
     let settings = SpreadSettings::builder()
@@ -89,4 +89,4 @@
 }
 
 /// The lowest rate at which the exchange works at all.
-const LEAST_RATE: u64 = 1_000;
+const MIN_BYTES_PER_SECOND: u64 = 1_000;
--- a/crates/papayamux-spread/tests/file_store.rs
+++ b/crates/papayamux-spread/tests/file_store.rs
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn any_order_with_repeats_and_stale_versions_gives_the_same() {
+fn join_is_independent_of_order_and_repetition() {
     check!().with_iterations(GENERATED_INPUTS).with_type::<(Vec<Published>, Vec<u8>)>().for_each(
         |(versions, order)| {
             let first = store_of(versions.iter().copied());
             let mut shuffled = versions.clone();
-            for (index, place) in order.iter().enumerate().take(versions.len()) {
-                shuffled.swap(index, usize::from(*place) % versions.len());
+            for (index, target) in order.iter().enumerate().take(versions.len()) {
+                shuffled.swap(index, usize::from(*target) % versions.len());
             }
             let second = store_of(shuffled.iter().rev().chain(versions).copied());
             assert_eq!(first.digest(), second.digest());
@@ -57,28 +57,28 @@
 }
 
 #[test]
-fn two_stores_that_pass_on_what_they_hold_become_equal() {
+fn stores_that_exchange_versions_become_equal() {
     check!()
         .with_iterations(GENERATED_INPUTS)
         .with_type::<(Vec<Published>, Vec<Published>)>()
         .for_each(|(left, right)| {
-            let mut whole = store_of(left.iter().chain(right).copied());
+            let mut full = store_of(left.iter().chain(right).copied());
             let (mut left, mut right) =
                 (store_of(left.iter().copied()), store_of(right.iter().copied()));
             for _ in 0..2 {
-                pass_on(&left, &mut right);
-                pass_on(&right, &mut left);
+                transfer_versions(&left, &mut right);
+                transfer_versions(&right, &mut left);
             }
             assert_eq!(left.digest(), right.digest());
-            pass_on(&whole, &mut left);
-            pass_on(&right, &mut whole);
+            transfer_versions(&full, &mut left);
+            transfer_versions(&right, &mut full);
             assert_eq!(left.digest(), right.digest());
-            assert_eq!(whole.digest(), right.digest());
+            assert_eq!(full.digest(), right.digest());
         });
 }
 
 /// What a link does: names keys, and brings the versions that are wanted.
-fn pass_on(from: &FileStore, to: &mut FileStore) {
+fn transfer_versions(from: &FileStore, to: &mut FileStore) {
     let wanted = from.inventory(|_| true).into_iter().filter(|key| to.wants(key));
     let versions: Vec<_> = wanted.filter_map(|key| from.version(&key).cloned()).collect();
     versions.into_iter().for_each(|version| {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn no_step_ever_leads_down() {
+fn join_never_decreases_revisions() {
     check!().with_iterations(GENERATED_INPUTS).with_type::<Vec<Published>>().for_each(|versions| {
         let mut store = FileStore::new(passes);
         for published in versions {
@@ -100,7 +100,7 @@
             let after = (store.revision(), store.newest(&name).map(|newest| newest.key.revision));
             assert!(after >= before);
             assert!(accepted_revision(&store, &name) >= accepted_before);
-            assert_eq!(outcome == JoinOutcome::Taken, digest != store.digest());
+            assert_eq!(outcome == JoinOutcome::Stored, digest != store.digest());
         }
     });
 }
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn a_body_leads_back_to_its_version() {
+fn body_decodes_to_its_version() {
     let text: String = (0..400).map(|line| format!("[organisation {line}]\nshare = 1\n")).collect();
     let version = FileVersion::new("team", 3, text.clone());
-    let body = EncodedBody::whole(&version);
+    let body = EncodedBody::full(&version);
     assert_eq!(EncodedBody::decode(&version.key, &body.bytes, "").expect("decodes"), version);
     let mut store = FileStore::new(passes);
     store.join(version.clone());
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn no_body_makes_the_decoder_panic() {
+fn decoder_never_panics() {
     check!().with_iterations(GENERATED_BODIES).with_type::<(Vec<u8>, bool)>().for_each(
         |(bytes, is_delta)| {
             let version = FileVersion::new("team", 1, "text".to_string());
--- a/crates/papayamux-spread/tests/peers.rs
+++ b/crates/papayamux-spread/tests/peers.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use papayamux_spread::pace::TokenBucket;
 use papayamux_spread::peers::{KnownPeer, PeerTable};
+use papayamux_spread::rate_limit::TokenBucket;
 use papayamux_state::ids::{FailureDomain, Incarnation};
 
 const WATCHERS: usize = 2;
@@ -20,13 +20,13 @@
     format!("domain-{}", index % DOMAINS).parse().expect("a domain")
 }
 
-fn known(index: usize, heard: Instant) -> KnownPeer {
+fn known(index: usize, last_contact: Instant) -> KnownPeer {
     let incarnation = Incarnation::from(1);
-    KnownPeer { address: address(index), domain: domain(index), incarnation, heard }
+    KnownPeer { address: address(index), domain: domain(index), incarnation, last_contact }
 }
 
 #[test]
-fn bounded_tables_that_are_exchanged_agree_on_the_watchers() {
+fn exchanged_bounded_tables_agree_on_watchers() {
     let now = Instant::now();
     let mut tables: Vec<_> =
         (0..PROCESSES).map(|index| PeerTable::new(address(index), WATCHERS)).collect();
@@ -35,10 +35,10 @@
             let other = (index + round * round * 7) % PROCESSES;
             let mut records = tables[index].records(3, now);
             let back = tables[other].records(3, now);
-            tables[index].note(known(other, now), now);
-            tables[other].note(known(index, now), now);
-            records.drain(..).for_each(|record| tables[other].note_record(record, now));
-            back.into_iter().for_each(|record| tables[index].note_record(record, now));
+            tables[index].update(known(other, now), now);
+            tables[other].update(known(index, now), now);
+            records.drain(..).for_each(|record| tables[other].update_from_record(record, now));
+            back.into_iter().for_each(|record| tables[index].update_from_record(record, now));
         }
     }
     let watchers = (0..PROCESSES).filter(|index| tables[*index].is_watcher(&domain(*index), now));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_watcher_that_falls_silent_is_replaced() {
+fn silent_watcher_is_replaced() {
     let now = Instant::now();
     let mut table = PeerTable::new(address(0), 1);
     let above = (1..PROCESSES)
@@ -56,13 +56,13 @@
                 > papayamux_spread::peers::watch_rank(&domain(0), address(0))
         })
         .expect("one ranks above");
-    table.note(known(above, now), now);
+    table.update(known(above, now), now);
     assert!(!table.is_watcher(&domain(0), now));
     assert!(table.is_watcher(&domain(0), now + Duration::from_secs(60)));
 }
 
 #[test]
-fn a_bucket_never_gives_more_than_rate_and_burst() {
+fn token_bucket_grants_at_most_rate_plus_burst() {
     let start = Instant::now();
     let bucket = TokenBucket::new(10.0, 5.0, 5.0, start);
     let mut now = start;
--- a/crates/papayamux-spread/tests/settling.rs
+++ b/crates/papayamux-spread/tests/settling.rs
@@ -7,39 +7,39 @@
 const ASK_WITHIN: Duration = Duration::from_secs(10);
 
 const NOTHING: SettlingFacts = SettlingFacts {
-    asked_for: Duration::ZERO,
+    query_time: Duration::ZERO,
     has_peers: true,
-    heard: 0,
+    responded: 0,
     agreed: 0,
     disagreed: 0,
-    has_reading: false,
+    has_read_service: false,
     holds_files: false,
-    fetches: false,
+    is_fetching: false,
 };
 
-fn after(seconds: u64, facts: SettlingFacts) -> bool {
-    SettlingFacts { asked_for: Duration::from_secs(seconds), ..facts }.is_settled(ASK_WITHIN)
+fn settled_after(seconds: u64, facts: SettlingFacts) -> bool {
+    SettlingFacts { query_time: Duration::from_secs(seconds), ..facts }.is_settled(ASK_WITHIN)
 }
 
 #[test]
-fn several_peers_that_agree_settle_at_once_and_one_after_a_while() {
-    assert!(after(0, SettlingFacts { agreed: 2, ..NOTHING }));
-    assert!(!after(0, SettlingFacts { agreed: 1, ..NOTHING }));
-    assert!(after(2, SettlingFacts { agreed: 1, ..NOTHING }));
+fn two_agreeing_peers_settle_immediately_and_one_after_timeout() {
+    assert!(settled_after(0, SettlingFacts { agreed: 2, ..NOTHING }));
+    assert!(!settled_after(0, SettlingFacts { agreed: 1, ..NOTHING }));
+    assert!(settled_after(2, SettlingFacts { agreed: 1, ..NOTHING }));
 }
 
 #[test]
-fn a_reading_of_its_own_does_not_settle_against_peers() {
-    let read = SettlingFacts { has_reading: true, holds_files: true, ..NOTHING };
-    assert!(!after(5, SettlingFacts { heard: 1, disagreed: 1, ..read }));
-    assert!(!after(5, SettlingFacts { heard: 1, fetches: true, ..read }));
-    assert!(after(5, SettlingFacts { heard: 1, ..read }));
-    assert!(!after(5, read), "peers that are not heard yet are waited for");
-    assert!(after(0, SettlingFacts { has_peers: false, ..read }));
+fn service_read_does_not_settle_against_disagreeing_peers() {
+    let read = SettlingFacts { has_read_service: true, holds_files: true, ..NOTHING };
+    assert!(!settled_after(5, SettlingFacts { responded: 1, disagreed: 1, ..read }));
+    assert!(!settled_after(5, SettlingFacts { responded: 1, is_fetching: true, ..read }));
+    assert!(settled_after(5, SettlingFacts { responded: 1, ..read }));
+    assert!(!settled_after(5, read), "peers that are not heard yet are waited for");
+    assert!(settled_after(0, SettlingFacts { has_peers: false, ..read }));
 }
 
 #[test]
-fn the_bound_settles_with_something_but_never_with_nothing() {
-    assert!(!after(60, NOTHING));
-    assert!(after(10, SettlingFacts { holds_files: true, disagreed: 1, ..NOTHING }));
+fn timeout_settles_only_with_a_configuration() {
+    assert!(!settled_after(60, NOTHING));
+    assert!(settled_after(10, SettlingFacts { holds_files: true, disagreed: 1, ..NOTHING }));
 }
--- a/crates/papayamux-standins/src/config_service/service_state.rs
+++ b/crates/papayamux-standins/src/config_service/service_state.rs
@@ -81,7 +81,7 @@
             if !listing.files.is_empty() || self.faults().unavailable {
                 return listing;
             }
-            let changed = std::pin::pin!(changed.given());
+            let changed = std::pin::pin!(changed.triggered());
             if let Either::Right(_) = select(changed, over.as_mut()).await {
                 return self.listing(after);
             }
@@ -97,6 +97,6 @@
     }
 
     fn wake_watches(&self) {
-        self.changed.replace(ShutdownSignal::new()).give();
+        self.changed.replace(ShutdownSignal::new()).trigger();
     }
 }
--- a/crates/papayamux-standins/src/engine/batch.rs
+++ b/crates/papayamux-standins/src/engine/batch.rs
@@ -54,7 +54,7 @@
         state.waiting.push(job);
         state.note_load(Instant::now());
         if let Some(signal) = self.idle.take() {
-            signal.give();
+            signal.trigger();
         }
         Some(AnswerReader::new(record, 0))
     }
@@ -149,7 +149,7 @@
         if self.is_empty() {
             let signal = ShutdownSignal::new();
             self.idle.set(Some(signal.clone()));
-            signal.given().await;
+            signal.triggered().await;
         }
     }
 }
--- a/crates/papayamux-standins/src/fault_proxy/chunk_queue.rs
+++ b/crates/papayamux-standins/src/fault_proxy/chunk_queue.rs
@@ -88,10 +88,10 @@
 
     async fn wait_change(&self) {
         let changed = self.state.borrow().changed.clone();
-        changed.given().await;
+        changed.triggered().await;
     }
 }
 
 fn tell_change(state: &mut QueueState) {
-    std::mem::take(&mut state.changed).give();
+    std::mem::take(&mut state.changed).trigger();
 }
--- a/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
+++ b/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
@@ -65,8 +65,8 @@
     /// Accepts connections until `shutdown`, then cuts those that are open.
     pub async fn serve(&self, listener: TcpListener, shutdown: ShutdownSignal) -> io::Result<()> {
         let accept = std::pin::pin!(self.accept_all(listener));
-        let given = std::pin::pin!(shutdown.given());
-        let _ = select(accept, given).await;
+        let triggered = std::pin::pin!(shutdown.triggered());
+        let _ = select(accept, triggered).await;
         self.cut_all();
         Ok(())
     }
--- a/crates/papayamux-standins/src/fault_proxy/proxy_connection.rs
+++ b/crates/papayamux-standins/src/fault_proxy/proxy_connection.rs
@@ -52,12 +52,12 @@
 
     /// Closes both sides at once; what was not delivered is lost.
     pub fn cut(&self) {
-        self.cut.give();
+        self.cut.trigger();
     }
 
     /// Waits until the connection is cut.
     pub async fn wait_cut(&self) {
-        self.cut.given().await;
+        self.cut.triggered().await;
     }
 
     /// Ends the given ways as if their senders had closed them, after what waits.
@@ -100,7 +100,7 @@
     /// Waits for the next change of faults.
     pub async fn wait_change(&self) {
         let changed = self.changed.borrow().clone();
-        changed.given().await;
+        changed.triggered().await;
     }
 
     /// By how much bytes are late.
@@ -134,7 +134,7 @@
     }
 
     fn tell_change(&self) {
-        self.changed.take().give();
+        self.changed.take().trigger();
     }
 
     fn way(&self, way: LinkWay) -> &WayState {
--- a/crates/papayamux-standins/src/fault_proxy/way_pump.rs
+++ b/crates/papayamux-standins/src/fault_proxy/way_pump.rs
@@ -46,7 +46,7 @@
             let ends = !matches!(chunk, ReadChunk::Bytes(_));
             queue.push(chunk);
             if ends {
-                self.connection.read_ended(self.way).give();
+                self.connection.read_ended(self.way).trigger();
                 return;
             }
         }
@@ -67,7 +67,7 @@
                 }
             }
         }
-        self.connection.read_ended(self.opposite).given().await;
+        self.connection.read_ended(self.opposite).triggered().await;
     }
 
     /// The next chunk that may be delivered; `None` once this way was half-closed.
--- a/crates/papayamux-transport/src/agent_link.rs
+++ b/crates/papayamux-transport/src/agent_link.rs
@@ -29,7 +29,7 @@
 pub type AgentReceiver = LinkReceiver<RouterFrame, AgentFrame>;
 
 /// How long an agent may take to answer the hello.
-const WELCOME_WITHIN: Duration = Duration::from_secs(2);
+const WELCOME_TIMEOUT: Duration = Duration::from_secs(2);
 /// The stream number of the connection itself.
 pub const CONNECTION: u64 = 0;
 
@@ -58,7 +58,7 @@
     },
     /// The agent sent no proof of the fleet's secret, or a wrong one.
     #[error("the agent did not prove that it knows the fleet's secret")]
-    Unproved,
+    Unauthenticated,
     /// The agent asks for a proof, and this process has no secret.
     #[error("the agent asks for a proof of a secret that the settings do not name")]
     SecretNeeded,
@@ -72,7 +72,7 @@
             AgentLinkError::NoWelcome => "no_welcome",
             AgentLinkError::Version { .. } => "version",
             AgentLinkError::OtherServer { .. } => "other_server",
-            AgentLinkError::Unproved => "unproved",
+            AgentLinkError::Unauthenticated => "unproved",
             AgentLinkError::SecretNeeded => "secret_needed",
         }
     }
@@ -93,7 +93,7 @@
 }
 
 /// A connection whose two ends have proved themselves as far as the settings ask for it.
-pub struct ProvedLink {
+pub struct AuthenticatedLink {
     /// The sending half.
     pub sender: LinkSender<RouterMessage>,
     /// The receiving half.
@@ -107,9 +107,9 @@
     server: &ServerId,
     address: SocketAddr,
     identity: &LinkIdentity,
-) -> Result<ProvedLink, AgentLinkError> {
+) -> Result<AuthenticatedLink, AgentLinkError> {
     let connected = ConnectedLink::connect(address).await?;
-    connected.greet(server, identity).await?.prove(identity)
+    connected.send_hello(server, identity).await?.authenticate(identity)
 }
 
 impl ConnectedLink {
@@ -118,7 +118,7 @@
         Ok(Self { sender, receiver })
     }
 
-    async fn greet(
+    async fn send_hello(
         mut self,
         server: &ServerId,
         identity: &LinkIdentity,
@@ -141,33 +141,35 @@
 
 impl WelcomedLink {
     /// Checks the agent's proof and sends the own one.
-    fn prove(self, identity: &LinkIdentity) -> Result<ProvedLink, AgentLinkError> {
+    fn authenticate(self, identity: &LinkIdentity) -> Result<AuthenticatedLink, AgentLinkError> {
         match (&identity.secret, self.welcome.nonce) {
             (None, None) => {}
             (None, Some(_)) => return Err(AgentLinkError::SecretNeeded),
-            (Some(_), None) => return Err(AgentLinkError::Unproved),
-            (Some(secret), Some(agent_nonce)) => self.exchange(secret, agent_nonce, identity)?,
+            (Some(_), None) => return Err(AgentLinkError::Unauthenticated),
+            (Some(secret), Some(agent_nonce)) => {
+                self.exchange_proofs(secret, agent_nonce, identity)?
+            }
         }
         let Self { sender, receiver, welcome, .. } = self;
-        Ok(ProvedLink { sender, receiver, welcome })
+        Ok(AuthenticatedLink { sender, receiver, welcome })
     }
 
-    fn exchange(
+    fn exchange_proofs(
         &self,
         secret: &SharedSecret,
         agent_nonce: ProofNonce,
         identity: &LinkIdentity,
     ) -> Result<(), AgentLinkError> {
         let context = ProofContext {
-            router_nonce: self.nonce.ok_or(AgentLinkError::Unproved)?,
+            router_nonce: self.nonce.ok_or(AgentLinkError::Unauthenticated)?,
             agent_nonce,
             router: identity.incarnation,
             agent: self.welcome.incarnation,
             server: self.welcome.server.clone(),
         };
-        let proof = self.welcome.proof.as_ref().ok_or(AgentLinkError::Unproved)?;
+        let proof = self.welcome.proof.as_ref().ok_or(AgentLinkError::Unauthenticated)?;
         if !secret.accepts(ProofRole::Agent, &context, proof) {
-            return Err(AgentLinkError::Unproved);
+            return Err(AgentLinkError::Unauthenticated);
         }
         let tag = secret.prove(ProofRole::Router, &context);
         self.sender.send(CONNECTION, RouterMessage::Prove(tag));
@@ -176,7 +178,7 @@
 }
 
 async fn receive_welcome(receiver: &mut AgentReceiver) -> Result<AgentWelcome, AgentLinkError> {
-    let first = monoio::time::timeout(WELCOME_WITHIN, receiver.receive()).await;
+    let first = monoio::time::timeout(WELCOME_TIMEOUT, receiver.receive()).await;
     match first {
         Ok(Some(Ok(addressed))) => match addressed.message {
             AgentMessage::Welcome(welcome) => Ok(welcome),
--- a/crates/papayamux-transport/src/http/client.rs
+++ b/crates/papayamux-transport/src/http/client.rs
@@ -22,11 +22,11 @@
 use crate::link::{connect, LinkError};
 
 /// How long an idle connection is kept for the next request.
-const KEEP_IDLE: Duration = Duration::from_secs(5);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Idle connections kept.
-const MOST_IDLE: usize = 256;
+const MAX_IDLE_CONNECTIONS: usize = 256;
 /// Bytes of the longest body that is given its length beforehand; it arrives in one piece.
-const LONGEST_FIXED_BODY: u64 = 16 * 1024 * 1024;
+const MAX_FIXED_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Why a request to a server got no answer.
 #[derive(Debug, Error)]
@@ -44,7 +44,7 @@
     #[error("the server closed the connection before its answer")]
     Closed,
     /// The answer's body is longer than its bound.
-    #[error("the answer has {length} bytes, the bound is {LONGEST_FIXED_BODY}")]
+    #[error("the answer has {length} bytes, the bound is {MAX_FIXED_BODY_BYTES}")]
     TooLong {
         /// Bytes announced.
         length: u64,
@@ -63,7 +63,7 @@
 
 struct IdleConnection {
     codec: Codec,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// Requests to one server; clones share its idle connections.
@@ -137,7 +137,7 @@
         let response = codec.next().await.ok_or(HttpClientError::Closed)??;
         let (head, decoder) = response.into_parts();
         let length = announced_length(&head);
-        if length > LONGEST_FIXED_BODY {
+        if length > MAX_FIXED_BODY_BYTES {
             return Err(HttpClientError::TooLong { length });
         }
         Ok(ClientAnswer { client: self.clone(), head, codec, decoder, ended: false })
@@ -145,14 +145,14 @@
 
     fn take_idle(&self) -> Option<Codec> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|connection| connection.since.elapsed() < KEEP_IDLE);
+        idle.retain(|connection| connection.idle_since.elapsed() < IDLE_TIMEOUT);
         idle.pop().map(|connection| connection.codec)
     }
 
     fn keep_idle(&self, codec: Codec) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < MOST_IDLE {
-            idle.push(IdleConnection { codec, since: Instant::now() });
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(IdleConnection { codec, idle_since: Instant::now() });
         }
     }
 }
@@ -189,7 +189,9 @@
             PayloadDecoder::Fixed(decoder) => {
                 let piece = framed.next_with(decoder).await;
                 self.ended = true;
-                Some(piece.map_or(Err(HttpClientError::Closed), |result| result.map_err(broken)))
+                Some(piece.map_or(Err(HttpClientError::Closed), |result| {
+                    result.map_err(broken_connection)
+                }))
             }
             PayloadDecoder::Streamed(decoder) => match framed.next_with(decoder).await {
                 None => Some(Err(HttpClientError::Closed)),
@@ -198,7 +200,7 @@
                     self.ended = true;
                     None
                 }
-                Some(Err(error)) => Some(Err(broken(error))),
+                Some(Err(error)) => Some(Err(broken_connection(error))),
             },
         }
     }
@@ -230,6 +232,6 @@
     }
 }
 
-fn broken(error: impl Into<HttpError>) -> HttpClientError {
+fn broken_connection(error: impl Into<HttpError>) -> HttpClientError {
     HttpClientError::Broken(error.into())
 }
--- a/crates/papayamux-transport/src/http/server.rs
+++ b/crates/papayamux-transport/src/http/server.rs
@@ -43,9 +43,9 @@
     /// Bytes of a request's head, looked at after each read: one of up to twice as many may pass.
     pub head_bytes: usize,
     /// How long a head may take to arrive.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// How long a write may wait without the other side taking anything.
-    pub write_within: Duration,
+    pub write_timeout: Duration,
     /// Who may connect; everybody where it is absent.
     pub admits: Option<AddressCheck>,
 }
@@ -55,21 +55,21 @@
         Self {
             connections: 10_000,
             head_bytes: 32 * 1024,
-            head_within: Duration::from_secs(15),
-            write_within: Duration::from_secs(30),
+            head_timeout: Duration::from_secs(15),
+            write_timeout: Duration::from_secs(30),
             admits: None,
         }
     }
 }
 
 /// How long the listener waits after it could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How long a connection without any request so far may still send its first at a shutdown.
-const FIRST_REQUEST_WITHIN: Duration = Duration::from_millis(500);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Part of the connections above which each answer asks its caller to close: idle connections make
 /// room before newcomers have to wait in the kernel's backlog.
-const CROWDED_PART: f64 = 0.75;
+const CROWDED_SHARE: f64 = 0.75;
 
 struct OpenConnections {
     limit: usize,
@@ -79,16 +79,16 @@
 }
 
 impl OpenConnections {
-    fn enter(&self) {
+    fn record_open(&self) {
         self.count.set(self.count.get() + 1);
-        self.note_count();
+        self.update_crowded();
     }
 
-    fn leave(&self) {
+    fn record_close(&self) {
         self.count.set(self.count.get() - 1);
-        self.note_count();
+        self.update_crowded();
         if let Some(signal) = self.closed.take() {
-            signal.give();
+            signal.trigger();
         }
     }
 
@@ -96,8 +96,8 @@
         self.crowded.get()
     }
 
-    fn note_count(&self) {
-        let crowded = self.count.get() as f64 > self.limit as f64 * CROWDED_PART;
+    fn update_crowded(&self) {
+        let crowded = self.count.get() as f64 > self.limit as f64 * CROWDED_SHARE;
         if self.crowded.replace(crowded) != crowded {
             let (count, limit) = (self.count.get(), self.limit);
             log::warn!(crowded = crowded, connections = count, limit = limit; "callers' connections");
@@ -108,7 +108,7 @@
         while self.count.get() >= limit {
             let signal = ShutdownSignal::new();
             self.closed.set(Some(signal.clone()));
-            signal.given().await;
+            signal.triggered().await;
         }
     }
 }
@@ -134,27 +134,27 @@
     loop {
         open.wait_below(limits.connections).await;
         let accept = std::pin::pin!(listener.accept());
-        let given = std::pin::pin!(shutdown.given());
-        let (stream, peer) = match select(given, accept).await {
+        let triggered = std::pin::pin!(shutdown.triggered());
+        let (stream, peer) = match select(triggered, accept).await {
             Either::Left(_) => break,
             Either::Right((Ok((stream, peer)), _)) => (stream, peer),
             Either::Right((Err(error), _)) => {
                 log::warn!(error:% = error; "accepting failed");
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if limits.admits.as_ref().is_some_and(|check| !(check.0)(peer.ip())) {
             continue;
         }
-        open.enter();
+        open.record_open();
         let (open, shutdown, handler) = (open.clone(), shutdown.clone(), handler.clone());
         let limits = limits.clone();
         monoio::spawn(async move {
             if let Err(error) = serve_connection(stream, limits, shutdown, &open, handler).await {
                 log::debug!(error:% = error; "caller's connection ended");
             }
-            open.leave();
+            open.record_close();
         });
     }
     drop(listener);
@@ -174,11 +174,11 @@
     F: Future<Output = Response<AnswerBody>> + 'static,
 {
     set_stream_options(&stream)?;
-    let begun = Rc::new(Cell::new(false));
-    let begins = begun.clone();
+    let request_seen = Rc::new(Cell::new(false));
+    let mark_seen = request_seen.clone();
     let open = open.clone();
     let service = service_fn(move |request| {
-        begins.set(true);
+        mark_seen.set(true);
         let (handler, open) = (handler.clone(), open.clone());
         async move {
             let mut response = handler(request).await;
@@ -188,19 +188,19 @@
             Ok::<_, Infallible>(response)
         }
     });
-    let guarded = StallGuard::new(MonoioIo::new(stream.into_poll_io()?), limits.write_within);
+    let guarded = StallGuard::new(MonoioIo::new(stream.into_poll_io()?), limits.write_timeout);
     let connection = http1::Builder::new()
         .timer(MonoioTimer)
-        .header_read_timeout(limits.head_within)
+        .header_read_timeout(limits.head_timeout)
         .max_buf_size(limits.head_bytes)
         .serve_connection(guarded, service);
     let mut connection = std::pin::pin!(connection);
-    let given = std::pin::pin!(shutdown.given());
-    match select(connection.as_mut(), given).await {
+    let triggered = std::pin::pin!(shutdown.triggered());
+    match select(connection.as_mut(), triggered).await {
         Either::Left((result, _)) => result?,
         Either::Right(_) => {
             connection.as_mut().graceful_shutdown();
-            let first = std::pin::pin!(wait_first_request(&begun));
+            let first = std::pin::pin!(wait_first_request(&request_seen));
             match select(connection, first).await {
                 Either::Left((result, _)) => result?,
                 Either::Right((true, connection)) => connection.await?,
@@ -214,9 +214,9 @@
 /// Whether a connection has brought a request, now or within a short while. `hyper` closes a
 /// connection that is idle between two requests, but waits for the first for its whole head
 /// timeout, which would hold a shutdown up.
-async fn wait_first_request(begun: &Cell<bool>) -> bool {
-    if !begun.get() {
-        monoio::time::sleep(FIRST_REQUEST_WITHIN).await;
+async fn wait_first_request(request_seen: &Cell<bool>) -> bool {
+    if !request_seen.get() {
+        monoio::time::sleep(FIRST_REQUEST_TIMEOUT).await;
     }
-    begun.get()
+    request_seen.get()
 }
--- a/crates/papayamux-transport/src/http/stall_guard.rs
+++ b/crates/papayamux-transport/src/http/stall_guard.rs
@@ -14,26 +14,26 @@
 pub struct StallGuard<S> {
     inner: S,
     limit: Duration,
-    waiting: Option<Pin<Box<monoio::time::Sleep>>>,
+    stall_timer: Option<Pin<Box<monoio::time::Sleep>>>,
 }
 
 impl<S> StallGuard<S> {
     /// Lets a write to `inner` wait for `limit` at most.
     pub fn new(inner: S, limit: Duration) -> Self {
-        Self { inner, limit, waiting: None }
+        Self { inner, limit, stall_timer: None }
     }
 
-    fn watch<T>(
+    fn check_progress<T>(
         &mut self,
         context: &mut Context<'_>,
         progress: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if progress.is_ready() {
-            self.waiting = None;
+            self.stall_timer = None;
             return progress;
         }
         let limit = self.limit;
-        let sleep = self.waiting.get_or_insert_with(|| Box::pin(monoio::time::sleep(limit)));
+        let sleep = self.stall_timer.get_or_insert_with(|| Box::pin(monoio::time::sleep(limit)));
         match sleep.as_mut().poll(context) {
             Poll::Ready(()) => {
                 let message = format!("nothing was taken for {limit:?}");
@@ -61,17 +61,17 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let progress = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.watch(context, progress)
+        self.check_progress(context, progress)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let progress = Pin::new(&mut self.inner).poll_flush(context);
-        self.watch(context, progress)
+        self.check_progress(context, progress)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let progress = Pin::new(&mut self.inner).poll_shutdown(context);
-        self.watch(context, progress)
+        self.check_progress(context, progress)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -84,6 +84,6 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let progress = Pin::new(&mut self.inner).poll_write_vectored(context, buffers);
-        self.watch(context, progress)
+        self.check_progress(context, progress)
     }
 }
--- a/crates/papayamux-transport/src/http/upstream/connection.rs
+++ b/crates/papayamux-transport/src/http/upstream/connection.rs
@@ -57,18 +57,18 @@
     sender: SendRequest<Full<Bytes>>,
     _open: oneshot::Sender<()>,
     /// How long opening it took, until that was asked for.
-    connecting_took: Option<Duration>,
+    connect_time: Option<Duration>,
     /// When it was last put aside.
     pub(super) idle_since: Instant,
     /// How long it may be idle.
-    pub(super) idle_within: Duration,
+    pub(super) idle_timeout: Duration,
 }
 
 impl UpstreamConnection {
     /// Opens a connection within `limit`.
     pub(super) async fn open(address: SocketAddr, limit: Duration) -> Result<Self, UpstreamError> {
         let connect_error = |source| UpstreamError::Connect { address, source };
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let connecting = monoio::time::timeout(limit, TcpStream::connect_addr(address));
         let stream = match connecting.await {
             Ok(result) => result.map_err(connect_error)?,
@@ -78,7 +78,7 @@
                 return Err(connect_error(error));
             }
         };
-        let connecting_took = Some(begun.elapsed());
+        let connect_time = Some(started_at.elapsed());
         set_stream_options(&stream).map_err(connect_error)?;
         let io = MonoioIo::new(stream.into_poll_io().map_err(connect_error)?);
         let (sender, connection) =
@@ -97,15 +97,15 @@
             address,
             sender,
             _open: open,
-            connecting_took,
+            connect_time,
             idle_since: now,
-            idle_within: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         })
     }
 
     /// How long opening it took; nothing from the second time on.
-    pub(super) fn take_connecting_time(&mut self) -> Option<Duration> {
-        self.connecting_took.take()
+    pub(super) fn take_connect_time(&mut self) -> Option<Duration> {
+        self.connect_time.take()
     }
 
     /// Whether the connection can take a request now: it is open, has nothing under way and got
--- a/crates/papayamux-transport/src/http/upstream/connection_pool.rs
+++ b/crates/papayamux-transport/src/http/upstream/connection_pool.rs
@@ -17,23 +17,23 @@
 pub struct PoolLimits {
     /// How long connecting may take. Within a region a round trip takes about a millisecond; the
     /// rest is for a busy server, and for one packet lost.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// How long a connection may be idle, where the server doesn't say.
-    pub idle_within: Duration,
+    pub idle_timeout: Duration,
     /// How long a connection rests after an answer before it is used again: a server that goes
     /// wrong may send a second answer behind the first, which must not be met by a request.
-    pub rest: Duration,
+    pub reuse_delay: Duration,
     /// Idle connections kept for one server.
-    pub idle_per_server: usize,
+    pub max_idle_per_server: usize,
 }
 
 impl Default for PoolLimits {
     fn default() -> Self {
         Self {
-            connect_within: Duration::from_millis(250),
-            idle_within: Duration::from_secs(4),
-            rest: Duration::from_millis(20),
-            idle_per_server: 32,
+            connect_timeout: Duration::from_millis(250),
+            idle_timeout: Duration::from_secs(4),
+            reuse_delay: Duration::from_millis(20),
+            max_idle_per_server: 32,
         }
     }
 }
@@ -71,13 +71,13 @@
                 Ok(response) => return Ok(self.answer(address, connection, response)),
             }
         }
-        let mut connection = UpstreamConnection::open(address, self.limits.connect_within).await?;
+        let mut connection = UpstreamConnection::open(address, self.limits.connect_timeout).await?;
         let response = connection.send(request).await?;
         Ok(self.answer(address, connection, response))
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().by_server.remove(&address);
     }
 
@@ -86,7 +86,7 @@
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         idle.by_server.retain(|_, connections| {
-            connections.retain(|connection| !is_over(connection, now));
+            connections.retain(|connection| !is_expired(connection, now));
             !connections.is_empty()
         });
     }
@@ -104,10 +104,10 @@
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.by_server.get_mut(&address)?;
-        connections.retain(|connection| !is_over(connection, now));
+        connections.retain(|connection| !is_expired(connection, now));
         let usable = |connection: &UpstreamConnection| {
             let idle = now.saturating_duration_since(connection.idle_since);
-            connection.is_ready() && idle >= self.limits.rest
+            connection.is_ready() && idle >= self.limits.reuse_delay
         };
         let index = connections.iter().rposition(usable)?;
         Some(connections.remove(index))
@@ -120,16 +120,16 @@
         announced: Option<Duration>,
     ) {
         connection.idle_since = Instant::now();
-        connection.idle_within = announced.unwrap_or(self.limits.idle_within);
+        connection.idle_timeout = announced.unwrap_or(self.limits.idle_timeout);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.by_server.entry(address).or_default();
-        if connections.len() < self.limits.idle_per_server {
+        if connections.len() < self.limits.max_idle_per_server {
             connections.push(connection);
         }
     }
 }
 
-fn is_over(connection: &UpstreamConnection, now: Instant) -> bool {
+fn is_expired(connection: &UpstreamConnection, now: Instant) -> bool {
     connection.is_closed()
-        || now.saturating_duration_since(connection.idle_since) >= connection.idle_within
+        || now.saturating_duration_since(connection.idle_since) >= connection.idle_timeout
 }
--- a/crates/papayamux-transport/src/http/upstream/exchange.rs
+++ b/crates/papayamux-transport/src/http/upstream/exchange.rs
@@ -25,7 +25,7 @@
     pub head: Parts,
     body: Incoming,
     connection: Option<UpstreamConnection>,
-    connecting_took: Option<Duration>,
+    connect_time: Option<Duration>,
 }
 
 impl UpstreamAnswer {
@@ -36,13 +36,13 @@
         response: http::Response<Incoming>,
     ) -> Self {
         let (head, body) = response.into_parts();
-        let connecting_took = connection.take_connecting_time();
-        Self { pool, address, head, body, connection: Some(connection), connecting_took }
+        let connect_time = connection.take_connect_time();
+        Self { pool, address, head, body, connection: Some(connection), connect_time }
     }
 
     /// How long opening its connection took, where a new one was opened for it.
-    pub fn connecting_took(&self) -> Option<Duration> {
-        self.connecting_took
+    pub fn connect_time(&self) -> Option<Duration> {
+        self.connect_time
     }
 
     /// The next piece of the body; `None` after a whole body.
@@ -59,26 +59,26 @@
     }
 
     /// Whether the body has been read to its end.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.body.is_end_stream()
     }
 
     /// Gives the connection back after the whole body was read, for the next request.
     pub fn finish(mut self) {
         let Some(connection) = self.connection.take() else { return };
-        let idle_within = match idle_time(&self.head.headers) {
+        let idle_timeout = match idle_time(&self.head.headers) {
             IdleTime::Close => return,
             IdleTime::Announced(time) => Some(time),
-            IdleTime::Unsaid => None,
+            IdleTime::Unspecified => None,
         };
-        self.pool.put(self.address, connection, idle_within);
+        self.pool.put(self.address, connection, idle_timeout);
     }
 }
 
 enum IdleTime {
     Close,
     Announced(Duration),
-    Unsaid,
+    Unspecified,
 }
 
 fn idle_time(headers: &HeaderMap) -> IdleTime {
@@ -95,6 +95,6 @@
         Some(seconds) => {
             IdleTime::Announced(Duration::from_secs(seconds).saturating_sub(CLOSE_MARGIN))
         }
-        None => IdleTime::Unsaid,
+        None => IdleTime::Unspecified,
     }
 }
--- a/crates/papayamux-transport/src/keepalive.rs
+++ b/crates/papayamux-transport/src/keepalive.rs
@@ -5,11 +5,11 @@
 use monoio::net::TcpStream;
 
 /// Idle time after which the kernel probes.
-const PROBE_AFTER: Duration = Duration::from_secs(10);
+const PROBE_IDLE_TIME: Duration = Duration::from_secs(10);
 /// Time between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(3);
+const PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// Unanswered probes after which the connection is dead.
-const MOST_PROBES: u32 = 3;
+const MAX_PROBES: u32 = 3;
 
 /// Sets the options of every connection: no delay, and probes while it is idle.
 ///
@@ -18,5 +18,5 @@
 /// deadlines find that.
 pub fn set_stream_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    stream.set_tcp_keepalive(Some(PROBE_AFTER), Some(PROBE_EVERY), Some(MOST_PROBES))
+    stream.set_tcp_keepalive(Some(PROBE_IDLE_TIME), Some(PROBE_INTERVAL), Some(MAX_PROBES))
 }
--- a/crates/papayamux-transport/src/link.rs
+++ b/crates/papayamux-transport/src/link.rs
@@ -22,11 +22,11 @@
 use crate::keepalive::set_stream_options;
 
 /// Bytes buffered before the writer flushes on its own.
-const FLUSH_BYTES: usize = 64 * 1024;
+const FLUSH_THRESHOLD_BYTES: usize = 64 * 1024;
 /// How long one flush may take before the connection counts as silent.
-const WRITE_STALL: Duration = Duration::from_secs(10);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long connecting may take.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a connection can't be used any more.
 #[derive(Debug, Error)]
@@ -40,7 +40,7 @@
         source: std::io::Error,
     },
     /// Connecting took too long.
-    #[error("connecting to {address} took over {CONNECT_WITHIN:?}")]
+    #[error("connecting to {address} took over {CONNECT_TIMEOUT:?}")]
     ConnectTimeout {
         /// Where to.
         address: SocketAddr,
@@ -95,7 +95,7 @@
 
 /// Connects to `address`.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, LinkError> {
-    match monoio::time::timeout(CONNECT_WITHIN, TcpStream::connect_addr(address)).await {
+    match monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect_addr(address)).await {
         Ok(Ok(stream)) => Ok(stream),
         Ok(Err(source)) => Err(LinkError::Connect { address, source }),
         Err(_) => Err(LinkError::ConnectTimeout { address }),
@@ -115,7 +115,7 @@
     let mut framed = Framed::new(stream.into_poll_io()?, FrameCodec::<Out, In>::default());
     // A process may have hundreds of idle connections: each buffer grows with what is written.
     *framed.write_buffer_mut() = BytesMut::new();
-    framed.set_backpressure_boundary(FLUSH_BYTES);
+    framed.set_backpressure_boundary(FLUSH_THRESHOLD_BYTES);
     let (sink, stream) = framed.split();
     let (queue, messages) = unbounded::channel();
     monoio::spawn(write_messages(sink, messages));
@@ -131,20 +131,20 @@
 {
     while let Some(message) = messages.recv().await {
         let batch = write_batch(&mut sink, message, &mut messages);
-        match monoio::time::timeout(WRITE_STALL, batch).await {
+        match monoio::time::timeout(FLUSH_TIMEOUT, batch).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => {
                 log::debug!(error:% = error; "link writer ends");
                 break;
             }
             Err(_) => {
-                log::warn!("link writer ends: nothing was taken for {WRITE_STALL:?}");
+                log::warn!("link writer ends: nothing was taken for {FLUSH_TIMEOUT:?}");
                 break;
             }
         }
     }
     messages.close();
-    let _ = monoio::time::timeout(CONNECT_WITHIN, sink.close()).await;
+    let _ = monoio::time::timeout(CONNECT_TIMEOUT, sink.close()).await;
 }
 
 async fn write_batch<Out, In, M>(
--- a/crates/papayamux-transport/src/shutdown.rs
+++ b/crates/papayamux-transport/src/shutdown.rs
@@ -8,9 +8,9 @@
 
 #[derive(Debug, Default)]
 struct SignalState {
-    given: bool,
+    triggered: bool,
     wakers: Vec<Option<Waker>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
 }
 
 /// A one-shot signal; clones share it.
@@ -26,23 +26,23 @@
     }
 
     /// Gives the signal; giving it again changes nothing.
-    pub fn give(&self) {
+    pub fn trigger(&self) {
         let wakers = {
             let mut state = self.state.borrow_mut();
-            state.given = true;
+            state.triggered = true;
             std::mem::take(&mut state.wakers)
         };
         wakers.into_iter().flatten().for_each(Waker::wake);
     }
 
     /// Whether the signal was given.
-    pub fn is_given(&self) -> bool {
-        self.state.borrow().given
+    pub fn is_triggered(&self) -> bool {
+        self.state.borrow().triggered
     }
 
     /// Waits until the signal is given.
-    pub fn given(&self) -> SignalWait {
-        SignalWait { state: self.state.clone(), place: None }
+    pub fn triggered(&self) -> SignalWait {
+        SignalWait { state: self.state.clone(), slot: None }
     }
 }
 
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct SignalWait {
     state: Rc<RefCell<SignalState>>,
-    place: Option<usize>,
+    slot: Option<usize>,
 }
 
 impl Future for SignalWait {
@@ -60,11 +60,11 @@
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         let wait = &mut *self;
         let mut state = wait.state.borrow_mut();
-        if state.given {
+        if state.triggered {
             return Poll::Ready(());
         }
-        let place = *wait.place.get_or_insert_with(|| state.take_place());
-        match &mut state.wakers[place] {
+        let slot = *wait.slot.get_or_insert_with(|| state.claim_slot());
+        match &mut state.wakers[slot] {
             Some(known) => known.clone_from(context.waker()),
             unset => *unset = Some(context.waker().clone()),
         }
@@ -73,8 +73,8 @@
 }
 
 impl SignalState {
-    fn take_place(&mut self) -> usize {
-        self.free.pop().unwrap_or_else(|| {
+    fn claim_slot(&mut self) -> usize {
+        self.free_slots.pop().unwrap_or_else(|| {
             self.wakers.push(None);
             self.wakers.len() - 1
         })
@@ -84,9 +84,9 @@
 impl Drop for SignalWait {
     fn drop(&mut self) {
         let mut state = self.state.borrow_mut();
-        if let (Some(place), false) = (self.place, state.given) {
-            state.wakers[place] = None;
-            state.free.push(place);
+        if let (Some(slot), false) = (self.slot, state.triggered) {
+            state.wakers[slot] = None;
+            state.free_slots.push(slot);
         }
     }
 }
--- a/crates/papayamux-transport/src/timer.rs
+++ b/crates/papayamux-transport/src/timer.rs
@@ -15,15 +15,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerTick {
     /// When the tick was due.
-    pub due: Instant,
+    pub scheduled_at: Instant,
     /// How long the process was paused before this tick, if it was.
     pub paused: Option<Duration>,
 }
 
 struct Subscriber {
     period: Duration,
-    next: Instant,
-    waiting: Rc<Cell<bool>>,
+    next_tick: Instant,
+    tick_pending: Rc<Cell<bool>>,
     sender: unbounded::Tx<TimerTick>,
 }
 
@@ -36,7 +36,7 @@
 
 /// A subscription to a period; dropping it ends it.
 pub struct TimerSubscription {
-    waiting: Rc<Cell<bool>>,
+    tick_pending: Rc<Cell<bool>>,
     receiver: unbounded::Rx<TimerTick>,
 }
 
@@ -51,27 +51,27 @@
     /// Subscribes to a tick every `period`, the first after one period.
     pub fn every(&self, period: Duration) -> TimerSubscription {
         let (sender, receiver) = unbounded::channel();
-        let waiting = Rc::new(Cell::new(false));
+        let tick_pending = Rc::new(Cell::new(false));
         self.subscribers.borrow_mut().push(Subscriber {
             period,
-            next: Instant::now() + period,
-            waiting: waiting.clone(),
+            next_tick: Instant::now() + period,
+            tick_pending: tick_pending.clone(),
             sender,
         });
-        TimerSubscription { waiting, receiver }
+        TimerSubscription { tick_pending, receiver }
     }
 
-    fn give_ticks(&self, now: Instant, paused: Option<Duration>) {
+    fn send_ticks(&self, now: Instant, paused: Option<Duration>) {
         self.subscribers.borrow_mut().retain_mut(|subscriber| {
-            if subscriber.next > now && paused.is_none() {
+            if subscriber.next_tick > now && paused.is_none() {
                 return !subscriber.sender.is_closed();
             }
-            let due = subscriber.next.min(now);
-            subscriber.next = now + subscriber.period;
-            if subscriber.waiting.replace(true) && paused.is_none() {
+            let scheduled_at = subscriber.next_tick.min(now);
+            subscriber.next_tick = now + subscriber.period;
+            if subscriber.tick_pending.replace(true) && paused.is_none() {
                 return !subscriber.sender.is_closed();
             }
-            subscriber.sender.send(TimerTick { due, paused }).is_ok()
+            subscriber.sender.send(TimerTick { scheduled_at, paused }).is_ok()
         });
     }
 }
@@ -80,7 +80,7 @@
     /// The next tick, or `None` once the service has ended.
     pub async fn tick(&mut self) -> Option<TimerTick> {
         let tick = self.receiver.recv().await;
-        self.waiting.set(false);
+        self.tick_pending.set(false);
         tick
     }
 }
@@ -92,7 +92,7 @@
         let now = Instant::now();
         let gap = now - last;
         let paused = (gap > PAUSE_THRESHOLD).then_some(gap);
-        service.give_ticks(now, paused);
+        service.send_ticks(now, paused);
         last = now;
     }
 }
--- a/crates/papayamux-transport/tests/crowded_listener.rs
+++ b/crates/papayamux-transport/tests/crowded_listener.rs
@@ -15,13 +15,13 @@
 
 const CONNECTIONS: usize = 8;
 
-async fn answer_briefly(_: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond_ok(_: Request<Incoming>) -> Response<AnswerBody> {
     Response::new(AnswerBody::Whole(Bytes::from_static(b"yes")))
 }
 
 /// Asks once on a fresh connection. Returns the connection, and whether the answer asks to close
 /// it; `None` where no answer comes.
-fn ask(address: SocketAddr) -> Option<(TcpStream, bool)> {
+fn send_request(address: SocketAddr) -> Option<(TcpStream, bool)> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     stream.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
@@ -35,11 +35,11 @@
 }
 
 /// Twice as many callers as there are connections, each of which stays unless it is asked to go.
-fn polite_callers(address: SocketAddr) -> (usize, usize) {
+fn run_idle_clients(address: SocketAddr) -> (usize, usize) {
     let mut idle = Vec::new();
     let mut unanswered = 0;
     for _ in 0..2 * CONNECTIONS {
-        match ask(address) {
+        match send_request(address) {
             Some((stream, false)) => idle.push(stream),
             Some((_, true)) => {}
             None => unanswered += 1,
@@ -49,22 +49,22 @@
 }
 
 #[test]
-fn idle_callers_leave_room_for_newcomers() {
+fn idle_connections_are_closed_for_new_clients() {
     runtime::run(async {
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let limits = HttpLimits { connections: CONNECTIONS, ..HttpLimits::default() };
         let shutdown = ShutdownSignal::new();
-        let served = serve(listener, limits, shutdown.clone(), Rc::new(answer_briefly));
+        let served = serve(listener, limits, shutdown.clone(), Rc::new(respond_ok));
         let served = monoio::spawn(served);
-        let callers = std::thread::spawn(move || polite_callers(address));
+        let callers = std::thread::spawn(move || run_idle_clients(address));
         while !callers.is_finished() {
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
         let (idle, unanswered) = callers.join().unwrap();
         assert_eq!(unanswered, 0, "newcomers found no connection");
         assert!((4..CONNECTIONS).contains(&idle), "{idle}");
-        shutdown.give();
+        shutdown.trigger();
         served.await.unwrap();
     })
     .unwrap();
--- a/crates/papayamux-transport/tests/http_client.rs
+++ b/crates/papayamux-transport/tests/http_client.rs
@@ -22,7 +22,7 @@
 }
 
 /// A server that answers one request and ends as soon as it has got the next one.
-fn server_that_ends() -> (SocketAddr, JoinHandle<()>) {
+fn server_crashing_on_second_request() -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let serving = std::thread::spawn(move || {
@@ -38,8 +38,8 @@
 /// An agent told its router that a request had not run, since the server could not be reached. The server
 /// had ended with the request on a kept connection; only the repeat on a new one was never sent.
 #[test]
-fn request_that_was_lost_on_a_kept_connection_may_have_run() {
-    let (address, serving) = server_that_ends();
+fn request_lost_on_a_reused_connection_may_have_run() {
+    let (address, serving) = server_crashing_on_second_request();
     runtime::run(async {
         let client = HttpClient::new(address);
         let mut answer = client.send_idempotent(request()).await.unwrap();
--- a/crates/papayamux-transport/tests/http_shutdown.rs
+++ b/crates/papayamux-transport/tests/http_shutdown.rs
@@ -17,7 +17,7 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n";
 
-async fn answer_endless(_: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond_endlessly(_: Request<Incoming>) -> Response<AnswerBody> {
     let pieces = stream::repeat_with(|| Ok(Bytes::from_static(&[b'x'; 65_536])));
     Response::new(AnswerBody::Stream(Box::pin(pieces)))
 }
@@ -34,12 +34,12 @@
         let address = listener.local_addr().unwrap();
         let shutdown = ShutdownSignal::new();
         let served =
-            monoio::spawn(serve(listener, limits, shutdown.clone(), Rc::new(answer_endless)));
+            monoio::spawn(serve(listener, limits, shutdown.clone(), Rc::new(respond_endlessly)));
         let callers: JoinHandle<T> = std::thread::spawn(move || callers(address));
         while !callers.is_finished() {
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
-        shutdown.give();
+        shutdown.trigger();
         served.await.unwrap();
         after(callers.join().unwrap());
     })
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn a_connection_without_a_request_does_not_hold_a_shutdown() {
-    let limits = HttpLimits { head_within: Duration::from_secs(3_600), ..HttpLimits::default() };
+fn shutdown_does_not_wait_for_connection_without_request() {
+    let limits = HttpLimits { head_timeout: Duration::from_secs(3_600), ..HttpLimits::default() };
     serve_callers(
         limits,
         |address| {
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn a_caller_that_takes_nothing_is_let_go() {
-    let limits = HttpLimits { write_within: Duration::from_millis(100), ..HttpLimits::default() };
+fn connection_to_stalled_caller_is_closed() {
+    let limits = HttpLimits { write_timeout: Duration::from_millis(100), ..HttpLimits::default() };
     serve_callers(
         limits,
         |address| {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn an_address_that_is_not_admitted_is_closed_at_once() {
+fn connection_from_refused_address_is_closed_immediately() {
     let nobody = AddressCheck(Rc::new(|_| false));
     let limits = HttpLimits { admits: Some(nobody), ..HttpLimits::default() };
     serve_callers(
--- a/crates/papayamux-transport/tests/signals.rs
+++ b/crates/papayamux-transport/tests/signals.rs
@@ -5,19 +5,19 @@
 use papayamux_transport::shutdown::ShutdownSignal;
 
 #[test]
-fn all_waiters_are_woken_and_dropped_ones_leave_their_place() -> std::io::Result<()> {
+fn all_waiters_are_woken_and_dropped_ones_free_their_slots() -> std::io::Result<()> {
     runtime::run(async {
         let signal = ShutdownSignal::new();
         for _ in 0..3 {
-            let wait = signal.given();
+            let wait = signal.triggered();
             let other = std::future::ready(());
             assert!(matches!(select(wait, other).await, Either::Right(_)));
         }
-        let waiting = join(signal.given(), signal.given());
-        let giver = signal.clone();
-        monoio::spawn(async move { giver.give() });
+        let waiting = join(signal.triggered(), signal.triggered());
+        let sender = signal.clone();
+        monoio::spawn(async move { sender.trigger() });
         waiting.await;
-        signal.given().await;
-        assert!(signal.is_given());
+        signal.triggered().await;
+        assert!(signal.is_triggered());
     })
 }
--- a/crates/papayamux-transport/tests/upstream_pool.rs
+++ b/crates/papayamux-transport/tests/upstream_pool.rs
@@ -16,12 +16,12 @@
 
 /// Polls of a request that waits for its answer, at most: one for each step of connecting,
 /// sending and receiving, with room to spare.
-const MOST_POLLS: usize = 50;
+const MAX_POLLS: usize = 50;
 
 /// A waker that is never equal to another one, as copies of one task's waker need not be.
-struct OwnWaker(Waker);
+struct DistinctWaker(Waker);
 
-impl Wake for OwnWaker {
+impl Wake for DistinctWaker {
     fn wake(self: Arc<Self>) {
         self.0.wake_by_ref();
     }
@@ -51,7 +51,7 @@
 /// A caller's connection polls its answer more than once in a turn. Each poll woke the task again
 /// while it waited for the connection to be ready, so that no other task ran for seconds.
 #[test]
-fn waiting_for_an_answer_wakes_nobody() {
+fn pending_request_does_not_wake_its_own_task() {
     let address = slow_server(1);
     runtime::run(async move {
         let pool = UpstreamPool::new(PoolLimits::default());
@@ -59,13 +59,13 @@
         let polls = Cell::new(0);
         let answer = poll_fn(|context| {
             polls.set(polls.get() + 2);
-            assert!(polls.get() <= MOST_POLLS, "the task wakes itself");
-            let first = Waker::from(Arc::new(OwnWaker(context.waker().clone())));
+            assert!(polls.get() <= MAX_POLLS, "the task wakes itself");
+            let first = Waker::from(Arc::new(DistinctWaker(context.waker().clone())));
             let poll = sending.as_mut().poll(&mut Context::from_waker(&first));
             if poll.is_ready() {
                 return poll;
             }
-            let second = Waker::from(Arc::new(OwnWaker(context.waker().clone())));
+            let second = Waker::from(Arc::new(DistinctWaker(context.waker().clone())));
             sending.as_mut().poll(&mut Context::from_waker(&second))
         });
         assert_eq!(answer.await.unwrap().head.status, 200);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn connection_is_kept_after_a_whole_answer() {
+fn connection_is_reused_after_a_complete_answer() {
     // The server takes one connection only.
     let address = slow_server(3);
     runtime::run(async move {
@@ -85,7 +85,7 @@
             assert_eq!(&body[..], b"ok");
             assert!(answer.next_piece().await.is_none());
             answer.finish();
-            monoio::time::sleep(PoolLimits::default().rest * 2).await;
+            monoio::time::sleep(PoolLimits::default().reuse_delay * 2).await;
         }
     })
     .unwrap();
