--- a/crates/papayamux-spread/src/configuration.rs
+++ b/crates/papayamux-spread/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What is in force in this process.
+//! The configuration in force in this process.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 use crate::node::{SpreadIdentity, SpreadNode};
 use crate::settings::SpreadSettings;
 
-/// Whether a file may come into force by itself: its name and its text are well-formed.
+/// Returns whether a file may come into force by itself: its name and its text are well-formed.
 pub fn is_valid_file(name: &str, text: &str) -> bool {
     if is_instances(name) {
         return serde_json::from_str::<InstanceList>(text).is_ok();
@@ -31,13 +31,13 @@
 struct ConfigurationState {
     set: FileSet,
     in_force: Rc<InForce>,
-    /// The revision that `in_force` was derived at.
+    /// The store revision from which `in_force` was computed.
     revision: u64,
     leaving: Rc<BTreeSet<ServerId>>,
     subscribers: Vec<mpsc::Sender<()>>,
 }
 
-/// What is in force, derived anew after each change; clones share it.
+/// View of the configuration in force, recomputed after each change. Clones share the state.
 #[derive(Clone)]
 pub struct ConfigurationView {
     node: SpreadNode,
@@ -45,7 +45,7 @@
 }
 
 impl ConfigurationView {
-    /// Starts the spread in a daemon and follows what it holds.
+    /// Starts file distribution in a daemon and follows the files it stores.
     pub fn start(
         settings: SpreadSettings,
         identity: SpreadIdentity,
@@ -58,12 +58,12 @@
         Ok(Self::follow(node))
     }
 
-    /// Where this process listens for peers.
+    /// Returns the address on which this process listens for peers.
     pub fn address(&self) -> SocketAddr {
         self.node.address()
     }
 
-    /// Follows what `node` holds.
+    /// Creates a view that follows the files stored by `node`.
     pub fn follow(node: SpreadNode) -> Self {
         let state = ConfigurationState {
             set: FileSet::default(),
@@ -77,29 +77,30 @@
         view
     }
 
-    /// What is in force now.
+    /// Returns the configuration in force.
     pub fn in_force(&self) -> Rc<InForce> {
         self.state.borrow().in_force.clone()
     }
 
-    /// The servers that the platform says are leaving.
+    /// Returns the servers that the platform's instance list marks as leaving.
     pub fn leaving_servers(&self) -> Rc<BTreeSet<ServerId>> {
         self.state.borrow().leaving.clone()
     }
 
-    /// Whether the process has asked its peers since it started or was paused.
+    /// Returns whether the process has compared its files with its peers since it started or was
+    /// last paused.
     pub fn is_settled(&self) -> bool {
         self.node.is_settled()
     }
 
-    /// Subscribes to changes of what is in force and of whether the process is settled.
+    /// Subscribes to changes of the configuration in force and of the settled state.
     pub fn subscribe(&self) -> mpsc::Receiver<()> {
         let (sender, receiver) = mpsc::channel(0);
         self.state.borrow_mut().subscribers.push(sender);
         receiver
     }
 
-    /// The state, for people and programs.
+    /// Returns the state for the status report.
     pub fn status(&self) -> serde_json::Value {
         let mut status = self.node.status();
         let in_force = self.in_force();
@@ -142,7 +143,8 @@
     }
 }
 
-/// Offers what the set may not have; what it has costs no parsing.
+/// Offers the stored versions to the set. Versions that the set is known to have refused aren't
+/// parsed again.
 fn offer_all(files: &FileStore, set: &mut FileSet) {
     for latest in files.latest() {
         for version in latest.accepted.into_iter().chain([latest.newest]) {
@@ -153,7 +155,7 @@
     }
 }
 
-/// The version as a declaration file, unless the set is known to have taken it.
+/// Returns the version as a declaration file, or `None` if the set is known to have refused it.
 fn declaration(version: &FileVersion, set: &FileSet) -> Option<DeclarationFile> {
     let name: FileName = version.key.name.parse().ok()?;
     let revision = version.key.revision.into();
--- a/crates/papayamux-spread/src/core.rs
+++ b/crates/papayamux-spread/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of one process's spread share.
+//! State shared by the tasks of file distribution in one process.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,10 +22,10 @@
 use crate::settings::SpreadSettings;
 use crate::settling::{SettlingFacts, SettlingState};
 
-/// Encoded bodies kept for further parts and further peers.
+/// Number of encoded bodies cached for further parts and peers.
 const MAX_CACHED_BODIES: usize = 8;
 
-/// Where a version came from.
+/// Source of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum VersionSource {
     /// The configuration service.
@@ -43,12 +43,12 @@
     }
 }
 
-/// Bodies encoded lately.
+/// Cache of recently encoded bodies.
 #[derive(Debug, Default)]
 pub(crate) struct BodyCache(Vec<(bool, EncodedBody)>);
 
 impl BodyCache {
-    /// The body of a version, encoded now unless it was lately.
+    /// Returns the cached body of a version, or encodes and caches it.
     pub(crate) fn get_or(
         &mut self,
         key: &VersionKey,
@@ -68,16 +68,16 @@
     }
 }
 
-/// What is known of the service.
+/// Known state of the configuration service.
 #[derive(Debug, Clone, Copy, Default)]
 struct ServiceView {
-    /// The highest revision that anyone has seen.
+    /// Highest service revision known to any process.
     known_revision: u64,
-    /// The latest reading that the versions held reflect.
+    /// Latest service read that the stored versions reflect: its revision and time.
     reading: Option<(u64, Instant)>,
 }
 
-/// The state that all tasks of the spread share.
+/// State shared by all tasks of file distribution.
 pub(crate) struct SpreadCore {
     pub(crate) settings: SpreadSettings,
     pub(crate) domain: FailureDomain,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// What this process says of itself.
+    /// Returns the hello message of this process.
     pub(crate) fn hello(&self, nonce: Option<ProofNonce>) -> PeerHello {
         PeerHello {
             version: PROTOCOL_VERSION,
@@ -138,7 +138,8 @@
         }
     }
 
-    /// A short account of what is held.
+    /// Returns a summary of the stored versions and of the known service state. `asks` requests a
+    /// summary in return.
     pub(crate) fn summary(&self, asks: bool) -> PeerSummary {
         PeerSummary {
             digest: self.store.borrow().digest(),
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Takes a version, announces it to the peers that are not known to have it, and tells the
-    /// subscribers.
+    /// Stores a version. If it is new, announces it to the peers that aren't known to have it and
+    /// notifies the subscribers.
     pub(crate) fn store_version(
         &self,
         version: FileVersion,
@@ -199,32 +200,33 @@
         });
     }
 
-    /// A receiver that is woken after each change of what is held.
+    /// Returns a receiver that wakes after each change of the stored versions or of the settled
+    /// state.
     pub(crate) fn subscribe(&self) -> mpsc::Receiver<()> {
         let (sender, receiver) = mpsc::channel(0);
         self.subscribers.borrow_mut().push(sender);
         receiver
     }
 
-    /// The highest service revision that anyone has seen, as far as is known.
+    /// Returns the highest known service revision.
     pub(crate) fn known_revision(&self) -> u64 {
         self.service_view.get().known_revision
     }
 
-    /// The service revision that the versions held reflect.
+    /// Returns the service revision that the stored versions reflect.
     pub(crate) fn reflected_revision(&self) -> Option<u64> {
         self.service_view.get().reading.map(|(revision, _)| revision)
     }
 
-    /// Notes that someone has seen the service at `revision`.
+    /// Records that a process has seen the service at `revision`.
     pub(crate) fn record_known_revision(&self, revision: u64) {
         let mut service_view = self.service_view.get();
         service_view.known_revision = service_view.known_revision.max(revision);
         self.service_view.set(service_view);
     }
 
-    /// Notes a reading that the versions held reflect; one of a revision below the highest known
-    /// is no news.
+    /// Records a service read that the stored versions reflect. A read of a revision below the
+    /// highest known, or not later than the recorded one, is ignored.
     pub(crate) fn record_reading(&self, revision: u64, read: Instant) {
         let mut service_view = self.service_view.get();
         let later = service_view.reading.is_none_or(|(_, known)| read > known);
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Takes over the reading of a peer that holds the same.
+    /// Adopts the service read of a peer with the same versions.
     pub(crate) fn adopt_reading(&self, reading: Option<ServiceReading>) {
         let Some(reading) = reading else { return };
         let age = Duration::from_millis(reading.age_ms);
@@ -244,17 +246,17 @@
         }
     }
 
-    /// How long ago the service was read at what is held.
+    /// Returns the time since the service read that the stored versions reflect.
     pub(crate) fn age(&self) -> Option<Duration> {
         self.service_view.get().reading.map(|(_, read)| read.elapsed())
     }
 
-    /// Whether the process may serve with what it holds.
+    /// Returns whether the process may serve with the files that it stores.
     pub(crate) fn is_settled(&self) -> bool {
         self.settling.get() == SettlingState::Settled
     }
 
-    /// Has the process ask its peers before it counts as settled again.
+    /// Makes the process query its peers again before it counts as settled.
     pub(crate) fn restart_settling(&self) {
         self.settling.set(SettlingState::Querying(Instant::now()));
         for link in self.links.borrow().values() {
@@ -264,14 +266,14 @@
         }
     }
 
-    /// Asks peers at once whether they hold the same, while the process is not settled.
+    /// Queries all peers for a summary immediately, unless the process is settled.
     pub(crate) fn query_peers_if_unsettled(&self) {
         if !self.is_settled() {
             self.links.borrow().values().for_each(|link| link.queue_summary(true));
         }
     }
 
-    /// Settles the process where the facts allow it.
+    /// Marks the process as settled if the current facts allow it.
     pub(crate) fn update_settling(&self) {
         let SettlingState::Querying(since) = self.settling.get() else { return };
         if self.settling_facts(since).is_settled(self.settings.ask_within) {
@@ -306,28 +308,29 @@
         }
     }
 
-    /// Whether no version is being fetched.
+    /// Returns whether no version is being fetched.
     pub(crate) fn is_fetch_idle(&self) -> bool {
         self.fetches.borrow().is_idle()
     }
 
-    /// A number for a new link.
+    /// Returns the number of a new link.
     pub(crate) fn next_link(&self) -> u64 {
         self.last_link.set(self.last_link.get() + 1);
         self.last_link.get()
     }
 
-    /// Links open that this process opened, or that its peers opened.
+    /// Returns the number of open links that this process opened (`outgoing`) or that its peers
+    /// opened.
     pub(crate) fn count_links(&self, outgoing: bool) -> usize {
         self.links.borrow().values().filter(|link| link.outgoing == outgoing).count()
     }
 
-    /// Whether there is a link to the peer at `address`.
+    /// Returns whether there is a link to the peer at `address`.
     pub(crate) fn is_linked(&self, address: SocketAddr) -> bool {
         self.links.borrow().values().any(|link| link.address == address)
     }
 
-    /// Closes one of the links that this process opened, at random.
+    /// Closes a random link among those that this process opened.
     pub(crate) fn close_opened_link(&self) {
         let links = self.links.borrow();
         let opened: Vec<_> = links.values().filter(|link| link.outgoing).collect();
--- a/crates/papayamux-spread/src/exchange/byte_budget.rs
+++ b/crates/papayamux-spread/src/exchange/byte_budget.rs
@@ -1,4 +1,4 @@
-//! The bytes that a process may exchange with its peers, both ways together.
+//! Limit on the bytes that a process exchanges with its peers, both directions combined.
 
 use std::time::Instant;
 
@@ -7,15 +7,15 @@
 
 use crate::rate_limit::TokenBucket;
 
-/// The longest message that need not wait its turn behind parts of bodies, in bytes.
+/// Maximum size in bytes of a message that doesn't queue behind body parts.
 const MAX_URGENT_BYTES: u64 = 1_024;
-/// Share of a second's bytes that may be saved up.
+/// Burst allowance, as a share of the bytes per second.
 const BURST_SHARE: f64 = 0.1;
-/// Share of a second's bytes that urgent messages may overdraw.
+/// Debt that urgent messages may cause, as a share of the bytes per second.
 const URGENT_DEBT_SHARE: f64 = 0.15;
 
-/// The budget. Short messages may overdraw it a little; parts of bodies wait until all is paid,
-/// one at a time, so that a large file holds up no announcement.
+/// Byte budget. Short messages may overdraw it slightly. Body parts wait until all debt is paid,
+/// one at a time, so that a large file doesn't delay announcements.
 #[derive(Debug)]
 pub(crate) struct ByteBudget {
     bucket: TokenBucket,
@@ -24,7 +24,7 @@
 }
 
 impl ByteBudget {
-    /// A budget of `rate` bytes a second.
+    /// Creates a budget of `rate` bytes per second.
     pub(crate) fn new(rate: ByteCount) -> Self {
         let rate = rate.get() as f64;
         let burst = rate * BURST_SHARE;
@@ -43,13 +43,14 @@
         }
     }
 
-    /// Waits until `bytes` of a body may be sent or asked for.
+    /// Waits until `bytes` of a body may be sent or requested.
     pub(crate) async fn take_bulk(&self, bytes: u64) {
         let _permit = self.bulk_permit.acquire().await;
         self.bucket.take(bytes as f64, 0.0).await;
     }
 
-    /// Counts bytes received, of which `prepaid` were taken beforehand.
+    /// Charges received bytes, of which `prepaid` were reserved before. Returns the unused part of
+    /// the reservation.
     pub(crate) fn charge(&self, bytes: u64, prepaid: u64) {
         match bytes.checked_sub(prepaid) {
             Some(more) => {
--- a/crates/papayamux-spread/src/exchange/dialer.rs
+++ b/crates/papayamux-spread/src/exchange/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to peers: opening, accepting, renewing.
+//! Opens, accepts and renews connections to peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,29 +18,30 @@
 use crate::peers::PEER_ALIVE_TIMEOUT;
 use crate::rate_limit::{RetryBackoff, TokenBucket};
 
-/// Connections of peers open at once. One more closes the oldest, whose peer knows others by
-/// then, so that a process that has just started always finds a seed that takes it.
+/// Maximum number of accepted connections. One more closes the oldest, whose peer knows other
+/// processes by then, so that a process that has just started always finds a seed that accepts it.
 const MAX_ACCEPTED_LINKS: usize = 12;
-/// Connections accepted a second, and how many may be saved up: when many processes start at once
-/// and know the same seeds, they wait in the listener's backlog instead of overdrawing the budget.
+/// Accepted connections per second, and the burst allowance. When many processes start at once with
+/// the same seeds, they wait in the listener's backlog instead of overdrawing the byte budget.
 const ACCEPT_RATE: f64 = 8.0;
 const ACCEPT_BURST: f64 = 8.0;
-/// Seeds tried at once by a process that knows no one else: the first that answers names others.
+/// Maximum number of concurrent connection attempts of a process that knows no living peer. The
+/// first peer that answers names others.
 const MAX_SEED_DIALS: usize = 2;
-/// How long the listener waits after it could not accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The first and the longest pause before a peer that could not be reached is tried again.
+/// Initial and maximum delay before a failed connection attempt is retried.
 const INITIAL_REDIAL_DELAY: Duration = Duration::from_millis(500);
 const MAX_REDIAL_DELAY: Duration = Duration::from_secs(10);
-/// Addresses whose failures are remembered.
+/// Maximum number of addresses whose failures are recorded.
 const MAX_FAILURES: usize = 512;
-/// About how often one connection is replaced by one to another peer, so that halves that were
-/// parted find each other and the connections stay mixed.
+/// Mean interval at which one connection is replaced by one to another peer. This lets the halves
+/// of a healed partition find each other and keeps the connections mixed.
 const RENEW_INTERVAL: Duration = Duration::from_secs(30);
-/// About how often a peer that is not heard any more is tried beside the connections open.
+/// Mean interval at which an additional connection to a silent peer is tried.
 const PROBE_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Accepts peers for ever.
+/// Accepts connections from peers; never returns.
 pub(crate) async fn accept_peers(core: Rc<SpreadCore>, listener: TcpListener) {
     let rate_limit = TokenBucket::new(ACCEPT_RATE, ACCEPT_BURST, ACCEPT_BURST, Instant::now());
     loop {
@@ -72,7 +73,7 @@
 fn record_link_end(core: &SpreadCore, outcome: Result<(), PeerError>) {
     let Err(error) = outcome else { return };
     core.metrics.lost_links.count(error.label());
-    log::debug!(error:% = error; "connection of a peer ended");
+    log::debug!(error:% = error; "peer connection ended");
 }
 
 struct DialFailure {
@@ -83,7 +84,7 @@
 /// Keeps connections to peers open.
 struct PeerDialer {
     core: Rc<SpreadCore>,
-    /// Peers with a connection that is open or being opened.
+    /// Peers with an outgoing connection that is open or being opened.
     dialing: Vec<SocketAddr>,
     /// Addresses that lead back to this process.
     own: Vec<SocketAddr>,
@@ -96,11 +97,11 @@
 
 /// How an outgoing connection ended.
 enum DialEnd {
-    /// It could not be opened.
+    /// The connection or its handshake failed, or it broke.
     Failed(SocketAddr),
-    /// It was open for a while.
+    /// The connection was closed after use, or the peer went silent.
     Ended(SocketAddr),
-    /// It leads back to this process.
+    /// The address leads back to this process.
     SelfConnection(SocketAddr),
 }
 
@@ -108,7 +109,7 @@
     period.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// Opens connections to peers for ever.
+/// Opens connections to peers until the timer stops.
 pub(crate) async fn dial_peers(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     let (report, ended) = futures_channel::mpsc::unbounded();
     let now = Instant::now();
@@ -185,8 +186,8 @@
         }
     }
 
-    /// A peer that is not connected, at random; those of other failure domains as likely as those
-    /// of the own one.
+    /// Returns a random peer that isn't connected. Peers of other failure domains are as likely as
+    /// those of this process's own domain.
     fn pick(&self, now: Instant, filter: PeerFilter) -> Option<SocketAddr> {
         let table = self.core.table.borrow();
         let mut near = Vec::new();
@@ -238,14 +239,14 @@
     end
 }
 
-/// Which peers are wanted.
+/// Which peers to select.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeerFilter {
-    /// Those heard lately.
+    /// Peers that count as alive.
     Alive,
-    /// Those not heard lately, and seeds.
+    /// Peers that don't count as alive, and unknown seeds.
     Silent,
-    /// All.
+    /// All known peers, and unknown seeds.
     Any,
 }
 
--- a/crates/papayamux-spread/src/exchange/fetch.rs
+++ b/crates/papayamux-spread/src/exchange/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching versions from the peers that have them.
+//! Fetching of versions from peers.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -16,43 +16,44 @@
 use crate::core::{SpreadCore, VersionSource};
 use crate::files::{BodyError, EncodedBody, FileVersion, MAX_BODY_BYTES};
 
-/// Fetches that run at once.
+/// Maximum number of concurrent fetches.
 const MAX_CONCURRENT_FETCHES: usize = 4;
-/// Versions that may be wanted at once.
+/// Maximum number of versions that are fetched or queued.
 const MAX_WANTED_VERSIONS: usize = 8_192;
-/// Peers noted as having a version.
+/// Maximum number of peers recorded as sources of a version.
 const MAX_SOURCES: usize = 16;
-/// How long a part may take to come.
+/// Timeout for receiving a part.
 const PART_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes taken from the budget for a first part, before its length is known.
+/// Bytes reserved in the budget for a first part, whose length isn't known yet.
 const FIRST_PART_BYTES: u64 = 512;
-/// Bodies above this are fetched from several peers and passed on while they come.
+/// Bodies larger than this are fetched from several peers, and their parts are sent to others while
+/// the rest arrives.
 const SHARED_FETCH_THRESHOLD_BYTES: u64 = 16 * 1024;
-/// Bytes of a part beside its data, about.
+/// Approximate overhead of a part beyond its data, in bytes.
 pub(crate) const PART_OVERHEAD: u64 = 128;
 
-/// Why a peer did not give a version.
+/// The error of fetching a version from a peer.
 #[derive(Debug, Error)]
 pub(crate) enum FetchError {
     /// The connection ended.
     #[error("the connection ended")]
     LinkLost,
-    /// No part came in time.
-    #[error("no part came in time")]
+    /// No part arrived within the timeout.
+    #[error("no part arrived within the timeout")]
     Timeout,
-    /// The peer can't give the version, or not yet.
-    #[error("the peer can't give the version")]
+    /// The peer doesn't have the version, or not yet.
+    #[error("the peer doesn't have the version")]
     Absent,
-    /// The parts do not fit together.
-    #[error("the parts do not fit together")]
+    /// The parts don't fit together.
+    #[error("the parts of the body don't fit together")]
     Parts,
-    /// The body does not lead to its version.
+    /// The body doesn't decode to its version.
     #[error(transparent)]
     Body(#[from] BodyError),
 }
 
 impl FetchError {
-    /// The reason's label.
+    /// Returns the reason's label in metrics.
     pub(crate) fn label(&self) -> &'static str {
         match self {
             FetchError::LinkLost => "link_lost",
@@ -64,7 +65,7 @@
     }
 }
 
-/// The versions wanted, each with the links of peers that have it.
+/// Versions that are fetched or queued, each with the links to peers that have it.
 #[derive(Debug, Default)]
 pub(crate) struct FetchTracker {
     sources: HashMap<VersionKey, Vec<u64>>,
@@ -73,12 +74,12 @@
 }
 
 impl FetchTracker {
-    /// Whether nothing is being fetched.
+    /// Returns whether nothing is fetched or queued.
     pub(crate) fn is_idle(&self) -> bool {
         self.sources.is_empty()
     }
 
-    /// Notes that a peer has a version; `true` where a fetch must be started for it.
+    /// Records that a peer has a version. Returns `true` if a new fetch task must be started.
     fn add_source(&mut self, key: &VersionKey, link: u64) -> bool {
         if let Some(sources) = self.sources.get_mut(key) {
             if sources.len() < MAX_SOURCES && !sources.contains(&link) {
@@ -102,13 +103,13 @@
         next
     }
 
-    /// The links of peers known to have a version that is being fetched.
+    /// Returns the links to peers known to have a version that is being fetched.
     pub(crate) fn sources_of(&self, key: &VersionKey) -> &[u64] {
         self.sources.get(key).map_or(&[], Vec::as_slice)
     }
 }
 
-/// Notes that the peer on `link` has these versions, and fetches those that are of use.
+/// Records that the peer on `link` has these versions, and fetches those that are needed.
 pub(crate) fn request_versions(core: &Rc<SpreadCore>, link: &PeerLink, keys: Vec<VersionKey>) {
     for key in keys {
         if !core.store.borrow().wants(&key) {
@@ -137,7 +138,7 @@
     }
 }
 
-/// Asks one peer after the other until the version, or a later one, is here.
+/// Tries one peer after the other until the version, or a later one, is stored.
 async fn fetch_version(core: &Rc<SpreadCore>, key: &VersionKey) {
     let mut tried = Vec::new();
     while core.store.borrow().wants(key) {
@@ -155,7 +156,7 @@
             }
             Err(error) => {
                 core.metrics.fetch_retries.count(error.label());
-                log::debug!(peer:% = link.address, file = key.name, error:% = error; "fetch failed");
+                log::debug!(peer:% = link.address, file = key.name, error:% = error; "fetching a version from a peer failed");
                 tried.push(link.id);
             }
         }
--- a/crates/papayamux-spread/src/exchange/handshake.rs
+++ b/crates/papayamux-spread/src/exchange/handshake.rs
@@ -1,4 +1,4 @@
-//! The first messages on a connection: hellos, and proofs of the fleet's secret.
+//! Handshake of a peer connection: hello messages and proofs of the fleet's secret.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use super::peer_error::PeerError;
 use crate::core::SpreadCore;
 
-/// How long each of the peer's first messages may take.
+/// Timeout for each handshake message of the peer.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(crate) type PeerReceiver = LinkReceiver<PeerFrame, PeerFrame>;
 
-/// Says hello, hears the peer's, and has both prove the secret where this process has one.
+/// Exchanges hello messages. If this process has a secret, both sides must prove that they know it.
 pub(crate) async fn perform_handshake(
     core: &SpreadCore,
     sender: &LinkSender<PeerMessage>,
--- a/crates/papayamux-spread/src/exchange/link_reader.rs
+++ b/crates/papayamux-spread/src/exchange/link_reader.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer from hello to end.
+//! Lifetime of a peer connection: handshake, exchange of messages and close.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -18,8 +18,8 @@
 use crate::core::SpreadCore;
 use crate::peers::KnownPeer;
 
-/// Summaries in a row that differ before versions are compared: a change on its way makes one
-/// or two differ.
+/// Number of consecutive differing summaries after which versions are compared. A change in transit
+/// makes one or two summaries differ.
 const MIN_DIFFERING_SUMMARIES: u32 = 2;
 
 /// Exchanges versions over `stream` until the link ends.
@@ -49,8 +49,8 @@
     outcome
 }
 
-/// Passes peers on before anything else: a link to a seed may be closed soon to make room, and
-/// what a process that starts needs most is to know others.
+/// Sends the list of peers before anything else. A link to a seed may be closed soon in favour of a
+/// newer one, and a starting process first needs to learn about other processes.
 fn send_first_messages(core: &SpreadCore, link: &PeerLink) {
     record_contact(core, link);
     let peers = link.peers_message(core);
@@ -156,7 +156,7 @@
     link.queue_inventory(differing.map(|(bucket, _)| bucket));
 }
 
-/// Fetches what the peer has and this process lacks, and announces the reverse.
+/// Fetches the versions that only the peer has, and announces those that only this process has.
 fn handle_inventory(
     core: &Rc<SpreadCore>,
     link: &Rc<PeerLink>,
--- a/crates/papayamux-spread/src/exchange/link_writer.rs
+++ b/crates/papayamux-spread/src/exchange/link_writer.rs
@@ -1,4 +1,4 @@
-//! The two writers of a link: short messages, and parts of bodies.
+//! The two writer tasks of a link: one for short messages, one for body parts.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::core::SpreadCore;
 use crate::files::EncodedBody;
 
-/// Bytes of a body that one message carries.
+/// Bytes of a body in one message.
 pub(crate) const PART_BYTES: usize = 2_048;
 
 /// Sends short messages until the link ends.
@@ -70,7 +70,8 @@
     })
 }
 
-/// A delta from the version that the peer holds, or else the version whole, or else the newest.
+/// Returns a delta from the version that the peer has, or else the requested version in full; the
+/// newest version instead if it is later.
 fn body_for(core: &SpreadCore, request: &FetchRequest) -> Option<EncodedBody> {
     let store = core.store.borrow();
     let name = &request.key.name;
--- a/crates/papayamux-spread/src/exchange/mod.rs
+++ b/crates/papayamux-spread/src/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! The exchange of versions between peers.
+//! Exchange of versions between peers.
 
 mod byte_budget;
 mod dialer;
--- a/crates/papayamux-spread/src/exchange/partial_body.rs
+++ b/crates/papayamux-spread/src/exchange/partial_body.rs
@@ -1,4 +1,5 @@
-//! Bodies of large files of which some parts are here, and can be passed on before the rest is.
+//! Partially fetched bodies of large files, whose parts can be sent to other peers before the rest
+//! has arrived.
 
 use bytes::{Bytes, BytesMut};
 use papayamux_protocol::peer::{BodyPart, VersionKey};
@@ -6,7 +7,7 @@
 
 use super::link_writer::PART_BYTES;
 
-/// A body whose parts come from several peers in any order.
+/// A body whose parts arrive from several peers in any order.
 #[derive(Debug)]
 pub(crate) struct PartialBody {
     key: VersionKey,
@@ -17,8 +18,8 @@
 }
 
 impl PartialBody {
-    /// A body of which `first` is the first part; `None` where the part does not lead to the
-    /// version asked for.
+    /// Creates a body from its first part. Returns `None` if the part belongs to another version
+    /// than the requested one.
     pub(crate) fn from_first_part(first: BodyPart) -> Option<Self> {
         if first.key != first.asked {
             return None;
@@ -31,7 +32,7 @@
         body.add_part(first).then_some(body)
     }
 
-    /// Takes a part; `false` where it does not fit.
+    /// Adds a part. Returns `false` if it doesn't fit.
     pub(crate) fn add_part(&mut self, part: BodyPart) -> bool {
         let is_same = part.body_checksum == self.checksum && part.total == self.total as u64;
         let index = part.offset as usize / PART_BYTES;
@@ -50,27 +51,27 @@
         PART_BYTES.min(self.total - index * PART_BYTES)
     }
 
-    /// The offset of a part that is missing and not among `asked`, at random, so that peers that
-    /// fetch together have different parts to give.
+    /// Returns the offset of a random missing part that is not in `asked`. Random choice makes
+    /// peers that fetch at the same time hold different parts, which they can send to each other.
     pub(crate) fn pick_missing(&self, asked: &[u64]) -> Option<u64> {
         let missing = self.parts.iter().enumerate().filter(|(_, part)| part.is_none());
         let offsets = missing.map(|(index, _)| (index * PART_BYTES) as u64);
         offsets.filter(|offset| !asked.contains(offset)).choose(&mut rand::rng())
     }
 
-    /// Whether all parts are here.
+    /// Returns whether all parts have arrived.
     pub(crate) fn is_complete(&self) -> bool {
         self.missing == 0
     }
 
-    /// The whole body, with the checksum that it must have.
+    /// Returns the assembled body and its expected checksum.
     pub(crate) fn assemble(&self) -> (Bytes, u64) {
         let mut body = BytesMut::with_capacity(self.total);
         self.parts.iter().flatten().for_each(|part| body.extend_from_slice(part));
         (body.freeze(), self.checksum)
     }
 
-    /// The part at `offset`, as an answer to a peer.
+    /// Returns the part at `offset`, as sent to a peer.
     pub(crate) fn part(&self, offset: u64) -> Option<BodyPart> {
         let data = self.parts.get(offset as usize / PART_BYTES)?.clone()?;
         Some(BodyPart {
--- a/crates/papayamux-spread/src/exchange/peer_link.rs
+++ b/crates/papayamux-spread/src/exchange/peer_link.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer, and what waits to be sent on it.
+//! A connection to a peer and its outgoing messages.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -14,21 +14,21 @@
 
 use crate::core::SpreadCore;
 
-/// Requests of one peer that may wait for their answers.
+/// Maximum number of queued requests of one peer.
 const MAX_PENDING_REQUESTS: usize = 16;
-/// Peers passed on beside the watchers.
+/// Number of peer records sent in addition to the watchers.
 const NON_WATCHER_RECORDS: usize = 4;
 
-/// What a peer answers to a fetch.
+/// Answer of a peer to a fetch request.
 #[derive(Debug)]
 pub(crate) enum FetchAnswer {
     /// A part of a body.
     Part(BodyPart),
-    /// The peer can't give the version.
+    /// The peer doesn't have the version.
     Absent,
 }
 
-/// Short messages that wait to be sent.
+/// Short messages queued for sending.
 #[derive(Debug, Default)]
 struct PendingMessages {
     summary: Option<bool>,
@@ -40,23 +40,24 @@
     peers: bool,
 }
 
-/// A connection whose two sides have said hello.
+/// A connection after its handshake.
 pub(crate) struct PeerLink {
-    /// Its number within this process.
+    /// Number of the link within this process.
     pub(crate) id: u64,
-    /// Where the peer listens.
+    /// Address on which the peer listens.
     pub(crate) address: SocketAddr,
-    /// What the peer has said about itself.
+    /// Hello message of the peer.
     pub(crate) hello: PeerHello,
-    /// Whether this process opened it.
+    /// `true` if this process opened the connection.
     pub(crate) outgoing: bool,
-    /// When the last message came.
+    /// Time of the last received message.
     pub(crate) last_contact: Cell<Instant>,
-    /// Whether a settled peer has held the same versions as this process.
+    /// `true` if the peer was settled and had the same versions as this process when it last sent a
+    /// summary with the same digest.
     pub(crate) agreed: Cell<bool>,
-    /// Whether the peer is settled, once it has said so.
+    /// Whether the peer is settled; `None` until its first summary.
     pub(crate) peer_settled: Cell<Option<bool>>,
-    /// Summaries in a row with a digest other than this process's.
+    /// Number of consecutive summaries with another digest than this process's.
     pub(crate) differing: Cell<u32>,
     sender: LinkSender<PeerMessage>,
     pending: RefCell<PendingMessages>,
@@ -67,16 +68,16 @@
     closed: ShutdownSignal,
 }
 
-/// What wakes a link's two writers.
+/// Wake-ups of a link's two writer tasks.
 pub(crate) struct LinkWakes {
-    /// A short message waits.
+    /// A short message is queued.
     pub(crate) messages: mpsc::Receiver<()>,
-    /// A request waits for its answer.
+    /// A request of the peer is queued.
     pub(crate) requests: mpsc::Receiver<()>,
 }
 
 impl PeerLink {
-    /// A link after its hellos.
+    /// Creates a link after its handshake.
     pub(crate) fn new(
         id: u64,
         hello: PeerHello,
@@ -105,7 +106,7 @@
         (link, LinkWakes { messages, requests })
     }
 
-    /// Has the link end.
+    /// Closes the link.
     pub(crate) fn close(&self) {
         self.closed.trigger();
         self.message_wake.borrow_mut().close_channel();
@@ -113,7 +114,7 @@
         self.pending_fetches.borrow_mut().clear();
     }
 
-    /// Waits until the link is to end.
+    /// Waits until the link is closed.
     pub(crate) async fn closed(&self) {
         self.closed.triggered().await;
     }
@@ -123,36 +124,37 @@
         let _ = self.message_wake.borrow_mut().try_send(());
     }
 
-    /// Has a summary sent, which may ask for one in return.
+    /// Queues a summary. `asks` requests a summary in return.
     pub(crate) fn queue_summary(&self, asks: bool) {
         self.update_pending(|pending| {
             pending.summary = Some(asks || pending.summary == Some(true))
         });
     }
 
-    /// Has a version announced; a later one of the same file takes its place.
+    /// Queues the announcement of a version, which replaces a queued announcement of the same file.
     pub(crate) fn queue_announcement(&self, key: VersionKey) {
         self.update_pending(|pending| {
             pending.announced.insert(key.name.clone(), key);
         });
     }
 
-    /// Has the digests of the buckets sent.
+    /// Queues the digests of all buckets.
     pub(crate) fn queue_buckets(&self) {
         self.update_pending(|pending| pending.buckets = true);
     }
 
-    /// Has the versions in `buckets` sent.
+    /// Queues an inventory of the versions in `buckets`.
     pub(crate) fn queue_inventory(&self, buckets: impl Iterator<Item = usize>) {
         self.update_pending(|pending| pending.inventory.extend(buckets));
     }
 
-    /// Has peers passed on.
+    /// Queues a list of peers.
     pub(crate) fn queue_peers(&self) {
         self.update_pending(|pending| pending.peers = true);
     }
 
-    /// Asks for a part of a body; the answer comes through the receiver, which ends with the link.
+    /// Requests a part of a body. The receiver yields the answer, or is cancelled when the link
+    /// closes.
     pub(crate) fn request_part(&self, request: FetchRequest) -> oneshot::Receiver<FetchAnswer> {
         let (sender, receiver) = oneshot::channel();
         self.pending_fetches.borrow_mut().insert(request.key.clone(), sender);
@@ -160,13 +162,14 @@
         receiver
     }
 
-    /// Passes an answer on to the fetch that waits for it; `false` when none does.
+    /// Passes an answer to the fetch that waits for it. Returns `false` if there is none.
     pub(crate) fn complete_fetch(&self, asked: &VersionKey, answer: FetchAnswer) -> bool {
         let pending_fetches = self.pending_fetches.borrow_mut().remove(asked);
         pending_fetches.is_some_and(|sender| sender.send(answer).is_ok())
     }
 
-    /// Takes a request of the peer.
+    /// Queues a request of the peer. If too many are queued, answers that the version isn't
+    /// available.
     pub(crate) fn queue_request(&self, request: FetchRequest) {
         let mut requests = self.requests.borrow_mut();
         if requests.len() >= MAX_PENDING_REQUESTS {
@@ -177,7 +180,7 @@
         let _ = self.request_wake.borrow_mut().try_send(());
     }
 
-    /// Tells the peer that a version can't be given.
+    /// Queues the answer that a version isn't available.
     pub(crate) fn queue_absent(&self, key: VersionKey) {
         self.update_pending(|pending| {
             if pending.absent.len() < MAX_PENDING_REQUESTS {
@@ -186,12 +189,12 @@
         });
     }
 
-    /// The next request that waits for its answer.
+    /// Returns the next queued request.
     pub(crate) fn next_request(&self) -> Option<FetchRequest> {
         self.requests.borrow_mut().pop_front()
     }
 
-    /// The next short message, the most urgent first.
+    /// Returns the next short message, the most urgent first.
     pub(crate) fn next_message(&self, core: &SpreadCore) -> Option<PeerMessage> {
         let mut pending = self.pending.borrow_mut();
         if let Some(asks) = pending.summary.take() {
@@ -218,12 +221,13 @@
         None
     }
 
-    /// The peers to pass on.
+    /// Returns the message with the peer records to send.
     pub(crate) fn peers_message(&self, core: &SpreadCore) -> PeerMessage {
         PeerMessage::Peers(core.table.borrow().records(NON_WATCHER_RECORDS, Instant::now()))
     }
 
-    /// Sends a message that was paid for; `false` when the connection is gone.
+    /// Sends a message whose bytes were already taken from the budget. Returns `false` if the
+    /// connection is closed.
     pub(crate) fn send(&self, core: &SpreadCore, message: PeerMessage) -> bool {
         core.metrics.sent_bytes.inc_by(message.wire_bytes());
         self.sender.send(0, message)
@@ -238,7 +242,8 @@
     std::mem::replace(announced, rest).into_values().collect()
 }
 
-/// An inventory of `first` and of as many of the other buckets as one message may hold.
+/// Returns an inventory of the bucket `first` and of as many of the other buckets as fit into one
+/// message.
 fn next_inventory(core: &SpreadCore, first: usize, rest: &mut BTreeSet<usize>) -> PeerMessage {
     let store = core.store.borrow();
     let mut buckets = vec![first as u32];
--- a/crates/papayamux-spread/src/exchange/shared_fetch.rs
+++ b/crates/papayamux-spread/src/exchange/shared_fetch.rs
@@ -1,4 +1,5 @@
-//! Fetching a large body from several peers at once, while passing on what is here already.
+//! Fetching of large bodies from several peers at once, while the parts that have arrived are
+//! already sent to others.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,14 +17,14 @@
 use crate::core::SpreadCore;
 use crate::files::{EncodedBody, FileVersion};
 
-/// Parts asked for at once, each from another peer.
+/// Maximum number of parts requested at once, each from another peer.
 const MAX_CONCURRENT_PARTS: usize = 2;
-/// The pause after a peer has not got a part yet.
+/// Delay before the next attempt if a peer doesn't have a part yet.
 const ABSENT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long no part may come before the fetch is given up.
+/// Time without a new part after which the fetch fails.
 const PROGRESS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Fetches the rest of a body of which the first part is here.
+/// Fetches the rest of a body whose first part has arrived.
 pub(crate) async fn fetch_shared(
     core: &Rc<SpreadCore>,
     first: BodyPart,
@@ -78,7 +79,7 @@
     core.partials.borrow().get(key).is_none_or(PartialBody::is_complete)
 }
 
-/// A missing part, and a peer that is not asked for another already.
+/// Selects a missing part and a peer from which no other part is requested.
 fn pick_next(
     core: &SpreadCore,
     key: &VersionKey,
@@ -110,7 +111,7 @@
     PartOutcome { link: link.id, offset, part }
 }
 
-/// Takes a part; `true` where it fits.
+/// Adds a received part. Returns `true` if it fits.
 fn handle_outcome(core: &SpreadCore, key: &VersionKey, outcome: PartOutcome) -> bool {
     match outcome.part {
         Ok(part) => {
@@ -122,7 +123,7 @@
             }
             fits
         }
-        // A peer that fetches the same body has not got every part yet.
+        // A peer that fetches the same body doesn't have all parts yet.
         Err(FetchError::Absent) => false,
         Err(error) => {
             core.metrics.fetch_retries.count(error.label());
--- a/crates/papayamux-spread/src/files/delta.rs
+++ b/crates/papayamux-spread/src/files/delta.rs
@@ -1,4 +1,4 @@
-//! What changed between two versions of a file, line by line.
+//! Line-based deltas between two versions of a file.
 
 use std::collections::HashMap;
 
@@ -9,23 +9,23 @@
 
 use super::file_version::FileVersion;
 
-/// A delta is kept only where it is shorter than this share of the text.
+/// Minimum ratio of the text's size to the delta's at which the delta is kept.
 const MIN_TEXT_TO_DELTA_RATIO: usize = 4;
-/// Bytes of the longest delta kept.
+/// Maximum size of a kept delta in bytes.
 const MAX_DELTA_BYTES: usize = 64 * 1024;
 
-/// Why a delta can't be applied.
+/// The error of applying a delta.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// It copies lines that its base has not got.
-    #[error("the delta copies lines beyond its base")]
+    /// The delta copies lines that its base doesn't have.
+    #[error("the delta copies lines that its base doesn't have")]
     OutOfRange,
-    /// Its result is longer than a file may be.
-    #[error("the delta's result is too long")]
+    /// The result exceeds the maximum file size.
+    #[error("the result of the delta exceeds the maximum file size")]
     TooLong,
 }
 
-/// One step of a delta: lines of the base, then new text.
+/// One step of a delta: copied lines of the base, followed by new text.
 #[derive(Clone, PartialEq, Message)]
 struct WireStep {
     #[prost(uint32, tag = "1")]
@@ -36,26 +36,26 @@
     insert: String,
 }
 
-/// The steps of a delta.
+/// Wire form of a delta.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireDelta {
     #[prost(message, repeated, tag = "1")]
     steps: Vec<WireStep>,
 }
 
-/// The way from one version of a file to a later one.
+/// An encoded delta from one version of a file to a later one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeltaStep {
-    /// The version it starts from.
+    /// The version to which the delta applies.
     pub base: VersionKey,
-    /// The version it leads to.
+    /// The version that results.
     pub target: VersionKey,
     /// The encoded steps.
     pub steps: Bytes,
 }
 
 impl DeltaStep {
-    /// The delta between two versions, where it is much shorter than the text.
+    /// Returns the delta between two versions if it is much shorter than the text.
     pub fn between(base: &FileVersion, target: &FileVersion) -> Option<Self> {
         if base.key.removed || target.key.removed {
             return None;
@@ -108,7 +108,7 @@
         self.steps.push(WireStep { first_line: line, lines: 1, insert: String::new() });
     }
 
-    /// The text that the delta makes of `base`.
+    /// Returns the result of applying the delta to `base`.
     pub(crate) fn apply(&self, base: &str) -> Result<String, DeltaError> {
         let base: Vec<&str> = base.split_inclusive('\n').collect();
         let mut text = String::new();
@@ -127,7 +127,7 @@
     }
 }
 
-/// The first of `places` at or after `next`, or else the first of all.
+/// Returns the first of the sorted `positions` at or after `next`, or else the first of all.
 fn next_occurrence(positions: &[usize], next: usize) -> usize {
     let after = positions.partition_point(|position| *position < next);
     positions.get(after).or(positions.first()).copied().unwrap_or(0)
--- a/crates/papayamux-spread/src/files/encoded_body.rs
+++ b/crates/papayamux-spread/src/files/encoded_body.rs
@@ -1,4 +1,4 @@
-//! The form in which a version's text travels: compressed, whole or as a delta.
+//! Encoded form of a version's text: compressed, in full or as a delta.
 
 use bytes::{Bytes, BytesMut};
 use miniz_oxide::deflate::compress_to_vec;
@@ -11,25 +11,25 @@
 use super::delta::{DeltaError, DeltaStep, WireDelta};
 use super::file_version::FileVersion;
 
-/// How hard the compressor tries, from 0 to 10.
+/// Compression level, from 0 to 10.
 const COMPRESSION_LEVEL: u8 = 6;
-/// Bytes that a compressed body may take: the bound of a text and what headers may add.
+/// Maximum size of a compressed body in bytes: that of a text and what headers may add.
 pub(crate) const MAX_BODY_BYTES: usize = LONGEST_FILE + 4_096;
 
 const FULL: u8 = 0;
 const DELTA: u8 = 1;
 
-/// Why a body does not lead to its version.
+/// The error of decoding a body to its version.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// It is not compressed text.
+    /// The body is not compressed text.
     #[error("the body can't be decompressed")]
     Compression,
-    /// It is neither whole nor a delta.
-    #[error("the body is of an unknown form")]
+    /// The body is neither a full text nor a delta.
+    #[error("the body has an unknown form")]
     Form,
     /// The delta's steps are malformed.
-    #[error("the delta can't be read: {0}")]
+    #[error("the delta can't be decoded: {0}")]
     Steps(#[from] prost::DecodeError),
     /// The delta can't be applied.
     #[error(transparent)]
@@ -37,29 +37,29 @@
     /// The text is not UTF-8.
     #[error("the text is not UTF-8")]
     Text,
-    /// The text is another than announced.
-    #[error("the text does not have its checksum")]
+    /// The decoded version is not the announced one.
+    #[error("the decoded text doesn't match the announced checksum")]
     Checksum,
 }
 
-/// A body ready to be sent in parts; clones share it.
+/// An encoded body that is sent in parts. Clones share the bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EncodedBody {
-    /// The version it leads to.
+    /// The version to which it decodes.
     pub key: VersionKey,
-    /// The body.
+    /// The encoded bytes.
     pub bytes: Bytes,
-    /// Its checksum.
+    /// Checksum of the encoded bytes.
     pub checksum: u64,
 }
 
 impl EncodedBody {
-    /// The body of a whole version.
+    /// Encodes the full text of a version.
     pub fn full(version: &FileVersion) -> Self {
         Self::new(version.key.clone(), FULL, version.text.as_bytes())
     }
 
-    /// The body of a delta.
+    /// Encodes a delta.
     pub fn delta(step: &DeltaStep) -> Self {
         Self::new(step.target.clone(), DELTA, &step.steps)
     }
@@ -72,7 +72,8 @@
         Self { key, bytes: bytes.freeze(), checksum }
     }
 
-    /// The version that a body leads to, from the text of the version that is held.
+    /// Decodes a body to the version `key`. `base` is the text of the version to which a delta
+    /// applies.
     pub fn decode(key: &VersionKey, body: &[u8], base: &str) -> Result<FileVersion, BodyError> {
         if key.removed {
             return Ok(FileVersion::removed(&key.name, key.revision));
--- a/crates/papayamux-spread/src/files/file_store.rs
+++ b/crates/papayamux-spread/src/files/file_store.rs
@@ -1,8 +1,8 @@
-//! The versions that a process holds.
+//! Store of the file versions of a process.
 //!
-//! Of each file the store keeps the newest version and, where that one is refused, the newest
-//! version that is not. Both are maxima, so that the same versions lead to the same store
-//! whatever their order, repetitions and age, and no version is ever replaced by an older one.
+//! For each file the store keeps the newest version and, if that one is refused, the newest version
+//! that isn't. Both are maxima, so the same versions lead to the same store whatever their order,
+//! repetitions and age, and no version is ever replaced by an older one.
 
 use std::collections::BTreeMap;
 
@@ -13,30 +13,31 @@
 use super::file_version::FileVersion;
 use crate::instances::is_instances;
 
-/// Files that a store may hold, removed ones included.
+/// Maximum number of files in a store, including removed ones.
 const MAX_FILES: usize = 4_096;
-/// Bytes of text that a store may hold.
+/// Maximum bytes of text in a store.
 const MAX_STORE_BYTES: usize = 16 * 1024 * 1024;
-/// Deltas kept for each file.
+/// Number of deltas kept for each file.
 const MAX_DELTAS: usize = 4;
 
-/// Whether a text may come into force by itself. It must depend on its arguments alone.
+/// Returns whether a text may come into force by itself. The result must depend on the arguments
+/// alone.
 pub type FileCheck = fn(name: &str, text: &str) -> bool;
 
-/// What became of a version that was brought to the store.
+/// Outcome of offering a version to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JoinOutcome {
-    /// It is held now.
+    /// The version was stored.
     Stored,
-    /// It was held already.
+    /// The version was already stored.
     AlreadyStored,
-    /// A newer one is held, and it adds nothing.
+    /// A newer version is stored, and this one isn't needed.
     Older,
-    /// The store's bounds do not allow it.
+    /// The version exceeds the store's limits.
     TooLarge,
 }
 
-/// The newest version of one file, and the one to be used where that is refused.
+/// Newest version of one file, and the version to use if the newest is refused.
 #[derive(Debug, Clone, Copy)]
 pub struct LatestVersion<'a> {
     /// The newest version.
@@ -48,14 +49,14 @@
 #[derive(Debug, Default)]
 struct StoredFile {
     newest: Option<FileVersion>,
-    /// Whether `newest` passes its check.
+    /// `true` if `newest` passes its check.
     newest_passes: bool,
-    /// Held only while `newest` is refused.
+    /// Newest version that passes its check; kept only while `newest` is refused.
     accepted: Option<FileVersion>,
     deltas: Vec<DeltaStep>,
 }
 
-/// All versions held.
+/// All stored versions.
 #[derive(Debug)]
 pub struct FileStore {
     check: FileCheck,
@@ -65,7 +66,7 @@
     revision: u64,
 }
 
-/// The bucket of a file's name.
+/// Returns the digest bucket of a file name.
 pub(crate) fn bucket_of(name: &str) -> usize {
     xxh3_64(name.as_bytes()) as usize % DIGEST_BUCKETS
 }
@@ -79,7 +80,7 @@
     hasher.digest()
 }
 
-/// Versions of the same revision that differ are put in the same order everywhere.
+/// Order of versions. Different versions of the same revision have the same order in all processes.
 fn rank(key: &VersionKey) -> (u64, bool, u64) {
     (key.revision, key.removed, key.checksum)
 }
@@ -89,13 +90,13 @@
 }
 
 impl FileStore {
-    /// An empty store that accepts what passes `check`.
+    /// Creates an empty store whose versions are checked by `check`.
     pub fn new(check: FileCheck) -> Self {
         let buckets = [0; DIGEST_BUCKETS];
         Self { check, files: BTreeMap::new(), buckets, bytes: 0, revision: 0 }
     }
 
-    /// Takes a version where it is newer than what is held.
+    /// Stores a version if it is newer than what is stored.
     pub fn join(&mut self, version: FileVersion) -> JoinOutcome {
         if let Some(outcome) = self.refuse_early(&version) {
             return outcome;
@@ -118,7 +119,7 @@
         JoinOutcome::Stored
     }
 
-    /// The outcome for a version that need not be checked.
+    /// Returns the outcome for a version that doesn't need to be checked.
     fn refuse_early(&self, version: &FileVersion) -> Option<JoinOutcome> {
         let key = &version.key;
         if self.holds(key) {
@@ -149,13 +150,13 @@
         }
     }
 
-    /// Whether exactly this version is held.
+    /// Returns whether exactly this version is stored.
     pub fn holds(&self, key: &VersionKey) -> bool {
         self.version(key).is_some()
     }
 
-    /// Whether a version that a peer holds would be of use here. A version below the newest may
-    /// be the last accepted one, which is only known once its text is here.
+    /// Returns whether a peer's version may be needed. A version below the newest may be the newest
+    /// accepted one, which is only known once its text has been fetched.
     pub fn wants(&self, key: &VersionKey) -> bool {
         let Some(file) = self.files.get(&key.name) else { return true };
         if outranks(key, file.newest.as_ref()) {
@@ -165,23 +166,23 @@
         !file.newest_passes && !is_newest && outranks(key, file.accepted.as_ref())
     }
 
-    /// The version with this key.
+    /// Returns the version with this key.
     pub fn version(&self, key: &VersionKey) -> Option<&FileVersion> {
         self.files.get(&key.name)?.versions().find(|version| version.key == *key)
     }
 
-    /// The newest version of a file.
+    /// Returns the newest version of a file.
     pub fn newest(&self, name: &str) -> Option<&FileVersion> {
         self.files.get(name)?.newest.as_ref()
     }
 
-    /// The delta that leads on from a base version.
+    /// Returns the delta that starts from the base version with this revision and checksum.
     pub(crate) fn delta_from(&self, name: &str, base: (u64, u64)) -> Option<&DeltaStep> {
         let deltas = &self.files.get(name)?.deltas;
         deltas.iter().find(|step| (step.base.revision, step.base.checksum) == base)
     }
 
-    /// Each file's newest version and the one that passes its check.
+    /// Returns each file's newest version and the newest that passes its check.
     pub fn latest(&self) -> impl Iterator<Item = LatestVersion<'_>> {
         self.files.values().filter_map(|file| {
             let newest = file.newest.as_ref()?;
@@ -190,35 +191,35 @@
         })
     }
 
-    /// The keys of all versions held, of the buckets in `wanted`.
+    /// Returns the keys of all stored versions in the buckets that `wanted` selects.
     pub fn inventory(&self, wanted: impl Fn(usize) -> bool) -> Vec<VersionKey> {
         let files = self.files.iter().filter(|(name, _)| wanted(bucket_of(name)));
         files.flat_map(|(_, file)| file.versions().map(|version| version.key.clone())).collect()
     }
 
-    /// The digest of each bucket.
+    /// Returns the digest of each bucket.
     pub fn buckets(&self) -> &[u64; DIGEST_BUCKETS] {
         &self.buckets
     }
 
-    /// The digest of all versions held; equal stores have equal digests.
+    /// Returns the digest of all stored versions. Equal stores have equal digests.
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
         self.buckets.iter().for_each(|bucket| hasher.update(&bucket.to_le_bytes()));
         hasher.digest()
     }
 
-    /// The highest revision of the service held.
+    /// Returns the highest stored service revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Files held, removed ones included.
+    /// Returns the number of stored files, including removed ones.
     pub fn files(&self) -> usize {
         self.files.len()
     }
 
-    /// Bytes of all texts held.
+    /// Returns the total size of all texts in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
@@ -229,14 +230,14 @@
         self.newest.iter().chain(self.accepted.iter())
     }
 
-    /// Whether a version would be of use, given whether it passes its check.
+    /// Returns whether a version is needed, given whether it passes its check.
     fn needs(&self, version: &FileVersion, passes: bool) -> bool {
         let key = &version.key;
         outranks(key, self.newest.as_ref())
             || (passes && !self.newest_passes && outranks(key, self.accepted.as_ref()))
     }
 
-    /// Takes a version that is of use.
+    /// Stores a version that is needed.
     fn take(&mut self, version: FileVersion, passes: bool) {
         if !outranks(&version.key, self.newest.as_ref()) {
             self.accepted = Some(version);
--- a/crates/papayamux-spread/src/files/mod.rs
+++ b/crates/papayamux-spread/src/files/mod.rs
@@ -1,4 +1,4 @@
-//! The files that a process holds, and how one version leads to the next.
+//! The stored files, their encoded forms and the deltas between versions.
 
 mod delta;
 mod encoded_body;
--- a/crates/papayamux-spread/src/lib.rs
+++ b/crates/papayamux-spread/src/lib.rs
@@ -1,5 +1,6 @@
-//! Spread of the platform's files to all processes: a few of them read the configuration
-//! service, all pass versions on to each other, and none ever goes back to an older one.
+//! Distribution of the platform's files to all processes. A few processes read the configuration
+//! service, all exchange versions with their peers, and no process ever returns to an older
+//! version.
 
 pub mod configuration;
 mod core;
--- a/crates/papayamux-spread/src/metrics.rs
+++ b/crates/papayamux-spread/src/metrics.rs
@@ -1,55 +1,55 @@
-//! Metrics of the spread of files.
+//! Metrics of file distribution.
 
 use papayamux_daemon::metrics::ReasonCounters;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// All metrics of the spread.
+/// All metrics of file distribution.
 #[derive(Debug, Clone, Default)]
 pub struct SpreadMetrics {
-    /// The highest revision held.
+    /// Highest stored service revision.
     pub revision: Gauge,
-    /// Seconds since a reading of the service that what is held reflects; -1 for none.
+    /// Seconds since the service read that the stored files reflect; -1 for none.
     pub age_seconds: Gauge,
-    /// The lower 32 bits of the digest of what is held.
+    /// Lower 32 bits of the digest of the stored versions.
     pub digest: Gauge,
-    /// Files held.
+    /// Number of stored files.
     pub files: Gauge,
-    /// Bytes of text held.
+    /// Bytes of stored text.
     pub file_bytes: Gauge,
-    /// Files whose newest version is refused.
+    /// Number of files whose newest version is refused.
     pub refused_files: Gauge,
-    /// Connections to and from peers.
+    /// Number of open connections to and from peers.
     pub peer_links: Gauge,
-    /// Processes heard lately.
+    /// Number of known processes that are alive.
     pub known_peers: Gauge,
-    /// Whether this process watches the service.
+    /// 1 if this process watches the service, else 0.
     pub watching: Gauge,
     /// Calls to the service, by kind.
     pub service_reads: ReasonCounters,
     /// Bytes read from the service.
     pub service_bytes: Counter,
-    /// Calls to the service that failed, by reason.
+    /// Failed calls to the service, by reason.
     pub service_errors: ReasonCounters,
-    /// Versions and readings that were dropped, by reason.
+    /// Dropped versions and service reads, by reason.
     pub dropped: ReasonCounters,
     /// Bytes sent to peers.
     pub sent_bytes: Counter,
     /// Bytes received from peers.
     pub received_bytes: Counter,
-    /// Versions taken, by where they came from.
+    /// Versions stored, by source.
     pub taken: ReasonCounters,
-    /// Connections of peers refused or lost, by reason.
+    /// Peer connections refused or lost, by reason.
     pub lost_links: ReasonCounters,
-    /// Fetches from peers tried again, by reason.
+    /// Retried fetches from peers, by reason.
     pub fetch_retries: ReasonCounters,
-    /// Pauses of the process that were noticed.
+    /// Detected pauses of the process.
     pub pauses: Counter,
 }
 
 impl SpreadMetrics {
-    /// Registers the metrics.
+    /// Registers the metrics under the `papayamux_spread` prefix.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("papayamux_spread");
         self.register_state(registry);
--- a/crates/papayamux-spread/src/node.rs
+++ b/crates/papayamux-spread/src/node.rs
@@ -1,4 +1,4 @@
-//! The spread as a process uses it.
+//! File distribution as a process uses it.
 
 use std::io;
 use std::rc::Rc;
@@ -19,45 +19,45 @@
 use crate::service::{read_instances, read_service};
 use crate::settings::SpreadSettings;
 
-/// How often summaries go to peers.
+/// Interval between summaries sent to peers.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
-/// Summaries between two lists of peers.
+/// Number of summaries between two peer lists on a connection.
 const SUMMARIES_PER_PEER_LIST: u64 = 3;
-/// How often the dialer and the reader look whether there is something to do.
+/// Interval at which the background tasks check for work.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Who a process is.
+/// Identity of a process among its peers.
 #[derive(Debug, Clone)]
 pub struct SpreadIdentity {
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub domain: FailureDomain,
-    /// The fleet's secret, where peers have to know it.
+    /// The fleet's shared secret, if peers must prove that they know it.
     pub secret: Option<SharedSecret>,
 }
 
-/// The spread of files in this process; clones share it.
+/// File distribution in this process. Clones share the state.
 #[derive(Clone)]
 pub struct SpreadNode {
     core: Rc<SpreadCore>,
 }
 
-/// Wakes after changes; several changes may wake once.
+/// Wakes its subscriber after changes; several changes may share one wake-up.
 pub struct ChangeSubscription {
     receiver: mpsc::Receiver<()>,
 }
 
 impl ChangeSubscription {
-    /// Waits for the next change; `false` once the spread has ended.
+    /// Waits for the next change. Returns `false` once distribution has stopped.
     pub async fn changed(&mut self) -> bool {
         self.receiver.next().await.is_some()
     }
 }
 
 impl SpreadNode {
-    /// Starts the spread on the current runtime. Versions that fail `check` are spread, but the
-    /// last version of the same file that passes is kept beside them.
+    /// Starts distribution on the current runtime. Versions that fail `check` are still
+    /// distributed, but the newest version of the file that passes is kept beside them.
     pub fn start(
         settings: SpreadSettings,
         identity: SpreadIdentity,
@@ -67,7 +67,7 @@
     ) -> io::Result<Self> {
         let listener = listen(settings.listen)?;
         let own = listener.local_addr()?;
-        log::info!(peers:% = own; "exchange with peers begins");
+        log::info!(peers:% = own; "listening for peers");
         let store = FileStore::new(check);
         let core = SpreadCore::new(settings, identity, own, store, metrics);
         let core = Rc::new(core);
@@ -80,17 +80,18 @@
         Ok(Self { core })
     }
 
-    /// Where this process listens for peers.
+    /// Returns the address on which this process listens for peers.
     pub fn address(&self) -> std::net::SocketAddr {
         self.core.own
     }
 
-    /// Whether the process has asked its peers since it started or was paused.
+    /// Returns whether the process has compared its files with its peers since it started or was
+    /// last paused.
     pub fn is_settled(&self) -> bool {
         self.core.is_settled()
     }
 
-    /// Looks at the versions held.
+    /// Calls `read` with the store of file versions.
     pub fn with_files<T>(&self, read: impl FnOnce(&FileStore) -> T) -> T {
         read(&self.core.store.borrow())
     }
@@ -99,12 +100,12 @@
         &self.core.metrics
     }
 
-    /// Subscribes to changes of the versions held and of whether the process is settled.
+    /// Subscribes to changes of the stored versions and of the settled state.
     pub fn subscribe(&self) -> ChangeSubscription {
         ChangeSubscription { receiver: self.core.subscribe() }
     }
 
-    /// The state, for people and programs.
+    /// Returns the state for the status report.
     pub fn status(&self) -> serde_json::Value {
         let core = &self.core;
         let store = core.store.borrow();
@@ -141,8 +142,8 @@
     }
 }
 
-/// Notices pauses of the process, after which peers are asked before anything else; brings the
-/// gauges up to date.
+/// Detects pauses of the process, after which it must query its peers again before it counts as
+/// settled. Also updates the gauges.
 async fn watch_clock(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     while let Some(tick) = ticks.tick().await {
         if let Some(paused) = tick.paused {
--- a/crates/papayamux-spread/src/peers/mod.rs
+++ b/crates/papayamux-spread/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Which processes are known, and which of them read the service.
+//! Known processes, and which of them watch the service.
 
 mod peer_table;
 
--- a/crates/papayamux-spread/src/peers/peer_table.rs
+++ b/crates/papayamux-spread/src/peers/peer_table.rs
@@ -1,8 +1,8 @@
-//! The bounded table of processes known.
+//! Bounded table of known processes.
 //!
-//! Of each failure domain the table always keeps the processes that rank highest for watching
-//! the service, and passes them on first, so that all processes soon know the same ones although
-//! each knows few. Of the others it keeps those heard last.
+//! For each failure domain the table always keeps the processes that rank highest as watchers of
+//! the service, and sends them to peers first. All processes soon know the same watchers although
+//! each knows few processes. Of the others it keeps the most recently contacted.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,29 +13,31 @@
 use rand::seq::IndexedRandom;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Processes that a table holds at most.
+/// Maximum number of processes in the table.
 const MAX_PEERS: usize = 128;
-/// Failure domains whose watchers are kept for sure.
+/// Maximum number of failure domains whose watchers are always kept.
 const MAX_DOMAINS: usize = 8;
-/// A process not heard for so long is not counted as alive.
+/// A process without contact for this long doesn't count as alive.
 pub(crate) const PEER_ALIVE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A process not heard for so long is forgotten, unless it is a seed.
+/// Entries without contact for this long are removed. Seeds remain known to the dialer through the
+/// settings.
 const PEER_RETENTION: Duration = Duration::from_secs(15 * 60);
 
-/// A process that is known.
+/// A known process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownPeer {
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: FailureDomain,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// When it was last heard by anyone, as far as is known.
+    /// Latest known contact of any process with it.
     pub last_contact: Instant,
 }
 
-/// The rank of a process among the watchers of its failure domain; the highest watch.
+/// Returns the rank of a process as a watcher of its failure domain. The highest-ranked processes
+/// watch the service.
 pub fn watch_rank(domain: &FailureDomain, address: SocketAddr) -> u64 {
     xxh3_64(format!("{domain} {address}").as_bytes())
 }
@@ -55,7 +57,7 @@
     }
 }
 
-/// All processes known, without this one.
+/// All known processes except this one.
 #[derive(Debug)]
 pub struct PeerTable {
     own: SocketAddr,
@@ -64,12 +66,12 @@
 }
 
 impl PeerTable {
-    /// An empty table of the process at `own`, for `watchers` in each failure domain.
+    /// Creates an empty table for the process at `own`, with `watchers` per failure domain.
     pub fn new(own: SocketAddr, watchers: usize) -> Self {
         Self { own, watchers, peers: HashMap::new() }
     }
 
-    /// Notes a process that was heard `heard`; what was heard later wins.
+    /// Adds or updates a process. A later incarnation wins, then a later contact.
     pub fn update(&mut self, peer: KnownPeer, now: Instant) {
         if peer.address == self.own {
             return;
@@ -84,7 +86,8 @@
         }
     }
 
-    /// Notes what another process knows.
+    /// Applies a record received from another process. Records older than `PEER_RETENTION` are
+    /// ignored.
     pub fn update_from_record(&mut self, record: PeerRecord, now: Instant) {
         let age = Duration::from_millis(record.heard_ms);
         let Some(last_contact) = now.checked_sub(age) else { return };
@@ -114,7 +117,7 @@
         self.peers.values().filter(is_alive)
     }
 
-    /// The processes alive that rank highest in their failure domains.
+    /// Returns the highest-ranked living processes of each failure domain.
     fn top_watchers(&self, now: Instant) -> Vec<SocketAddr> {
         let mut domains: HashMap<&FailureDomain, Vec<&KnownPeer>> = HashMap::new();
         for peer in self.alive(now) {
@@ -131,14 +134,14 @@
         top
     }
 
-    /// Whether this process, of failure domain `domain`, is among its domain's watchers.
+    /// Returns whether this process, in failure domain `domain`, is one of the domain's watchers.
     pub fn is_watcher(&self, domain: &FailureDomain, now: Instant) -> bool {
         let own = watch_rank(domain, self.own);
         let above = self.alive(now).filter(|peer| peer.domain == *domain && peer.rank() > own);
         above.count() < self.watchers
     }
 
-    /// What to pass on: the watchers, and `others` more.
+    /// Returns the records to send to a peer: the watchers and `others` random living processes.
     pub fn records(&self, others: usize, now: Instant) -> Vec<PeerRecord> {
         let mut addresses = self.top_watchers(now);
         let rest: Vec<_> = self.alive(now).map(|peer| peer.address).collect();
@@ -149,12 +152,12 @@
         peers.map(|peer| peer.record(now)).collect()
     }
 
-    /// All processes known, also those not heard for long.
+    /// Returns all known processes, including those that don't count as alive.
     pub fn all(&self) -> impl Iterator<Item = &KnownPeer> {
         self.peers.values()
     }
 
-    /// Processes heard lately.
+    /// Returns the number of processes that count as alive.
     pub fn alive_count(&self, now: Instant) -> usize {
         self.alive(now).count()
     }
--- a/crates/papayamux-spread/src/rate_limit.rs
+++ b/crates/papayamux-spread/src/rate_limit.rs
@@ -1,12 +1,12 @@
-//! Paces: how many bytes a process may exchange and how many reads it may make.
+//! Rate limits for bytes and service calls, and back-off between retries.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
 use rand::RngExt;
 
-/// A token bucket. Waiting takers are served in turn, because each takes its tokens at once and
-/// then waits until the debt is paid.
+/// A token bucket. Waiting callers are served in order, because each takes its tokens immediately
+/// and then waits until the debt is paid.
 #[derive(Debug)]
 pub struct TokenBucket {
     rate: Cell<f64>,
@@ -16,7 +16,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket with `tokens` in it that gains `rate` a second, up to `burst`.
+    /// Creates a bucket that holds `tokens` and gains `rate` per second, up to `burst`.
     pub fn new(rate: f64, burst: f64, tokens: f64, now: Instant) -> Self {
         Self {
             rate: Cell::new(rate),
@@ -41,7 +41,7 @@
         self.refilled_at.set(now);
     }
 
-    /// Takes `count` tokens and says how long to wait until the bucket owes no more than `debt`.
+    /// Takes `count` tokens and returns the wait until the bucket owes at most `debt`.
     pub fn reserve(&self, count: f64, debt: f64, now: Instant) -> Duration {
         self.refill(now);
         let left = self.tokens.get() - count;
@@ -50,12 +50,12 @@
         Duration::from_secs_f64(missing / self.rate.get())
     }
 
-    /// Gives tokens back that were taken and not used.
+    /// Returns unused tokens to the bucket.
     pub fn refund(&self, count: f64) {
         self.tokens.set((self.tokens.get() + count).min(self.burst.get()));
     }
 
-    /// Takes `count` tokens once the bucket owes no more than `debt`.
+    /// Takes `count` tokens and waits until the bucket owes at most `debt`.
     pub async fn take(&self, count: f64, debt: f64) {
         let wait = self.reserve(count, debt, Instant::now());
         if !wait.is_zero() {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Growing pauses between attempts that fail, spread at random.
+/// Exponential back-off with jitter between failed attempts.
 #[derive(Debug, Clone)]
 pub struct RetryBackoff {
     initial_delay: Duration,
@@ -73,19 +73,20 @@
 }
 
 impl RetryBackoff {
-    /// Pauses of up to `first` at the beginning and up to `longest` in the end.
+    /// Creates a back-off whose delays start below `initial_delay` and grow up to `max_delay`.
     pub fn new(initial_delay: Duration, max_delay: Duration) -> Self {
         Self { initial_delay, max_delay, next_max: initial_delay }
     }
 
-    /// The next pause: between half the bound and the bound, which then doubles.
+    /// Returns the next delay: a random duration between half of the current maximum and the
+    /// maximum, which then doubles.
     pub fn next_delay(&mut self) -> Duration {
         let next_max = self.next_max;
         self.next_max = (next_max * 2).min(self.max_delay);
         next_max.mul_f64(rand::rng().random_range(0.5..1.0))
     }
 
-    /// Starts over after a success.
+    /// Resets the delays after a success.
     pub fn reset(&mut self) {
         self.next_max = self.initial_delay;
     }
--- a/crates/papayamux-spread/src/service/instance_reader.rs
+++ b/crates/papayamux-spread/src/service/instance_reader.rs
@@ -1,9 +1,9 @@
-//! Reading the platform's list of instances, which is spread like a file.
+//! Reading of the platform's list of instances, which is distributed like a file.
 //!
-//! The list has no revision, and readers may see it at different ages. A reader publishes what it
-//! reads when its own reading has changed, under the time of its clock or the revision after the
-//! one held, whichever is higher; and it publishes again when something else stands there although
-//! its own reading has not changed for a while.
+//! The list has no revision, and readers may see it at different ages. A reader publishes its own
+//! read when it has changed. The revision is the wall-clock time in milliseconds, or the one after
+//! the stored revision if that is higher. A reader also publishes again if another list is stored
+//! although its own read has not changed for `REPUBLISH_DELAY`.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,11 +18,11 @@
 use crate::instances::{wall_clock_ms, INSTANCES_FILE};
 use crate::rate_limit::RetryBackoff;
 
-/// How often a watcher reads the list, about.
+/// Mean interval at which a watcher reads the list.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// Pauses after calls that failed.
+/// Initial and maximum delay after failed calls.
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
-/// For how long a reading must stand before it is published over another.
+/// Duration for which a read must be unchanged before it replaces another list.
 const REPUBLISH_DELAY: Duration = Duration::from_secs(10);
 
 struct InstanceReader {
@@ -33,7 +33,7 @@
     backoff: RetryBackoff,
 }
 
-/// Reads the list for ever while this process watches.
+/// Reads the list while this process is a watcher, until the timer stops.
 pub(crate) async fn read_instances(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     let Some(address) = core.settings.instances else { return };
     let mut reader = InstanceReader {
--- a/crates/papayamux-spread/src/service/mod.rs
+++ b/crates/papayamux-spread/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's configuration service.
+//! Reading of the platform's configuration service.
 
 mod instance_reader;
 mod service_client;
--- a/crates/papayamux-spread/src/service/service_client.rs
+++ b/crates/papayamux-spread/src/service/service_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the configuration service.
+//! Client of the configuration service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,50 +16,52 @@
 use crate::instances::canonical_text;
 use crate::metrics::SpreadMetrics;
 
-/// How long a call may take beyond the time that it waits at the service.
+/// Timeout of a call, in addition to the time for which it waits at the service.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of the longest answer: a value, with what JSON adds to it.
+/// Maximum size of an answer in bytes: that of a value and of its JSON encoding.
 const MAX_ANSWER_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Why a call gave nothing.
+/// The error of a call to the service.
 #[derive(Debug, Error)]
 pub(crate) enum ServiceError {
-    /// No answer came.
-    #[error("the service can't be reached: {0}")]
+    /// The request failed without an answer.
+    #[error("calling the service failed: {0}")]
     Client(#[from] HttpClientError),
-    /// The answer took too long.
-    #[error("the service did not answer in time")]
+    /// No answer arrived within the timeout.
+    #[error("the service did not answer within the timeout")]
     Timeout,
-    /// The service takes no more calls for now.
-    #[error("the service takes no more calls for now")]
+    /// The service limits the call rate.
+    #[error("the service limits the call rate")]
     RateLimited,
-    /// The service refused the call.
-    #[error("the service answered {0}")]
+    /// The service answered with an unexpected status.
+    #[error("the service answered with status {0}")]
     Status(StatusCode),
-    /// The answer makes no sense.
-    #[error("the answer makes no sense: {0}")]
+    /// The answer could not be parsed.
+    #[error("the service's answer could not be parsed: {0}")]
     Json(#[from] serde_json::Error),
     /// The request could not be built.
     #[error(transparent)]
     Request(#[from] http::Error),
-    /// The answer is older than what is known.
-    #[error("the service is at revision {revision}, known is {known}")]
+    /// The answer is older than the known revision.
+    #[error(
+        "the service answered with revision {revision}, older than the known revision {known}"
+    )]
     Stale {
-        /// The answer's revision.
+        /// Revision of the answer.
         revision: u64,
-        /// The revision known.
+        /// Known revision.
         known: u64,
     },
-    /// A file exceeds the bounds.
-    #[error("file {name} exceeds the bounds")]
+    /// A file exceeds the size limits.
+    #[error("file {name} exceeds the size limits")]
     TooLarge {
-        /// The file's name.
+        /// Name of the file.
         name: String,
     },
 }
 
 impl ServiceError {
-    /// The reason's label.
+    /// Returns the reason's label in metrics.
     pub(crate) fn label(&self) -> &'static str {
         match self {
             ServiceError::Client(_) => "unreachable",
@@ -74,7 +76,7 @@
     }
 }
 
-/// A client that counts its calls.
+/// A client that counts its calls and received bytes.
 pub(crate) struct ServiceClient {
     client: HttpClient,
     metrics: SpreadMetrics,
@@ -85,20 +87,20 @@
         Self { client: HttpClient::new(address), metrics }
     }
 
-    /// The names and revisions of all files.
+    /// Returns the names and revisions of all files.
     pub(crate) async fn list(&self) -> Result<FileListing, ServiceError> {
         let body = self.call("list", FILES_PATH, Duration::ZERO).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// One file at its newest revision.
+    /// Returns one file at its newest revision.
     pub(crate) async fn read(&self, name: &str) -> Result<FileVersion, ServiceError> {
         let body = self.call("file", &file_path(name), Duration::ZERO).await?;
         let file: ConfigFile = serde_json::from_slice(&body)?;
         Ok(FileVersion::new(name, file.revision, file.text))
     }
 
-    /// Waits for up to `wait` until files change after revision `after`, and gives these.
+    /// Waits for up to `wait` until files change after revision `after`, and returns them.
     pub(crate) async fn watch(
         &self,
         after: u64,
@@ -109,7 +111,7 @@
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// The list of instances, in the form in which it is spread.
+    /// Returns the list of instances in its canonical form.
     pub(crate) async fn instances(&self) -> Result<String, ServiceError> {
         let body = self.call("instances", INSTANCES_PATH, Duration::ZERO).await?;
         Ok(canonical_text(serde_json::from_slice(&body)?)?)
--- a/crates/papayamux-spread/src/service/service_reader.rs
+++ b/crates/papayamux-spread/src/service/service_reader.rs
@@ -1,8 +1,8 @@
-//! Who reads the service, and when.
+//! Role and schedule of service reads.
 //!
-//! The watchers of a failure domain keep a watch open. Every other process reads for itself once
-//! it has heard of no reading for a while. All calls are paced: even when every process of the
-//! largest fleet reads for itself, the sum stays below what the service can take.
+//! The watchers of a failure domain keep a watch call open. Every other process reads the service
+//! directly once its latest known read is too old. All calls are rate-limited: even if every
+//! process of the largest fleet reads directly, the sum stays below the service's capacity.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -17,26 +17,28 @@
 use crate::files::{FileVersion, JoinOutcome};
 use crate::rate_limit::{RetryBackoff, TokenBucket};
 
-/// Calls a second of a process that does not watch; 1,020 such processes stay below 2,000.
+/// Calls per second of a process that doesn't watch; 1,020 such processes stay below 2,000.
 const NON_WATCHER_RATE: f64 = 1.0;
-/// Calls a second of a watcher.
+/// Calls per second of a watcher.
 const WATCHER_RATE: f64 = 8.0;
-/// Calls that may be saved up.
+/// Burst allowance in calls.
 const READ_BURST: f64 = 20.0;
-/// Calls that a process may make at once when it has just started.
+/// Calls that a process may make immediately after its start.
 const INITIAL_READS: f64 = 1.0;
-/// The time over which processes that start together spread their first call.
+/// Maximum random delay of the first call, which spreads the calls of processes that start
+/// together.
 const MAX_START_DELAY: Duration = Duration::from_secs(3);
-/// How long a process must have run, with as many peers as it wants, before it counts as a watcher
-/// for its pace: else it may know too few others to know that it is none.
+/// Minimum uptime, with as many links as its fanout, after which a watcher gets the higher call
+/// rate. Before that it may know too few processes to tell that it isn't a watcher.
 const MIN_WATCHER_UPTIME: Duration = Duration::from_secs(10);
-/// Pauses between failed calls of a watcher.
+/// Initial and maximum delay between failed calls of a watcher.
 const WATCHER_RETRY_DELAYS: (Duration, Duration) =
     (Duration::from_millis(500), Duration::from_secs(5));
-/// Pauses between failed calls of another process.
+/// Initial and maximum delay between failed calls of another process.
 const NON_WATCHER_RETRY_DELAYS: (Duration, Duration) =
     (Duration::from_secs(2), Duration::from_secs(60));
-/// How much longer than asked a watch may take before its answer counts as of its start.
+/// Tolerated delay of a watch answer. If it takes longer, the read counts as of the start of the
+/// call.
 const WATCH_TOLERANCE: Duration = Duration::from_secs(1);
 
 struct ServiceReader {
@@ -47,11 +49,11 @@
     next_call: Instant,
     watcher_backoff: RetryBackoff,
     non_watcher_backoff: RetryBackoff,
-    /// The age from which this process reads for itself.
+    /// Age of the latest known read above which this process reads directly.
     stale_after: Duration,
 }
 
-/// Reads the service for ever, as far as it is this process's turn.
+/// Reads the service in the role of this process, until the timer stops.
 pub(crate) async fn read_service(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     let mut reader = ServiceReader::new(core);
     loop {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Whether this process watches; sets its pace accordingly.
+    /// Returns whether this process watches the service, and sets its call rate accordingly.
     fn choose_role(&self) -> bool {
         let now = Instant::now();
         let table = self.core.table.borrow();
@@ -115,7 +117,7 @@
         self.rate_limit.take(1.0, 0.0).await;
     }
 
-    /// Waits at the service for a change, and reads what has changed; `true` when it went well.
+    /// Waits at the service for a change and reads what has changed. Returns `true` on success.
     async fn watch(&mut self) -> bool {
         let outcome = match self.core.reflected_revision() {
             Some(after) => self.watch_after(after).await,
@@ -156,7 +158,7 @@
         self.apply_listing(&listing, read).await
     }
 
-    /// An answer of a revision below the highest known is dropped.
+    /// Returns an error if the answer's revision is below the highest known one.
     fn refuse_stale(&self, revision: u64) -> Result<(), ServiceError> {
         let known = self.core.known_revision();
         if revision >= known {
@@ -166,7 +168,7 @@
         Err(ServiceError::Stale { revision, known })
     }
 
-    /// Reads the list of files and those that are not held yet.
+    /// Reads the list of files, and the files that aren't stored yet.
     async fn read_all(&self) -> Result<(), ServiceError> {
         self.wait_for_quota().await;
         let started = Instant::now();
@@ -174,7 +176,7 @@
         self.apply_listing(&listing, started).await
     }
 
-    /// Brings what is held to a listing made at `read`.
+    /// Updates the stored files to a listing made at `read`.
     async fn apply_listing(
         &self,
         listing: &FileListing,
@@ -188,8 +190,8 @@
         Ok(())
     }
 
-    /// Reads the files of a listing in random order, so that processes that read together read
-    /// different ones and pass them on.
+    /// Reads the files of a listing in random order, so that processes that read at the same time
+    /// read different files and exchange them.
     async fn read_listed(&self, listing: &FileListing) -> Result<(), ServiceError> {
         let mut files: Vec<_> = listing.files.iter().collect();
         files.shuffle(&mut rand::rng());
--- a/crates/papayamux-spread/src/settings.rs
+++ b/crates/papayamux-spread/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `[spread]` section that routers and agents share.
+//! The `[spread]` section of the settings, shared by routers and agents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,45 +8,45 @@
 use papayamux_state::address_range::AddressRange;
 use papayamux_state::quantities::ByteCount;
 
-/// The section's name.
+/// Name of the section.
 pub const SPREAD_SECTION: &str = "spread";
 
-/// Settings of the spread of files.
+/// Settings of file distribution.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct SpreadSettings {
-    /// Where the platform's configuration service listens.
+    /// Address of the platform's configuration service.
     pub service: SocketAddr,
-    /// Where the platform's list of instances is read, if it is.
+    /// Address from which the platform's list of instances is read, if configured.
     pub instances: Option<SocketAddr>,
-    /// Where peers connect.
+    /// Address on which to listen for peers.
     pub listen: SocketAddr,
-    /// Processes to ask first.
+    /// Seed addresses of processes to contact first.
     #[builder(default)]
     pub peers: Vec<SocketAddr>,
-    /// Addresses that peers may connect from; all where it is empty.
+    /// Address ranges from which peers may connect; empty allows all.
     #[builder(default)]
     pub allow: Vec<AddressRange>,
-    /// Connections that this process opens to peers.
+    /// Number of connections that this process opens to peers.
     #[builder(default = 4)]
     pub fanout: usize,
-    /// Watchers of the service in each failure domain.
+    /// Number of processes in each failure domain that watch the service.
     #[builder(default = 2)]
     pub watchers: usize,
-    /// Bytes exchanged with peers a second, both ways together.
+    /// Bytes per second exchanged with peers, both directions combined.
     #[builder(default = ByteCount::new(13_000))]
     pub bytes_per_second: ByteCount,
-    /// Age of the latest reading from which a process reads for itself.
+    /// Age of the latest known service read above which a process reads the service directly.
     #[builder(default = Duration::from_secs(20))]
     pub fresh_within: Duration,
-    /// How long a process that starts may ask peers before it serves.
+    /// Maximum duration for which a starting process queries its peers before it serves.
     #[builder(default = Duration::from_secs(10))]
     pub ask_within: Duration,
-    /// How long a watch waits at the service.
+    /// Duration for which a watch call waits at the service.
     #[builder(default = Duration::from_secs(5))]
     pub watch_for: Duration,
 }
 
-/// Reads the section, `None` where there is none or it has findings.
+/// Reads the section. Returns `None` if it is absent or incomplete.
 pub fn read_spread(file: &IniFile) -> Option<SpreadSettings> {
     if !file.has_section(SPREAD_SECTION) {
         return None;
@@ -88,5 +88,5 @@
     Some(settings)
 }
 
-/// The lowest rate at which the exchange works at all.
+/// Minimum rate at which the exchange between peers works.
 const MIN_BYTES_PER_SECOND: u64 = 1_000;
--- a/crates/papayamux-spread/src/settling.rs
+++ b/crates/papayamux-spread/src/settling.rs
@@ -1,39 +1,40 @@
-//! Whether a process has asked its peers since it started or was paused.
+//! Decides when a process may serve after it started or was paused.
 
 use std::time::{Duration, Instant};
 
-/// Settled peers that must hold the same as this process.
+/// Minimum number of settled peers with the same files at which the process settles immediately.
 const MIN_AGREEING_PEERS: usize = 2;
-/// How long more than one peer is waited for.
+/// Duration for which a process waits for a second peer.
 const SECOND_PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a process knows of its peers and of the service when it judges whether it is settled.
+/// State of the peers and of the service from which the settled state is derived.
 #[derive(Debug, Clone, Copy)]
 pub struct SettlingFacts {
-    /// How long the process has asked.
+    /// Duration for which the process has queried its peers.
     pub query_time: Duration,
-    /// Whether it has any peers to ask.
+    /// `true` if there are peers to query.
     pub has_peers: bool,
-    /// Peers that have told what they hold.
+    /// Number of peers that have sent a summary of their files.
     pub responded: usize,
-    /// Settled peers that hold the same.
+    /// Number of settled peers with the same files.
     pub agreed: usize,
-    /// Settled peers that hold something else.
+    /// Number of settled peers with other files.
     pub disagreed: usize,
-    /// Whether what is held reflects a reading of the service made since it asks.
+    /// `true` if the stored files reflect a service read made since querying began.
     pub has_read_service: bool,
-    /// Whether anything is held.
+    /// `true` if any file is stored.
     pub holds_files: bool,
-    /// Whether a version is being fetched.
+    /// `true` if a version is being fetched.
     pub is_fetching: bool,
 }
 
 impl SettlingFacts {
-    /// Whether the process may serve with what it holds.
+    /// Returns whether the process may serve with the files that it stores.
     ///
-    /// It may when two settled peers agree, or one after a while; when it has read the service
-    /// and no settled peer disagrees, as after a restart of all; and in the end, when peers can't
-    /// be reached in time, with whatever it holds, but never with nothing.
+    /// It may do so if two settled peers agree, or one after `SECOND_PEER_TIMEOUT`. It may also do
+    /// so if it has read the service and no settled peer disagrees, as after a restart of all
+    /// processes. After `ask_within`, when peers can't be reached, it serves with whatever it
+    /// stores, but never with nothing.
     pub fn is_settled(&self, ask_within: Duration) -> bool {
         let has_configuration = self.has_read_service || self.holds_files;
         if self.query_time >= ask_within {
@@ -53,10 +54,10 @@
     }
 }
 
-/// The state of settling: asking, or settled.
+/// Settling state of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SettlingState {
-    /// The process asks its peers since then.
+    /// Querying peers since this time.
     Querying(Instant),
     /// The process may serve.
     Settled,
