--- a/crates/papayamux-spread/src/exchange/link_writer.rs
+++ b/crates/papayamux-spread/src/exchange/link_writer.rs
@@ -70,8 +70,8 @@
     })
 }
 
-/// Returns a delta from the version that the peer has, or else the requested version in full; the
-/// newest version instead if it is later.
+/// Returns a delta from the version that the peer has, or else the requested version in full, or
+/// else the newest version if it is later.
 fn body_for(core: &SpreadCore, request: &FetchRequest) -> Option<EncodedBody> {
     let store = core.store.borrow();
     let name = &request.key.name;
--- a/crates/papayamux-spread/tests/file_store.rs
+++ b/crates/papayamux-spread/tests/file_store.rs
@@ -1,11 +1,12 @@
-//! The store holds the same after the same versions, whatever their order, and never steps down.
+//! The store is independent of the order of its versions and never returns to an older one.
 
 use bolero::{check, TypeGenerator};
 use papayamux_spread::files::{EncodedBody, FileStore, FileVersion, JoinOutcome};
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Number of inputs of each property: at least as many as one second takes in a debug build.
 const GENERATED_INPUTS: usize = 6_000;
-/// The same for bodies, which take less.
+/// Number of inputs for bodies, which are cheaper; at least as many as one second takes in a debug
+/// build.
 const GENERATED_BODIES: usize = 220_000;
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
@@ -16,7 +17,7 @@
     removed: bool,
 }
 
-/// Contents of even number pass; the same revision may come with two contents.
+/// Accepts texts of even length. The same revision may occur with two contents.
 fn passes(_: &str, text: &str) -> bool {
     text.len().is_multiple_of(2)
 }
@@ -77,7 +78,8 @@
         });
 }
 
-/// What a link does: names keys, and brings the versions that are wanted.
+/// Simulates a link: the sender lists its keys, and the receiver fetches the versions that it
+/// needs.
 fn transfer_versions(from: &FileStore, to: &mut FileStore) {
     let wanted = from.inventory(|_| true).into_iter().filter(|key| to.wants(key));
     let versions: Vec<_> = wanted.filter_map(|key| from.version(&key).cloned()).collect();
--- a/crates/papayamux-spread/tests/peers.rs
+++ b/crates/papayamux-spread/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Who watches, and when a process may serve.
+//! Selection of watchers, and the token bucket.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 
 #[allow(clippy::expect_used)]
 fn domain(index: usize) -> FailureDomain {
-    format!("domain-{}", index % DOMAINS).parse().expect("a domain")
+    format!("domain-{}", index % DOMAINS).parse().expect("valid domain")
 }
 
 fn known(index: usize, last_contact: Instant) -> KnownPeer {
@@ -55,7 +55,7 @@
             papayamux_spread::peers::watch_rank(&domain(0), address(*index))
                 > papayamux_spread::peers::watch_rank(&domain(0), address(0))
         })
-        .expect("one ranks above");
+        .expect("a process with a higher rank");
     table.update(known(above, now), now);
     assert!(!table.is_watcher(&domain(0), now));
     assert!(table.is_watcher(&domain(0), now + Duration::from_secs(60)));
--- a/crates/papayamux-spread/tests/settling.rs
+++ b/crates/papayamux-spread/tests/settling.rs
@@ -34,7 +34,7 @@
     assert!(!settled_after(5, SettlingFacts { responded: 1, disagreed: 1, ..read }));
     assert!(!settled_after(5, SettlingFacts { responded: 1, is_fetching: true, ..read }));
     assert!(settled_after(5, SettlingFacts { responded: 1, ..read }));
-    assert!(!settled_after(5, read), "peers that are not heard yet are waited for");
+    assert!(!settled_after(5, read), "must wait for peers that have not responded");
     assert!(settled_after(0, SettlingFacts { has_peers: false, ..read }));
 }
 
--- a/crates/papayamux-transport/src/agent_link.rs
+++ b/crates/papayamux-transport/src/agent_link.rs
@@ -1,5 +1,6 @@
-//! How a connection to an agent opens, from a router or another agent: connected, greeted, proved. Each step consumes the one
-//! before, so that nothing can be sent to an agent that has not proved itself.
+//! Opening of a connection to an agent, from a router or another agent: connect, exchange hello and
+//! welcome, authenticate. Each step consumes the previous one, so that nothing can be sent to an
+//! agent that has not authenticated itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,58 +15,58 @@
 
 use crate::link::{connect, start_link, LinkError, LinkReceiver, LinkSender};
 
-/// What a process says of itself when it connects to an agent.
+/// Identity that a process presents when it connects to an agent.
 #[derive(Debug, Clone)]
 pub struct LinkIdentity {
-    /// The process's life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// The process's failure domain.
+    /// Failure domain of the process.
     pub domain: FailureDomain,
-    /// The fleet's secret, where agents have to know it.
+    /// The fleet's shared secret, if agents must prove that they know it.
     pub secret: Option<SharedSecret>,
 }
 
 /// The receiving half of a connection to an agent.
 pub type AgentReceiver = LinkReceiver<RouterFrame, AgentFrame>;
 
-/// How long an agent may take to answer the hello.
+/// Timeout for the agent's answer to the hello message.
 const WELCOME_TIMEOUT: Duration = Duration::from_secs(2);
-/// The stream number of the connection itself.
+/// Stream number of messages about the connection itself.
 pub const CONNECTION: u64 = 0;
 
-/// Why there is no connection to an agent.
+/// The error of opening a connection to an agent.
 #[derive(Debug, Error)]
 pub enum AgentLinkError {
     /// The connection failed.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// The agent gave no welcome in time, or closed the connection.
-    #[error("the agent gave no welcome")]
+    /// The agent sent no welcome message within the timeout, or closed the connection.
+    #[error("the agent sent no welcome message")]
     NoWelcome,
-    /// The agent speaks another version of the protocol.
-    #[error("the agent speaks version {version}, this process {PROTOCOL_VERSION}")]
+    /// The agent uses another protocol version.
+    #[error("the agent uses protocol version {version}, this process {PROTOCOL_VERSION}")]
     Version {
-        /// The agent's version.
+        /// Protocol version of the agent.
         version: u32,
     },
-    /// Another server's agent answered.
-    #[error("the agent stands beside {found}, not beside {expected}")]
+    /// The agent of another server answered.
+    #[error("the agent belongs to server {found}, not to {expected}")]
     OtherServer {
-        /// The server that was expected.
+        /// The expected server.
         expected: ServerId,
-        /// The server that answered.
+        /// The server whose agent answered.
         found: ServerId,
     },
     /// The agent sent no proof of the fleet's secret, or a wrong one.
     #[error("the agent did not prove that it knows the fleet's secret")]
     Unauthenticated,
-    /// The agent asks for a proof, and this process has no secret.
-    #[error("the agent asks for a proof of a secret that the settings do not name")]
+    /// The agent requires a proof, and this process has no secret.
+    #[error("the agent requires a proof of the fleet's secret, but the settings name no secret")]
     SecretNeeded,
 }
 
 impl AgentLinkError {
-    /// The stable word for metrics.
+    /// Returns the stable label for metrics.
     pub fn label(&self) -> &'static str {
         match self {
             AgentLinkError::Link(_) => "unreachable",
@@ -78,13 +79,13 @@
     }
 }
 
-/// A connection on which nothing has been said yet.
+/// A connection on which nothing has been sent yet.
 struct ConnectedLink {
     sender: LinkSender<RouterMessage>,
     receiver: AgentReceiver,
 }
 
-/// A connection that the agent of the right server has welcomed.
+/// A connection on which the agent of the expected server has sent its welcome message.
 struct WelcomedLink {
     sender: LinkSender<RouterMessage>,
     receiver: AgentReceiver,
@@ -92,13 +93,13 @@
     nonce: Option<ProofNonce>,
 }
 
-/// A connection whose two ends have proved themselves as far as the settings ask for it.
+/// A connection whose two ends have authenticated themselves as far as the settings require it.
 pub struct AuthenticatedLink {
     /// The sending half.
     pub sender: LinkSender<RouterMessage>,
     /// The receiving half.
     pub receiver: AgentReceiver,
-    /// What the agent said of itself.
+    /// The agent's welcome message.
     pub welcome: AgentWelcome,
 }
 
@@ -140,7 +141,7 @@
 }
 
 impl WelcomedLink {
-    /// Checks the agent's proof and sends the own one.
+    /// Checks the agent's proof and sends that of this process.
     fn authenticate(self, identity: &LinkIdentity) -> Result<AuthenticatedLink, AgentLinkError> {
         match (&identity.secret, self.welcome.nonce) {
             (None, None) => {}
--- a/crates/papayamux-transport/src/http/body.rs
+++ b/crates/papayamux-transport/src/http/body.rs
@@ -8,16 +8,17 @@
 use hyper::body::{Body, Frame, SizeHint};
 use thiserror::Error;
 
-/// Why a body ends before its end. The connection is then cut, so that the caller can tell.
+/// The error of a truncated body. The connection is then closed early, so that the caller can
+/// detect the truncation.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("the answer was cut off: {0}")]
 pub struct BodyError(pub String);
 
-/// The body of an answer: whole, or a stream that is read as the other side takes it.
+/// The body of an answer: complete, or a stream that is read at the pace of the receiver.
 pub enum AnswerBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Piece by piece.
+    /// A stream of pieces.
     Stream(Pin<Box<dyn Stream<Item = Result<Bytes, BodyError>>>>),
 }
 
--- a/crates/papayamux-transport/src/http/client.rs
+++ b/crates/papayamux-transport/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 client towards backend servers and the platform.
+//! HTTP/1.1 client for backend servers and the platform.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,38 +21,38 @@
 use crate::keepalive::set_stream_options;
 use crate::link::{connect, LinkError};
 
-/// How long an idle connection is kept for the next request.
+/// Time for which an idle connection is kept for the next request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Idle connections kept.
+/// Maximum number of idle connections.
 const MAX_IDLE_CONNECTIONS: usize = 256;
-/// Bytes of the longest body that is given its length beforehand; it arrives in one piece.
+/// Maximum size in bytes of a body with an announced length, which arrives in one piece.
 const MAX_FIXED_BODY_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Why a request to a server got no answer.
+/// The error of sending a request or receiving its answer.
 #[derive(Debug, Error)]
 pub enum HttpClientError {
-    /// No connection could be opened: nothing was sent.
+    /// No connection could be opened; nothing was sent.
     #[error(transparent)]
     Connect(#[from] LinkError),
-    /// The request might no longer be sent when the connection was open: nothing was sent.
+    /// The request was no longer allowed when the connection was open; nothing was sent.
     #[error("the request was given up before it was sent")]
     NotAllowed,
     /// The connection failed after sending had begun.
     #[error("the connection failed: {0}")]
     Broken(#[from] HttpError),
-    /// The server closed the connection instead of answering.
+    /// The server closed the connection without an answer.
     #[error("the server closed the connection before its answer")]
     Closed,
-    /// The answer's body is longer than its bound.
+    /// The answer's body exceeds its limit.
     #[error("the answer has {length} bytes, the bound is {MAX_FIXED_BODY_BYTES}")]
     TooLong {
-        /// Bytes announced.
+        /// Announced or received size in bytes.
         length: u64,
     },
 }
 
 impl HttpClientError {
-    /// Whether nothing of the request can have reached the server.
+    /// Returns whether the request can't have reached the server, not even partially.
     pub fn nothing_was_sent(&self) -> bool {
         matches!(self, HttpClientError::Connect(_) | HttpClientError::NotAllowed)
     }
@@ -66,7 +66,7 @@
     idle_since: Instant,
 }
 
-/// Requests to one server; clones share its idle connections.
+/// A client for one server. Clones share its idle connections.
 #[derive(Clone)]
 pub struct HttpClient {
     address: SocketAddr,
@@ -74,18 +74,18 @@
 }
 
 impl HttpClient {
-    /// A client for the server at `address`.
+    /// Creates a client for the server at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, idle: Rc::default() }
     }
 
-    /// The server's address.
+    /// Returns the server's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request that may be sent again, over an idle connection where there is one; one
-    /// that the server had closed is replaced by a fresh one.
+    /// Sends an idempotent request over an idle connection if there is one. If that connection
+    /// fails or was closed by the server, sends the request again over a new one.
     pub async fn send_idempotent(
         &self,
         request: Request<Bytes>,
@@ -96,14 +96,15 @@
             outcome => return outcome,
         };
         match self.send_once(request).await {
-            // The server may have run what it got on the lost connection, and ended by that.
+            // The server may have run the request that it received on the lost connection, and
+            // crashed because of it.
             Err(error) if error.nothing_was_sent() => Err(lost),
             outcome => outcome,
         }
     }
 
-    /// Sends a request exactly once, over a fresh connection: a failure to connect then proves
-    /// that nothing ran.
+    /// Sends a request exactly once, over a new connection: a failure to connect then proves that
+    /// nothing ran.
     pub async fn send_once(
         &self,
         request: Request<Bytes>,
@@ -111,8 +112,8 @@
         self.send_once_if(request, || true).await
     }
 
-    /// Sends a request exactly once, where `may_send` still allows it right before the first
-    /// byte goes out.
+    /// Sends a request exactly once, if `may_send` still allows it immediately before the first
+    /// byte is sent.
     pub async fn send_once_if(
         &self,
         request: Request<Bytes>,
@@ -164,7 +165,7 @@
         .unwrap_or(0)
 }
 
-/// An answer whose body is still to be read.
+/// An answer whose body has not been read yet.
 pub struct ClientAnswer {
     client: HttpClient,
     /// Status and headers.
@@ -175,7 +176,7 @@
 }
 
 impl ClientAnswer {
-    /// The next piece of the body; `None` after the whole.
+    /// Returns the next piece of the body, or `None` after the complete body.
     pub async fn next_piece(&mut self) -> Option<Result<Bytes, HttpClientError>> {
         if self.ended {
             return None;
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Reads the whole body, up to `limit` bytes.
+    /// Reads the complete body, up to `limit` bytes.
     pub async fn whole_body(mut self, limit: u64) -> Result<Bytes, HttpClientError> {
         let mut body = bytes::BytesMut::new();
         while let Some(piece) = self.next_piece().await {
@@ -218,8 +219,8 @@
         Ok(body.freeze())
     }
 
-    /// Gives the connection back for the next request, where the body was read to its end.
-    /// Dropping the answer closes the connection instead.
+    /// Returns the connection to the idle ones if the body was read completely. Dropping the answer
+    /// closes the connection instead.
     pub fn finish(self) {
         let close = self
             .head
--- a/crates/papayamux-transport/src/http/mod.rs
+++ b/crates/papayamux-transport/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers, operators and backend servers.
+//! HTTP servers and clients for callers, operators and backend servers.
 
 mod body;
 mod client;
--- a/crates/papayamux-transport/src/http/server.rs
+++ b/crates/papayamux-transport/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 listener: one task for each connection.
+//! HTTP/1.1 server with one task per connection.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -35,18 +35,19 @@
     }
 }
 
-/// Bounds of a listener.
+/// Limits of a listener.
 #[derive(Debug, Clone)]
 pub struct HttpLimits {
-    /// Connections open at once; one more waits in the kernel's backlog.
+    /// Maximum number of open connections; further ones wait in the kernel's backlog.
     pub connections: usize,
-    /// Bytes of a request's head, looked at after each read: one of up to twice as many may pass.
+    /// Maximum size of a request's head in bytes. It is checked after each read, so a head of up to
+    /// twice this size may pass.
     pub head_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Timeout for receiving a request's head.
     pub head_timeout: Duration,
-    /// How long a write may wait without the other side taking anything.
+    /// Maximum time for which a write may wait without the other side accepting anything.
     pub write_timeout: Duration,
-    /// Who may connect; everybody where it is absent.
+    /// Addresses that may connect; `None` allows all.
     pub admits: Option<AddressCheck>,
 }
 
@@ -62,13 +63,14 @@
     }
 }
 
-/// How long the listener waits after it could not accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How long a connection without any request so far may still send its first at a shutdown.
+/// Time after a shutdown signal within which a connection that has had no request may still send
+/// its first.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Part of the connections above which each answer asks its caller to close: idle connections make
-/// room before newcomers have to wait in the kernel's backlog.
+/// Share of the connection limit above which each answer asks its caller to close the connection.
+/// This frees idle connections before new callers have to wait in the kernel's backlog.
 const CROWDED_SHARE: f64 = 0.75;
 
 struct OpenConnections {
@@ -113,8 +115,8 @@
     }
 }
 
-/// Serves connections until `shutdown` is given, then lets each finish its request and returns
-/// when the last has closed.
+/// Serves connections until `shutdown` is triggered, then lets each connection finish its request
+/// and returns when the last has closed.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: HttpLimits,
@@ -152,7 +154,7 @@
         let limits = limits.clone();
         monoio::spawn(async move {
             if let Err(error) = serve_connection(stream, limits, shutdown, &open, handler).await {
-                log::debug!(error:% = error; "caller's connection ended");
+                log::debug!(error:% = error; "caller's connection failed");
             }
             open.record_close();
         });
@@ -211,9 +213,9 @@
     Ok(())
 }
 
-/// Whether a connection has brought a request, now or within a short while. `hyper` closes a
-/// connection that is idle between two requests, but waits for the first for its whole head
-/// timeout, which would hold a shutdown up.
+/// Returns whether a connection has sent a request, now or within `FIRST_REQUEST_TIMEOUT`. `hyper`
+/// closes a connection that is idle between two requests, but waits for the first request for its
+/// full head timeout, which would delay a shutdown.
 async fn wait_first_request(request_seen: &Cell<bool>) -> bool {
     if !request_seen.get() {
         monoio::time::sleep(FIRST_REQUEST_TIMEOUT).await;
--- a/crates/papayamux-transport/src/http/stall_guard.rs
+++ b/crates/papayamux-transport/src/http/stall_guard.rs
@@ -1,4 +1,4 @@
-//! A connection whose writes must make progress.
+//! Connection wrapper whose writes must make progress.
 
 use std::future::Future;
 use std::io;
@@ -8,9 +8,9 @@
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 
-/// Wraps a connection and fails a write that the other side takes nothing of for a set time.
+/// Wraps a connection and fails a write if the other side accepts nothing for a set time.
 ///
-/// Reads may wait for as long as they like: a caller that waits for a slow answer says nothing.
+/// Reads have no time limit, because a caller that waits for a slow answer sends nothing.
 pub struct StallGuard<S> {
     inner: S,
     limit: Duration,
@@ -18,7 +18,7 @@
 }
 
 impl<S> StallGuard<S> {
-    /// Lets a write to `inner` wait for `limit` at most.
+    /// Creates a wrapper around `inner` in which a write may wait for at most `limit`.
     pub fn new(inner: S, limit: Duration) -> Self {
         Self { inner, limit, stall_timer: None }
     }
@@ -36,7 +36,7 @@
         let sleep = self.stall_timer.get_or_insert_with(|| Box::pin(monoio::time::sleep(limit)));
         match sleep.as_mut().poll(context) {
             Poll::Ready(()) => {
-                let message = format!("nothing was taken for {limit:?}");
+                let message = format!("the other side accepted no data for {limit:?}");
                 Poll::Ready(Err(io::Error::new(io::ErrorKind::TimedOut, message)))
             }
             Poll::Pending => Poll::Pending,
--- a/crates/papayamux-transport/src/http/upstream/connection.rs
+++ b/crates/papayamux-transport/src/http/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server.
+//! A connection to a server.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,50 +17,50 @@
 
 use crate::keepalive::set_stream_options;
 
-/// Why a request got no answer.
+/// The error of sending a request or receiving its answer.
 #[derive(Debug, Error)]
 pub enum UpstreamError {
-    /// No connection could be opened in time: nothing was sent.
+    /// No connection could be opened within the timeout; nothing was sent.
     #[error("connecting to {address}: {source}")]
     Connect {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
-        /// What failed.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// The connection had ended before anything of the request was written.
+    /// The connection had ended before any part of the request was written.
     #[error("the connection to {address} had ended before the request was sent")]
     NotSent {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
     },
     /// The connection failed after sending had begun.
     #[error("the connection to {address} failed: {source}")]
     Broken {
-        /// Where to.
+        /// Address of the server.
         address: SocketAddr,
-        /// What failed.
+        /// Cause of the failure.
         source: hyper::Error,
     },
 }
 
 impl UpstreamError {
-    /// Whether nothing of the request can have reached the server.
+    /// Returns whether the request can't have reached the server, not even partially.
     pub fn nothing_was_sent(&self) -> bool {
         !matches!(self, UpstreamError::Broken { .. })
     }
 }
 
-/// An open connection. Dropping it closes the socket at once, also in the middle of an answer.
+/// An open connection. Dropping it closes the socket immediately, even during an answer.
 pub(super) struct UpstreamConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     _open: oneshot::Sender<()>,
-    /// How long opening it took, until that was asked for.
+    /// Time that connecting took, until it is taken.
     connect_time: Option<Duration>,
-    /// When it was last put aside.
+    /// Time at which it was last returned to the pool.
     pub(super) idle_since: Instant,
-    /// How long it may be idle.
+    /// Time for which it may be idle.
     pub(super) idle_timeout: Duration,
 }
 
@@ -88,7 +88,7 @@
             match select(connection, dropped).await {
                 Either::Left((Ok(()), _)) | Either::Right(_) => {}
                 Either::Left((Err(error), _)) => {
-                    log::debug!(address:% = address, error:% = error; "server connection ended");
+                    log::debug!(address:% = address, error:% = error; "server connection failed");
                 }
             }
         });
@@ -103,18 +103,18 @@
         })
     }
 
-    /// How long opening it took; nothing from the second time on.
+    /// Returns the time that connecting took on the first call, then `None`.
     pub(super) fn take_connect_time(&mut self) -> Option<Duration> {
         self.connect_time.take()
     }
 
-    /// Whether the connection can take a request now: it is open, has nothing under way and got
-    /// no bytes that nobody asked for.
+    /// Returns whether the connection can take a request now: it is open, has no request in flight
+    /// and has received no unsolicited bytes.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection has ended.
     pub(super) fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
@@ -125,9 +125,9 @@
         request: Request<Bytes>,
     ) -> Result<http::Response<Incoming>, UpstreamError> {
         let address = self.address;
-        // A fresh connection takes its first request at once, and the pool hands out others only
-        // when they are ready. Waiting for readiness here would wake this task at each poll where
-        // the compiler has made two copies of its waker's table, and starve all other tasks.
+        // A new connection accepts its first request immediately, and the pool hands out others
+        // only when they are ready. Waiting for readiness here would wake this task at each poll if
+        // the compiler has made two copies of its waker's vtable, and would starve all other tasks.
         match self.sender.try_send_request(request.map(Full::new)).await {
             Ok(response) => Ok(response),
             Err(mut error) => match error.take_message() {
--- a/crates/papayamux-transport/src/http/upstream/connection_pool.rs
+++ b/crates/papayamux-transport/src/http/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections, by server.
+//! Pool of idle connections, by server.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,18 +12,18 @@
 use super::connection::UpstreamConnection;
 use super::{UpstreamAnswer, UpstreamError};
 
-/// Bounds on connections to servers.
+/// Limits on connections to servers.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLimits {
-    /// How long connecting may take. Within a region a round trip takes about a millisecond; the
-    /// rest is for a busy server, and for one packet lost.
+    /// Timeout of connecting. Within a region a round trip takes about a millisecond; the rest
+    /// allows for a busy server and for one lost packet.
     pub connect_timeout: Duration,
-    /// How long a connection may be idle, where the server doesn't say.
+    /// Idle timeout of a connection whose server announces none.
     pub idle_timeout: Duration,
-    /// How long a connection rests after an answer before it is used again: a server that goes
-    /// wrong may send a second answer behind the first, which must not be met by a request.
+    /// Delay after an answer before a connection is reused. A faulty server may send a second
+    /// answer after the first, which must not be taken for the answer to the next request.
     pub reuse_delay: Duration,
-    /// Idle connections kept for one server.
+    /// Maximum number of idle connections per server.
     pub max_idle_per_server: usize,
 }
 
@@ -38,13 +38,13 @@
     }
 }
 
-/// Open connections that have nothing under way.
+/// Open connections without a request in flight.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     by_server: HashMap<SocketAddr, Vec<UpstreamConnection>>,
 }
 
-/// Sends requests over kept connections; clones share them.
+/// Sends requests over pooled connections. Clones share the pool.
 #[derive(Clone)]
 pub struct UpstreamPool {
     limits: PoolLimits,
@@ -52,13 +52,13 @@
 }
 
 impl UpstreamPool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(limits: PoolLimits) -> Self {
         Self { limits, idle: Rc::default() }
     }
 
-    /// Sends a request once, over an idle connection where a sound one is there. One that proves
-    /// dead before anything was written is replaced by a fresh one.
+    /// Sends a request once, over a usable idle connection if there is one. If that connection
+    /// turns out to be closed before anything was written, a new one replaces it.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -81,7 +81,7 @@
         self.idle.borrow_mut().by_server.remove(&address);
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that exceeded their idle timeout or have ended.
     pub fn prune(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
--- a/crates/papayamux-transport/src/http/upstream/exchange.rs
+++ b/crates/papayamux-transport/src/http/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! An answer whose body is still to be read.
+//! An answer of a server whose body has not been read yet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 use super::connection::UpstreamConnection;
 use super::UpstreamPool;
 
-/// A server closes an idle connection at the time that it announces; ours is given up this much
-/// earlier, so that a request never crosses the close.
+/// Margin by which an idle connection is closed before the timeout that the server announces, so
+/// that no request is sent while the server closes the connection.
 const CLOSE_MARGIN: Duration = Duration::from_millis(1_000);
 
 /// An answer. Dropping it before its end closes the connection, which tells the server to stop.
@@ -40,12 +40,12 @@
         Self { pool, address, head, body, connection: Some(connection), connect_time }
     }
 
-    /// How long opening its connection took, where a new one was opened for it.
+    /// Returns the time that connecting took, if a new connection was opened for this answer.
     pub fn connect_time(&self) -> Option<Duration> {
         self.connect_time
     }
 
-    /// The next piece of the body; `None` after a whole body.
+    /// Returns the next piece of the body, or `None` after the complete body.
     pub async fn next_piece(&mut self) -> Option<Result<Bytes, hyper::Error>> {
         loop {
             let frame = match self.body.frame().await? {
@@ -58,12 +58,13 @@
         }
     }
 
-    /// Whether the body has been read to its end.
+    /// Returns whether the body has been read to its end.
     pub fn is_complete(&self) -> bool {
         self.body.is_end_stream()
     }
 
-    /// Gives the connection back after the whole body was read, for the next request.
+    /// Returns the connection to the pool after the complete body was read. A connection that the
+    /// server wants to close is dropped.
     pub fn finish(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let idle_timeout = match idle_time(&self.head.headers) {
--- a/crates/papayamux-transport/src/http/upstream/mod.rs
+++ b/crates/papayamux-transport/src/http/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! Requests to servers whose answers are passed on as they arrive.
+//! Requests to servers whose answers are forwarded as they arrive.
 //!
 //! The connections are `hyper`'s: it reads answers without a length, which end with their
-//! connection, and notices bytes that nobody asked for on an idle connection.
+//! connection, and detects unsolicited bytes on an idle connection.
 
 mod connection;
 mod connection_pool;
--- a/crates/papayamux-transport/src/http/upstream/probe.rs
+++ b/crates/papayamux-transport/src/http/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Finds out whether anything listens at an address.
+//! Probes whether a process listens at an address.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -6,19 +6,19 @@
 
 use monoio::net::TcpStream;
 
-/// What became of a connection that was opened only to see whether it can be.
+/// Outcome of a connection that was opened as a probe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It was accepted.
+    /// The connection was accepted.
     Accepted,
-    /// Its instance says that nothing listens there.
+    /// The instance answered that nothing listens there.
     Refused,
-    /// Neither is known.
+    /// There was no conclusive answer.
     Unanswered,
 }
 
 impl ProbeResult {
-    /// The stable word for logs and metrics.
+    /// Returns the stable label for logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             ProbeResult::Accepted => "accepted",
@@ -28,7 +28,7 @@
     }
 }
 
-/// Opens a connection to `address` within `limit`, and closes it.
+/// Opens a connection to `address` within `limit` and closes it.
 pub async fn probe_listener(address: SocketAddr, limit: Duration) -> ProbeResult {
     match monoio::time::timeout(limit, TcpStream::connect_addr(address)).await {
         Ok(Ok(_)) => ProbeResult::Accepted,
--- a/crates/papayamux-transport/src/keepalive.rs
+++ b/crates/papayamux-transport/src/keepalive.rs
@@ -1,21 +1,21 @@
-//! TCP keepalive: the kernel finds a path that has died under an idle connection.
+//! TCP keepalive, by which the kernel detects a broken path under an idle connection.
 
 use std::time::Duration;
 
 use monoio::net::TcpStream;
 
-/// Idle time after which the kernel probes.
+/// Idle time after which the kernel sends probes.
 const PROBE_IDLE_TIME: Duration = Duration::from_secs(10);
-/// Time between probes.
+/// Interval between probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(3);
-/// Unanswered probes after which the connection is dead.
+/// Number of unanswered probes after which the connection counts as broken.
 const MAX_PROBES: u32 = 3;
 
-/// Sets the options of every connection: no delay, and probes while it is idle.
+/// Sets the options of a connection: `TCP_NODELAY`, and keepalive probes while it is idle.
 ///
-/// The other side's kernel answers the probes, so that a slow but living process is never taken
-/// for a dead one. A middlebox that answers in its place hides the death; heartbeats and progress
-/// deadlines find that.
+/// The remote kernel answers the probes, so a slow but running process is never taken for a crashed
+/// one. A middlebox that answers in its place hides the crash; heartbeats and progress deadlines
+/// detect that case.
 pub fn set_stream_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_tcp_keepalive(Some(PROBE_IDLE_TIME), Some(PROBE_INTERVAL), Some(MAX_PROBES))
--- a/crates/papayamux-transport/src/lib.rs
+++ b/crates/papayamux-transport/src/lib.rs
@@ -1,4 +1,4 @@
-//! Connections, listeners and timers on one `monoio` thread.
+//! Connections, listeners and timers on a single-threaded `monoio` runtime.
 
 pub mod agent_link;
 pub mod boot_clock;
--- a/crates/papayamux-transport/src/link.rs
+++ b/crates/papayamux-transport/src/link.rs
@@ -1,7 +1,7 @@
 //! Framed connections between papayamux processes.
 //!
-//! One task writes; it takes all that waits before it flushes, so that many small messages share
-//! one system call. The other half reads.
+//! One task per connection writes. It takes all queued messages before it flushes, so that many
+//! small messages share one system call. The receiving half reads.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,31 +21,31 @@
 
 use crate::keepalive::set_stream_options;
 
-/// Bytes buffered before the writer flushes on its own.
+/// Buffered bytes above which the writer flushes early.
 const FLUSH_THRESHOLD_BYTES: usize = 64 * 1024;
-/// How long one flush may take before the connection counts as silent.
+/// Timeout of writing one batch, after which the connection counts as silent.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long connecting may take.
+/// Timeout of connecting, and of closing the sending half.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a connection can't be used any more.
+/// The error of opening or using a connection.
 #[derive(Debug, Error)]
 pub enum LinkError {
     /// Connecting failed.
     #[error("connecting to {address}: {source}")]
     Connect {
-        /// Where to.
+        /// Remote address.
         address: SocketAddr,
-        /// What failed.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// Connecting took too long.
+    /// Connecting timed out.
     #[error("connecting to {address} took over {CONNECT_TIMEOUT:?}")]
     ConnectTimeout {
-        /// Where to.
+        /// Remote address.
         address: SocketAddr,
     },
-    /// Reading or writing failed, or the other side sent nonsense.
+    /// Reading or writing failed, or the other side sent a malformed frame.
     #[error(transparent)]
     Codec(#[from] CodecError),
     /// The socket's options could not be set.
@@ -53,7 +53,7 @@
     Socket(#[from] std::io::Error),
 }
 
-/// The sending half of a connection; clones share it.
+/// The sending half of a connection. Clones share it.
 pub struct LinkSender<M> {
     queue: unbounded::Tx<Addressed<M>>,
 }
@@ -65,15 +65,15 @@
 }
 
 impl<M> LinkSender<M> {
-    /// Queues a message; `false` when the connection is gone.
+    /// Queues a message. Returns `false` if the connection is closed.
     ///
     /// The queue is bounded by what its users may have outstanding: an answer's window on the
-    /// agent's side, one open, one cancel and acknowledgements per stream on the router's.
+    /// agent's side; one open, one cancel and acknowledgements per stream on the router's side.
     pub fn send(&self, stream: u64, message: M) -> bool {
         self.queue.send(Addressed { stream, message }).is_ok()
     }
 
-    /// Whether the connection is gone.
+    /// Returns whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.queue.is_closed()
     }
@@ -87,13 +87,13 @@
 }
 
 impl<Out, In: FrameMessage> LinkReceiver<Out, In> {
-    /// The next message; `None` at the connection's end.
+    /// Returns the next message, or `None` at the end of the connection.
     pub async fn receive(&mut self) -> Option<Result<Addressed<In::Message>, LinkError>> {
         Some(self.stream.next().await?.map_err(LinkError::from))
     }
 }
 
-/// Connects to `address`.
+/// Connects to `address` within `CONNECT_TIMEOUT`.
 pub async fn connect(address: SocketAddr) -> Result<TcpStream, LinkError> {
     match monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect_addr(address)).await {
         Ok(Ok(stream)) => Ok(stream),
@@ -102,7 +102,8 @@
     }
 }
 
-/// Makes a framed connection of a stream and starts its writer, which ends with the last sender.
+/// Creates a framed connection on a stream and starts its writer task, which ends with the last
+/// sender.
 pub fn start_link<Out, In, M>(
     stream: TcpStream,
 ) -> Result<(LinkSender<M>, LinkReceiver<Out, In>), LinkError>
@@ -113,7 +114,8 @@
 {
     set_stream_options(&stream)?;
     let mut framed = Framed::new(stream.into_poll_io()?, FrameCodec::<Out, In>::default());
-    // A process may have hundreds of idle connections: each buffer grows with what is written.
+    // A process may have hundreds of idle connections, so each write buffer starts empty and grows
+    // on demand.
     *framed.write_buffer_mut() = BytesMut::new();
     framed.set_backpressure_boundary(FLUSH_THRESHOLD_BYTES);
     let (sink, stream) = framed.split();
@@ -134,11 +136,13 @@
         match monoio::time::timeout(FLUSH_TIMEOUT, batch).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => {
-                log::debug!(error:% = error; "link writer ends");
+                log::debug!(error:% = error; "link writer stopped: writing failed");
                 break;
             }
             Err(_) => {
-                log::warn!("link writer ends: nothing was taken for {FLUSH_TIMEOUT:?}");
+                log::warn!(
+                    "link writer stopped: the batch was not written within {FLUSH_TIMEOUT:?}"
+                );
                 break;
             }
         }
--- a/crates/papayamux-transport/src/shutdown.rs
+++ b/crates/papayamux-transport/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A signal that is given once and seen by all who wait for it.
+//! One-shot signal that wakes all its waiters.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -13,19 +13,19 @@
     free_slots: Vec<usize>,
 }
 
-/// A one-shot signal; clones share it.
+/// A one-shot signal. Clones share its state.
 #[derive(Debug, Clone, Default)]
 pub struct ShutdownSignal {
     state: Rc<RefCell<SignalState>>,
 }
 
 impl ShutdownSignal {
-    /// A signal not given yet.
+    /// Creates a signal that isn't triggered.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives the signal; giving it again changes nothing.
+    /// Triggers the signal and wakes all waiters. Further calls have no effect.
     pub fn trigger(&self) {
         let wakers = {
             let mut state = self.state.borrow_mut();
@@ -35,19 +35,19 @@
         wakers.into_iter().flatten().for_each(Waker::wake);
     }
 
-    /// Whether the signal was given.
+    /// Returns whether the signal was triggered.
     pub fn is_triggered(&self) -> bool {
         self.state.borrow().triggered
     }
 
-    /// Waits until the signal is given.
+    /// Returns a future that completes once the signal is triggered.
     pub fn triggered(&self) -> SignalWait {
         SignalWait { state: self.state.clone(), slot: None }
     }
 }
 
-/// Waits for a signal. Each waiter has its own place, so that polling it again costs the same
-/// however many others wait.
+/// Future that waits for a signal. Each waiter has its own slot, so that the cost of polling it
+/// again doesn't depend on the number of waiters.
 #[derive(Debug)]
 pub struct SignalWait {
     state: Rc<RefCell<SignalState>>,
--- a/crates/papayamux-transport/src/timer.rs
+++ b/crates/papayamux-transport/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: parts subscribe to periods, and learn when the process was paused.
+//! Timer service with periodic ticks, which also reports pauses of the process.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,17 +6,17 @@
 
 use local_sync::mpsc::unbounded;
 
-/// How often the service looks at the clock.
+/// Interval at which the service checks the clock.
 pub const RESOLUTION: Duration = Duration::from_millis(50);
-/// A gap between two looks at the clock that counts as a pause of the process.
+/// Minimum gap between two checks of the clock that counts as a pause of the process.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// What a subscriber receives.
+/// A tick of a subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerTick {
-    /// When the tick was due.
+    /// Time for which the tick was scheduled, or the current time if a pause made it early.
     pub scheduled_at: Instant,
-    /// How long the process was paused before this tick, if it was.
+    /// Duration of a pause of the process before this tick, if there was one.
     pub paused: Option<Duration>,
 }
 
@@ -27,14 +27,15 @@
     sender: unbounded::Tx<TimerTick>,
 }
 
-/// Gives ticks to those who subscribed. A subscriber that has not taken its last tick gets no
-/// further one, so that nothing piles up behind a slow part.
+/// Sends periodic ticks to subscribers. A subscriber that has not received its last tick gets no
+/// further one, so that ticks don't accumulate for a slow subscriber. Only ticks that report a
+/// pause are always sent.
 #[derive(Clone, Default)]
 pub struct TimerService {
     subscribers: Rc<RefCell<Vec<Subscriber>>>,
 }
 
-/// A subscription to a period; dropping it ends it.
+/// A subscription to periodic ticks, which ends when dropped.
 pub struct TimerSubscription {
     tick_pending: Rc<Cell<bool>>,
     receiver: unbounded::Rx<TimerTick>,
@@ -77,7 +78,7 @@
 }
 
 impl TimerSubscription {
-    /// The next tick, or `None` once the service has ended.
+    /// Returns the next tick, or `None` once the service has stopped.
     pub async fn tick(&mut self) -> Option<TimerTick> {
         let tick = self.receiver.recv().await;
         self.tick_pending.set(false);
--- a/crates/papayamux-transport/tests/crowded_listener.rs
+++ b/crates/papayamux-transport/tests/crowded_listener.rs
@@ -1,4 +1,4 @@
-//! A listener whose connections are nearly all taken by idle callers.
+//! A listener most of whose connections are taken by idle clients.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::io::{Read, Write};
@@ -19,8 +19,8 @@
     Response::new(AnswerBody::Whole(Bytes::from_static(b"yes")))
 }
 
-/// Asks once on a fresh connection. Returns the connection, and whether the answer asks to close
-/// it; `None` where no answer comes.
+/// Sends one request on a new connection. Returns the connection and whether the answer asks to
+/// close it, or `None` if there is no answer.
 fn send_request(address: SocketAddr) -> Option<(TcpStream, bool)> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
@@ -34,7 +34,8 @@
     Some((stream, text.to_lowercase().contains("connection: close")))
 }
 
-/// Twice as many callers as there are connections, each of which stays unless it is asked to go.
+/// Runs twice as many clients as there are connections. Each keeps its connection open unless it is
+/// asked to close it. Returns the numbers of idle connections and of unanswered requests.
 fn run_idle_clients(address: SocketAddr) -> (usize, usize) {
     let mut idle = Vec::new();
     let mut unanswered = 0;
@@ -62,7 +63,7 @@
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
         let (idle, unanswered) = callers.join().unwrap();
-        assert_eq!(unanswered, 0, "newcomers found no connection");
+        assert_eq!(unanswered, 0, "new clients got no connection");
         assert!((4..CONNECTIONS).contains(&idle), "{idle}");
         shutdown.trigger();
         served.await.unwrap();
--- a/crates/papayamux-transport/tests/http_client.rs
+++ b/crates/papayamux-transport/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! What the client of one server says of requests that got no answer.
+//! Errors that the HTTP client reports for requests without an answer.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::io::{Read, Write};
@@ -21,7 +21,7 @@
     }
 }
 
-/// A server that answers one request and ends as soon as it has got the next one.
+/// Starts a server that answers one request and stops as soon as it has received the second.
 fn server_crashing_on_second_request() -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -35,8 +35,9 @@
     (address, serving)
 }
 
-/// An agent told its router that a request had not run, since the server could not be reached. The server
-/// had ended with the request on a kept connection; only the repeat on a new one was never sent.
+/// Guards against reporting a request as not run although it may have run. An agent did so when the
+/// server crashed on a request sent over a reused connection and the retry over a new one could not
+/// connect: only the retry was never sent.
 #[test]
 fn request_lost_on_a_reused_connection_may_have_run() {
     let (address, serving) = server_crashing_on_second_request();
@@ -48,7 +49,7 @@
         }
         answer.finish();
         let Err(error) = client.send_idempotent(request()).await else {
-            panic!("the server has ended")
+            panic!("the server has stopped")
         };
         assert!(!error.nothing_was_sent(), "{error}");
     })
--- a/crates/papayamux-transport/tests/http_shutdown.rs
+++ b/crates/papayamux-transport/tests/http_shutdown.rs
@@ -1,4 +1,4 @@
-//! Connections of callers at a shutdown, and callers that take nothing.
+//! Connections during a shutdown, of stalled callers and from refused addresses.
 #![allow(clippy::unwrap_used, reason = "a test, which may panic")]
 
 use std::io::{Read, Write};
@@ -22,8 +22,8 @@
     Response::new(AnswerBody::Stream(Box::pin(pieces)))
 }
 
-/// Serves until `callers`, who get the address on a thread of their own, have given their result
-/// and all connections have closed.
+/// Serves until `callers`, which run with the address on a thread of their own, have returned their
+/// result and all connections have closed.
 fn serve_callers<T: Send + 'static>(
     limits: HttpLimits,
     callers: impl FnOnce(SocketAddr) -> T + Send + 'static,
--- a/crates/papayamux-transport/tests/signals.rs
+++ b/crates/papayamux-transport/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Shutdown signals reach all who wait, and forget those who no longer do.
+//! Shutdown signals wake all waiters and release the slots of dropped ones.
 
 use futures_util::future::{join, select, Either};
 use papayamux_transport::runtime;
--- a/crates/papayamux-transport/tests/upstream_pool.rs
+++ b/crates/papayamux-transport/tests/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! Requests over kept connections.
+//! Requests over pooled connections.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::cell::Cell;
@@ -14,11 +14,11 @@
 use papayamux_transport::http::upstream::{PoolLimits, UpstreamPool};
 use papayamux_transport::runtime;
 
-/// Polls of a request that waits for its answer, at most: one for each step of connecting,
-/// sending and receiving, with room to spare.
+/// Maximum number of polls of a request that waits for its answer: one for each step of connecting,
+/// sending and receiving, with some margin.
 const MAX_POLLS: usize = 50;
 
-/// A waker that is never equal to another one, as copies of one task's waker need not be.
+/// A waker that never equals another one, as copies of one task's waker may not be equal either.
 struct DistinctWaker(Waker);
 
 impl Wake for DistinctWaker {
@@ -48,8 +48,9 @@
     Request::builder().uri("/").header("host", "here").body(Bytes::new()).unwrap()
 }
 
-/// A caller's connection polls its answer more than once in a turn. Each poll woke the task again
-/// while it waited for the connection to be ready, so that no other task ran for seconds.
+/// Guards against a task that wakes itself. A caller's connection polls its answer more than once
+/// per scheduling of the task; each poll woke the task again while it waited for the connection to
+/// be ready, so that no other task ran for seconds.
 #[test]
 fn pending_request_does_not_wake_its_own_task() {
     let address = slow_server(1);
@@ -75,7 +76,7 @@
 
 #[test]
 fn connection_is_reused_after_a_complete_answer() {
-    // The server takes one connection only.
+    // The server accepts only one connection.
     let address = slow_server(3);
     runtime::run(async move {
         let pool = UpstreamPool::new(PoolLimits::default());
