--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -15,7 +15,7 @@
 
 use super::held_bytes::HeldBytes;
 use super::StoreLimits;
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 
 /// Bytes of one data frame at most.
 const LONGEST_PIECE: usize = 64 * 1024;
@@ -46,7 +46,7 @@
 
     /// Says something to the router that does not concern the stream.
     pub fn tell(&self, message: AgentMessage) {
-        self.sender.send(CONNECTION, message);
+        self.sender.send(CONTROL_STREAM, message);
     }
 }
 
--- a/crates/papayamux-agent/src/crash_board.rs
+++ b/crates/papayamux-agent/src/crash_board.rs
@@ -8,7 +8,7 @@
 use papayamux_protocol::link::{AgentMessage, OpenRequest};
 use papayamux_state::crash_record::CrashRecord;
 use papayamux_state::request_fingerprint::RequestFingerprint;
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 use papayamux_transport::link::LinkSender;
 
 /// Notices in one message.
@@ -39,7 +39,7 @@
     pub fn connect(&self, link: u64, sender: LinkSender<AgentMessage>) {
         let held = self.quarantine.borrow_mut().next_held(MOST_NOTICES, Instant::now());
         if !held.is_empty() {
-            sender.send(CONNECTION, AgentMessage::Crashes(held));
+            sender.send(CONTROL_STREAM, AgentMessage::Crashes(held));
         }
         self.routers.borrow_mut().insert(link, sender);
     }
@@ -78,7 +78,7 @@
             return;
         }
         for router in self.routers.borrow().values() {
-            router.send(CONNECTION, AgentMessage::Crashes(notices.clone()));
+            router.send(CONTROL_STREAM, AgentMessage::Crashes(notices.clone()));
         }
     }
 }
--- a/crates/papayamux-agent/src/farewell.rs
+++ b/crates/papayamux-agent/src/farewell.rs
@@ -6,7 +6,7 @@
 use papayamux_transport::link::LinkSender;
 use papayamux_transport::shutdown::ShutdownSignal;
 
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 
 /// The ping by which a leaving agent learns that a router has read all before it.
 pub const FAREWELL_PING: u64 = u64::MAX;
@@ -29,7 +29,7 @@
         for _ in 0..FAREWELL_ROUNDS {
             let answered = ShutdownSignal::new();
             self.answered.replace(Some(answered.clone()));
-            sender.send(CONNECTION, AgentMessage::Ping(FAREWELL_PING));
+            sender.send(CONTROL_STREAM, AgentMessage::Ping(FAREWELL_PING));
             answered.triggered().await;
         }
     }
--- a/crates/papayamux-agent/src/orders/serving_client.rs
+++ b/crates/papayamux-agent/src/orders/serving_client.rs
@@ -9,7 +9,7 @@
 use papayamux_protocol::serving::{ServingAnswer, ServingQuestion};
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::WeightsRef;
-use papayamux_transport::agent_link::{open_link, AgentLinkError, LinkIdentity, CONNECTION};
+use papayamux_transport::agent_link::{open_link, AgentLinkError, LinkIdentity, CONTROL_STREAM};
 
 use super::metrics::OrderMetrics;
 
@@ -71,7 +71,7 @@
         let mut link = open_link(other, address, &self.identity).await?;
         let (weights, asker) = (weights.clone(), self.server.clone());
         let question = RouterMessage::AskServing(ServingQuestion { weights, asker });
-        link.sender.send(CONNECTION, question);
+        link.sender.send(CONTROL_STREAM, question);
         loop {
             let received = link.receiver.receive().await.ok_or(AgentLinkError::NoWelcome)??;
             if let AgentMessage::Serving(answer) = received.message {
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -14,7 +14,7 @@
 use papayamux_protocol::wire::{agent_control_length, router_control_length};
 use papayamux_state::ids::RequestId;
 use papayamux_state::refusal::RefusalReason;
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 use papayamux_transport::link::{start_link, LinkError, LinkSender};
 use papayamux_transport::shutdown::ShutdownSignal;
 
@@ -101,7 +101,7 @@
         let leaving = std::pin::pin!(self.core.leaving.triggered());
         match select(leaving, read).await {
             Either::Left(((), read)) => {
-                self.sender.send(CONNECTION, AgentMessage::Leaving);
+                self.sender.send(CONTROL_STREAM, AgentMessage::Leaving);
                 let farewell = std::pin::pin!(self.farewell.say(&self.core.closing, &self.sender));
                 match select(farewell, read).await {
                     Either::Left(_) => LinkEnd::Closed,
@@ -120,7 +120,7 @@
                 Err(_) if unanswered == MOST_UNANSWERED => return LinkEnd::Silent,
                 Err(_) => {
                     unanswered += 1;
-                    self.send(CONNECTION, AgentMessage::Ping(u64::from(unanswered)));
+                    self.send(CONTROL_STREAM, AgentMessage::Ping(u64::from(unanswered)));
                 }
                 Ok(None) => return LinkEnd::Closed,
                 Ok(Some(Err(error))) => return LinkEnd::Broken(error),
@@ -159,7 +159,7 @@
             RouterMessage::Recall(recall) => self.recall(stream, recall),
             RouterMessage::Ping(number) => {
                 let pong = PongNotice { number, clock: self.core.clock() };
-                self.send(CONNECTION, AgentMessage::Pong(pong));
+                self.send(CONTROL_STREAM, AgentMessage::Pong(pong));
             }
             RouterMessage::Probe(probe) => self.answer_probe(stream, &probe),
             RouterMessage::Moved(moved) => self.core.engine.note_moved(moved),
--- a/crates/papayamux-agent/src/trust.rs
+++ b/crates/papayamux-agent/src/trust.rs
@@ -8,7 +8,7 @@
 use papayamux_protocol::proof::{ProofContext, ProofNonce, ProofRole, SharedSecret};
 use papayamux_protocol::wire::{AgentFrame, RouterFrame};
 use papayamux_state::address_range::AddressRange;
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 use papayamux_transport::link::{LinkError, LinkReceiver, LinkSender};
 use thiserror::Error;
 
@@ -95,7 +95,7 @@
             return Err(GreetingError::NoHello);
         };
         let awaited = core.trust.secret.clone().map(|secret| (secret, context(core, &hello)));
-        self.sender.send(CONNECTION, AgentMessage::Welcome(welcome(core, awaited.as_ref())));
+        self.sender.send(CONTROL_STREAM, AgentMessage::Welcome(welcome(core, awaited.as_ref())));
         if hello.version != PROTOCOL_VERSION {
             return Err(GreetingError::Version(hello.version));
         }
--- a/crates/papayamux-router/src/agents/agent_link.rs
+++ b/crates/papayamux-router/src/agents/agent_link.rs
@@ -14,7 +14,7 @@
 };
 use papayamux_protocol::wire::{agent_control_length, router_control_length};
 use papayamux_state::ids::RequestId;
-use papayamux_transport::agent_link::{AgentReceiver, AuthenticatedLink, CONNECTION};
+use papayamux_transport::agent_link::{AgentReceiver, AuthenticatedLink, CONTROL_STREAM};
 use papayamux_transport::link::{LinkError, LinkSender};
 
 use super::pending_probes::PendingProbes;
@@ -65,7 +65,7 @@
             sample: Cell::new(sample),
             streams: RefCell::default(),
             claims: RefCell::default(),
-            next_stream: Cell::new(CONNECTION + 1),
+            next_stream: Cell::new(CONTROL_STREAM + 1),
             open: Cell::new(true),
             draining: Cell::new(false),
             probes: PendingProbes::new(server, updates.loads.clone()),
@@ -163,7 +163,7 @@
 
     /// Notifies the agent of a change of a claim.
     pub fn send_claim_notice(&self, notice: ClaimNotice) {
-        self.send(CONNECTION, RouterMessage::ClaimNotice(notice));
+        self.send(CONTROL_STREAM, RouterMessage::ClaimNotice(notice));
     }
 
     /// Resumes a stream on this connection. Returns `false` if this connection is lost too.
@@ -200,7 +200,7 @@
 
     /// Notifies the agent that a chat whose home it is was served by another server.
     pub fn send_moved_chat(&self, moved: MovedChat) {
-        self.send(CONNECTION, RouterMessage::Moved(moved));
+        self.send(CONTROL_STREAM, RouterMessage::Moved(moved));
     }
 
     pub(super) fn send(&self, stream: u64, message: RouterMessage) -> bool {
@@ -330,7 +330,7 @@
         AgentMessage::Pong(pong) => link.update_clock(pong.clock),
         AgentMessage::Leaving => link.draining.set(true),
         AgentMessage::Crashes(notices) => link.updates.quarantine.record_notices(&notices),
-        AgentMessage::Ping(number) => drop(link.send(CONNECTION, RouterMessage::Pong(number))),
+        AgentMessage::Ping(number) => drop(link.send(CONTROL_STREAM, RouterMessage::Pong(number))),
         AgentMessage::Claim(reply) => {
             if let Some(waiting) = link.claims.borrow().get(&stream) {
                 let _ = waiting.send(reply);
--- a/crates/papayamux-router/src/agents/silence_detector.rs
+++ b/crates/papayamux-router/src/agents/silence_detector.rs
@@ -1,7 +1,7 @@
 //! Detects agents that have gone silent on a connection.
 
 use papayamux_protocol::link::{AgentMessage, RouterMessage};
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 
 use super::agent_link::AgentLink;
 
@@ -39,7 +39,7 @@
             return true;
         }
         self.unanswered += 1;
-        link.send(CONNECTION, RouterMessage::Ping(u64::from(self.unanswered)));
+        link.send(CONTROL_STREAM, RouterMessage::Ping(u64::from(self.unanswered)));
         false
     }
 }
--- a/crates/papayamux-spread/src/core.rs
+++ b/crates/papayamux-spread/src/core.rs
@@ -82,7 +82,7 @@
     pub(crate) settings: SpreadSettings,
     pub(crate) domain: FailureDomain,
     pub(crate) incarnation: Incarnation,
-    pub(crate) own: SocketAddr,
+    pub(crate) own_address: SocketAddr,
     pub(crate) secret: Option<SharedSecret>,
     pub(crate) metrics: SpreadMetrics,
     pub(crate) store: RefCell<FileStore>,
@@ -102,7 +102,7 @@
     pub(crate) fn new(
         settings: SpreadSettings,
         identity: SpreadIdentity,
-        own: SocketAddr,
+        own_address: SocketAddr,
         store: FileStore,
         metrics: SpreadMetrics,
     ) -> Self {
@@ -110,11 +110,11 @@
             domain: identity.domain,
             incarnation: identity.incarnation,
             secret: identity.secret,
-            own,
+            own_address,
             metrics,
             store: RefCell::new(store),
             bodies: RefCell::default(),
-            table: RefCell::new(PeerTable::new(own, settings.watchers)),
+            table: RefCell::new(PeerTable::new(own_address, settings.watchers)),
             links: RefCell::default(),
             budget: ByteBudget::new(settings.bytes_per_second),
             fetches: RefCell::default(),
@@ -133,7 +133,7 @@
             version: PROTOCOL_VERSION,
             incarnation: self.incarnation,
             domain: self.domain.clone(),
-            listen: self.own,
+            listen: self.own_address,
             nonce,
         }
     }
@@ -275,11 +275,11 @@
 
     /// Marks the process as settled if the current facts allow it.
     pub(crate) fn update_settling(&self) {
-        let SettlingState::Querying(since) = self.settling.get() else { return };
-        if self.settling_facts(since).is_settled(self.settings.ask_within) {
+        let SettlingState::Querying(started_at) = self.settling.get() else { return };
+        if self.settling_facts(started_at).is_settled(self.settings.ask_within) {
             self.settling.set(SettlingState::Settled);
             log::info!(
-                revision = self.store.borrow().revision(), asked_ms = since.elapsed().as_millis() as u64;
+                revision = self.store.borrow().revision(), asked_ms = started_at.elapsed().as_millis() as u64;
                 "configuration settled"
             );
             self.links.borrow().values().for_each(|link| link.queue_summary(false));
@@ -287,13 +287,13 @@
         }
     }
 
-    fn settling_facts(&self, since: Instant) -> SettlingFacts {
+    fn settling_facts(&self, started_at: Instant) -> SettlingFacts {
         let links = self.links.borrow();
         let responded = links.values().filter(|link| link.peer_settled.get().is_some());
         let agreed = links.values().filter(|link| link.agreed.get()).count();
         let settled = links.values().filter(|link| link.peer_settled.get() == Some(true));
         SettlingFacts {
-            query_time: since.elapsed(),
+            query_time: started_at.elapsed(),
             has_peers: !self.settings.peers.is_empty() || !links.is_empty(),
             responded: responded.count(),
             agreed,
@@ -302,7 +302,7 @@
                 .service_view
                 .get()
                 .reading
-                .is_some_and(|(_, read)| read >= since),
+                .is_some_and(|(_, read)| read >= started_at),
             holds_files: self.store.borrow().files() > 0,
             is_fetching: !self.is_fetch_idle(),
         }
--- a/crates/papayamux-spread/src/node.rs
+++ b/crates/papayamux-spread/src/node.rs
@@ -66,10 +66,10 @@
         timer: &TimerService,
     ) -> io::Result<Self> {
         let listener = listen(settings.listen)?;
-        let own = listener.local_addr()?;
-        log::info!(peers:% = own; "listening for peers");
+        let own_address = listener.local_addr()?;
+        log::info!(peers:% = own_address; "listening for peers");
         let store = FileStore::new(check);
-        let core = SpreadCore::new(settings, identity, own, store, metrics);
+        let core = SpreadCore::new(settings, identity, own_address, store, metrics);
         let core = Rc::new(core);
         monoio::spawn(accept_peers(core.clone(), listener));
         monoio::spawn(dial_peers(core.clone(), timer.every(POLL_INTERVAL)));
@@ -82,7 +82,7 @@
 
     /// Returns the address on which this process listens for peers.
     pub fn address(&self) -> std::net::SocketAddr {
-        self.core.own
+        self.core.own_address
     }
 
     /// Returns whether the process has compared its files with its peers since it started or was
@@ -111,7 +111,7 @@
         let store = core.store.borrow();
         let now = Instant::now();
         json!({
-            "peers_listen": core.own.to_string(),
+            "peers_listen": core.own_address.to_string(),
             "settled": core.is_settled(),
             "revision": store.revision(),
             "known_revision": core.known_revision(),
--- a/crates/papayamux-transport/src/agent_link.rs
+++ b/crates/papayamux-transport/src/agent_link.rs
@@ -32,7 +32,7 @@
 /// Timeout for the agent's answer to the hello message.
 const WELCOME_TIMEOUT: Duration = Duration::from_secs(2);
 /// Stream number of messages about the connection itself.
-pub const CONNECTION: u64 = 0;
+pub const CONTROL_STREAM: u64 = 0;
 
 /// The error of opening a connection to an agent.
 #[derive(Debug, Error)]
@@ -127,7 +127,7 @@
         let nonce = identity.secret.as_ref().map(|_| ProofNonce::draw());
         let (incarnation, domain) = (identity.incarnation, identity.domain.clone());
         let hello = RouterHello { version: PROTOCOL_VERSION, incarnation, domain, nonce };
-        self.sender.send(CONNECTION, RouterMessage::Hello(hello));
+        self.sender.send(CONTROL_STREAM, RouterMessage::Hello(hello));
         let welcome = receive_welcome(&mut self.receiver).await?;
         if welcome.version != PROTOCOL_VERSION {
             return Err(AgentLinkError::Version { version: welcome.version });
@@ -173,7 +173,7 @@
             return Err(AgentLinkError::Unauthenticated);
         }
         let tag = secret.prove(ProofRole::Router, &context);
-        self.sender.send(CONNECTION, RouterMessage::Prove(tag));
+        self.sender.send(CONTROL_STREAM, RouterMessage::Prove(tag));
         Ok(())
     }
 }
