--- a/crates/papayamux-spread/src/core.rs
+++ b/crates/papayamux-spread/src/core.rs
@@ -71,7 +71,7 @@
 /// Known state of the configuration service.
 #[derive(Debug, Clone, Copy, Default)]
 struct ServiceView {
-    /// Highest service revision known to any process.
+    /// Highest service revision seen by any process, as far as known.
     known_revision: u64,
     /// Latest service read that the stored versions reflect: its revision and time.
     reading: Option<(u64, Instant)>,
@@ -208,7 +208,7 @@
         receiver
     }
 
-    /// Returns the highest known service revision.
+    /// Returns the highest service revision seen by any process, as far as known.
     pub(crate) fn known_revision(&self) -> u64 {
         self.service_view.get().known_revision
     }
--- a/crates/papayamux-spread/src/exchange/dialer.rs
+++ b/crates/papayamux-spread/src/exchange/dialer.rs
@@ -21,17 +21,19 @@
 /// Maximum number of accepted connections. One more closes the oldest, whose peer knows other
 /// processes by then, so that a process that has just started always finds a seed that accepts it.
 const MAX_ACCEPTED_LINKS: usize = 12;
-/// Accepted connections per second, and the burst allowance. When many processes start at once with
-/// the same seeds, they wait in the listener's backlog instead of overdrawing the byte budget.
+/// Accepted connections per second. When many processes start at once with the same seeds, they
+/// wait in the listener's backlog instead of overdrawing the byte budget.
 const ACCEPT_RATE: f64 = 8.0;
+/// Burst allowance of accepted connections.
 const ACCEPT_BURST: f64 = 8.0;
 /// Maximum number of concurrent connection attempts of a process that knows no living peer. The
 /// first peer that answers names others.
 const MAX_SEED_DIALS: usize = 2;
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Initial and maximum delay before a failed connection attempt is retried.
+/// Initial delay before a failed connection attempt is retried.
 const INITIAL_REDIAL_DELAY: Duration = Duration::from_millis(500);
+/// Maximum delay before a failed connection attempt is retried.
 const MAX_REDIAL_DELAY: Duration = Duration::from_secs(10);
 /// Maximum number of addresses whose failures are recorded.
 const MAX_FAILURES: usize = 512;
@@ -95,7 +97,7 @@
     probe_at: Instant,
 }
 
-/// How an outgoing connection ended.
+/// Outcome of an outgoing connection.
 enum DialEnd {
     /// The connection or its handshake failed, or it broke.
     Failed(SocketAddr),
@@ -239,7 +241,7 @@
     end
 }
 
-/// Which peers to select.
+/// Selection criterion for peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PeerFilter {
     /// Peers that count as alive.
--- a/crates/papayamux-spread/src/exchange/peer_link.rs
+++ b/crates/papayamux-spread/src/exchange/peer_link.rs
@@ -55,7 +55,7 @@
     /// `true` if the peer was settled and had the same versions as this process when it last sent a
     /// summary with the same digest.
     pub(crate) agreed: Cell<bool>,
-    /// Whether the peer is settled; `None` until its first summary.
+    /// Settled state of the peer; `None` until its first summary.
     pub(crate) peer_settled: Cell<Option<bool>>,
     /// Number of consecutive summaries with another digest than this process's.
     pub(crate) differing: Cell<u32>,
