--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -15,7 +15,7 @@
 
 use super::buffered_bytes::BufferedBytes;
 use super::StoreLimits;
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 
 /// Maximum number of body bytes in one data frame.
 const MAX_PIECE_BYTES: usize = 64 * 1024;
@@ -46,7 +46,7 @@
 
     /// Sends the router a message that concerns the connection rather than the stream.
     pub fn send_on_connection(&self, message: AgentMessage) {
-        self.sender.send(CONNECTION, message);
+        self.sender.send(CONTROL_STREAM, message);
     }
 }
 
@@ -136,12 +136,12 @@
 
     /// Returns whether the run must stop, because no reader is left and the request is idempotent.
     pub fn is_cancelled(&self) -> bool {
-        self.cancelled.is_given()
+        self.cancelled.is_triggered()
     }
 
     /// Waits until the run must stop.
     pub async fn wait_cancelled(&self) {
-        self.cancelled.given().await;
+        self.cancelled.triggered().await;
     }
 
     /// Sets and sends the head of the answer. With `keeps_events`, acknowledged events are kept so
@@ -196,10 +196,10 @@
     }
 
     async fn wait_window(&self) {
-        while self.is_window_full() && !self.cancelled.is_given() {
+        while self.is_window_full() && !self.cancelled.is_triggered() {
             let signal = ShutdownSignal::new();
             self.progress.set(Some(signal.clone()));
-            signal.given().await;
+            signal.triggered().await;
         }
     }
 
@@ -211,7 +211,7 @@
 
     fn signal_progress(&self) {
         if let Some(signal) = self.progress.take() {
-            signal.give();
+            signal.trigger();
         }
     }
 
@@ -269,7 +269,7 @@
     fn abandon(&self) {
         self.state.borrow_mut().reader = Reader::Detached;
         if self.may_cancel {
-            self.cancelled.give();
+            self.cancelled.trigger();
         }
         self.signal_progress();
     }
@@ -284,7 +284,7 @@
     pub fn attach(&self, attachment: Attachment, from: ResumePoint) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(offset) = state.offset_of(from) else { return false };
-        if self.cancelled.is_given() {
+        if self.cancelled.is_triggered() {
             return false;
         }
         if let Reader::Attached(previous) = &state.reader {
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -127,7 +127,7 @@
     fn leave(self) -> DrainingAgent {
         log::info!("agent drains");
         self.core.admissions.start_draining();
-        self.core.draining.give();
+        self.core.draining.trigger();
         DrainingAgent { core: self.core }
     }
 }
@@ -140,7 +140,7 @@
         while self.unfinished() > 0 {
             monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        self.core.closing.give();
+        self.core.closing.trigger();
         let closing = Instant::now();
         while self.core.metrics.router_links.get() > 0 && closing.elapsed() < CLOSE_TIMEOUT {
             monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
--- a/crates/papayamux-agent/src/engine_view.rs
+++ b/crates/papayamux-agent/src/engine_view.rs
@@ -61,7 +61,7 @@
 
     /// Waits for the first chat or chat probe, which shows that the backend server is an engine.
     pub async fn first_chat(&self) {
-        self.first_chat.given().await;
+        self.first_chat.triggered().await;
     }
 
     /// Returns the index of the engine's cache.
@@ -82,7 +82,7 @@
     /// Returns the number of leading checkpoints of a probe that are cached.
     pub fn warm_checkpoints(&self, probe: &LoadProbe) -> u32 {
         if probe.chat != 0 {
-            self.first_chat.give();
+            self.first_chat.trigger();
         }
         let hashes = probe.checkpoints.iter().copied();
         self.index.borrow().warm_prefix(hashes, Instant::now()) as u32
@@ -117,7 +117,7 @@
     /// Records that a request is sent to the engine now.
     pub fn record_start(&self, open: &OpenRequest, now: AgentClock) {
         let Some(target) = &open.chat else { return };
-        self.first_chat.give();
+        self.first_chat.trigger();
         self.moved.borrow_mut().forget(chat_hash(&target.chat));
         let Some(blocks) = PromptBlocks::read(target, &open.body) else { return };
         let warm = self.warm_blocks(&blocks) * TOKENS_PER_BLOCK;
--- a/crates/papayamux-agent/src/orders/order_task.rs
+++ b/crates/papayamux-agent/src/orders/order_task.rs
@@ -322,7 +322,7 @@
         log::warn!(server:% = self.core.server; "a newer agent orders the engine; stepping back");
         self.orders.metrics.superseded.set(1);
         self.orders.gate.supersede();
-        self.core.draining.give();
+        self.core.draining.trigger();
     }
 }
 
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -14,7 +14,7 @@
 use papayamux_protocol::wire::{agent_control_length, router_control_length};
 use papayamux_state::ids::RequestId;
 use papayamux_state::refusal::RefusalReason;
-use papayamux_transport::agent_link::CONNECTION;
+use papayamux_transport::agent_link::CONTROL_STREAM;
 use papayamux_transport::link::{start_link, LinkError, LinkSender};
 use papayamux_transport::shutdown::ShutdownSignal;
 
@@ -98,10 +98,10 @@
     /// Reads messages until the connection ends, and notifies the router when the agent drains.
     async fn serve(&self, receiver: &mut RouterReceiver) -> LinkEnd {
         let read = std::pin::pin!(self.read_messages(receiver));
-        let draining = std::pin::pin!(self.core.draining.given());
+        let draining = std::pin::pin!(self.core.draining.triggered());
         match select(draining, read).await {
             Either::Left(((), read)) => {
-                self.sender.send(CONNECTION, AgentMessage::Leaving);
+                self.sender.send(CONTROL_STREAM, AgentMessage::Leaving);
                 let link_shutdown =
                     std::pin::pin!(self.link_shutdown.run(&self.core.closing, &self.sender));
                 match select(link_shutdown, read).await {
@@ -121,7 +121,7 @@
                 Err(_) if unanswered == MAX_UNANSWERED_PINGS => return LinkEnd::Silent,
                 Err(_) => {
                     unanswered += 1;
-                    self.send(CONNECTION, AgentMessage::Ping(u64::from(unanswered)));
+                    self.send(CONTROL_STREAM, AgentMessage::Ping(u64::from(unanswered)));
                 }
                 Ok(None) => return LinkEnd::Closed,
                 Ok(Some(Err(error))) => return LinkEnd::Broken(error),
@@ -160,7 +160,7 @@
             RouterMessage::Recall(recall) => self.recall(stream, recall),
             RouterMessage::Ping(number) => {
                 let pong = PongNotice { number, clock: self.core.clock() };
-                self.send(CONNECTION, AgentMessage::Pong(pong));
+                self.send(CONTROL_STREAM, AgentMessage::Pong(pong));
             }
             RouterMessage::Probe(probe) => self.answer_probe(stream, &probe),
             RouterMessage::Moved(moved) => self.core.engine.record_moved(moved),
@@ -177,7 +177,7 @@
 
     fn close(&self, stream: u64, act: impl FnOnce(&AnswerRecord)) {
         if let Some(closed) = self.recalls.borrow_mut().remove(&stream) {
-            closed.give();
+            closed.trigger();
         }
         if let Some(record) = self.streams.borrow_mut().remove(&stream) {
             act(&record);
@@ -295,6 +295,6 @@
         for (stream, record) in self.streams.borrow_mut().drain() {
             record.handle_disconnect(AttachmentKey { link: self.number, stream });
         }
-        self.recalls.borrow_mut().drain().for_each(|(_, closed)| closed.give());
+        self.recalls.borrow_mut().drain().for_each(|(_, closed)| closed.trigger());
     }
 }
--- a/crates/papayamux-router/src/direct/attempt.rs
+++ b/crates/papayamux-router/src/direct/attempt.rs
@@ -134,7 +134,7 @@
         WaitResult::DeadlinePassed => return Err(LostAttempt::unknown(DEADLINE_PASSED)),
     };
     active.record_contact();
-    if let Some(elapsed) = answer.connecting_took() {
+    if let Some(elapsed) = answer.connect_time() {
         active.record_connection(elapsed);
     }
     if let Some(queue) = interface.reported_queue(&answer.head) {
--- a/crates/papayamux-router/src/direct/daemon.rs
+++ b/crates/papayamux-router/src/direct/daemon.rs
@@ -144,7 +144,7 @@
     });
     let limits = HttpLimits {
         connections: settings.max_callers(),
-        head_within: IDLE_TIMEOUT,
+        head_timeout: IDLE_TIMEOUT,
         ..HttpLimits::default()
     };
     let shutdown = ShutdownSignal::new();
@@ -205,7 +205,7 @@
         self.peers.announce_shutdown();
         log::info!(in_flight = self.view.fleet.in_flight(); "router drains");
         monoio::time::sleep(grace.mul_f64(ACCEPT_SHARE)).await;
-        self.shutdown.give();
+        self.shutdown.trigger();
         let end = drain_started + grace.saturating_sub(END_MARGIN);
         let mut served = self.served;
         while Instant::now() < end {
--- a/crates/papayamux-router/src/direct/fleet/configuration_freshness.rs
+++ b/crates/papayamux-router/src/direct/fleet/configuration_freshness.rs
@@ -49,7 +49,7 @@
     pub(super) fn record_confirmation(&self, known: BootInstant) {
         self.freshness.borrow_mut().confirm(known);
         self.confirmed_by_peers.set(false);
-        self.confirmed.take().give();
+        self.confirmed.take().trigger();
     }
 
     /// Returns when configuration and servers were last known to be the newest, by a read of this
@@ -102,7 +102,7 @@
                 age_ms = now.since(known).as_millis() as u64; "configuration is vouched for"
             );
         }
-        self.confirmed.take().give();
+        self.confirmed.take().trigger();
     }
 
     /// Returns whether API keys may be accepted by the reads of this router or of the one it
@@ -132,17 +132,17 @@
         let confirmed = self.confirmed.borrow().clone();
         self.request_read();
         // Without a confirmation the request is refused later, so the timeout needs no handling.
-        let _ = monoio::time::timeout(limit, confirmed.given()).await;
+        let _ = monoio::time::timeout(limit, confirmed.triggered()).await;
     }
 
     /// Requests an immediate read of the source.
     pub(super) fn request_read(&self) {
-        self.read_request.take().give();
+        self.read_request.take().trigger();
     }
 
     /// Waits until a read of the source is requested.
     pub async fn read_requested(&self) {
         let read_request = self.read_request.borrow().clone();
-        read_request.given().await;
+        read_request.triggered().await;
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/crash_records.rs
+++ b/crates/papayamux-router/src/direct/fleet/crash_records.rs
@@ -68,7 +68,7 @@
             fingerprint:% = fingerprint, server:% = server, crashes = record.crashes,
             held_ms = held.as_millis() as u64; "server ended under a request"
         );
-        self.crash_recorded.take().give();
+        self.crash_recorded.take().trigger();
     }
 
     /// Records that a server has run a request to completion.
@@ -80,7 +80,7 @@
         if self.quarantine.borrow_mut().record_run(fingerprint, sent, Instant::now()) {
             self.metrics.crash_records.count("cleared");
             log::info!(fingerprint:% = fingerprint; "suspect request was served");
-            self.crash_recorded.take().give();
+            self.crash_recorded.take().trigger();
         }
     }
 
@@ -107,7 +107,7 @@
             }
         }
         if learnt {
-            self.crash_recorded.take().give();
+            self.crash_recorded.take().trigger();
         }
     }
 
@@ -135,7 +135,7 @@
             if !update.observed.is_empty() || !update.received.is_empty() {
                 return update;
             }
-            crash_signal.given().await;
+            crash_signal.triggered().await;
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -201,7 +201,7 @@
     /// one.
     fn forget_connections(&self, id: &ServerId) {
         if let Some(server) = self.presence.borrow().catalog().get(id) {
-            self.pool.forget(server.address);
+            self.pool.close_idle(server.address);
         }
     }
 
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -59,7 +59,7 @@
         let asked = Instant::now();
         let (reply, answer) = oneshot::channel();
         self.outbox.inquiries.borrow_mut().push(PartInquiry { part, reply });
-        self.outbox.waiting.take().give();
+        self.outbox.waiting.take().trigger();
         // Without an answer the home is assumed to hold the part, as if the owner had not been
         // queried.
         let Ok(Ok(answer)) = monoio::time::timeout(wait_budget, answer).await else {
@@ -86,7 +86,7 @@
     pub(super) fn notify_owner(&self, update: PrefillUpdate) {
         if self.uses(Mechanism::PartOwners) {
             self.outbox.notes.borrow_mut().push(update);
-            self.outbox.waiting.take().give();
+            self.outbox.waiting.take().trigger();
         }
     }
 
@@ -98,7 +98,7 @@
             self.outbox.inquiries.borrow().is_empty() && self.outbox.notes.borrow().is_empty();
         if is_empty {
             let waiting = self.outbox.waiting.borrow().clone();
-            waiting.given().await;
+            waiting.triggered().await;
         }
         (self.outbox.inquiries.take(), self.outbox.notes.take())
     }
--- a/crates/papayamux-router/src/direct/fleet/part_prefills.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_prefills.rs
@@ -59,7 +59,7 @@
             waited = true;
             let left = deadline.saturating_duration_since(now);
             let read = self.prefill_ended.borrow().clone();
-            if left.is_zero() || monoio::time::timeout(left, read.given()).await.is_err() {
+            if left.is_zero() || monoio::time::timeout(left, read.triggered()).await.is_err() {
                 break;
             }
         }
@@ -116,7 +116,7 @@
 
     fn announce_prefill(&self, update: PrefillUpdate) {
         self.prefills.borrow_mut().push(update);
-        self.prefill_begun.take().give();
+        self.prefill_begun.take().trigger();
     }
 
     /// Waits until there are starts or ends of prefills to announce to other routers; returns all
@@ -124,7 +124,7 @@
     pub(in crate::direct) async fn next_prefills(&self) -> Vec<PrefillUpdate> {
         if self.prefills.borrow().is_empty() {
             let begun = self.prefill_begun.borrow().clone();
-            begun.given().await;
+            begun.triggered().await;
         }
         self.prefills.take()
     }
@@ -140,7 +140,7 @@
             }
             None => {
                 self.flights.borrow_mut().end_remote(server, prefixes);
-                self.prefill_ended.take().give();
+                self.prefill_ended.take().trigger();
             }
         }
     }
@@ -151,6 +151,6 @@
         if let Some(announced) = own.announced {
             self.announce_prefill(PrefillUpdate { reading: None, ..announced });
         }
-        self.prefill_ended.take().give();
+        self.prefill_ended.take().trigger();
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/queued_requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/queued_requests.rs
@@ -37,7 +37,7 @@
 impl QueueTicket {
     fn decide(&self, outcome: QueueOutcome) {
         self.outcome.set(Some(outcome));
-        self.decided.give();
+        self.decided.trigger();
     }
 }
 
@@ -87,7 +87,7 @@
             EnqueueOutcome::Queued(wait) => wait,
         };
         let guard = QueueGuard { fleet: self, service, ticket: &ticket };
-        ticket.decided.given().await;
+        ticket.decided.triggered().await;
         drop(guard);
         match ticket.outcome.get() {
             Some(QueueOutcome::Refused(refusal)) => Err(refusal),
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -168,7 +168,7 @@
     /// Waits until something is newer; returns the updates with their recipients.
     pub(in crate::direct) async fn next_updates(&self) -> Vec<(IpAddr, FleetUpdate)> {
         let advanced = self.knowledge.advanced.borrow().clone();
-        advanced.given().await;
+        advanced.triggered().await;
         let followers = self.knowledge.followers.borrow_mut().current(Instant::now());
         let update = followers.iter();
         update.filter_map(|(router, entry)| Some((*router, self.update_for(entry)?))).collect()
@@ -266,7 +266,7 @@
     }
 
     fn notify_followers(&self) {
-        self.knowledge.advanced.take().give();
+        self.knowledge.advanced.take().trigger();
     }
 
     fn update_for(&self, entry: &FollowerEntry) -> Option<FleetUpdate> {
--- a/crates/papayamux-spread/src/core.rs
+++ b/crates/papayamux-spread/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of one process's spread share.
+//! State shared by the tasks of file distribution in one process.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 use papayamux_state::ids::{FailureDomain, Incarnation};
 use rand::seq::IndexedRandom;
 
-use crate::exchange::{ByteBudget, FetchBook, PartialBody, PeerLink};
+use crate::exchange::{ByteBudget, FetchTracker, PartialBody, PeerLink};
 use crate::files::{EncodedBody, FileStore, FileVersion, JoinOutcome};
 use crate::instances::is_instances;
 use crate::metrics::SpreadMetrics;
@@ -22,10 +22,10 @@
 use crate::settings::SpreadSettings;
 use crate::settling::{SettlingFacts, SettlingState};
 
-/// Encoded bodies kept for further parts and further peers.
-const MOST_BODIES: usize = 8;
+/// Number of encoded bodies cached for further parts and peers.
+const MAX_CACHED_BODIES: usize = 8;
 
-/// Where a version came from.
+/// Source of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum VersionSource {
     /// The configuration service.
@@ -43,12 +43,12 @@
     }
 }
 
-/// Bodies encoded lately.
+/// Cache of recently encoded bodies.
 #[derive(Debug, Default)]
 pub(crate) struct BodyCache(Vec<(bool, EncodedBody)>);
 
 impl BodyCache {
-    /// The body of a version, encoded now unless it was lately.
+    /// Returns the cached body of a version, or encodes and caches it.
     pub(crate) fn get_or(
         &mut self,
         key: &VersionKey,
@@ -60,7 +60,7 @@
             return body.clone();
         }
         let body = encode();
-        if self.0.len() >= MOST_BODIES {
+        if self.0.len() >= MAX_CACHED_BODIES {
             self.0.remove(0);
         }
         self.0.push((is_delta, body.clone()));
@@ -68,21 +68,21 @@
     }
 }
 
-/// What is known of the service.
+/// Known state of the configuration service.
 #[derive(Debug, Clone, Copy, Default)]
-struct ServiceKnowledge {
-    /// The highest revision that anyone has seen.
+struct ServiceView {
+    /// Highest service revision seen by any process, as far as known.
     known_revision: u64,
-    /// The latest reading that the versions held reflect.
+    /// Latest service read that the stored versions reflect: its revision and time.
     reading: Option<(u64, Instant)>,
 }
 
-/// The state that all tasks of the spread share.
+/// State shared by all tasks of file distribution.
 pub(crate) struct SpreadCore {
     pub(crate) settings: SpreadSettings,
     pub(crate) domain: FailureDomain,
     pub(crate) incarnation: Incarnation,
-    pub(crate) own: SocketAddr,
+    pub(crate) own_address: SocketAddr,
     pub(crate) secret: Option<SharedSecret>,
     pub(crate) metrics: SpreadMetrics,
     pub(crate) store: RefCell<FileStore>,
@@ -90,9 +90,9 @@
     pub(crate) table: RefCell<PeerTable>,
     pub(crate) links: RefCell<HashMap<u64, Rc<PeerLink>>>,
     pub(crate) budget: ByteBudget,
-    pub(crate) fetches: RefCell<FetchBook>,
+    pub(crate) fetches: RefCell<FetchTracker>,
     pub(crate) partials: RefCell<HashMap<VersionKey, PartialBody>>,
-    knowledge: Cell<ServiceKnowledge>,
+    service_view: Cell<ServiceView>,
     settling: Cell<SettlingState>,
     last_link: Cell<u64>,
     subscribers: RefCell<Vec<mpsc::Sender<()>>>,
@@ -102,7 +102,7 @@
     pub(crate) fn new(
         settings: SpreadSettings,
         identity: SpreadIdentity,
-        own: SocketAddr,
+        own_address: SocketAddr,
         store: FileStore,
         metrics: SpreadMetrics,
     ) -> Self {
@@ -110,40 +110,41 @@
             domain: identity.domain,
             incarnation: identity.incarnation,
             secret: identity.secret,
-            own,
+            own_address,
             metrics,
             store: RefCell::new(store),
             bodies: RefCell::default(),
-            table: RefCell::new(PeerTable::new(own, settings.watchers)),
+            table: RefCell::new(PeerTable::new(own_address, settings.watchers)),
             links: RefCell::default(),
             budget: ByteBudget::new(settings.bytes_per_second),
             fetches: RefCell::default(),
             partials: RefCell::default(),
-            knowledge: Cell::default(),
-            settling: Cell::new(SettlingState::Asking(Instant::now())),
+            service_view: Cell::default(),
+            settling: Cell::new(SettlingState::Querying(Instant::now())),
             last_link: Cell::new(0),
             subscribers: RefCell::default(),
             settings,
         }
     }
 
-    /// What this process says of itself.
+    /// Returns the hello message of this process.
     pub(crate) fn hello(&self, nonce: Option<ProofNonce>) -> PeerHello {
         PeerHello {
             version: PROTOCOL_VERSION,
             incarnation: self.incarnation,
             domain: self.domain.clone(),
-            listen: self.own,
+            listen: self.own_address,
             nonce,
         }
     }
 
-    /// A short account of what is held.
+    /// Returns a summary of the stored versions and of the known service state. `asks` requests a
+    /// summary in return.
     pub(crate) fn summary(&self, asks: bool) -> PeerSummary {
         PeerSummary {
             digest: self.store.borrow().digest(),
             known_revision: self.known_revision(),
-            reading: self.knowledge.get().reading.map(|(revision, read)| ServiceReading {
+            reading: self.service_view.get().reading.map(|(revision, read)| ServiceReading {
                 revision,
                 age_ms: read.elapsed().as_millis() as u64,
             }),
@@ -152,9 +153,9 @@
         }
     }
 
-    /// Takes a version, announces it to the peers that are not known to have it, and tells the
-    /// subscribers.
-    pub(crate) fn take_version(
+    /// Stores a version. If it is new, announces it to the peers that aren't known to have it and
+    /// notifies the subscribers.
+    pub(crate) fn store_version(
         &self,
         version: FileVersion,
         source: VersionSource,
@@ -163,8 +164,8 @@
         let key = version.key.clone();
         let outcome = self.store.borrow_mut().join(version);
         match outcome {
-            JoinOutcome::Taken => self.spread_version(&key, source, from),
-            JoinOutcome::Known => {}
+            JoinOutcome::Stored => self.announce_version(&key, source, from),
+            JoinOutcome::AlreadyStored => {}
             JoinOutcome::Older => self.metrics.dropped.count("older_version"),
             JoinOutcome::TooLarge => {
                 self.metrics.dropped.count("too_large");
@@ -174,156 +175,162 @@
         outcome
     }
 
-    fn spread_version(&self, key: &VersionKey, source: VersionSource, from: Option<u64>) {
+    fn announce_version(&self, key: &VersionKey, source: VersionSource, from: Option<u64>) {
         self.metrics.taken.count(source.label());
         log::info!(
             file = key.name, revision = key.revision, source = source.label();
             "version taken"
         );
         if !is_instances(&key.name) {
-            self.note_known_revision(key.revision);
+            self.record_known_revision(key.revision);
         }
         let holders = self.fetches.borrow().sources_of(key).to_vec();
         for link in self.links.borrow().values() {
             if Some(link.id) != from && !holders.contains(&link.id) {
-                link.plan_announcement(key.clone());
+                link.queue_announcement(key.clone());
             }
         }
-        self.tell_subscribers();
+        self.notify_subscribers();
     }
 
-    fn tell_subscribers(&self) {
+    fn notify_subscribers(&self) {
         self.subscribers.borrow_mut().retain_mut(|subscriber| {
             let _ = subscriber.try_send(());
             !subscriber.is_closed()
         });
     }
 
-    /// A receiver that is woken after each change of what is held.
+    /// Returns a receiver that wakes after each change of the stored versions or of the settled
+    /// state.
     pub(crate) fn subscribe(&self) -> mpsc::Receiver<()> {
         let (sender, receiver) = mpsc::channel(0);
         self.subscribers.borrow_mut().push(sender);
         receiver
     }
 
-    /// The highest service revision that anyone has seen, as far as is known.
+    /// Returns the highest service revision seen by any process, as far as known.
     pub(crate) fn known_revision(&self) -> u64 {
-        self.knowledge.get().known_revision
+        self.service_view.get().known_revision
     }
 
-    /// The service revision that the versions held reflect.
+    /// Returns the service revision that the stored versions reflect.
     pub(crate) fn reflected_revision(&self) -> Option<u64> {
-        self.knowledge.get().reading.map(|(revision, _)| revision)
+        self.service_view.get().reading.map(|(revision, _)| revision)
     }
 
-    /// Notes that someone has seen the service at `revision`.
-    pub(crate) fn note_known_revision(&self, revision: u64) {
-        let mut knowledge = self.knowledge.get();
-        knowledge.known_revision = knowledge.known_revision.max(revision);
-        self.knowledge.set(knowledge);
+    /// Records that a process has seen the service at `revision`.
+    pub(crate) fn record_known_revision(&self, revision: u64) {
+        let mut service_view = self.service_view.get();
+        service_view.known_revision = service_view.known_revision.max(revision);
+        self.service_view.set(service_view);
     }
 
-    /// Notes a reading that the versions held reflect; one of a revision below the highest known
-    /// is no news.
-    pub(crate) fn note_reading(&self, revision: u64, read: Instant) {
-        let mut knowledge = self.knowledge.get();
-        let later = knowledge.reading.is_none_or(|(_, known)| read > known);
-        if revision >= knowledge.known_revision && later {
-            knowledge.known_revision = revision;
-            knowledge.reading = Some((revision, read));
-            self.knowledge.set(knowledge);
+    /// Records a service read that the stored versions reflect. A read of a revision below the
+    /// highest known, or not later than the recorded one, is ignored.
+    pub(crate) fn record_reading(&self, revision: u64, read: Instant) {
+        let mut service_view = self.service_view.get();
+        let later = service_view.reading.is_none_or(|(_, known)| read > known);
+        if revision >= service_view.known_revision && later {
+            service_view.known_revision = revision;
+            service_view.reading = Some((revision, read));
+            self.service_view.set(service_view);
         }
     }
 
-    /// Takes over the reading of a peer that holds the same.
+    /// Adopts the service read of a peer with the same versions.
     pub(crate) fn adopt_reading(&self, reading: Option<ServiceReading>) {
         let Some(reading) = reading else { return };
         let age = Duration::from_millis(reading.age_ms);
         if let Some(read) = Instant::now().checked_sub(age) {
-            self.note_reading(reading.revision, read);
+            self.record_reading(reading.revision, read);
         }
     }
 
-    /// How long ago the service was read at what is held.
+    /// Returns the time since the service read that the stored versions reflect.
     pub(crate) fn age(&self) -> Option<Duration> {
-        self.knowledge.get().reading.map(|(_, read)| read.elapsed())
+        self.service_view.get().reading.map(|(_, read)| read.elapsed())
     }
 
-    /// Whether the process may serve with what it holds.
+    /// Returns whether the process may serve with the files that it stores.
     pub(crate) fn is_settled(&self) -> bool {
         self.settling.get() == SettlingState::Settled
     }
 
-    /// Has the process ask its peers before it counts as settled again.
-    pub(crate) fn ask_again(&self) {
-        self.settling.set(SettlingState::Asking(Instant::now()));
+    /// Makes the process query its peers again before it counts as settled.
+    pub(crate) fn restart_settling(&self) {
+        self.settling.set(SettlingState::Querying(Instant::now()));
         for link in self.links.borrow().values() {
             link.agreed.set(false);
             link.peer_settled.set(None);
-            link.plan_summary(true);
+            link.queue_summary(true);
         }
     }
 
-    /// Asks peers at once whether they hold the same, while the process is not settled.
-    pub(crate) fn ask_while_unsettled(&self) {
+    /// Queries all peers for a summary immediately, unless the process is settled.
+    pub(crate) fn query_peers_if_unsettled(&self) {
         if !self.is_settled() {
-            self.links.borrow().values().for_each(|link| link.plan_summary(true));
+            self.links.borrow().values().for_each(|link| link.queue_summary(true));
         }
     }
 
-    /// Settles the process where the facts allow it.
-    pub(crate) fn look_whether_settled(&self) {
-        let SettlingState::Asking(since) = self.settling.get() else { return };
-        if self.settling_facts(since).is_settled(self.settings.ask_within) {
+    /// Marks the process as settled if the current facts allow it.
+    pub(crate) fn update_settling(&self) {
+        let SettlingState::Querying(started_at) = self.settling.get() else { return };
+        if self.settling_facts(started_at).is_settled(self.settings.ask_within) {
             self.settling.set(SettlingState::Settled);
             log::info!(
-                revision = self.store.borrow().revision(), asked_ms = since.elapsed().as_millis() as u64;
+                revision = self.store.borrow().revision(), asked_ms = started_at.elapsed().as_millis() as u64;
                 "configuration settled"
             );
-            self.links.borrow().values().for_each(|link| link.plan_summary(false));
-            self.tell_subscribers();
+            self.links.borrow().values().for_each(|link| link.queue_summary(false));
+            self.notify_subscribers();
         }
     }
 
-    fn settling_facts(&self, since: Instant) -> SettlingFacts {
+    fn settling_facts(&self, started_at: Instant) -> SettlingFacts {
         let links = self.links.borrow();
-        let heard = links.values().filter(|link| link.peer_settled.get().is_some());
+        let responded = links.values().filter(|link| link.peer_settled.get().is_some());
         let agreed = links.values().filter(|link| link.agreed.get()).count();
         let settled = links.values().filter(|link| link.peer_settled.get() == Some(true));
         SettlingFacts {
-            asked_for: since.elapsed(),
+            query_time: started_at.elapsed(),
             has_peers: !self.settings.peers.is_empty() || !links.is_empty(),
-            heard: heard.count(),
+            responded: responded.count(),
             agreed,
             disagreed: settled.filter(|link| !link.agreed.get()).count(),
-            has_reading: self.knowledge.get().reading.is_some_and(|(_, read)| read >= since),
+            has_read_service: self
+                .service_view
+                .get()
+                .reading
+                .is_some_and(|(_, read)| read >= started_at),
             holds_files: self.store.borrow().files() > 0,
-            fetches: !self.is_fetch_idle(),
+            is_fetching: !self.is_fetch_idle(),
         }
     }
 
-    /// Whether no version is being fetched.
+    /// Returns whether no version is being fetched.
     pub(crate) fn is_fetch_idle(&self) -> bool {
         self.fetches.borrow().is_idle()
     }
 
-    /// A number for a new link.
+    /// Returns the number of a new link.
     pub(crate) fn next_link(&self) -> u64 {
         self.last_link.set(self.last_link.get() + 1);
         self.last_link.get()
     }
 
-    /// Links open that this process opened, or that its peers opened.
+    /// Returns the number of open links that this process opened (`outgoing`) or that its peers
+    /// opened.
     pub(crate) fn count_links(&self, outgoing: bool) -> usize {
         self.links.borrow().values().filter(|link| link.outgoing == outgoing).count()
     }
 
-    /// Whether there is a link to the peer at `address`.
+    /// Returns whether there is a link to the peer at `address`.
     pub(crate) fn is_linked(&self, address: SocketAddr) -> bool {
         self.links.borrow().values().any(|link| link.address == address)
     }
 
-    /// Closes one of the links that this process opened, at random.
+    /// Closes a random link among those that this process opened.
     pub(crate) fn close_opened_link(&self) {
         let links = self.links.borrow();
         let opened: Vec<_> = links.values().filter(|link| link.outgoing).collect();
--- a/crates/papayamux-spread/src/exchange/dialer.rs
+++ b/crates/papayamux-spread/src/exchange/dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to peers: opening, accepting, renewing.
+//! Opens, accepts and renews connections to peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,36 +15,39 @@
 use super::link_reader::run_link;
 use super::peer_error::PeerError;
 use crate::core::SpreadCore;
-use crate::pace::{RetryBackoff, TokenBucket};
-use crate::peers::ALIVE_WITHIN;
+use crate::peers::PEER_ALIVE_TIMEOUT;
+use crate::rate_limit::{RetryBackoff, TokenBucket};
 
-/// Connections of peers open at once. One more closes the oldest, whose peer knows others by
-/// then, so that a process that has just started always finds a seed that takes it.
-const MOST_ACCEPTED: usize = 12;
-/// Connections accepted a second, and how many may be saved up: when many processes start at once
-/// and know the same seeds, they wait in the listener's backlog instead of overdrawing the budget.
+/// Maximum number of accepted connections. One more closes the oldest, whose peer knows other
+/// processes by then, so that a process that has just started always finds a seed that accepts it.
+const MAX_ACCEPTED_LINKS: usize = 12;
+/// Accepted connections per second. When many processes start at once with the same seeds, they
+/// wait in the listener's backlog instead of overdrawing the byte budget.
 const ACCEPT_RATE: f64 = 8.0;
+/// Burst allowance of accepted connections.
 const ACCEPT_BURST: f64 = 8.0;
-/// Seeds tried at once by a process that knows no one else: the first that answers names others.
-const SEEKING_DIALS: usize = 2;
-/// How long the listener waits after it could not accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The first and the longest pause before a peer that could not be reached is tried again.
-const REDIAL_FIRST: Duration = Duration::from_millis(500);
-const REDIAL_LONGEST: Duration = Duration::from_secs(10);
-/// Addresses whose failures are remembered.
-const MOST_FAILURES: usize = 512;
-/// About how often one connection is replaced by one to another peer, so that halves that were
-/// parted find each other and the connections stay mixed.
-const RENEW_EVERY: Duration = Duration::from_secs(30);
-/// About how often a peer that is not heard any more is tried beside the connections open.
-const PROBE_EVERY: Duration = Duration::from_secs(8);
+/// Maximum number of concurrent connection attempts of a process that knows no living peer. The
+/// first peer that answers names others.
+const MAX_SEED_DIALS: usize = 2;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Initial delay before a failed connection attempt is retried.
+const INITIAL_REDIAL_DELAY: Duration = Duration::from_millis(500);
+/// Maximum delay before a failed connection attempt is retried.
+const MAX_REDIAL_DELAY: Duration = Duration::from_secs(10);
+/// Maximum number of addresses whose failures are recorded.
+const MAX_FAILURES: usize = 512;
+/// Mean interval at which one connection is replaced by one to another peer. This lets the halves
+/// of a healed partition find each other and keeps the connections mixed.
+const RENEW_INTERVAL: Duration = Duration::from_secs(30);
+/// Mean interval at which an additional connection to a silent peer is tried.
+const PROBE_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Accepts peers for ever.
+/// Accepts connections from peers; never returns.
 pub(crate) async fn accept_peers(core: Rc<SpreadCore>, listener: TcpListener) {
-    let pace = TokenBucket::new(ACCEPT_RATE, ACCEPT_BURST, ACCEPT_BURST, Instant::now());
+    let rate_limit = TokenBucket::new(ACCEPT_RATE, ACCEPT_BURST, ACCEPT_BURST, Instant::now());
     loop {
-        pace.take(1.0, 0.0).await;
+        rate_limit.take(1.0, 0.0).await;
         let stream = match listener.accept().await {
             Ok((_, from)) if !admits(&core.settings.allow, from.ip()) => {
                 core.metrics.lost_links.count(PeerError::Address.label());
@@ -53,37 +56,37 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(error:% = error; "accepting a peer failed");
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if core.count_links(false) >= MOST_ACCEPTED {
+        if core.count_links(false) >= MAX_ACCEPTED_LINKS {
             core.metrics.lost_links.count("made_room");
             core.close_accepted_link();
         }
         let core = core.clone();
         monoio::spawn(async move {
             let outcome = run_link(&core, stream, false).await;
-            note_end(&core, outcome);
+            record_link_end(&core, outcome);
         });
     }
 }
 
-fn note_end(core: &SpreadCore, outcome: Result<(), PeerError>) {
+fn record_link_end(core: &SpreadCore, outcome: Result<(), PeerError>) {
     let Err(error) = outcome else { return };
     core.metrics.lost_links.count(error.label());
-    log::debug!(error:% = error; "connection of a peer ended");
+    log::debug!(error:% = error; "peer connection ended");
 }
 
 struct DialFailure {
     backoff: RetryBackoff,
-    until: Instant,
+    retry_at: Instant,
 }
 
 /// Keeps connections to peers open.
 struct PeerDialer {
     core: Rc<SpreadCore>,
-    /// Peers with a connection that is open or being opened.
+    /// Peers with an outgoing connection that is open or being opened.
     dialing: Vec<SocketAddr>,
     /// Addresses that lead back to this process.
     own: Vec<SocketAddr>,
@@ -94,21 +97,21 @@
     probe_at: Instant,
 }
 
-/// How an outgoing connection ended.
+/// Outcome of an outgoing connection.
 enum DialEnd {
-    /// It could not be opened.
+    /// The connection or its handshake failed, or it broke.
     Failed(SocketAddr),
-    /// It was open for a while.
+    /// The connection was closed after use, or the peer went silent.
     Ended(SocketAddr),
-    /// It leads back to this process.
-    Itself(SocketAddr),
+    /// The address leads back to this process.
+    SelfConnection(SocketAddr),
 }
 
-fn about(period: Duration) -> Duration {
+fn jittered(period: Duration) -> Duration {
     period.mul_f64(rand::rng().random_range(0.5..1.5))
 }
 
-/// Opens connections to peers for ever.
+/// Opens connections to peers until the timer stops.
 pub(crate) async fn dial_peers(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     let (report, ended) = futures_channel::mpsc::unbounded();
     let now = Instant::now();
@@ -119,26 +122,26 @@
         failures: HashMap::new(),
         ended,
         report,
-        renew_at: now + about(RENEW_EVERY),
-        probe_at: now + about(PROBE_EVERY),
+        renew_at: now + jittered(RENEW_INTERVAL),
+        probe_at: now + jittered(PROBE_INTERVAL),
     };
-    dialer.look(now);
+    dialer.maintain_links(now);
     while ticks.tick().await.is_some() {
-        dialer.take_ends();
-        dialer.look(Instant::now());
+        dialer.handle_ended_dials();
+        dialer.maintain_links(Instant::now());
     }
 }
 
 impl PeerDialer {
-    fn take_ends(&mut self) {
+    fn handle_ended_dials(&mut self) {
         while let Ok(end) = self.ended.try_recv() {
             match end {
-                DialEnd::Failed(address) => self.note_failure(address),
+                DialEnd::Failed(address) => self.record_failure(address),
                 DialEnd::Ended(address) => {
                     self.failures.remove(&address);
                     self.dialing.retain(|dialed| *dialed != address);
                 }
-                DialEnd::Itself(address) => {
+                DialEnd::SelfConnection(address) => {
                     self.dialing.retain(|dialed| *dialed != address);
                     self.own.push(address);
                 }
@@ -146,58 +149,59 @@
         }
     }
 
-    fn note_failure(&mut self, address: SocketAddr) {
+    fn record_failure(&mut self, address: SocketAddr) {
         self.dialing.retain(|dialed| *dialed != address);
-        if self.failures.len() >= MOST_FAILURES {
+        if self.failures.len() >= MAX_FAILURES {
             self.failures.clear();
         }
         let failure = self.failures.entry(address).or_insert_with(|| DialFailure {
-            backoff: RetryBackoff::new(REDIAL_FIRST, REDIAL_LONGEST),
-            until: Instant::now(),
+            backoff: RetryBackoff::new(INITIAL_REDIAL_DELAY, MAX_REDIAL_DELAY),
+            retry_at: Instant::now(),
         });
-        failure.until = Instant::now() + failure.backoff.pause();
+        failure.retry_at = Instant::now() + failure.backoff.next_delay();
     }
 
-    fn look(&mut self, now: Instant) {
+    fn maintain_links(&mut self, now: Instant) {
         let open = self.dialing.len();
         let fanout = self.core.settings.fanout;
         for _ in open..fanout {
-            let alive = self.pick(now, Wanted::Alive);
-            let seeks = alive.is_none() && self.dialing.len() < SEEKING_DIALS;
-            let Some(address) = alive.or_else(|| seeks.then(|| self.pick(now, Wanted::Any))?)
+            let alive = self.pick(now, PeerFilter::Alive);
+            let dials_seeds = alive.is_none() && self.dialing.len() < MAX_SEED_DIALS;
+            let Some(address) =
+                alive.or_else(|| dials_seeds.then(|| self.pick(now, PeerFilter::Any))?)
             else {
                 break;
             };
             self.dial(address);
         }
         if now >= self.renew_at {
-            self.renew_at = now + about(RENEW_EVERY);
-            if open > fanout || (open == fanout && self.pick(now, Wanted::Alive).is_some()) {
+            self.renew_at = now + jittered(RENEW_INTERVAL);
+            if open > fanout || (open == fanout && self.pick(now, PeerFilter::Alive).is_some()) {
                 self.core.close_opened_link();
             }
         }
         if now >= self.probe_at {
-            self.probe_at = now + about(PROBE_EVERY);
-            if let Some(address) = self.pick(now, Wanted::Silent) {
+            self.probe_at = now + jittered(PROBE_INTERVAL);
+            if let Some(address) = self.pick(now, PeerFilter::Silent) {
                 self.dial(address);
             }
         }
     }
 
-    /// A peer that is not connected, at random; those of other failure domains as likely as those
-    /// of the own one.
-    fn pick(&self, now: Instant, wanted: Wanted) -> Option<SocketAddr> {
+    /// Returns a random peer that isn't connected. Peers of other failure domains are as likely as
+    /// those of this process's own domain.
+    fn pick(&self, now: Instant, filter: PeerFilter) -> Option<SocketAddr> {
         let table = self.core.table.borrow();
         let mut near = Vec::new();
         let mut far = Vec::new();
         for peer in table.all().filter(|peer| self.may_dial(peer.address, now)) {
-            let alive = now.saturating_duration_since(peer.heard) < ALIVE_WITHIN;
-            if wanted.takes(alive) {
+            let alive = now.saturating_duration_since(peer.last_contact) < PEER_ALIVE_TIMEOUT;
+            if filter.accepts(alive) {
                 let is_near = peer.domain == self.core.domain;
                 if is_near { &mut near } else { &mut far }.push(peer.address);
             }
         }
-        if wanted != Wanted::Alive {
+        if filter != PeerFilter::Alive {
             let seeds = self.core.settings.peers.iter().copied();
             let unknown = |seed: &SocketAddr| table.all().all(|peer| peer.address != *seed);
             far.extend(seeds.filter(unknown).filter(|seed| self.may_dial(*seed, now)));
@@ -208,7 +212,7 @@
     }
 
     fn may_dial(&self, address: SocketAddr, now: Instant) -> bool {
-        let backs_off = self.failures.get(&address).is_some_and(|failure| failure.until > now);
+        let backs_off = self.failures.get(&address).is_some_and(|failure| failure.retry_at > now);
         let is_own = self.own.contains(&address);
         !backs_off && !is_own && !self.dialing.contains(&address) && !self.core.is_linked(address)
     }
@@ -230,30 +234,30 @@
     let outcome = run_link(core, stream, true).await;
     let end = match &outcome {
         Ok(()) | Err(PeerError::Silent) => DialEnd::Ended(address),
-        Err(PeerError::Itself) => DialEnd::Itself(address),
+        Err(PeerError::SelfConnection) => DialEnd::SelfConnection(address),
         Err(_) => DialEnd::Failed(address),
     };
-    note_end(core, outcome);
+    record_link_end(core, outcome);
     end
 }
 
-/// Which peers are wanted.
+/// Selection criterion for peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wanted {
-    /// Those heard lately.
+enum PeerFilter {
+    /// Peers that count as alive.
     Alive,
-    /// Those not heard lately, and seeds.
+    /// Peers that don't count as alive, and unknown seeds.
     Silent,
-    /// All.
+    /// All known peers, and unknown seeds.
     Any,
 }
 
-impl Wanted {
-    fn takes(self, alive: bool) -> bool {
+impl PeerFilter {
+    fn accepts(self, alive: bool) -> bool {
         match self {
-            Wanted::Alive => alive,
-            Wanted::Silent => !alive,
-            Wanted::Any => true,
+            PeerFilter::Alive => alive,
+            PeerFilter::Silent => !alive,
+            PeerFilter::Any => true,
         }
     }
 }
--- a/crates/papayamux-spread/src/exchange/link_writer.rs
+++ b/crates/papayamux-spread/src/exchange/link_writer.rs
@@ -1,4 +1,4 @@
-//! The two writers of a link: short messages, and parts of bodies.
+//! The two writer tasks of a link: one for short messages, one for body parts.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::core::SpreadCore;
 use crate::files::EncodedBody;
 
-/// Bytes of a body that one message carries.
+/// Bytes of a body in one message.
 pub(crate) const PART_BYTES: usize = 2_048;
 
 /// Sends short messages until the link ends.
@@ -39,7 +39,7 @@
     while wakes.next().await.is_some() {
         while let Some(request) = link.next_request() {
             let Some(part) = part_for(&core, &request) else {
-                link.plan_absent(request.key);
+                link.queue_absent(request.key);
                 continue;
             };
             let message = PeerMessage::Part(part);
@@ -70,7 +70,8 @@
     })
 }
 
-/// A delta from the version that the peer holds, or else the version whole, or else the newest.
+/// Returns a delta from the version that the peer has, or else the requested version in full, or
+/// else the newest version if it is later.
 fn body_for(core: &SpreadCore, request: &FetchRequest) -> Option<EncodedBody> {
     let store = core.store.borrow();
     let name = &request.key.name;
@@ -82,5 +83,5 @@
     }
     let newest = store.newest(name).filter(|newest| newest.key.revision > request.key.revision);
     let version = store.version(&request.key).or(newest)?;
-    Some(core.bodies.borrow_mut().get_or(&version.key, false, || EncodedBody::whole(version)))
+    Some(core.bodies.borrow_mut().get_or(&version.key, false, || EncodedBody::full(version)))
 }
--- a/crates/papayamux-spread/src/files/delta.rs
+++ b/crates/papayamux-spread/src/files/delta.rs
@@ -1,4 +1,4 @@
-//! What changed between two versions of a file, line by line.
+//! Line-based deltas between two versions of a file.
 
 use std::collections::HashMap;
 
@@ -9,23 +9,23 @@
 
 use super::file_version::FileVersion;
 
-/// A delta is kept only where it is shorter than this share of the text.
-const WORTHWHILE_SHARE: usize = 4;
-/// Bytes of the longest delta kept.
-const LONGEST_DELTA: usize = 64 * 1024;
+/// Minimum ratio of the text's size to the delta's at which the delta is kept.
+const MIN_TEXT_TO_DELTA_RATIO: usize = 4;
+/// Maximum size of a kept delta in bytes.
+const MAX_DELTA_BYTES: usize = 64 * 1024;
 
-/// Why a delta can't be applied.
+/// The error of applying a delta.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// It copies lines that its base has not got.
-    #[error("the delta copies lines beyond its base")]
-    Beyond,
-    /// Its result is longer than a file may be.
-    #[error("the delta's result is too long")]
+    /// The delta copies lines that its base doesn't have.
+    #[error("the delta copies lines that its base doesn't have")]
+    OutOfRange,
+    /// The result exceeds the maximum file size.
+    #[error("the result of the delta exceeds the maximum file size")]
     TooLong,
 }
 
-/// One step of a delta: lines of the base, then new text.
+/// One step of a delta: copied lines of the base, followed by new text.
 #[derive(Clone, PartialEq, Message)]
 struct WireStep {
     #[prost(uint32, tag = "1")]
@@ -36,33 +36,33 @@
     insert: String,
 }
 
-/// The steps of a delta.
+/// Wire form of a delta.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireDelta {
     #[prost(message, repeated, tag = "1")]
     steps: Vec<WireStep>,
 }
 
-/// The way from one version of a file to a later one.
+/// An encoded delta from one version of a file to a later one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeltaStep {
-    /// The version it starts from.
+    /// The version to which the delta applies.
     pub base: VersionKey,
-    /// The version it leads to.
+    /// The version that results.
     pub target: VersionKey,
     /// The encoded steps.
     pub steps: Bytes,
 }
 
 impl DeltaStep {
-    /// The delta between two versions, where it is much shorter than the text.
+    /// Returns the delta between two versions if it is much shorter than the text.
     pub fn between(base: &FileVersion, target: &FileVersion) -> Option<Self> {
         if base.key.removed || target.key.removed {
             return None;
         }
         let steps = WireDelta::between(&base.text, &target.text).encode_to_vec();
-        let worthwhile = steps.len() * WORTHWHILE_SHARE < target.text.len();
-        if !worthwhile || steps.len() > LONGEST_DELTA {
+        let worthwhile = steps.len() * MIN_TEXT_TO_DELTA_RATIO < target.text.len();
+        if !worthwhile || steps.len() > MAX_DELTA_BYTES {
             return None;
         }
         Some(Self { base: base.key.clone(), target: target.key.clone(), steps: steps.into() })
@@ -72,14 +72,15 @@
 impl WireDelta {
     fn between(base: &str, target: &str) -> Self {
         let base: Vec<&str> = base.split_inclusive('\n').collect();
-        let mut places: HashMap<&str, Vec<usize>> = HashMap::new();
+        let mut positions: HashMap<&str, Vec<usize>> = HashMap::new();
         for (index, line) in base.iter().enumerate() {
-            places.entry(line).or_default().push(index);
+            positions.entry(line).or_default().push(index);
         }
         let mut delta = Self::default();
         let mut next = 0;
         for line in target.split_inclusive('\n') {
-            let Some(found) = places.get(line).map(|places| nearest(places, next)) else {
+            let Some(found) = positions.get(line).map(|positions| next_occurrence(positions, next))
+            else {
                 delta.insert(line);
                 continue;
             };
@@ -107,14 +108,14 @@
         self.steps.push(WireStep { first_line: line, lines: 1, insert: String::new() });
     }
 
-    /// The text that the delta makes of `base`.
+    /// Returns the result of applying the delta to `base`.
     pub(crate) fn apply(&self, base: &str) -> Result<String, DeltaError> {
         let base: Vec<&str> = base.split_inclusive('\n').collect();
         let mut text = String::new();
         for step in &self.steps {
             let first = step.first_line as usize;
             let end = first.saturating_add(step.lines as usize);
-            let copied = base.get(first..end).ok_or(DeltaError::Beyond)?;
+            let copied = base.get(first..end).ok_or(DeltaError::OutOfRange)?;
             let length: usize = copied.iter().map(|line| line.len()).sum();
             if text.len() + length + step.insert.len() > MAX_FILE_BYTES {
                 return Err(DeltaError::TooLong);
@@ -126,8 +127,8 @@
     }
 }
 
-/// The first of `places` at or after `next`, or else the first of all.
-fn nearest(places: &[usize], next: usize) -> usize {
-    let after = places.partition_point(|place| *place < next);
-    places.get(after).or(places.first()).copied().unwrap_or(0)
+/// Returns the first of the sorted `positions` at or after `next`, or else the first of all.
+fn next_occurrence(positions: &[usize], next: usize) -> usize {
+    let after = positions.partition_point(|position| *position < next);
+    positions.get(after).or(positions.first()).copied().unwrap_or(0)
 }
--- a/crates/papayamux-spread/src/node.rs
+++ b/crates/papayamux-spread/src/node.rs
@@ -1,4 +1,4 @@
-//! The spread as a process uses it.
+//! File distribution as a process uses it.
 
 use std::io;
 use std::rc::Rc;
@@ -19,45 +19,45 @@
 use crate::service::{read_instances, read_service};
 use crate::settings::SpreadSettings;
 
-/// How often summaries go to peers.
-const SUMMARY_EVERY: Duration = Duration::from_secs(2);
-/// Summaries between two lists of peers.
-const SUMMARIES_PER_PEERS: u64 = 3;
-/// How often the dialer and the reader look whether there is something to do.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval between summaries sent to peers.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of summaries between two peer lists on a connection.
+const SUMMARIES_PER_PEER_LIST: u64 = 3;
+/// Interval at which the background tasks check for work.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Who a process is.
+/// Identity of a process among its peers.
 #[derive(Debug, Clone)]
 pub struct SpreadIdentity {
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// Failure domain of the process.
     pub domain: FailureDomain,
-    /// The fleet's secret, where peers have to know it.
+    /// The fleet's shared secret, if peers must prove that they know it.
     pub secret: Option<SharedSecret>,
 }
 
-/// The spread of files in this process; clones share it.
+/// File distribution in this process. Clones share the state.
 #[derive(Clone)]
 pub struct SpreadNode {
     core: Rc<SpreadCore>,
 }
 
-/// Wakes after changes; several changes may wake once.
+/// Wakes its subscriber after changes; several changes may share one wake-up.
 pub struct ChangeSubscription {
     receiver: mpsc::Receiver<()>,
 }
 
 impl ChangeSubscription {
-    /// Waits for the next change; `false` once the spread has ended.
+    /// Waits for the next change. Returns `false` once distribution has stopped.
     pub async fn changed(&mut self) -> bool {
         self.receiver.next().await.is_some()
     }
 }
 
 impl SpreadNode {
-    /// Starts the spread on the current runtime. Versions that fail `check` are spread, but the
-    /// last version of the same file that passes is kept beside them.
+    /// Starts distribution on the current runtime. Versions that fail `check` are still
+    /// distributed, but the newest version of the file that passes is kept beside them.
     pub fn start(
         settings: SpreadSettings,
         identity: SpreadIdentity,
@@ -66,51 +66,52 @@
         timer: &TimerService,
     ) -> io::Result<Self> {
         let listener = listen(settings.listen)?;
-        let own = listener.local_addr()?;
-        log::info!(peers:% = own; "exchange with peers begins");
+        let own_address = listener.local_addr()?;
+        log::info!(peers:% = own_address; "listening for peers");
         let store = FileStore::new(check);
-        let core = SpreadCore::new(settings, identity, own, store, metrics);
+        let core = SpreadCore::new(settings, identity, own_address, store, metrics);
         let core = Rc::new(core);
         monoio::spawn(accept_peers(core.clone(), listener));
-        monoio::spawn(dial_peers(core.clone(), timer.every(LOOK_EVERY)));
-        monoio::spawn(give_summaries(core.clone(), timer.every(SUMMARY_EVERY)));
-        monoio::spawn(watch_clock(core.clone(), timer.every(LOOK_EVERY)));
-        monoio::spawn(read_service(core.clone(), timer.every(LOOK_EVERY)));
-        monoio::spawn(read_instances(core.clone(), timer.every(LOOK_EVERY)));
+        monoio::spawn(dial_peers(core.clone(), timer.every(POLL_INTERVAL)));
+        monoio::spawn(send_summaries(core.clone(), timer.every(SUMMARY_INTERVAL)));
+        monoio::spawn(watch_clock(core.clone(), timer.every(POLL_INTERVAL)));
+        monoio::spawn(read_service(core.clone(), timer.every(POLL_INTERVAL)));
+        monoio::spawn(read_instances(core.clone(), timer.every(POLL_INTERVAL)));
         Ok(Self { core })
     }
 
-    /// Where this process listens for peers.
+    /// Returns the address on which this process listens for peers.
     pub fn address(&self) -> std::net::SocketAddr {
-        self.core.own
+        self.core.own_address
     }
 
-    /// Whether the process has asked its peers since it started or was paused.
+    /// Returns whether the process has compared its files with its peers since it started or was
+    /// last paused.
     pub fn is_settled(&self) -> bool {
         self.core.is_settled()
     }
 
-    /// Looks at the versions held.
-    pub fn with_files<T>(&self, look: impl FnOnce(&FileStore) -> T) -> T {
-        look(&self.core.store.borrow())
+    /// Calls `read` with the store of file versions.
+    pub fn with_files<T>(&self, read: impl FnOnce(&FileStore) -> T) -> T {
+        read(&self.core.store.borrow())
     }
 
     pub(crate) fn metrics(&self) -> &SpreadMetrics {
         &self.core.metrics
     }
 
-    /// Subscribes to changes of the versions held and of whether the process is settled.
+    /// Subscribes to changes of the stored versions and of the settled state.
     pub fn subscribe(&self) -> ChangeSubscription {
         ChangeSubscription { receiver: self.core.subscribe() }
     }
 
-    /// The state, for people and programs.
+    /// Returns the state for the status report.
     pub fn status(&self) -> serde_json::Value {
         let core = &self.core;
         let store = core.store.borrow();
         let now = Instant::now();
         json!({
-            "peers_listen": core.own.to_string(),
+            "peers_listen": core.own_address.to_string(),
             "settled": core.is_settled(),
             "revision": store.revision(),
             "known_revision": core.known_revision(),
@@ -128,29 +129,29 @@
     }
 }
 
-async fn give_summaries(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
+async fn send_summaries(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     let mut count = 0_u32;
     while ticks.tick().await.is_some() {
         count = count.wrapping_add(1);
         for link in core.links.borrow().values() {
-            link.plan_summary(false);
-            if (link.id + u64::from(count)).is_multiple_of(SUMMARIES_PER_PEERS) {
-                link.plan_peers();
+            link.queue_summary(false);
+            if (link.id + u64::from(count)).is_multiple_of(SUMMARIES_PER_PEER_LIST) {
+                link.queue_peers();
             }
         }
     }
 }
 
-/// Notices pauses of the process, after which peers are asked before anything else; brings the
-/// gauges up to date.
+/// Detects pauses of the process, after which it must query its peers again before it counts as
+/// settled. Also updates the gauges.
 async fn watch_clock(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     while let Some(tick) = ticks.tick().await {
         if let Some(paused) = tick.paused {
             core.metrics.pauses.inc();
             log::warn!(paused_ms = paused.as_millis() as u64; "the process was paused");
-            core.ask_again();
+            core.restart_settling();
         }
-        core.look_whether_settled();
+        core.update_settling();
         set_gauges(&core);
     }
 }
--- a/crates/papayamux-spread/src/peers/mod.rs
+++ b/crates/papayamux-spread/src/peers/mod.rs
@@ -1,6 +1,6 @@
-//! Which processes are known, and which of them read the service.
+//! Known processes, and which of them watch the service.
 
 mod peer_table;
 
-pub(crate) use peer_table::ALIVE_WITHIN;
+pub(crate) use peer_table::PEER_ALIVE_TIMEOUT;
 pub use peer_table::{watch_rank, KnownPeer, PeerTable};
--- a/crates/papayamux-spread/src/service/instance_reader.rs
+++ b/crates/papayamux-spread/src/service/instance_reader.rs
@@ -1,9 +1,9 @@
-//! Reading the platform's list of instances, which is spread like a file.
+//! Reading of the platform's list of instances, which is distributed like a file.
 //!
-//! The list has no revision, and readers may see it at different ages. A reader publishes what it
-//! reads when its own reading has changed, under the time of its clock or the revision after the
-//! one held, whichever is higher; and it publishes again when something else stands there although
-//! its own reading has not changed for a while.
+//! The list has no revision, and readers may see it at different ages. A reader publishes its own
+//! read when it has changed. The revision is the wall-clock time in milliseconds, or the one after
+//! the stored revision if that is higher. A reader also publishes again if another list is stored
+//! although its own read has not changed for `REPUBLISH_DELAY`.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,14 +16,14 @@
 use crate::core::{SpreadCore, VersionSource};
 use crate::files::FileVersion;
 use crate::instances::{wall_clock_ms, INSTANCES_FILE};
-use crate::pace::RetryBackoff;
+use crate::rate_limit::RetryBackoff;
 
-/// How often a watcher reads the list, about.
-const READ_EVERY: Duration = Duration::from_secs(1);
-/// Pauses after calls that failed.
-const PAUSES: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
-/// For how long a reading must stand before it is published over another.
-const STANDS_AFTER: Duration = Duration::from_secs(10);
+/// Mean interval at which a watcher reads the list.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
+/// Initial and maximum delay after failed calls.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(10));
+/// Duration for which a read must be unchanged before it replaces another list.
+const REPUBLISH_DELAY: Duration = Duration::from_secs(10);
 
 struct InstanceReader {
     core: Rc<SpreadCore>,
@@ -33,14 +33,14 @@
     backoff: RetryBackoff,
 }
 
-/// Reads the list for ever while this process watches.
+/// Reads the list while this process is a watcher, until the timer stops.
 pub(crate) async fn read_instances(core: Rc<SpreadCore>, mut ticks: TimerSubscription) {
     let Some(address) = core.settings.instances else { return };
     let mut reader = InstanceReader {
         client: ServiceClient::new(address, core.metrics.clone()),
         last: None,
-        next_call: Instant::now() + about(READ_EVERY),
-        backoff: RetryBackoff::new(PAUSES.0, PAUSES.1),
+        next_call: Instant::now() + jittered(READ_INTERVAL),
+        backoff: RetryBackoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1),
         core,
     };
     while ticks.tick().await.is_some() {
@@ -51,7 +51,7 @@
     }
 }
 
-fn about(period: Duration) -> Duration {
+fn jittered(period: Duration) -> Duration {
     period.mul_f64(rand::rng().random_range(0.75..1.25))
 }
 
@@ -60,30 +60,31 @@
         match self.client.instances().await {
             Ok(text) => {
                 self.backoff.reset();
-                self.next_call = Instant::now() + about(READ_EVERY);
-                self.take(text);
+                self.next_call = Instant::now() + jittered(READ_INTERVAL);
+                self.handle_list(text);
             }
-            Err(error) => self.note_failure(&error),
+            Err(error) => self.record_failure(&error),
         }
     }
 
-    fn note_failure(&mut self, error: &ServiceError) {
+    fn record_failure(&mut self, error: &ServiceError) {
         self.core.metrics.service_errors.count("instances");
         log::warn!(error:% = error; "reading the list of instances failed");
-        self.next_call = Instant::now() + self.backoff.pause();
+        self.next_call = Instant::now() + self.backoff.next_delay();
     }
 
-    fn take(&mut self, text: String) {
+    fn handle_list(&mut self, text: String) {
         let now = Instant::now();
-        let since = match &self.last {
-            Some((last, since)) if *last == text => Some(*since),
+        let unchanged_since = match &self.last {
+            Some((last, unchanged_since)) if *last == text => Some(*unchanged_since),
             _ => None,
         };
-        let stands = since.is_some_and(|since| now.duration_since(since) >= STANDS_AFTER);
-        if since.is_none() || stands {
+        let is_stable = unchanged_since
+            .is_some_and(|unchanged_since| now.duration_since(unchanged_since) >= REPUBLISH_DELAY);
+        if unchanged_since.is_none() || is_stable {
             self.publish(&text);
         }
-        self.last = Some((text, since.unwrap_or(now)));
+        self.last = Some((text, unchanged_since.unwrap_or(now)));
     }
 
     fn publish(&self, text: &str) {
@@ -96,6 +97,6 @@
         let bytes = ByteCount::new(text.len() as u64);
         log::info!(revision = revision, bytes:% = bytes; "the list of instances has changed");
         let version = FileVersion::new(INSTANCES_FILE, revision, text.to_string());
-        self.core.take_version(version, VersionSource::Service, None);
+        self.core.store_version(version, VersionSource::Service, None);
     }
 }
--- a/crates/papayamux-spread/src/settling.rs
+++ b/crates/papayamux-spread/src/settling.rs
@@ -1,63 +1,64 @@
-//! Whether a process has asked its peers since it started or was paused.
+//! Decides when a process may serve after it started or was paused.
 
 use std::time::{Duration, Instant};
 
-/// Settled peers that must hold the same as this process.
-const PEERS_TO_AGREE: usize = 2;
-/// How long more than one peer is waited for.
-const SEVERAL_WITHIN: Duration = Duration::from_secs(2);
+/// Minimum number of settled peers with the same files at which the process settles immediately.
+const MIN_AGREEING_PEERS: usize = 2;
+/// Duration for which a process waits for a second peer.
+const SECOND_PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a process knows of its peers and of the service when it judges whether it is settled.
+/// State of the peers and of the service from which the settled state is derived.
 #[derive(Debug, Clone, Copy)]
 pub struct SettlingFacts {
-    /// How long the process has asked.
-    pub asked_for: Duration,
-    /// Whether it has any peers to ask.
+    /// Duration for which the process has queried its peers.
+    pub query_time: Duration,
+    /// `true` if there are peers to query.
     pub has_peers: bool,
-    /// Peers that have told what they hold.
-    pub heard: usize,
-    /// Settled peers that hold the same.
+    /// Number of peers that have sent a summary of their files.
+    pub responded: usize,
+    /// Number of settled peers with the same files.
     pub agreed: usize,
-    /// Settled peers that hold something else.
+    /// Number of settled peers with other files.
     pub disagreed: usize,
-    /// Whether what is held reflects a reading of the service made since it asks.
-    pub has_reading: bool,
-    /// Whether anything is held.
+    /// `true` if the stored files reflect a service read made since querying began.
+    pub has_read_service: bool,
+    /// `true` if any file is stored.
     pub holds_files: bool,
-    /// Whether a version is being fetched.
-    pub fetches: bool,
+    /// `true` if a version is being fetched.
+    pub is_fetching: bool,
 }
 
 impl SettlingFacts {
-    /// Whether the process may serve with what it holds.
+    /// Returns whether the process may serve with the files that it stores.
     ///
-    /// It may when two settled peers agree, or one after a while; when it has read the service
-    /// and no settled peer disagrees, as after a restart of all; and in the end, when peers can't
-    /// be reached in time, with whatever it holds, but never with nothing.
+    /// It may do so if two settled peers agree, or one after `SECOND_PEER_TIMEOUT`. It may also do
+    /// so if it has read the service and no settled peer disagrees, as after a restart of all
+    /// processes. After `ask_within`, when peers can't be reached, it serves with whatever it
+    /// stores, but never with nothing.
     pub fn is_settled(&self, ask_within: Duration) -> bool {
-        let knows = self.has_reading || self.holds_files;
-        if self.asked_for >= ask_within {
-            return knows;
+        let has_configuration = self.has_read_service || self.holds_files;
+        if self.query_time >= ask_within {
+            return has_configuration;
         }
-        if self.agreed >= PEERS_TO_AGREE {
+        if self.agreed >= MIN_AGREEING_PEERS {
             return true;
         }
-        if self.disagreed > 0 || self.fetches {
+        if self.disagreed > 0 || self.is_fetching {
             return false;
         }
-        let waited = self.asked_for >= SEVERAL_WITHIN;
+        let second_peer_timed_out = self.query_time >= SECOND_PEER_TIMEOUT;
         if self.agreed > 0 {
-            return waited;
+            return second_peer_timed_out;
         }
-        self.has_reading && (!self.has_peers || (self.heard > 0 && waited))
+        self.has_read_service && (!self.has_peers || (self.responded > 0 && second_peer_timed_out))
     }
 }
 
-/// The state of settling: asking, or settled.
+/// Settling state of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SettlingState {
-    /// The process asks its peers since then.
-    Asking(Instant),
+    /// Querying peers since this time.
+    Querying(Instant),
     /// The process may serve.
     Settled,
 }
--- a/crates/papayamux-transport/src/timer.rs
+++ b/crates/papayamux-transport/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: parts subscribe to periods, and learn when the process was paused.
+//! Timer service with periodic ticks, which also reports pauses of the process.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,37 +6,38 @@
 
 use local_sync::mpsc::unbounded;
 
-/// How often the service looks at the clock.
+/// Interval at which the service checks the clock.
 pub const RESOLUTION: Duration = Duration::from_millis(50);
-/// A gap between two looks at the clock that counts as a pause of the process.
+/// Minimum gap between two checks of the clock that counts as a pause of the process.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// What a subscriber receives.
+/// A tick of a subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerTick {
-    /// When the tick was due.
-    pub due: Instant,
-    /// How long the process was paused before this tick, if it was.
+    /// Time for which the tick was scheduled, or the current time if a pause made it early.
+    pub scheduled_at: Instant,
+    /// Duration of a pause of the process before this tick, if there was one.
     pub paused: Option<Duration>,
 }
 
 struct Subscriber {
     period: Duration,
-    next: Instant,
-    waiting: Rc<Cell<bool>>,
+    next_tick: Instant,
+    tick_pending: Rc<Cell<bool>>,
     sender: unbounded::Tx<TimerTick>,
 }
 
-/// Gives ticks to those who subscribed. A subscriber that has not taken its last tick gets no
-/// further one, so that nothing piles up behind a slow part.
+/// Sends periodic ticks to subscribers. A subscriber that has not received its last tick gets no
+/// further one, so that ticks don't accumulate for a slow subscriber. Only ticks that report a
+/// pause are always sent.
 #[derive(Clone, Default)]
 pub struct TimerService {
     subscribers: Rc<RefCell<Vec<Subscriber>>>,
 }
 
-/// A subscription to a period; dropping it ends it.
+/// A subscription to periodic ticks, which ends when dropped.
 pub struct TimerSubscription {
-    waiting: Rc<Cell<bool>>,
+    tick_pending: Rc<Cell<bool>>,
     receiver: unbounded::Rx<TimerTick>,
 }
 
@@ -51,36 +52,36 @@
     /// Subscribes to a tick every `period`, the first after one period.
     pub fn every(&self, period: Duration) -> TimerSubscription {
         let (sender, receiver) = unbounded::channel();
-        let waiting = Rc::new(Cell::new(false));
+        let tick_pending = Rc::new(Cell::new(false));
         self.subscribers.borrow_mut().push(Subscriber {
             period,
-            next: Instant::now() + period,
-            waiting: waiting.clone(),
+            next_tick: Instant::now() + period,
+            tick_pending: tick_pending.clone(),
             sender,
         });
-        TimerSubscription { waiting, receiver }
+        TimerSubscription { tick_pending, receiver }
     }
 
-    fn give_ticks(&self, now: Instant, paused: Option<Duration>) {
+    fn send_ticks(&self, now: Instant, paused: Option<Duration>) {
         self.subscribers.borrow_mut().retain_mut(|subscriber| {
-            if subscriber.next > now && paused.is_none() {
+            if subscriber.next_tick > now && paused.is_none() {
                 return !subscriber.sender.is_closed();
             }
-            let due = subscriber.next.min(now);
-            subscriber.next = now + subscriber.period;
-            if subscriber.waiting.replace(true) && paused.is_none() {
+            let scheduled_at = subscriber.next_tick.min(now);
+            subscriber.next_tick = now + subscriber.period;
+            if subscriber.tick_pending.replace(true) && paused.is_none() {
                 return !subscriber.sender.is_closed();
             }
-            subscriber.sender.send(TimerTick { due, paused }).is_ok()
+            subscriber.sender.send(TimerTick { scheduled_at, paused }).is_ok()
         });
     }
 }
 
 impl TimerSubscription {
-    /// The next tick, or `None` once the service has ended.
+    /// Returns the next tick, or `None` once the service has stopped.
     pub async fn tick(&mut self) -> Option<TimerTick> {
         let tick = self.receiver.recv().await;
-        self.waiting.set(false);
+        self.tick_pending.set(false);
         tick
     }
 }
@@ -92,7 +93,7 @@
         let now = Instant::now();
         let gap = now - last;
         let paused = (gap > PAUSE_THRESHOLD).then_some(gap);
-        service.give_ticks(now, paused);
+        service.send_ticks(now, paused);
         last = now;
     }
 }
--- a/crates/papayamux-transport/tests/crowded_listener.rs
+++ b/crates/papayamux-transport/tests/crowded_listener.rs
@@ -1,4 +1,4 @@
-//! A listener whose connections are nearly all taken by idle callers.
+//! A listener most of whose connections are taken by idle clients.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::io::{Read, Write};
@@ -15,13 +15,13 @@
 
 const CONNECTIONS: usize = 8;
 
-async fn answer_briefly(_: Request<Incoming>) -> Response<AnswerBody> {
+async fn respond_ok(_: Request<Incoming>) -> Response<AnswerBody> {
     Response::new(AnswerBody::Whole(Bytes::from_static(b"yes")))
 }
 
-/// Asks once on a fresh connection. Returns the connection, and whether the answer asks to close
-/// it; `None` where no answer comes.
-fn ask(address: SocketAddr) -> Option<(TcpStream, bool)> {
+/// Sends one request on a new connection. Returns the connection and whether the answer asks to
+/// close it, or `None` if there is no answer.
+fn send_request(address: SocketAddr) -> Option<(TcpStream, bool)> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
     stream.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
@@ -34,12 +34,13 @@
     Some((stream, text.to_lowercase().contains("connection: close")))
 }
 
-/// Twice as many callers as there are connections, each of which stays unless it is asked to go.
-fn polite_callers(address: SocketAddr) -> (usize, usize) {
+/// Runs twice as many clients as there are connections. Each keeps its connection open unless it is
+/// asked to close it. Returns the numbers of idle connections and of unanswered requests.
+fn run_idle_clients(address: SocketAddr) -> (usize, usize) {
     let mut idle = Vec::new();
     let mut unanswered = 0;
     for _ in 0..2 * CONNECTIONS {
-        match ask(address) {
+        match send_request(address) {
             Some((stream, false)) => idle.push(stream),
             Some((_, true)) => {}
             None => unanswered += 1,
@@ -49,22 +50,22 @@
 }
 
 #[test]
-fn idle_callers_leave_room_for_newcomers() {
+fn idle_connections_are_closed_for_new_clients() {
     runtime::run(async {
         let listener = listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let limits = HttpLimits { connections: CONNECTIONS, ..HttpLimits::default() };
         let shutdown = ShutdownSignal::new();
-        let served = serve(listener, limits, shutdown.clone(), Rc::new(answer_briefly));
+        let served = serve(listener, limits, shutdown.clone(), Rc::new(respond_ok));
         let served = monoio::spawn(served);
-        let callers = std::thread::spawn(move || polite_callers(address));
+        let callers = std::thread::spawn(move || run_idle_clients(address));
         while !callers.is_finished() {
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
         let (idle, unanswered) = callers.join().unwrap();
-        assert_eq!(unanswered, 0, "newcomers found no connection");
+        assert_eq!(unanswered, 0, "new clients got no connection");
         assert!((4..CONNECTIONS).contains(&idle), "{idle}");
-        shutdown.give();
+        shutdown.trigger();
         served.await.unwrap();
     })
     .unwrap();
--- a/crates/papayamux-transport/tests/upstream_pool.rs
+++ b/crates/papayamux-transport/tests/upstream_pool.rs
@@ -1,4 +1,4 @@
-//! Requests over kept connections.
+//! Requests over pooled connections.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::cell::Cell;
@@ -14,14 +14,14 @@
 use papayamux_transport::http::upstream::{PoolLimits, UpstreamPool};
 use papayamux_transport::runtime;
 
-/// Polls of a request that waits for its answer, at most: one for each step of connecting,
-/// sending and receiving, with room to spare.
-const MOST_POLLS: usize = 50;
+/// Maximum number of polls of a request that waits for its answer: one for each step of connecting,
+/// sending and receiving, with some margin.
+const MAX_POLLS: usize = 50;
 
-/// A waker that is never equal to another one, as copies of one task's waker need not be.
-struct OwnWaker(Waker);
+/// A waker that never equals another one, as copies of one task's waker may not be equal either.
+struct DistinctWaker(Waker);
 
-impl Wake for OwnWaker {
+impl Wake for DistinctWaker {
     fn wake(self: Arc<Self>) {
         self.0.wake_by_ref();
     }
@@ -48,10 +48,11 @@
     Request::builder().uri("/").header("host", "here").body(Bytes::new()).unwrap()
 }
 
-/// A caller's connection polls its answer more than once in a turn. Each poll woke the task again
-/// while it waited for the connection to be ready, so that no other task ran for seconds.
+/// Guards against a task that wakes itself. A caller's connection polls its answer more than once
+/// per scheduling of the task; each poll woke the task again while it waited for the connection to
+/// be ready, so that no other task ran for seconds.
 #[test]
-fn waiting_for_an_answer_wakes_nobody() {
+fn pending_request_does_not_wake_its_own_task() {
     let address = slow_server(1);
     runtime::run(async move {
         let pool = UpstreamPool::new(PoolLimits::default());
@@ -59,13 +60,13 @@
         let polls = Cell::new(0);
         let answer = poll_fn(|context| {
             polls.set(polls.get() + 2);
-            assert!(polls.get() <= MOST_POLLS, "the task wakes itself");
-            let first = Waker::from(Arc::new(OwnWaker(context.waker().clone())));
+            assert!(polls.get() <= MAX_POLLS, "the task wakes itself");
+            let first = Waker::from(Arc::new(DistinctWaker(context.waker().clone())));
             let poll = sending.as_mut().poll(&mut Context::from_waker(&first));
             if poll.is_ready() {
                 return poll;
             }
-            let second = Waker::from(Arc::new(OwnWaker(context.waker().clone())));
+            let second = Waker::from(Arc::new(DistinctWaker(context.waker().clone())));
             sending.as_mut().poll(&mut Context::from_waker(&second))
         });
         assert_eq!(answer.await.unwrap().head.status, 200);
@@ -74,8 +75,8 @@
 }
 
 #[test]
-fn connection_is_kept_after_a_whole_answer() {
-    // The server takes one connection only.
+fn connection_is_reused_after_a_complete_answer() {
+    // The server accepts only one connection.
     let address = slow_server(3);
     runtime::run(async move {
         let pool = UpstreamPool::new(PoolLimits::default());
@@ -85,7 +86,7 @@
             assert_eq!(&body[..], b"ok");
             assert!(answer.next_piece().await.is_none());
             answer.finish();
-            monoio::time::sleep(PoolLimits::default().rest * 2).await;
+            monoio::time::sleep(PoolLimits::default().reuse_delay * 2).await;
         }
     })
     .unwrap();
