--- a/crates/papayamux-agent/src/claims/claim_settings.rs
+++ b/crates/papayamux-agent/src/claims/claim_settings.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bon::Builder;
-use papayamux_settings::{IniFile, Millis};
+use papayamux_settings::{DurationSetting, IniFile};
 use papayamux_state::claims::{DeclaredServer, FleetView};
 use papayamux_state::quantities::ByteCount;
 
@@ -39,7 +39,7 @@
     pub fn read(file: &IniFile) -> Self {
         let section = file.optional_section("claims");
         let settings = Self::builder()
-            .maybe_retention(section.optional("retention").map(|time: Millis| time.0))
+            .maybe_retention(section.optional("retention").map(|time: DurationSetting| time.0))
             .maybe_witnesses(section.optional("witnesses"))
             .fleet(section.list("fleet"))
             .maybe_opens_at(section.optional("opens_at"))
@@ -49,7 +49,7 @@
         if settings.witnesses.is_multiple_of(2) {
             section.report("witnesses", "the number of witnesses must be odd", "take 3 or 5");
         }
-        section.refuse_other_keys();
+        section.report_unknown_keys();
         settings
     }
 
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -10,7 +10,7 @@
 use papayamux_coordination::admission::AdmissionBook;
 use papayamux_daemon::logging::start_logging;
 use papayamux_daemon::operations::{serve_operations, OperationsView, READY_PATH};
-use papayamux_daemon::signals::catch_end_signals;
+use papayamux_daemon::signals::catch_termination_signals;
 use papayamux_spread::configuration::ConfigurationView;
 use papayamux_spread::SpreadIdentity;
 use papayamux_state::ids::Incarnation;
@@ -83,7 +83,7 @@
 /// Runs an agent until a signal ends it.
 pub fn run_agent(settings: AgentSettings) -> Result<(), Box<dyn Error>> {
     start_logging("papayamux-agent", log::LevelFilter::Info);
-    let mut signals = catch_end_signals()?;
+    let mut signals = catch_termination_signals()?;
     runtime::run(async move {
         let agent = ServingAgent::start(&settings)?;
         signals.next().await;
--- a/crates/papayamux-agent/src/orders/order_settings.rs
+++ b/crates/papayamux-agent/src/orders/order_settings.rs
@@ -9,7 +9,7 @@
 use papayamux_coordination::orders::{LoadRate, PeerServer, ServerTarget};
 use papayamux_declarations::EngineRole;
 use papayamux_protocol::engine::DEFAULT_VERSION;
-use papayamux_settings::{IniFile, Millis, SectionReader};
+use papayamux_settings::{DurationSetting, IniFile, SectionReader};
 use papayamux_state::ids::{AdapterId, IdError, ModelId, ServerId};
 use papayamux_state::weights::WeightsRef;
 
@@ -67,7 +67,7 @@
 
 /// Reads the sections; `None` where there is no `[orders]`, so that the agent orders nothing.
 pub fn read_orders(file: &IniFile) -> Option<OrderSettings> {
-    let peers = file.names_of("peer").into_iter().filter_map(|name| read_peer(file, &name));
+    let peers = file.section_names("peer").into_iter().filter_map(|name| read_peer(file, &name));
     let peers: BTreeMap<ServerId, PeerServer> = peers.collect();
     let section = file.optional_section("orders");
     let load_rate = section.text("load_rate").unwrap_or(DEFAULT_LOAD_RATE).parse().ok();
@@ -77,11 +77,11 @@
     let in_force: Vec<ModelId> = section.list("in_force");
     let role: Option<EngineRole> = section.optional("role");
     let revision = section.optional("revision").unwrap_or_default();
-    let look_every = section.optional("look_every").map(|every: Millis| every.0);
-    let evidence_for = section.optional("evidence_for").map(|time: Millis| time.0);
-    let unload_drain = section.optional("unload_drain").map(|time: Millis| time.0);
+    let look_every = section.optional("look_every").map(|every: DurationSetting| every.0);
+    let evidence_for = section.optional("evidence_for").map(|time: DurationSetting| time.0);
+    let unload_drain = section.optional("unload_drain").map(|time: DurationSetting| time.0);
     check_times(&section, look_every, evidence_for);
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     if !file.has_section("orders") {
         return None;
     }
@@ -137,7 +137,7 @@
     let agent = section.required("agent");
     let models: Vec<ModelId> = section.list("models");
     let adapters: Vec<AdapterId> = section.list("adapters");
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     let models = models.iter().map(WeightsRef::model);
     let weights: BTreeSet<_> = models.chain(adapters.iter().map(WeightsRef::adapter)).collect();
     Some((server?, PeerServer { agent: agent?, weights }))
--- a/crates/papayamux-agent/src/orders/target_watch.rs
+++ b/crates/papayamux-agent/src/orders/target_watch.rs
@@ -6,7 +6,7 @@
 
 use futures_util::StreamExt;
 use papayamux_coordination::orders::{PeerServer, ServerTarget};
-use papayamux_declarations::{InForce, Server, ServerTask};
+use papayamux_declarations::{ConfigurationInForce, Server, ServerTask};
 use papayamux_spread::configuration::ConfigurationView;
 use papayamux_state::ids::ServerId;
 use papayamux_state::weights::WeightsRef;
@@ -65,7 +65,7 @@
 
 /// What is declared for the engine of `server`; `None` where no such engine is declared, whose
 /// state is then left as it is.
-pub fn declared_target(in_force: &InForce, server: &ServerId) -> Option<ServerTarget> {
+pub fn declared_target(in_force: &ConfigurationInForce, server: &ServerId) -> Option<ServerTarget> {
     let declared = in_force.engine_target(server)?;
     let models = declared.models.iter();
     let models = models.map(|(name, version, _)| (WeightsRef::model(name), version.to_string()));
--- a/crates/papayamux-agent/src/settings.rs
+++ b/crates/papayamux-agent/src/settings.rs
@@ -6,7 +6,7 @@
 use bon::Builder;
 use papayamux_coordination::admission::AdmissionLimits;
 use papayamux_protocol::proof::SharedSecret;
-use papayamux_settings::{Findings, IniFile, Millis};
+use papayamux_settings::{DurationSetting, Findings, IniFile};
 use papayamux_spread::settings::{read_spread, SpreadSettings, SPREAD_SECTION};
 use papayamux_state::address_range::AddressRange;
 use papayamux_state::ids::{FailureDomain, ServerId};
@@ -96,7 +96,10 @@
 }
 
 fn read_agent(file: &IniFile) -> Option<AgentSettings> {
-    file.refuse_other_sections(&["agent", "server", "claims", "orders", SPREAD_SECTION], &["peer"]);
+    file.report_unknown_sections(
+        &["agent", "server", "claims", "orders", SPREAD_SECTION],
+        &["peer"],
+    );
     let section = file.section("agent");
     let listen = section.required("listen");
     let operations = section.required("operations");
@@ -106,9 +109,9 @@
     let cancel_grace = section.optional("cancel_grace");
     let keep_answers_for = section.optional("keep_answers_for");
     let keep_answer_bytes = section.optional("keep_answer_bytes");
-    let secret = section.hidden("secret");
+    let secret = section.optional_secret("secret");
     let allow = section.list("allow");
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     let section = file.section("server");
     let server = section.required("name");
     let server_address = section.required("address");
@@ -118,7 +121,7 @@
     let longest_wait = section.optional("longest_wait");
     let load_factor = section.optional("load_factor");
     let prefill_rate = section.optional("prefill_rate");
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     let claims = ClaimSettings::read(file);
     let spread = read_spread(file);
     let orders = read_orders(file);
@@ -130,15 +133,15 @@
         .server_address(server_address?)
         .maybe_capacity(capacity)
         .maybe_queue(queue)
-        .maybe_longest_wait(longest_wait.map(|wait: Millis| wait.0))
+        .maybe_longest_wait(longest_wait.map(|wait: DurationSetting| wait.0))
         .maybe_load_factor(load_factor)
         .maybe_prefill_rate(prefill_rate)
-        .maybe_drain_within(drain_within.map(|within: Millis| within.0))
-        .maybe_resume_within(resume_within.map(|within: Millis| within.0))
-        .maybe_cancel_grace(cancel_grace.map(|grace: Millis| grace.0))
-        .maybe_keep_answers_for(keep_answers_for.map(|time: Millis| time.0))
+        .maybe_drain_within(drain_within.map(|within: DurationSetting| within.0))
+        .maybe_resume_within(resume_within.map(|within: DurationSetting| within.0))
+        .maybe_cancel_grace(cancel_grace.map(|grace: DurationSetting| grace.0))
+        .maybe_keep_answers_for(keep_answers_for.map(|time: DurationSetting| time.0))
         .maybe_keep_answer_bytes(keep_answer_bytes)
-        .maybe_progress_within(progress_within.map(|within: Millis| within.0))
+        .maybe_progress_within(progress_within.map(|within: DurationSetting| within.0))
         .maybe_secret(secret)
         .allow(allow)
         .claims(claims)
--- a/crates/papayamux-agent/tests/orders.rs
+++ b/crates/papayamux-agent/tests/orders.rs
@@ -6,7 +6,7 @@
 use papayamux_agent::orders::{declared_target, ModelGate, TargetWatch};
 use papayamux_agent::settings::AgentSettings;
 use papayamux_coordination::orders::ServerTarget;
-use papayamux_declarations::{DeclarationFile, FileSet, InForce};
+use papayamux_declarations::{ConfigurationInForce, DeclarationFile, FileSet};
 use papayamux_protocol::link::ChatTarget;
 use papayamux_state::refusal::RefusalReason;
 use papayamux_state::weights::WeightsRef;
@@ -34,7 +34,7 @@
         [server tickets]\nkind = service\nagent = 10.0.0.3:7000\nfailure_domain = b\n";
     let mut set = FileSet::default();
     set.offer(DeclarationFile::new("caverns".parse().unwrap(), 7.into(), text));
-    let in_force = InForce::compute(&set);
+    let in_force = ConfigurationInForce::compute(&set);
     assert_eq!(in_force.blocked, []);
     let target = declared_target(&in_force, &"engine-0".parse().unwrap()).unwrap();
     let itinerary = WeightsRef::model(&"itinerary".parse().unwrap());
--- a/crates/papayamux-command/src/check.rs
+++ b/crates/papayamux-command/src/check.rs
@@ -2,16 +2,16 @@
 
 use std::fmt::Write;
 
-use papayamux_declarations::{DeclarationFile, FileRefusal, InForce};
+use papayamux_declarations::{ConfigurationInForce, DeclarationFile, FileRefusal};
 use papayamux_settings::Findings;
 
-use crate::given_file::file_set;
+use crate::input_files::file_set;
 use crate::output::{CommandOutput, ExitMeaning};
 use crate::wire::{to_json, BlockedWire, FileWire, RefusalWire, VerdictWire};
 
 /// The verdict on `files`. A file of which several revisions are given is judged by its newest.
 pub fn check_files(files: &[DeclarationFile], json: bool) -> CommandOutput {
-    let in_force = InForce::compute(&file_set(files));
+    let in_force = ConfigurationInForce::compute(&file_set(files));
     let refused: Vec<_> =
         in_force.refused.iter().map(|refusal| (refusal, all_findings(files, refusal))).collect();
     let conflicts = in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict()).count();
@@ -33,7 +33,11 @@
     findings.unwrap_or_else(|| Findings(refusal.refused.findings.clone()))
 }
 
-fn verdict(in_force: &InForce, refused: &[(&FileRefusal, Findings)], clean: bool) -> VerdictWire {
+fn verdict(
+    in_force: &ConfigurationInForce,
+    refused: &[(&FileRefusal, Findings)],
+    clean: bool,
+) -> VerdictWire {
     let files = in_force
         .files
         .iter()
@@ -49,7 +53,11 @@
     }
 }
 
-fn report(in_force: &InForce, refused: &[(&FileRefusal, Findings)], conflicts: usize) -> String {
+fn report(
+    in_force: &ConfigurationInForce,
+    refused: &[(&FileRefusal, Findings)],
+    conflicts: usize,
+) -> String {
     let mut text = String::new();
     for (refusal, findings) in refused {
         let FileRefusal { file, in_force, refused } = refusal;
--- a/crates/papayamux-command/src/command_line.rs
+++ b/crates/papayamux-command/src/command_line.rs
@@ -4,12 +4,12 @@
 
 use getopts::{Matches, Options};
 use http::Method;
-use papayamux_declarations::{ItemKind, Question};
+use papayamux_declarations::{ExplainQuery, ItemKind};
 use thiserror::Error;
 
 use crate::check::check_files;
 use crate::explain::explain_files;
-use crate::given_file::{read_files, read_logs, GivenFileError};
+use crate::input_files::{read_files, read_logs, InputFileError};
 use crate::output::{CommandOutput, ExitMeaning};
 use crate::rereads::explain_rereads;
 use crate::status::show_status;
@@ -49,13 +49,13 @@
     #[error("unknown task {0:?}: use check, explain, status, trace or rereads; try --help")]
     UnknownTask(String),
     #[error("ask something: --item, --path or a kind of thing; try --help")]
-    NoQuestion,
+    NoQuery,
     #[error("the option --{0} is for explain only")]
-    NotHere(&'static str),
+    ExplainOnlyOption(&'static str),
     #[error("--method goes with --path")]
-    LoneMethod,
+    MethodWithoutPath,
     #[error("{0}")]
-    Question(#[from] papayamux_declarations::QuestionError),
+    ExplainQuery(#[from] papayamux_declarations::ExplainQueryError),
     #[error("{0:?} is not a method")]
     Method(String),
     #[error("name the processes' addresses; try --help")]
@@ -67,7 +67,7 @@
     #[error("--capacity takes a number of tokens, not {0:?}")]
     Capacity(String),
     #[error(transparent)]
-    File(#[from] GivenFileError),
+    File(#[from] InputFileError),
 }
 
 fn options() -> Options {
@@ -106,24 +106,24 @@
     let json = matches.opt_present("json");
     match task.as_str() {
         "check" => {
-            refuse_questions(&matches)?;
+            refuse_explain_options(&matches)?;
             Ok(check_files(&read_files(named)?, json))
         }
         "explain" => {
-            let questions = read_questions(&matches)?;
+            let questions = read_explain_queries(&matches)?;
             Ok(explain_files(&read_files(named)?, questions, json))
         }
         "status" => {
-            refuse_questions(&matches)?;
+            refuse_explain_options(&matches)?;
             Ok(show_status(&read_addresses(named)?, json))
         }
         "trace" => {
-            refuse_questions(&matches)?;
+            refuse_explain_options(&matches)?;
             let (request, logs) = named.split_first().ok_or(CommandLineError::NoRequest)?;
             Ok(trace_request(request, &read_logs(logs)?))
         }
         "rereads" => {
-            refuse_questions(&matches)?;
+            refuse_explain_options(&matches)?;
             let capacity = read_capacity(&matches)?;
             Ok(explain_rereads(&read_logs(named)?, capacity))
         }
@@ -131,33 +131,34 @@
     }
 }
 
-fn refuse_questions(matches: &Matches) -> Result<(), CommandLineError> {
+fn refuse_explain_options(matches: &Matches) -> Result<(), CommandLineError> {
     let names = ["item", "path", "method"].into_iter();
     let mut given =
         names.chain(ItemKind::ALL.map(ItemKind::label)).filter(|name| matches.opt_present(name));
     match given.next() {
-        Some(name) => Err(CommandLineError::NotHere(name)),
+        Some(name) => Err(CommandLineError::ExplainOnlyOption(name)),
         None => Ok(()),
     }
 }
 
-fn read_questions(matches: &Matches) -> Result<Vec<Question>, CommandLineError> {
+fn read_explain_queries(matches: &Matches) -> Result<Vec<ExplainQuery>, CommandLineError> {
     let mut questions = Vec::new();
     for item in matches.opt_strs("item") {
         questions.push(item.parse()?);
     }
     for kind in ItemKind::ALL {
         let names = matches.opt_strs(kind.label()).into_iter();
-        questions.extend(names.map(|name| Question::Item { kind, name }));
+        questions.extend(names.map(|name| ExplainQuery::Item { kind, name }));
     }
     let paths = matches.opt_strs("path");
     if matches.opt_present("method") && paths.is_empty() {
-        return Err(CommandLineError::LoneMethod);
+        return Err(CommandLineError::MethodWithoutPath);
     }
     let method = read_method(&matches.opt_str("method").unwrap_or_else(|| "GET".to_string()))?;
-    questions.extend(paths.into_iter().map(|path| Question::Call { path, method: method.clone() }));
+    questions
+        .extend(paths.into_iter().map(|path| ExplainQuery::Call { path, method: method.clone() }));
     match questions.is_empty() {
-        true => Err(CommandLineError::NoQuestion),
+        true => Err(CommandLineError::NoQuery),
         false => Ok(questions),
     }
 }
--- a/crates/papayamux-command/src/explain.rs
+++ b/crates/papayamux-command/src/explain.rs
@@ -1,18 +1,18 @@
 //! `papayamux explain`: which file and revision decide a thing, and what was refused and why.
 
-use papayamux_declarations::{DeclarationFile, Explanation, InForce, Question};
+use papayamux_declarations::{ConfigurationInForce, DeclarationFile, ExplainQuery, Explanation};
 
-use crate::given_file::file_set;
+use crate::input_files::file_set;
 use crate::output::{CommandOutput, ExitMeaning};
 use crate::wire::{to_json, ExplanationWire};
 
 /// Answers `questions` as a process would that has heard `files`.
 pub fn explain_files(
     files: &[DeclarationFile],
-    questions: Vec<Question>,
+    questions: Vec<ExplainQuery>,
     json: bool,
 ) -> CommandOutput {
-    let in_force = InForce::compute(&file_set(files));
+    let in_force = ConfigurationInForce::compute(&file_set(files));
     let explanations: Vec<_> =
         questions.into_iter().map(|question| Explanation::new(&in_force, question)).collect();
     let all_in_force = explanations.iter().all(|explanation| explanation.origin.is_some());
--- a/crates/papayamux-command/src/given_file.rs
+++ b/crates/papayamux-command/src/input_files.rs
@@ -7,11 +7,11 @@
 use thiserror::Error;
 
 /// The ending that a file may have on disk; its name in the service has none.
-const ENDING: &str = ".ini";
+const FILE_EXTENSION: &str = ".ini";
 
 /// Why a file can't be taken.
 #[derive(Debug, Error)]
-pub enum GivenFileError {
+pub enum InputFileError {
     /// No file was named.
     #[error("name the files; try --help")]
     NoFiles,
@@ -44,20 +44,20 @@
 }
 
 /// Reads the named logs as they are, each with its name.
-pub fn read_logs(paths: &[String]) -> Result<Vec<(String, String)>, GivenFileError> {
+pub fn read_logs(paths: &[String]) -> Result<Vec<(String, String)>, InputFileError> {
     if paths.is_empty() {
-        return Err(GivenFileError::NoFiles);
+        return Err(InputFileError::NoFiles);
     }
     let read = |path: &String| match std::fs::read(path) {
         Ok(bytes) => Ok((path.clone(), String::from_utf8_lossy(&bytes).into_owned())),
-        Err(source) => Err(GivenFileError::Read { path: path.clone(), source }),
+        Err(source) => Err(InputFileError::Read { path: path.clone(), source }),
     };
     paths.iter().map(read).collect()
 }
 
 /// Reads the named files. One given as `FILE@REVISION` has that revision; of the others, each
 /// counts one up from the one of the same name before it, from 1.
-pub fn read_files(paths: &[String]) -> Result<Vec<DeclarationFile>, GivenFileError> {
+pub fn read_files(paths: &[String]) -> Result<Vec<DeclarationFile>, InputFileError> {
     let mut files: Vec<DeclarationFile> = Vec::new();
     let mut newest: BTreeMap<FileName, u64> = BTreeMap::new();
     for path in paths {
@@ -66,15 +66,15 @@
         let last = newest.get(&name).copied().unwrap_or(0);
         let revision = revision.unwrap_or_else(|| last.saturating_add(1).into());
         if files.iter().any(|file| file.name == name && file.revision == revision) {
-            return Err(GivenFileError::Repeated { path: path.clone(), name, revision });
+            return Err(InputFileError::Repeated { path: path.clone(), name, revision });
         }
         newest.insert(name.clone(), last.max(revision.get()));
         let bytes = std::fs::read(file_path)
-            .map_err(|source| GivenFileError::Read { path: path.clone(), source })?;
+            .map_err(|source| InputFileError::Read { path: path.clone(), source })?;
         files.push(DeclarationFile::from_bytes(name, revision, &bytes));
     }
     match files.is_empty() {
-        true => Err(GivenFileError::NoFiles),
+        true => Err(InputFileError::NoFiles),
         false => Ok(files),
     }
 }
@@ -96,8 +96,8 @@
     }
 }
 
-fn file_name(path: &str) -> Result<FileName, GivenFileError> {
+fn file_name(path: &str) -> Result<FileName, InputFileError> {
     let last = Path::new(path).file_name().and_then(|name| name.to_str()).unwrap_or(path);
-    let name = last.strip_suffix(ENDING).unwrap_or(last);
-    name.parse().map_err(|source| GivenFileError::Name { path: path.to_string(), source })
+    let name = last.strip_suffix(FILE_EXTENSION).unwrap_or(last);
+    name.parse().map_err(|source| InputFileError::Name { path: path.to_string(), source })
 }
--- a/crates/papayamux-command/src/lib.rs
+++ b/crates/papayamux-command/src/lib.rs
@@ -6,7 +6,7 @@
 mod check;
 mod command_line;
 mod explain;
-mod given_file;
+mod input_files;
 mod log_line;
 mod output;
 mod rereads;
--- a/crates/papayamux-command/src/rereads.rs
+++ b/crates/papayamux-command/src/rereads.rs
@@ -16,10 +16,10 @@
 
 /// Time from its start for which a router's choices are put down to its start: the others have told
 /// it of most parts by then.
-const STARTED_WITHIN_MS: u64 = 3_000;
+const STARTUP_WINDOW_MS: u64 = 3_000;
 /// Bounds of the classes of age, in milliseconds, of what a router did not know: one round of reports,
 /// one second, and what routers are told again.
-const AGES_MS: [u64; 3] = [250, 1_000, 4_000];
+const AGE_BOUNDS_MS: [u64; 3] = [250, 1_000, 4_000];
 
 /// Why a part was read though another engine had read it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,35 +27,35 @@
     /// Nobody had read it: no rereading, counted for comparison.
     FirstRead,
     /// Another engine was reading it at the time.
-    ReadAtOnce,
+    ConcurrentElsewhere,
     /// The same engine was reading it for another request; whether it reads it twice isn't in the logs.
-    ReadBeside,
+    ConcurrentAtEngine,
     /// The router had just started.
     RouterStarted,
     /// The engine is the group's home, was believed to hold it and did not.
-    HomeWithout,
+    HomeLacksPart,
     /// It was to be copied from an engine that did not hold it.
-    SourceWithout,
+    SourceLacksPart,
     /// The router knew of a holder and sent the request without a copy.
     NotCopied,
     /// The engine had been given it, and too much else since.
     Evicted,
     /// The router did not know of a holder that had read it this long ago.
-    Unknown(usize),
+    HolderUnknown(usize),
 }
 
 impl RereadCause {
     fn label(self) -> String {
         match self {
             RereadCause::FirstRead => "first read of all".to_string(),
-            RereadCause::ReadAtOnce => "read at two engines at once".to_string(),
-            RereadCause::ReadBeside => "engine was reading it already".to_string(),
+            RereadCause::ConcurrentElsewhere => "read at two engines at once".to_string(),
+            RereadCause::ConcurrentAtEngine => "engine was reading it already".to_string(),
             RereadCause::RouterStarted => "router just started".to_string(),
-            RereadCause::HomeWithout => "home without the part".to_string(),
-            RereadCause::SourceWithout => "copied from an engine without it".to_string(),
+            RereadCause::HomeLacksPart => "home without the part".to_string(),
+            RereadCause::SourceLacksPart => "copied from an engine without it".to_string(),
             RereadCause::Evicted => "evicted since".to_string(),
             RereadCause::NotCopied => "holder known, not copied".to_string(),
-            RereadCause::Unknown(class) => match AGES_MS.get(class) {
+            RereadCause::HolderUnknown(class) => match AGE_BOUNDS_MS.get(class) {
                 Some(age) => format!("holder of under {age} ms ago not known"),
                 None => "older holder not known".to_string(),
             },
@@ -113,7 +113,7 @@
     }
 
     /// Tokens of other parts that the engine was given since it was given this one.
-    fn given_since(&self, prefix: PartId) -> u64 {
+    fn tokens_since(&self, prefix: PartId) -> u64 {
         let since = self.parts.iter().rev().take_while(|(part, _)| *part != prefix);
         since.map(|(_, tokens)| tokens).sum()
     }
@@ -121,39 +121,39 @@
 
 /// When engines have read parts, by prefix and engine, and what their caches hold since.
 #[derive(Debug, Default)]
-struct ReadTimes {
+struct PrefillHistory {
     times: HashMap<PartId, HashMap<String, u64>>,
     caches: HashMap<String, EngineCache>,
     capacity: Option<u64>,
 }
 
-impl ReadTimes {
+impl PrefillHistory {
     fn with_capacity(capacity: Option<u64>) -> Self {
         Self { capacity, ..Self::default() }
     }
 
     fn was_evicted(&self, prefix: PartId, server: &str) -> bool {
         let cache = self.caches.get(server);
-        let since = cache.map_or(0, |cache| cache.given_since(prefix));
+        let since = cache.map_or(0, |cache| cache.tokens_since(prefix));
         self.capacity.is_some_and(|capacity| since > capacity)
     }
 
-    fn at(&self, prefix: PartId, server: &str) -> Option<u64> {
+    fn prefilled_at(&self, prefix: PartId, server: &str) -> Option<u64> {
         self.times.get(&prefix)?.get(server).copied()
     }
 
-    fn held(&self, prefix: PartId, server: &str, at_ms: u64) -> bool {
-        self.at(prefix, server).is_some_and(|read| read <= at_ms)
+    fn held_at(&self, prefix: PartId, server: &str, at_ms: u64) -> bool {
+        self.prefilled_at(prefix, server).is_some_and(|read| read <= at_ms)
             && !self.was_evicted(prefix, server)
     }
 
     /// When the first other engine had read a part.
-    fn first_elsewhere(&self, prefix: PartId, server: &str) -> Option<u64> {
+    fn first_prefill_elsewhere(&self, prefix: PartId, server: &str) -> Option<u64> {
         let servers = self.times.get(&prefix)?.iter();
         servers.filter(|(other, _)| *other != server).map(|(_, read)| *read).min()
     }
 
-    fn note(&mut self, prefix: PartId, tokens: u64, server: &str, read_ms: u64) {
+    fn record_prefill(&mut self, prefix: PartId, tokens: u64, server: &str, read_ms: u64) {
         self.caches.entry(server.to_string()).or_default().touch(prefix, tokens);
         let read = self.times.entry(prefix).or_default().entry(server.to_string());
         let read = read.or_insert(read_ms);
@@ -179,14 +179,14 @@
         let text = "no line names a prompt's shared parts\n".to_string();
         return CommandOutput::new(ExitMeaning::Findings, text);
     }
-    let counts = count_causes(&prompts, &starts, ReadTimes::with_capacity(capacity));
+    let counts = count_causes(&prompts, &starts, PrefillHistory::with_capacity(capacity));
     CommandOutput::new(ExitMeaning::Clean, table(prompts.len(), &counts))
 }
 
 fn count_causes(
     prompts: &[PlacedPrompt],
     starts: &HashMap<String, Vec<u64>>,
-    times: ReadTimes,
+    times: PrefillHistory,
 ) -> BTreeMap<RereadCause, CauseCount> {
     let mut times = times;
     let mut counts: BTreeMap<RereadCause, CauseCount> = BTreeMap::new();
@@ -199,7 +199,7 @@
                 count.parts += 1;
                 count.tokens += tokens.get();
             }
-            times.note(prefix, tokens.get(), &prompt.server, prompt.read_ms);
+            times.record_prefill(prefix, tokens.get(), &prompt.server, prompt.read_ms);
         }
     }
     counts
@@ -210,42 +210,42 @@
     prompt: &PlacedPrompt,
     prefix: PartId,
     end: u64,
-    times: &ReadTimes,
+    times: &PrefillHistory,
     starts: &HashMap<String, Vec<u64>>,
 ) -> Option<RereadCause> {
-    if times.held(prefix, &prompt.server, prompt.sent_ms)
-        || times.held(prefix, &prompt.source, prompt.sent_ms)
+    if times.held_at(prefix, &prompt.server, prompt.sent_ms)
+        || times.held_at(prefix, &prompt.source, prompt.sent_ms)
     {
         return None;
     }
-    if times.at(prefix, &prompt.server).is_some() {
+    if times.prefilled_at(prefix, &prompt.server).is_some() {
         return Some(match times.was_evicted(prefix, &prompt.server) {
             true => RereadCause::Evicted,
-            false => RereadCause::ReadBeside,
+            false => RereadCause::ConcurrentAtEngine,
         });
     }
-    let Some(first) = times.first_elsewhere(prefix, &prompt.server) else {
+    let Some(first) = times.first_prefill_elsewhere(prefix, &prompt.server) else {
         return Some(RereadCause::FirstRead);
     };
     if first > prompt.sent_ms {
-        return Some(RereadCause::ReadAtOnce);
+        return Some(RereadCause::ConcurrentElsewhere);
     }
     let started = starts.get(&prompt.router).into_iter().flatten();
     let age = started.filter_map(|start| prompt.sent_ms.checked_sub(*start)).min();
-    if age.is_some_and(|age| age < STARTED_WITHIN_MS) {
+    if age.is_some_and(|age| age < STARTUP_WINDOW_MS) {
         return Some(RereadCause::RouterStarted);
     }
     if !prompt.source.is_empty() {
-        return Some(RereadCause::SourceWithout);
+        return Some(RereadCause::SourceLacksPart);
     }
     if prompt.known >= end {
         return Some(RereadCause::NotCopied);
     }
     if prompt.is_home {
-        return Some(RereadCause::HomeWithout);
+        return Some(RereadCause::HomeLacksPart);
     }
     let unknown_for = prompt.sent_ms - first;
-    Some(RereadCause::Unknown(AGES_MS.partition_point(|age| *age <= unknown_for)))
+    Some(RereadCause::HolderUnknown(AGE_BOUNDS_MS.partition_point(|age| *age <= unknown_for)))
 }
 
 fn table(prompts: usize, counts: &BTreeMap<RereadCause, CauseCount>) -> String {
--- a/crates/papayamux-command/src/status.rs
+++ b/crates/papayamux-command/src/status.rs
@@ -16,11 +16,11 @@
 use crate::wire::to_json;
 
 /// Bytes of the longest status that is read.
-const LONGEST_STATUS: u64 = 1024 * 1024;
+const MAX_STATUS_BYTES: u64 = 1024 * 1024;
 /// How long one process may take to answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Processes asked at the same time.
-const MOST_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
 /// The columns after the address: title, and path in the status.
 const COLUMNS: [(&str, &str); 7] = [
@@ -38,12 +38,12 @@
 enum StatusError {
     #[error(transparent)]
     Client(#[from] HttpClientError),
-    #[error("no answer within {} seconds", ANSWER_WITHIN.as_secs())]
-    Silent,
+    #[error("no answer within {} seconds", ANSWER_TIMEOUT.as_secs())]
+    TimedOut,
     #[error("the answer's status is {0}")]
     Refused(StatusCode),
     #[error("the answer is no JSON: {0}")]
-    Form(#[from] serde_json::Error),
+    InvalidJson(#[from] serde_json::Error),
     #[error(transparent)]
     Request(#[from] http::Error),
 }
@@ -58,7 +58,7 @@
 
 /// Asks the operators' ports at `addresses`.
 pub fn show_status(addresses: &[SocketAddr], json: bool) -> CommandOutput {
-    let answers = match runtime::run(ask_all(addresses)) {
+    let answers = match runtime::run(fetch_all(addresses)) {
         Ok(answers) => answers,
         Err(error) => return CommandOutput::usage(&error),
     };
@@ -68,22 +68,22 @@
     CommandOutput::new(exit, text)
 }
 
-async fn ask_all(addresses: &[SocketAddr]) -> Vec<StatusWire> {
+async fn fetch_all(addresses: &[SocketAddr]) -> Vec<StatusWire> {
     let mut answers = Vec::new();
-    for group in addresses.chunks(MOST_AT_ONCE) {
-        let asked: Vec<_> =
-            group.iter().map(|address| monoio::spawn(ask_in_time(*address))).collect();
-        for answer in asked {
+    for group in addresses.chunks(MAX_CONCURRENT_REQUESTS) {
+        let fetches: Vec<_> =
+            group.iter().map(|address| monoio::spawn(fetch_with_timeout(*address))).collect();
+        for answer in fetches {
             answers.push(answer.await);
         }
     }
     answers
 }
 
-async fn ask_in_time(address: SocketAddr) -> StatusWire {
-    let outcome = match monoio::time::timeout(ANSWER_WITHIN, ask(address)).await {
+async fn fetch_with_timeout(address: SocketAddr) -> StatusWire {
+    let outcome = match monoio::time::timeout(ANSWER_TIMEOUT, fetch_status(address)).await {
         Ok(outcome) => outcome,
-        Err(_) => Err(StatusError::Silent),
+        Err(_) => Err(StatusError::TimedOut),
     };
     match outcome {
         Ok(status) => StatusWire { address, status: Some(status), error: None },
@@ -91,14 +91,14 @@
     }
 }
 
-async fn ask(address: SocketAddr) -> Result<Value, StatusError> {
+async fn fetch_status(address: SocketAddr) -> Result<Value, StatusError> {
     let request = Request::get("/status").header(HOST, address.to_string()).body(Bytes::new())?;
     let answer = HttpClient::new(address).send_once(request).await?;
     let status = answer.head.status;
     if status != StatusCode::OK {
         return Err(StatusError::Refused(status));
     }
-    let body = answer.whole_body(LONGEST_STATUS).await?;
+    let body = answer.whole_body(MAX_STATUS_BYTES).await?;
     Ok(serde_json::from_slice(&body)?)
 }
 
--- a/crates/papayamux-command/src/trace.rs
+++ b/crates/papayamux-command/src/trace.rs
@@ -7,12 +7,12 @@
 
 /// How long before a request's last line a change of a process's beliefs is shown with it: the
 /// bound on the age of keys, after which nothing older decides anything.
-const BELIEFS_BEFORE_MS: u64 = 5_000;
+const CONTEXT_WINDOW_MS: u64 = 5_000;
 /// Fields that every line has and that say nothing about the request.
 const COMMON_FIELDS: [&str; 6] = ["time_ms", "level", "program", "target", "message", "request"];
 
 /// A line as the story shows it.
-fn show(line: &LogLine, since_ms: u64) -> String {
+fn format_line(line: &LogLine, since_ms: u64) -> String {
     let message = line.text("message").unwrap_or_default();
     let details = line.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
     let details: Vec<_> = details
@@ -37,13 +37,13 @@
         let text = format!("no line of {} files names request {request}\n", files.len());
         return CommandOutput::new(ExitMeaning::Findings, text);
     };
-    let begin = first.time_ms.saturating_sub(BELIEFS_BEFORE_MS);
-    let told = lines.iter().filter(|line| {
+    let begin = first.time_ms.saturating_sub(CONTEXT_WINDOW_MS);
+    let shown = lines.iter().filter(|line| {
         let inside = line.time_ms >= begin && line.time_ms <= last.time_ms;
         let same_process = own.iter().any(|own| own.file == line.file);
-        let belief = line.text("request").is_none() && inside && same_process;
-        belief || line.text("request") == Some(request)
+        let is_context = line.text("request").is_none() && inside && same_process;
+        is_context || line.text("request") == Some(request)
     });
-    let text = told.map(|line| show(line, first.time_ms)).collect();
+    let text = shown.map(|line| format_line(line, first.time_ms)).collect();
     CommandOutput::new(ExitMeaning::Clean, text)
 }
--- a/crates/papayamux-command/tests/command.rs
+++ b/crates/papayamux-command/tests/command.rs
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn clean_files_leave_with_0() {
+fn clean_files_exit_with_0() {
     let output = run(&format!("check {GOOD}"));
     assert_eq!(output.exit.code(), 0);
     assert_snapshot!(output.text);
 }
 
 #[test]
-fn all_findings_of_a_file_come_together() {
+fn all_findings_of_a_file_are_reported() {
     let output = run("check tests/declarations/broken.ini");
     assert_eq!(output.exit.code(), 1);
     assert_snapshot!(output.text);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_leaves_with_2() {
+fn invalid_command_lines_exit_with_2() {
     let lines = [
         "",
         "chek x",
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_status_is_a_table_with_what_did_not_answer_below() {
+fn a_status_table_lists_failed_processes_below() {
     let body = r#"{"program":"papayamux-router","ready":true,"failure_domain":"south-1",
         "incarnation":"0123456789abcdef","configuration":{"digest":"00000000000000aa"}}"#;
     let router = operators_port("200 OK", body);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_status_for_programs_is_json() {
+fn status_prints_json_on_request() {
     let router = operators_port("200 OK", r#"{"program":"papayamux-router"}"#);
     let arguments = ["status".to_string(), router.to_string(), "--json".to_string()];
     let output = run_command(arguments.into_iter());
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_trace_tells_a_requests_story_with_what_the_router_believed() {
+fn a_trace_shows_a_requests_lines_with_the_routers_state_changes() {
     let folder = tempfile::tempdir().unwrap();
     let log = folder.path().join("router.log");
     let lines = [
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn each_reading_of_a_shared_part_has_one_cause() {
+fn each_prefill_of_a_shared_part_has_one_cause() {
     let folder = tempfile::tempdir().unwrap();
     let log = folder.path().join("routers.log");
     let nothing = r#""known":0,"home":false,"copied_from":"""#;
--- a/crates/papayamux-daemon/src/command_line.rs
+++ b/crates/papayamux-daemon/src/command_line.rs
@@ -8,7 +8,7 @@
 
 /// What a daemon says about itself.
 #[derive(Debug, Clone, Copy)]
-pub struct DaemonName {
+pub struct DaemonInfo {
     /// The program's name.
     pub program: &'static str,
     /// One sentence on what it does.
@@ -52,7 +52,7 @@
 
 /// Reads the arguments after the program's name.
 pub fn read_arguments(
-    name: DaemonName,
+    name: DaemonInfo,
     arguments: impl Iterator<Item = String>,
 ) -> Result<DaemonTask, CommandLineError> {
     let options = options();
@@ -82,7 +82,7 @@
 
 /// Runs a daemon's `main`: reads the command line and the settings, then runs or checks.
 pub fn daemon_main<S>(
-    name: DaemonName,
+    name: DaemonInfo,
     read_settings: impl FnOnce(&str, &str) -> Result<S, Findings>,
     run: impl FnOnce(S) -> Result<(), Box<dyn std::error::Error>>,
 ) -> ExitCode {
--- a/crates/papayamux-daemon/src/log_writer.rs
+++ b/crates/papayamux-daemon/src/log_writer.rs
@@ -9,11 +9,11 @@
 
 /// Pause between two batches: short enough to follow a process, long enough that a busy one
 /// makes ten writes a second and not one a line.
-const BATCH_EVERY: Duration = Duration::from_millis(100);
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// Bytes that wait for the output at most.
-const MOST_BYTES: usize = 512 * 1024;
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
 /// Lines in a second at most: several times what a router with a hundred requests a second logs.
-const MOST_LINES_PER_SECOND: u32 = 2_000;
+const MAX_LINES_PER_SECOND: u32 = 2_000;
 
 #[derive(Debug, Default)]
 struct LogBuffer {
@@ -25,12 +25,14 @@
 
 impl LogBuffer {
     fn push(&mut self, line: &str, now: Instant) {
-        let same_second = self.second.is_some_and(|begun| now - begun < Duration::from_secs(1));
+        let same_second =
+            self.second.is_some_and(|started_at| now - started_at < Duration::from_secs(1));
         if !same_second {
             self.second = Some(now);
             self.lines = 0;
         }
-        if self.bytes.len() + line.len() >= MOST_BYTES || self.lines >= MOST_LINES_PER_SECOND {
+        if self.bytes.len() + line.len() >= MAX_BUFFERED_BYTES || self.lines >= MAX_LINES_PER_SECOND
+        {
             self.dropped += 1;
             return;
         }
@@ -64,7 +66,7 @@
         let buffer = writer.buffer.clone();
         let mut output = output;
         std::thread::Builder::new().name("log".to_string()).spawn(move || loop {
-            std::thread::sleep(BATCH_EVERY);
+            std::thread::sleep(BATCH_INTERVAL);
             write_batch(&buffer, &mut output);
         })?;
         Ok(writer)
--- a/crates/papayamux-daemon/src/metrics.rs
+++ b/crates/papayamux-daemon/src/metrics.rs
@@ -29,23 +29,23 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct WayLabel {
+struct DirectionLabel {
     way: &'static str,
 }
 
 /// Bytes of control messages between routers and agents, by the way that they went.
 #[derive(Debug, Clone, Default)]
-pub struct ControlBytes(Family<WayLabel, Counter>);
+pub struct ControlBytes(Family<DirectionLabel, Counter>);
 
 impl ControlBytes {
     /// Counts `bytes` received.
     pub fn receive(&self, bytes: u64) {
-        self.0.get_or_create(&WayLabel { way: "in" }).inc_by(bytes);
+        self.0.get_or_create(&DirectionLabel { way: "in" }).inc_by(bytes);
     }
 
     /// Counts `bytes` sent.
     pub fn send(&self, bytes: u64) {
-        self.0.get_or_create(&WayLabel { way: "out" }).inc_by(bytes);
+        self.0.get_or_create(&DirectionLabel { way: "out" }).inc_by(bytes);
     }
 
     /// Registers the counters as `control_bytes`.
--- a/crates/papayamux-daemon/src/operations.rs
+++ b/crates/papayamux-daemon/src/operations.rs
@@ -23,7 +23,7 @@
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const JSON_TYPE: &str = "application/json";
 /// Connections of operators open at once.
-const MOST_CONNECTIONS: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 
 /// The path at which a balancer asks whether a daemon is ready, where nothing else is set.
 pub const READY_PATH: &str = "/ready";
@@ -36,7 +36,7 @@
     view: Rc<dyn OperationsView>,
     shutdown: ShutdownSignal,
 ) -> io::Result<()> {
-    let limits = HttpLimits { connections: MOST_CONNECTIONS, ..HttpLimits::default() };
+    let limits = HttpLimits { connections: MAX_CONNECTIONS, ..HttpLimits::default() };
     let handler = Rc::new(move |request: Request<Incoming>| {
         let answer = answer_operator(&request, &ready_path, &registry, &*view);
         async move { answer }
--- a/crates/papayamux-daemon/src/signals.rs
+++ b/crates/papayamux-daemon/src/signals.rs
@@ -11,7 +11,7 @@
 pub type SignalReceiver = UnboundedReceiver<i32>;
 
 /// Catches the signals that end a daemon.
-pub fn catch_end_signals() -> io::Result<SignalReceiver> {
+pub fn catch_termination_signals() -> io::Result<SignalReceiver> {
     catch(&[SIGTERM, SIGINT])
 }
 
--- a/crates/papayamux-daemon/tests/command_line.rs
+++ b/crates/papayamux-daemon/tests/command_line.rs
@@ -1,8 +1,8 @@
 //! What a daemon's command line gives.
 
-use papayamux_daemon::command_line::{read_arguments, CommandLineError, DaemonName, DaemonTask};
+use papayamux_daemon::command_line::{read_arguments, CommandLineError, DaemonInfo, DaemonTask};
 
-const NAME: DaemonName = DaemonName { program: "papayamux-router", purpose: "takes requests" };
+const NAME: DaemonInfo = DaemonInfo { program: "papayamux-router", purpose: "takes requests" };
 
 fn read(arguments: &[&str]) -> Result<DaemonTask, CommandLineError> {
     read_arguments(NAME, arguments.iter().map(|argument| argument.to_string()))
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_says_what_to_do() {
+fn command_line_errors_say_what_to_do() {
     let texts: Vec<_> = [&["--setings", "r.ini"][..], &[], &["--settings"]]
         .iter()
         .filter_map(|arguments| read(arguments).err())
--- a/crates/papayamux-daemon/tests/unit/log_writer.rs
+++ b/crates/papayamux-daemon/tests/unit/log_writer.rs
@@ -4,7 +4,7 @@
 fn too_many_lines_in_a_second_are_counted() {
     let mut buffer = LogBuffer::default();
     let now = Instant::now();
-    for _ in 0..MOST_LINES_PER_SECOND + 3 {
+    for _ in 0..MAX_LINES_PER_SECOND + 3 {
         buffer.push("line", now);
     }
     let text = String::from_utf8(buffer.take()).unwrap();
@@ -17,10 +17,10 @@
 #[test]
 fn waiting_bytes_are_bounded() {
     let mut buffer = LogBuffer::default();
-    let line = "x".repeat(MOST_BYTES / 4);
+    let line = "x".repeat(MAX_BUFFERED_BYTES / 4);
     for _ in 0..5 {
         buffer.push(&line, Instant::now());
     }
-    assert!(buffer.bytes.len() < MOST_BYTES);
+    assert!(buffer.bytes.len() < MAX_BUFFERED_BYTES);
     assert_eq!(buffer.dropped, 2);
 }
--- a/crates/papayamux-declarations/src/explain.rs
+++ b/crates/papayamux-declarations/src/explain.rs
@@ -8,13 +8,14 @@
 
 use crate::file::{AdapterDeclaration, ModelDeclaration};
 use crate::in_force::{
-    BlockedItem, Declared, FileRefusal, InForce, Organisation, Origin, Route, Server, ServerTask,
+    BlockedItem, ConfigurationInForce, Declared, FileRefusal, Organisation, Origin, Route, Server,
+    ServerTask,
 };
 use crate::values::{ItemKind, MethodName};
 
 /// What an operator asks about.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Question {
+pub enum ExplainQuery {
     /// A thing by kind and name.
     Item {
         /// The kind.
@@ -34,27 +35,27 @@
 /// Why a text is not a question.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is not a kind and a name, such as \"model itinerary\"")]
-pub struct QuestionError {
+pub struct ExplainQueryError {
     /// The text as given.
     pub text: String,
 }
 
-impl FromStr for Question {
-    type Err = QuestionError;
+impl FromStr for ExplainQuery {
+    type Err = ExplainQueryError;
 
-    fn from_str(text: &str) -> Result<Self, QuestionError> {
-        let error = || QuestionError { text: text.to_string() };
+    fn from_str(text: &str) -> Result<Self, ExplainQueryError> {
+        let error = || ExplainQueryError { text: text.to_string() };
         let (kind, name) = text.trim().split_once(' ').ok_or_else(error)?;
         let kind = kind.parse().map_err(|_| error())?;
-        Ok(Question::Item { kind, name: name.trim().to_string() })
+        Ok(ExplainQuery::Item { kind, name: name.trim().to_string() })
     }
 }
 
-impl fmt::Display for Question {
+impl fmt::Display for ExplainQuery {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Question::Item { kind, name } => write!(formatter, "{kind} {name}"),
-            Question::Call { path, method } => write!(formatter, "{method} {path}"),
+            ExplainQuery::Item { kind, name } => write!(formatter, "{kind} {name}"),
+            ExplainQuery::Call { path, method } => write!(formatter, "{method} {path}"),
         }
     }
 }
@@ -63,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
     /// What was asked.
-    pub question: Question,
+    pub question: ExplainQuery,
     /// Which file, revision and line decide it; `None` where nothing is in force.
     pub origin: Option<Origin>,
     /// What is in force, on one line.
@@ -76,10 +77,10 @@
 
 impl Explanation {
     /// Answers `question`.
-    pub fn new(in_force: &InForce, question: Question) -> Self {
+    pub fn new(in_force: &ConfigurationInForce, question: ExplainQuery) -> Self {
         let (kind, name) = match &question {
-            Question::Item { kind, name } => (*kind, name.clone()),
-            Question::Call { path, .. } => {
+            ExplainQuery::Item { kind, name } => (*kind, name.clone()),
+            ExplainQuery::Call { path, .. } => {
                 let prefix = in_force.route_of(path).map(|(prefix, _)| prefix.to_string());
                 (ItemKind::Route, prefix.unwrap_or_else(|| path.clone()))
             }
@@ -98,8 +99,8 @@
         };
         let refused = in_force.refused.iter().filter(concerned).cloned().collect();
         let value = value.map(|value| match &question {
-            Question::Item { .. } => value,
-            Question::Call { path, method } => {
+            ExplainQuery::Item { .. } => value,
+            ExplainQuery::Call { path, method } => {
                 let repeat = if in_force.is_idempotent(path, method) { "may" } else { "may not" };
                 format!("{value}; a {method} call {repeat} be repeated")
             }
@@ -139,7 +140,11 @@
     }
 }
 
-fn find_item(in_force: &InForce, kind: ItemKind, name: &str) -> Option<(Origin, String)> {
+fn find_item(
+    in_force: &ConfigurationInForce,
+    kind: ItemKind,
+    name: &str,
+) -> Option<(Origin, String)> {
     fn found<V>(declared: &Declared<V>, line: impl Fn(&V) -> String) -> (Origin, String) {
         (declared.origin.clone(), line(&declared.value))
     }
@@ -156,7 +161,7 @@
 }
 
 /// One line for each thing in force, always in the same order.
-pub(crate) fn item_lines(in_force: &InForce) -> impl Iterator<Item = String> + '_ {
+pub(crate) fn item_lines(in_force: &ConfigurationInForce) -> impl Iterator<Item = String> + '_ {
     fn lines<'a, K: fmt::Display + 'a, V: 'a>(
         kind: ItemKind,
         items: impl Iterator<Item = (&'a K, &'a Declared<V>)> + 'a,
--- a/crates/papayamux-declarations/src/file/declaration_file.rs
+++ b/crates/papayamux-declarations/src/file/declaration_file.rs
@@ -7,7 +7,7 @@
 use crate::values::{FileName, FileRevision};
 
 /// Bytes of the largest file: what the configuration service can hold as one value.
-pub const LARGEST_FILE: usize = 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 1024 * 1024;
 
 /// What a revision says.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/papayamux-declarations/src/file/grants.rs
+++ b/crates/papayamux-declarations/src/file/grants.rs
@@ -8,7 +8,7 @@
 /// The name of the one file that may hold grants.
 pub const OWNERS_FILE: &str = "owners";
 /// Bytes of the longest pattern.
-const LONGEST_PATTERN: usize = 1024;
+const MAX_PATTERN_BYTES: usize = 1024;
 
 /// A name, or the start of names with a star behind it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -16,7 +16,7 @@
 
 impl NamePattern {
     /// Whether `name` fits.
-    pub fn fits(&self, name: &str) -> bool {
+    pub fn matches(&self, name: &str) -> bool {
         match self.0.strip_suffix('*') {
             Some(start) => name.starts_with(start),
             None => name == self.0,
@@ -24,7 +24,7 @@
     }
 
     /// How closely the pattern names what it fits; the closer of two goes first.
-    pub fn closeness(&self) -> (usize, bool) {
+    pub fn specificity(&self) -> (usize, bool) {
         (self.0.trim_end_matches('*').len(), !self.0.ends_with('*'))
     }
 }
@@ -41,7 +41,8 @@
     fn from_str(text: &str) -> Result<Self, ValueError> {
         let start = text.strip_suffix('*').unwrap_or(text);
         let graphic = text.bytes().all(|byte| byte.is_ascii_graphic());
-        match !text.is_empty() && text.len() <= LONGEST_PATTERN && graphic && !start.contains('*') {
+        match !text.is_empty() && text.len() <= MAX_PATTERN_BYTES && graphic && !start.contains('*')
+        {
             true => Ok(Self(text.to_string())),
             false => Err(ValueError {
                 text: text.chars().take(64).collect(),
--- a/crates/papayamux-declarations/src/file/items.rs
+++ b/crates/papayamux-declarations/src/file/items.rs
@@ -16,7 +16,7 @@
 
 /// A value with the line of its section.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placed<T> {
+pub struct Located<T> {
     /// The line of the section, counted from 1.
     pub line: usize,
     /// What stands there.
--- a/crates/papayamux-declarations/src/file/parse.rs
+++ b/crates/papayamux-declarations/src/file/parse.rs
@@ -4,17 +4,17 @@
 
 use super::parsed_file::ParsedFile;
 use super::reader::read_file;
-use super::LARGEST_FILE;
+use super::MAX_FILE_BYTES;
 use crate::values::FileName;
 
 /// Lines of the longest file, which bounds the memory that its parsing takes.
-const MOST_LINES: usize = 65_536;
+const MAX_FILE_LINES: usize = 65_536;
 
 impl ParsedFile {
     /// Parses the text of the file called `name`, or reports all that is wrong with it by itself.
     pub fn parse(name: &FileName, text: &str) -> Result<Self, Findings> {
-        check_size(name, "bytes", text.len(), LARGEST_FILE)?;
-        check_size(name, "lines", text.lines().count(), MOST_LINES)?;
+        check_size(name, "bytes", text.len(), MAX_FILE_BYTES)?;
+        check_size(name, "lines", text.lines().count(), MAX_FILE_LINES)?;
         let file = IniFile::parse(name.as_str(), text)?;
         report_replaced_bytes(&file, text);
         let parsed = read_file(&file, name);
--- a/crates/papayamux-declarations/src/file/parsed_file.rs
+++ b/crates/papayamux-declarations/src/file/parsed_file.rs
@@ -6,7 +6,7 @@
 
 use super::grants::GrantSection;
 use super::items::{
-    AdapterDeclaration, ModelDeclaration, OrganisationDeclaration, Placed, RouteDeclaration,
+    AdapterDeclaration, Located, ModelDeclaration, OrganisationDeclaration, RouteDeclaration,
     ServerDeclaration,
 };
 use crate::values::{FileName, PathPrefix};
@@ -15,17 +15,17 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ParsedFile {
     /// Organisations.
-    pub organisations: BTreeMap<OrganisationId, Placed<OrganisationDeclaration>>,
+    pub organisations: BTreeMap<OrganisationId, Located<OrganisationDeclaration>>,
     /// Models.
-    pub models: BTreeMap<ModelId, Placed<ModelDeclaration>>,
+    pub models: BTreeMap<ModelId, Located<ModelDeclaration>>,
     /// Adapters.
-    pub adapters: BTreeMap<AdapterId, Placed<AdapterDeclaration>>,
+    pub adapters: BTreeMap<AdapterId, Located<AdapterDeclaration>>,
     /// Backend servers.
-    pub servers: BTreeMap<ServerId, Placed<ServerDeclaration>>,
+    pub servers: BTreeMap<ServerId, Located<ServerDeclaration>>,
     /// Routes.
-    pub routes: BTreeMap<PathPrefix, Placed<RouteDeclaration>>,
+    pub routes: BTreeMap<PathPrefix, Located<RouteDeclaration>>,
     /// Grants to teams; only in the owners' file.
-    pub grants: BTreeMap<FileName, Placed<GrantSection>>,
+    pub grants: BTreeMap<FileName, Located<GrantSection>>,
 }
 
 impl ParsedFile {
--- a/crates/papayamux-declarations/src/file/reader.rs
+++ b/crates/papayamux-declarations/src/file/reader.rs
@@ -9,8 +9,8 @@
 
 use super::grants::{GrantSection, NamePattern, OWNERS_FILE};
 use super::items::{
-    AdapterDeclaration, EngineDeclaration, EngineRole, ModelDeclaration, OrganisationDeclaration,
-    Placed, RouteDeclaration, ServerDeclaration, ServerKind,
+    AdapterDeclaration, EngineDeclaration, EngineRole, Located, ModelDeclaration,
+    OrganisationDeclaration, RouteDeclaration, ServerDeclaration, ServerKind,
 };
 use super::parsed_file::ParsedFile;
 use crate::values::{FileName, ItemKind, LoadBound, MethodName, PriorityClass, ShareFraction};
@@ -19,12 +19,12 @@
 pub(super) fn read_file(file: &IniFile, name: &FileName) -> Option<ParsedFile> {
     read_team(file, name);
     if name.as_str() == OWNERS_FILE {
-        file.refuse_other_sections(&["team"], &["grant"]);
+        file.report_unknown_sections(&["team"], &["grant"]);
         let grants = read_kind(file, None, "grant", read_grant);
         report_grant_clashes(file, &grants);
         return Some(ParsedFile { grants, ..ParsedFile::default() });
     }
-    file.refuse_other_sections(&["team"], &ItemKind::ALL.map(ItemKind::label));
+    file.report_unknown_sections(&["team"], &ItemKind::ALL.map(ItemKind::label));
     let parsed = ParsedFile {
         organisations: read_kind(file, Some(name), "organisation", read_organisation),
         models: read_kind(file, Some(name), "model", read_model),
@@ -42,7 +42,7 @@
     let section = file.section("team");
     let declared = section.required::<FileName>("name");
     section.text("contact");
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     if declared.is_some_and(|declared| declared != *name) {
         section.report("name", &format!("the file is called {name:?}", name = name.as_str()), "");
     }
@@ -54,21 +54,21 @@
     owner: Option<&FileName>,
     kind: &str,
     read: impl Fn(&SectionReader<'_>) -> Option<V>,
-) -> BTreeMap<K, Placed<V>>
+) -> BTreeMap<K, Located<V>>
 where
     K: FromStr + Ord,
     K::Err: fmt::Display,
 {
     let mut items = BTreeMap::new();
-    for name in file.names_of(kind) {
+    for name in file.section_names(kind) {
         let title = format!("{kind} {name}");
         let line = file.section_line(&title);
         let section = file.section(&title);
         let key = read_name(file, owner, &title, &name);
         let value = read(&section);
-        section.refuse_other_keys();
+        section.report_unknown_keys();
         if let (Some(key), Some(value)) = (key, value) {
-            items.insert(key, Placed { line, value });
+            items.insert(key, Located { line, value });
         }
     }
     items
@@ -189,9 +189,9 @@
 }
 
 fn report_share_sum(file: &IniFile, parsed: &ParsedFile) {
-    let shares = parsed.organisations.values().map(|placed| placed.value.share);
+    let shares = parsed.organisations.values().map(|located| located.value.share);
     if ShareFraction::sum(shares).is_none() {
-        let line = parsed.organisations.values().map(|placed| placed.line).min().unwrap_or(1);
+        let line = parsed.organisations.values().map(|located| located.line).min().unwrap_or(1);
         let help = "the shares are parts of what the fleet grants the team";
         file.report(line, "[organisation …] share".into(), "all shares exceed 100%", help);
     }
@@ -199,30 +199,30 @@
 
 fn report_shared_agents(file: &IniFile, parsed: &ParsedFile) {
     let mut servers: Vec<_> = parsed.servers.iter().collect();
-    servers.sort_by_key(|(_, placed)| placed.line);
+    servers.sort_by_key(|(_, located)| located.line);
     let mut first = HashMap::new();
-    for (server, placed) in servers {
-        if let Some(other) = first.insert(placed.value.agent, server) {
+    for (server, located) in servers {
+        if let Some(other) = first.insert(located.value.agent, server) {
             let message = format!("the agent stands beside the server {other} already");
-            file.report(placed.line, format!("[server {server}] agent"), &message, "");
+            file.report(located.line, format!("[server {server}] agent"), &message, "");
         }
     }
 }
 
-fn report_grant_clashes(file: &IniFile, grants: &BTreeMap<FileName, Placed<GrantSection>>) {
-    let shares = grants.values().filter_map(|placed| placed.value.share);
+fn report_grant_clashes(file: &IniFile, grants: &BTreeMap<FileName, Located<GrantSection>>) {
+    let shares = grants.values().filter_map(|located| located.value.share);
     if ShareFraction::sum(shares).is_none() {
-        let line = grants.values().map(|placed| placed.line).min().unwrap_or(1);
+        let line = grants.values().map(|located| located.line).min().unwrap_or(1);
         file.report(line, "[grant …] share".into(), "all shares exceed 100%", "");
     }
     for kind in ItemKind::ALL {
         let mut owners: HashMap<&NamePattern, &FileName> = HashMap::new();
-        for (team, placed) in grants {
-            for pattern in placed.value.patterns(kind) {
+        for (team, located) in grants {
+            for pattern in located.value.patterns(kind) {
                 match owners.insert(pattern, team) {
                     Some(other) if other != team => {
                         let message = format!("{pattern} is granted to {other} already");
-                        file.report(placed.line, format!("[grant {team}] {kind}s"), &message, "");
+                        file.report(located.line, format!("[grant {team}] {kind}s"), &message, "");
                     }
                     _ => {}
                 }
--- a/crates/papayamux-declarations/src/file_set.rs
+++ b/crates/papayamux-declarations/src/file_set.rs
@@ -10,11 +10,11 @@
 use crate::values::{FileName, FileRevision};
 
 /// Files that a set holds at most; a guard of memory far above any fleet's number of teams.
-pub const MOST_FILES: usize = 8_192;
+pub const MAX_FILES: usize = 8_192;
 /// Findings that a refused revision keeps.
-const MOST_FINDINGS: usize = 32;
+const MAX_FINDINGS: usize = 32;
 /// Bytes of each text of a finding that a refused revision keeps.
-const LONGEST_FINDING_TEXT: usize = 256;
+const MAX_FINDING_TEXT_BYTES: usize = 256;
 
 /// A revision that must be refused for what stands in it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     pub fn new(revision: FileRevision, findings: Findings) -> Self {
         let count = findings.0.len();
         let mut findings = findings.0;
-        findings.truncate(MOST_FINDINGS);
+        findings.truncate(MAX_FINDINGS);
         for finding in &mut findings {
             for text in [&mut finding.place, &mut finding.message, &mut finding.help] {
                 shorten(text);
@@ -43,8 +43,8 @@
 }
 
 fn shorten(text: &mut String) {
-    if text.len() > LONGEST_FINDING_TEXT {
-        *text = text.chars().take(LONGEST_FINDING_TEXT / 4).collect();
+    if text.len() > MAX_FINDING_TEXT_BYTES {
+        *text = text.chars().take(MAX_FINDING_TEXT_BYTES / 4).collect();
         text.push('…');
     }
 }
@@ -109,13 +109,13 @@
 
     /// Takes what `other` knows better; whether anything was.
     fn join(&mut self, other: &Self) -> bool {
-        let valid = other.valid.as_ref().is_some_and(|valid| self.take_valid(valid));
-        let refused = other.refused.as_ref().is_some_and(|refused| self.take_refused(refused));
+        let valid = other.valid.as_ref().is_some_and(|valid| self.join_valid(valid));
+        let refused = other.refused.as_ref().is_some_and(|refused| self.join_refused(refused));
         valid || refused
     }
 
     /// The higher revision wins, between two texts of one revision the higher hash.
-    fn take_valid(&mut self, offered: &ValidRevision) -> bool {
+    fn join_valid(&mut self, offered: &ValidRevision) -> bool {
         let rank = |valid: &ValidRevision| (valid.file.revision, valid.hash);
         if self.valid.as_ref().is_some_and(|known| rank(known) >= rank(offered)) {
             return false;
@@ -127,10 +127,10 @@
         true
     }
 
-    fn take_refused(&mut self, offered: &RefusedRevision) -> bool {
-        let overtaken =
+    fn join_refused(&mut self, offered: &RefusedRevision) -> bool {
+        let superseded =
             self.valid.as_ref().is_some_and(|valid| valid.file.revision >= offered.revision);
-        if overtaken || self.refused.as_ref().is_some_and(|known| known >= offered) {
+        if superseded || self.refused.as_ref().is_some_and(|known| known >= offered) {
             return false;
         }
         self.refused = Some(offered.clone());
@@ -140,7 +140,7 @@
 
 /// What became of a revision that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Offered {
+pub enum RevisionOutcome {
     /// It is the newest valid one now.
     Accepted,
     /// It is newer than the valid one, but must be refused.
@@ -149,19 +149,19 @@
     Known,
     /// It is older than what is known: a stale or rolled-back read.
     Stale,
-    /// The set holds [`MOST_FILES`] files already.
+    /// The set holds [`MAX_FILES`] files already.
     Full,
 }
 
-impl Offered {
+impl RevisionOutcome {
     /// The stable word for metrics and logs.
     pub const fn label(self) -> &'static str {
         match self {
-            Offered::Accepted => "accepted",
-            Offered::Refused => "refused",
-            Offered::Known => "known",
-            Offered::Stale => "stale",
-            Offered::Full => "full",
+            RevisionOutcome::Accepted => "accepted",
+            RevisionOutcome::Refused => "refused",
+            RevisionOutcome::Known => "known",
+            RevisionOutcome::Stale => "stale",
+            RevisionOutcome::Full => "full",
         }
     }
 }
@@ -178,9 +178,9 @@
 
 impl FileSet {
     /// Takes in one revision of one file, read from the service or passed on by a peer.
-    pub fn offer(&mut self, file: DeclarationFile) -> Offered {
+    pub fn offer(&mut self, file: DeclarationFile) -> RevisionOutcome {
         let (name, revision) = (file.name.clone(), file.revision);
-        if let Some(outcome) = self.known_already(&file) {
+        if let Some(outcome) = self.outcome_without_parsing(&file) {
             return outcome;
         }
         let (offered, outcome) = match file.parse() {
@@ -188,41 +188,46 @@
                 let hash = file.content_hash();
                 let parsed = Arc::new(parsed.unwrap_or_default());
                 let valid = ValidRevision { file: Arc::new(file), hash, parsed };
-                (FileRecord { valid: Some(valid), refused: None }, Offered::Accepted)
+                (FileRecord { valid: Some(valid), refused: None }, RevisionOutcome::Accepted)
             }
             Err(findings) => {
                 let refused = RefusedRevision::new(revision, findings);
-                (FileRecord { valid: None, refused: Some(refused) }, Offered::Refused)
+                (FileRecord { valid: None, refused: Some(refused) }, RevisionOutcome::Refused)
             }
         };
         self.join_record(&name, &offered, outcome)
     }
 
     /// Spares the parsing of what can't change the record.
-    fn known_already(&self, file: &DeclarationFile) -> Option<Offered> {
+    fn outcome_without_parsing(&self, file: &DeclarationFile) -> Option<RevisionOutcome> {
         let head = self.records.get(&file.name)?.head();
         if head.valid.is_some_and(|valid| file.revision < valid) {
-            return Some(Offered::Stale);
+            return Some(RevisionOutcome::Stale);
         }
         let same = head.valid == Some(file.revision) && head.content_hash == file.content_hash();
-        same.then_some(Offered::Known)
+        same.then_some(RevisionOutcome::Known)
     }
 
     /// Takes in a refusal that a peer passed on, without the refused text.
-    pub fn offer_refused(&mut self, name: &FileName, refused: RefusedRevision) -> Offered {
+    pub fn offer_refused(&mut self, name: &FileName, refused: RefusedRevision) -> RevisionOutcome {
         let offered = FileRecord { valid: None, refused: Some(refused) };
-        self.join_record(name, &offered, Offered::Refused)
+        self.join_record(name, &offered, RevisionOutcome::Refused)
     }
 
-    fn join_record(&mut self, name: &FileName, offered: &FileRecord, joined: Offered) -> Offered {
-        if !self.records.contains_key(name) && self.records.len() >= MOST_FILES {
-            return Offered::Full;
+    fn join_record(
+        &mut self,
+        name: &FileName,
+        offered: &FileRecord,
+        joined: RevisionOutcome,
+    ) -> RevisionOutcome {
+        if !self.records.contains_key(name) && self.records.len() >= MAX_FILES {
+            return RevisionOutcome::Full;
         }
         let record = self.records.entry(name.clone()).or_default();
         match record.join(offered) {
             true => joined,
-            false if offered.newest() < record.newest() => Offered::Stale,
-            false => Offered::Known,
+            false if offered.newest() < record.newest() => RevisionOutcome::Stale,
+            false => RevisionOutcome::Known,
         }
     }
 
@@ -230,8 +235,8 @@
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
         for (name, record) in &other.records {
-            let outcome = self.join_record(name, record, Offered::Accepted);
-            changed |= outcome == Offered::Accepted;
+            let outcome = self.join_record(name, record, RevisionOutcome::Accepted);
+            changed |= outcome == RevisionOutcome::Accepted;
         }
         changed
     }
--- a/crates/papayamux-declarations/src/in_force/compute.rs
+++ b/crates/papayamux-declarations/src/in_force/compute.rs
@@ -3,66 +3,66 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::block::{BlockReason, BlockedItem};
-use super::claims::{files_in_force, settle_agents, settle_names, OwnedItems, Ownership};
+use super::configuration_in_force::{ConfigurationInForce, FileRefusal};
 use super::items::{Declared, Route, Server, ServerTask};
-use super::references::{leads_to, retire_models, settle_adapters, settle_servers};
-use super::shares::{cap_priority, settle_organisations};
-use super::summary::{FileRefusal, InForce};
+use super::ownership::{files_in_force, resolve_agents, resolve_names, OwnedItems, Ownership};
+use super::references::{resolve_adapters, resolve_servers, resolves_to_owner, retire_models};
+use super::shares::{cap_priority, resolve_organisations};
 use crate::file::{RouteDeclaration, ServerDeclaration};
 use crate::file_set::FileSet;
 use crate::values::{ItemKind, PathPrefix};
 use papayamux_state::ids::ServerId;
 
-impl InForce {
+impl ConfigurationInForce {
     /// Derives what is in force from `set` and nothing else.
     pub fn compute(set: &FileSet) -> Self {
         let files = files_in_force(set);
         let ownership = Ownership::new(&files);
         let mut blocked = Vec::new();
-        let organisations = settle_names(
+        let organisations = resolve_names(
             &files,
             &ownership,
             ItemKind::Organisation,
             |parsed| &parsed.organisations,
             &mut blocked,
         );
-        let mut models = settle_names(
+        let mut models = resolve_names(
             &files,
             &ownership,
             ItemKind::Model,
             |parsed| &parsed.models,
             &mut blocked,
         );
-        let mut adapters = settle_names(
+        let mut adapters = resolve_names(
             &files,
             &ownership,
             ItemKind::Adapter,
             |parsed| &parsed.adapters,
             &mut blocked,
         );
-        let mut owned_servers = settle_names(
+        let mut owned_servers = resolve_names(
             &files,
             &ownership,
             ItemKind::Server,
             |parsed| &parsed.servers,
             &mut blocked,
         );
-        let owned_routes = settle_names(
+        let owned_routes = resolve_names(
             &files,
             &ownership,
             ItemKind::Route,
             |parsed| &parsed.routes,
             &mut blocked,
         );
-        settle_agents(&mut owned_servers, &mut blocked);
+        resolve_agents(&mut owned_servers, &mut blocked);
         retire_models(&mut models, &adapters, &owned_servers, &mut blocked);
-        settle_adapters(&models, &mut adapters, &mut blocked);
-        let servers = settle_servers(&models, &adapters, &owned_servers, &mut blocked);
+        resolve_adapters(&models, &mut adapters, &mut blocked);
+        let servers = resolve_servers(&models, &adapters, &owned_servers, &mut blocked);
         let routes =
-            settle_routes(&ownership, &owned_servers, &owned_routes, &servers, &mut blocked);
-        let organisations = settle_organisations(&ownership, &organisations, &mut blocked);
+            resolve_routes(&ownership, &owned_servers, &owned_routes, &servers, &mut blocked);
+        let organisations = resolve_organisations(&ownership, &organisations, &mut blocked);
         blocked.sort();
-        InForce {
+        ConfigurationInForce {
             files: files.iter().map(|file| (file.name.clone(), file.revision)).collect(),
             organisations,
             models: declared(models),
@@ -77,28 +77,29 @@
 
 fn declared<K: Clone + Ord, V: Clone>(items: OwnedItems<'_, K, V>) -> BTreeMap<K, Declared<V>> {
     let declared = items.into_iter().map(|(name, item)| {
-        (name.clone(), Declared { origin: item.origin(), value: item.placed.value.clone() })
+        (name.clone(), Declared { origin: item.origin(), value: item.located.value.clone() })
     });
     declared.collect()
 }
 
-fn settle_routes(
+fn resolve_routes(
     ownership: &Ownership<'_>,
     owned_servers: &OwnedItems<'_, ServerId, ServerDeclaration>,
     owned_routes: &OwnedItems<'_, PathPrefix, RouteDeclaration>,
     servers: &BTreeMap<ServerId, Declared<Server>>,
     blocked: &mut Vec<BlockedItem>,
 ) -> BTreeMap<PathPrefix, Declared<Route>> {
-    let mut settled = BTreeMap::new();
+    let mut resolved = BTreeMap::new();
     for (prefix, item) in owned_routes {
-        let declaration = &item.placed.value;
-        let mut leads = BTreeSet::new();
+        let declaration = &item.located.value;
+        let mut services = BTreeSet::new();
         for name in &declaration.servers {
             let task = servers.get(name).map(|server| &server.value.task);
-            let task = task.filter(|_| leads_to(owned_servers, item, name, |file| &file.servers));
+            let task =
+                task.filter(|_| resolves_to_owner(owned_servers, item, name, |file| &file.servers));
             let reason = match task {
                 Some(ServerTask::Service) => {
-                    leads.insert(name.clone());
+                    services.insert(name.clone());
                     continue;
                 }
                 Some(ServerTask::Engine { .. }) => {
@@ -110,13 +111,13 @@
         }
         let (kind, priority) = (ItemKind::Route, declaration.priority);
         let route = Route {
-            servers: leads,
+            servers: services,
             idempotent_methods: declaration.idempotent_methods.clone(),
             priority: cap_priority(ownership, item, (kind, prefix.as_str(), priority), blocked),
         };
-        settled.insert((*prefix).clone(), Declared { origin: item.origin(), value: route });
+        resolved.insert((*prefix).clone(), Declared { origin: item.origin(), value: route });
     }
-    settled
+    resolved
 }
 
 fn refusals(set: &FileSet) -> Vec<FileRefusal> {
--- a/crates/papayamux-declarations/src/in_force/summary.rs
+++ b/crates/papayamux-declarations/src/in_force/configuration_in_force.rs
@@ -43,7 +43,7 @@
 
 /// What is in force, what is not, and why.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct InForce {
+pub struct ConfigurationInForce {
     /// The revision in force of each file, deleted ones included.
     pub files: BTreeMap<FileName, FileRevision>,
     /// Organisations.
@@ -62,7 +62,7 @@
     pub blocked: Vec<BlockedItem>,
 }
 
-impl InForce {
+impl ConfigurationInForce {
     /// How far the files have come.
     pub fn generation(&self) -> Generation {
         let revisions = self.files.values().map(|revision| revision.get());
@@ -84,8 +84,8 @@
 
     /// The route of a path: the one with the longest prefix.
     pub fn route_of(&self, path: &str) -> Option<(&PathPrefix, &Declared<Route>)> {
-        let fitting = self.routes.iter().filter(|(prefix, _)| prefix.covers(path));
-        fitting.max_by_key(|(prefix, _)| prefix.as_str().len())
+        let matching = self.routes.iter().filter(|(prefix, _)| prefix.covers(path));
+        matching.max_by_key(|(prefix, _)| prefix.as_str().len())
     }
 
     /// Whether a call may be repeated; one that no route takes may not.
--- a/crates/papayamux-declarations/src/in_force/digest.rs
+++ b/crates/papayamux-declarations/src/in_force/digest.rs
@@ -5,7 +5,7 @@
 
 use xxhash_rust::xxh3::Xxh3;
 
-use super::summary::InForce;
+use super::configuration_in_force::ConfigurationInForce;
 use crate::explain::item_lines;
 use crate::values::ValueError;
 
@@ -43,7 +43,7 @@
     }
 }
 
-impl InForce {
+impl ConfigurationInForce {
     /// A hash over all that is in force: equal in all processes that act alike. It covers the
     /// revisions in force and the text of each item. Refused revisions are left out: two processes
     /// act alike though only one has heard of them.
--- a/crates/papayamux-declarations/src/in_force/mod.rs
+++ b/crates/papayamux-declarations/src/in_force/mod.rs
@@ -1,15 +1,15 @@
 //! What is in force: a function of a file set alone.
 
 mod block;
-mod claims;
 mod compute;
+mod configuration_in_force;
 mod digest;
 mod items;
+mod ownership;
 mod references;
 mod shares;
-mod summary;
 
 pub use block::{BlockReason, BlockedItem, Origin};
+pub use configuration_in_force::{ConfigurationInForce, FileRefusal, Generation};
 pub use digest::ConfigurationDigest;
 pub use items::{Declared, EngineTarget, Organisation, Route, Server, ServerTask};
-pub use summary::{FileRefusal, Generation, InForce};
--- a/crates/papayamux-declarations/src/in_force/claims.rs
+++ b/crates/papayamux-declarations/src/in_force/ownership.rs
@@ -7,7 +7,7 @@
 use papayamux_state::ids::ServerId;
 
 use super::block::{BlockReason, BlockedItem, Origin};
-use crate::file::{GrantSection, ParsedFile, Placed, ServerDeclaration, OWNERS_FILE};
+use crate::file::{GrantSection, Located, ParsedFile, ServerDeclaration, OWNERS_FILE};
 use crate::file_set::FileSet;
 use crate::values::{FileName, FileRevision, ItemKind};
 
@@ -42,7 +42,7 @@
     pub(super) fn new(files: &[FileInForce<'a>]) -> Self {
         let owners = files.iter().find(|file| file.name.as_str() == OWNERS_FILE);
         let grants = owners.into_iter().flat_map(|file| &file.parsed.grants);
-        Self { grants: grants.map(|(team, placed)| (team, &placed.value)).collect() }
+        Self { grants: grants.map(|(team, located)| (team, &located.value)).collect() }
     }
 
     /// The team to which the closest pattern grants `name`, if any does.
@@ -50,20 +50,20 @@
         let patterns = self.grants.iter().flat_map(|(team, grant)| {
             grant.patterns(kind).iter().map(move |pattern| (pattern, *team))
         });
-        let fitting = patterns.filter(|(pattern, _)| pattern.fits(name));
-        fitting.max_by_key(|(pattern, _)| pattern.closeness()).map(|(_, team)| team)
+        let matching = patterns.filter(|(pattern, _)| pattern.matches(name));
+        matching.max_by_key(|(pattern, _)| pattern.specificity()).map(|(_, team)| team)
     }
 }
 
 /// A declaration that owns its name.
 pub(super) struct Owned<'a, V> {
     pub(super) file: &'a FileInForce<'a>,
-    pub(super) placed: &'a Placed<V>,
+    pub(super) located: &'a Located<V>,
 }
 
 impl<V> Owned<'_, V> {
     pub(super) fn origin(&self) -> Origin {
-        self.file.origin(self.placed.line)
+        self.file.origin(self.located.line)
     }
 
     pub(super) fn blocked(
@@ -82,17 +82,17 @@
 
 /// Finds the owner of each name of one kind: the team that the owners' file grants it to, else
 /// the first file by name that declares it. The others are blocked.
-pub(super) fn settle_names<'a, K: Ord + fmt::Display, V>(
+pub(super) fn resolve_names<'a, K: Ord + fmt::Display, V>(
     files: &'a [FileInForce<'a>],
     ownership: &Ownership<'_>,
     kind: ItemKind,
-    select: impl Fn(&'a ParsedFile) -> &'a BTreeMap<K, Placed<V>>,
+    select: impl Fn(&'a ParsedFile) -> &'a BTreeMap<K, Located<V>>,
     blocked: &mut Vec<BlockedItem>,
 ) -> OwnedItems<'a, K, V> {
     let mut items: OwnedItems<'a, K, V> = BTreeMap::new();
     for file in files {
-        for (name, placed) in select(file.parsed) {
-            let item = Owned { file, placed };
+        for (name, located) in select(file.parsed) {
+            let item = Owned { file, located };
             let owner =
                 ownership.owner(kind, &name.to_string()).filter(|owner| *owner != file.name);
             if let Some(owner) = owner {
@@ -110,7 +110,7 @@
 }
 
 /// Blocks each server whose agent stands beside a server of a file that goes first by name.
-pub(super) fn settle_agents<'a>(
+pub(super) fn resolve_agents<'a>(
     servers: &mut OwnedItems<'a, ServerId, ServerDeclaration>,
     blocked: &mut Vec<BlockedItem>,
 ) {
@@ -119,9 +119,9 @@
     let mut owners: HashMap<SocketAddr, &FileName> = HashMap::new();
     for (file, name) in order {
         let Some(item) = servers.get(name) else { continue };
-        match owners.get(&item.placed.value.agent) {
+        match owners.get(&item.located.value.agent) {
             None => {
-                owners.insert(item.placed.value.agent, file);
+                owners.insert(item.located.value.agent, file);
             }
             Some(owner) => {
                 let reason = BlockReason::AgentTaken { owner: (*owner).clone() };
--- a/crates/papayamux-declarations/src/in_force/references.rs
+++ b/crates/papayamux-declarations/src/in_force/references.rs
@@ -6,21 +6,21 @@
 use papayamux_state::ids::{AdapterId, ModelId, ServerId};
 
 use super::block::{BlockReason, BlockedItem};
-use super::claims::{Owned, OwnedItems};
 use super::items::{Declared, Server, ServerTask};
+use super::ownership::{Owned, OwnedItems};
 use crate::file::{
-    AdapterDeclaration, EngineDeclaration, ModelDeclaration, ParsedFile, Placed, ServerDeclaration,
-    ServerKind,
+    AdapterDeclaration, EngineDeclaration, Located, ModelDeclaration, ParsedFile,
+    ServerDeclaration, ServerKind,
 };
 use crate::values::ItemKind;
 
 /// Whether `name`, as `file` uses it, leads to the declaration in force. A file that declares the
 /// name itself means its own declaration, so that it never gets another team's in its place.
-pub(super) fn leads_to<K: Ord, V>(
+pub(super) fn resolves_to_owner<K: Ord, V>(
     owned: &OwnedItems<'_, K, V>,
     user: &Owned<'_, impl Sized>,
     name: &K,
-    select: impl Fn(&ParsedFile) -> &BTreeMap<K, Placed<V>>,
+    select: impl Fn(&ParsedFile) -> &BTreeMap<K, Located<V>>,
 ) -> bool {
     let declares_itself = select(user.file.parsed).contains_key(name);
     owned.get(name).is_some_and(|item| !declares_itself || item.file.name == user.file.name)
@@ -39,19 +39,21 @@
 ) {
     let mut used: BTreeSet<&ModelId> = BTreeSet::new();
     for adapter in adapters.values() {
-        let model = &adapter.placed.value.model;
-        if leads_to(models, adapter, model, |parsed| &parsed.models) {
+        let model = &adapter.located.value.model;
+        if resolves_to_owner(models, adapter, model, |parsed| &parsed.models) {
             used.insert(model);
         }
     }
     for server in servers.values() {
-        if let ServerKind::Engine(engine) = &server.placed.value.kind {
+        if let ServerKind::Engine(engine) = &server.located.value.kind {
             let named = engine.models.iter();
-            used.extend(named.filter(|name| leads_to(models, server, name, |file| &file.models)));
+            used.extend(
+                named.filter(|name| resolves_to_owner(models, server, name, |file| &file.models)),
+            );
         }
     }
     models.retain(|name, model| {
-        let retired = model.placed.value.retiring && !used.contains(name);
+        let retired = model.located.value.retiring && !used.contains(name);
         if retired {
             blocked.push(model.blocked(ItemKind::Model, name, None, BlockReason::Retired));
         }
@@ -60,14 +62,14 @@
 }
 
 /// Blocks each adapter whose model is not in force.
-pub(super) fn settle_adapters(
+pub(super) fn resolve_adapters(
     models: &OwnedItems<'_, ModelId, ModelDeclaration>,
     adapters: &mut OwnedItems<'_, AdapterId, AdapterDeclaration>,
     blocked: &mut Vec<BlockedItem>,
 ) {
     adapters.retain(|name, adapter| {
-        let model = &adapter.placed.value.model;
-        let kept = leads_to(models, adapter, model, |parsed| &parsed.models);
+        let model = &adapter.located.value.model;
+        let kept = resolves_to_owner(models, adapter, model, |parsed| &parsed.models);
         if !kept {
             let reason = missing(ItemKind::Model, model);
             blocked.push(adapter.blocked(ItemKind::Adapter, name, Some("model"), reason));
@@ -77,19 +79,19 @@
 }
 
 /// The servers in force, each with those of its models and adapters that are.
-pub(super) fn settle_servers(
+pub(super) fn resolve_servers(
     models: &OwnedItems<'_, ModelId, ModelDeclaration>,
     adapters: &OwnedItems<'_, AdapterId, AdapterDeclaration>,
     servers: &OwnedItems<'_, ServerId, ServerDeclaration>,
     blocked: &mut Vec<BlockedItem>,
 ) -> BTreeMap<ServerId, Declared<Server>> {
-    let mut settled = BTreeMap::new();
+    let mut resolved = BTreeMap::new();
     for (name, item) in servers {
-        let declaration = &item.placed.value;
+        let declaration = &item.located.value;
         let task = match &declaration.kind {
             ServerKind::Service => ServerTask::Service,
             ServerKind::Engine(engine) => {
-                EngineReferences { models, adapters, name, item, engine }.settle(blocked)
+                EngineReferences { models, adapters, name, item, engine }.resolve(blocked)
             }
         };
         let server = Server {
@@ -98,9 +100,9 @@
             capacity: declaration.capacity,
             task,
         };
-        settled.insert((*name).clone(), Declared { origin: item.origin(), value: server });
+        resolved.insert((*name).clone(), Declared { origin: item.origin(), value: server });
     }
-    settled
+    resolved
 }
 
 /// What one engine refers to.
@@ -113,13 +115,13 @@
 }
 
 impl EngineReferences<'_, '_> {
-    fn settle(&self, blocked: &mut Vec<BlockedItem>) -> ServerTask {
+    fn resolve(&self, blocked: &mut Vec<BlockedItem>) -> ServerTask {
         let mut block = |key, reason| {
             blocked.push(self.item.blocked(ItemKind::Server, self.name, Some(key), reason));
         };
         let mut models = BTreeSet::new();
         for model in &self.engine.models {
-            match leads_to(self.models, self.item, model, |parsed| &parsed.models) {
+            match resolves_to_owner(self.models, self.item, model, |parsed| &parsed.models) {
                 true => drop(models.insert(model.clone())),
                 false => block("models", missing(ItemKind::Model, model)),
             }
@@ -135,11 +137,11 @@
     }
 
     fn adapter_fault(&self, name: &AdapterId, models: &BTreeSet<ModelId>) -> Option<BlockReason> {
-        let leads = leads_to(self.adapters, self.item, name, |parsed| &parsed.adapters);
-        match self.adapters.get(name).filter(|_| leads) {
+        let resolves = resolves_to_owner(self.adapters, self.item, name, |parsed| &parsed.adapters);
+        match self.adapters.get(name).filter(|_| resolves) {
             None => Some(missing(ItemKind::Adapter, name)),
             Some(adapter) => {
-                let model = &adapter.placed.value.model;
+                let model = &adapter.located.value.model;
                 let fault = BlockReason::ModelNotOnServer { model: model.to_string() };
                 (!models.contains(model)).then_some(fault)
             }
--- a/crates/papayamux-declarations/src/in_force/shares.rs
+++ b/crates/papayamux-declarations/src/in_force/shares.rs
@@ -5,8 +5,8 @@
 use papayamux_state::ids::OrganisationId;
 
 use super::block::{BlockReason, BlockedItem};
-use super::claims::{Owned, OwnedItems, Ownership};
 use super::items::{Declared, Organisation};
+use super::ownership::{Owned, OwnedItems, Ownership};
 use crate::file::OrganisationDeclaration;
 use crate::values::{FileName, ItemKind, PriorityClass, ShareFraction};
 
@@ -14,7 +14,7 @@
 ///
 /// Each team's organisations part the team's share, so that no file can take from another:
 /// granted shares come first, the teams without a grant part what is left alike.
-pub(super) fn settle_organisations(
+pub(super) fn resolve_organisations(
     ownership: &Ownership<'_>,
     organisations: &OwnedItems<'_, OrganisationId, OrganisationDeclaration>,
     blocked: &mut Vec<BlockedItem>,
@@ -26,9 +26,9 @@
     let total = ShareFraction::sum(shares).unwrap_or(ShareFraction::WHOLE);
     let others = teams.iter().filter(|team| granted(team).is_none()).count();
     let part = ShareFraction::WHOLE.saturating_sub(total).part(others);
-    let mut settled = BTreeMap::new();
+    let mut resolved = BTreeMap::new();
     for (name, item) in organisations {
-        let declaration = &item.placed.value;
+        let declaration = &item.located.value;
         let team_share = granted(item.file.name).unwrap_or(part);
         let (kind, declared) = (ItemKind::Organisation, declaration.priority);
         let priority = cap_priority(ownership, item, (kind, name.as_str(), declared), blocked);
@@ -38,9 +38,9 @@
             request_rate: declaration.request_rate,
             in_flight: declaration.in_flight,
         };
-        settled.insert((*name).clone(), Declared { origin: item.origin(), value: organisation });
+        resolved.insert((*name).clone(), Declared { origin: item.origin(), value: organisation });
     }
-    settled
+    resolved
 }
 
 /// The declared priority class, or the first that the owners' file leaves the team: of two limits
--- a/crates/papayamux-declarations/src/lib.rs
+++ b/crates/papayamux-declarations/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! Teams write one file each. A [`DeclarationFile`] is a file as the configuration service or a
 //! peer handed it over; a [`FileSet`] joins all that a process has heard, in any order; and
-//! [`InForce::compute`] derives from the set alone what holds, so that every process that has
+//! [`ConfigurationInForce::compute`] derives from the set alone what holds, so that every process that has
 //! heard the same computes the same.
 //!
 //! ```
-//! use papayamux_declarations::{DeclarationFile, FileSet, InForce};
+//! use papayamux_declarations::{DeclarationFile, FileSet, ConfigurationInForce};
 //! let text = "[team]\nname = caverns\n\n[model itinerary]\nversion = 3\nweights = itinerary-3\n";
 //! let mut set = FileSet::default();
 //! set.offer(DeclarationFile::new("caverns".parse().unwrap(), 7.into(), text));
-//! let in_force = InForce::compute(&set);
+//! let in_force = ConfigurationInForce::compute(&set);
 //! let model = &in_force.models[&"itinerary".parse().unwrap()];
 //! assert_eq!(model.origin.to_string(), "caverns@7:4");
 //! ```
@@ -21,16 +21,16 @@
 mod in_force;
 mod values;
 
-pub use explain::{Explanation, Question, QuestionError};
+pub use explain::{ExplainQuery, ExplainQueryError, Explanation};
 pub use file::{
     AdapterDeclaration, DeclarationFile, EngineDeclaration, EngineRole, FileContent, GrantSection,
-    ModelDeclaration, NamePattern, OrganisationDeclaration, ParsedFile, Placed, RouteDeclaration,
-    ServerDeclaration, ServerKind, LARGEST_FILE, OWNERS_FILE,
+    Located, ModelDeclaration, NamePattern, OrganisationDeclaration, ParsedFile, RouteDeclaration,
+    ServerDeclaration, ServerKind, MAX_FILE_BYTES, OWNERS_FILE,
 };
-pub use file_set::{FileHead, FileRecord, FileSet, Offered, RefusedRevision, MOST_FILES};
+pub use file_set::{FileHead, FileRecord, FileSet, RefusedRevision, RevisionOutcome, MAX_FILES};
 pub use in_force::{
-    BlockReason, BlockedItem, ConfigurationDigest, Declared, EngineTarget, FileRefusal, Generation,
-    InForce, Organisation, Origin, Route, Server, ServerTask,
+    BlockReason, BlockedItem, ConfigurationDigest, ConfigurationInForce, Declared, EngineTarget,
+    FileRefusal, Generation, Organisation, Origin, Route, Server, ServerTask,
 };
 pub use values::{
     FileName, FileRevision, ItemKind, LoadBound, MethodName, PathPrefix, PriorityClass,
--- a/crates/papayamux-declarations/src/values/mod.rs
+++ b/crates/papayamux-declarations/src/values/mod.rs
@@ -21,10 +21,10 @@
 }
 
 /// Characters of a wrong value that an error repeats.
-const LONGEST_QUOTE: usize = 64;
+const MAX_QUOTED_CHARS: usize = 64;
 
 impl ValueError {
     fn new(text: &str, form: &'static str) -> Self {
-        Self { text: text.chars().take(LONGEST_QUOTE).collect(), form }
+        Self { text: text.chars().take(MAX_QUOTED_CHARS).collect(), form }
     }
 }
--- a/crates/papayamux-declarations/src/values/names.rs
+++ b/crates/papayamux-declarations/src/values/names.rs
@@ -9,11 +9,11 @@
 use super::ValueError;
 
 /// Bytes of the longest file name.
-const LONGEST_FILE_NAME: usize = 64;
+const MAX_FILE_NAME_BYTES: usize = 64;
 /// Bytes of the longest version or weights name.
-const LONGEST_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 /// Bytes of the longest path prefix.
-const LONGEST_PREFIX: usize = 1024;
+const MAX_PREFIX_BYTES: usize = 1024;
 
 macro_rules! name {
     ($(#[$doc:meta])* $name:ident, $form:literal, $check:expr) => {
@@ -52,13 +52,13 @@
 
 fn is_file_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit();
-    (1..=LONGEST_FILE_NAME).contains(&text.len())
+    (1..=MAX_FILE_NAME_BYTES).contains(&text.len())
         && text.bytes().all(|byte| allowed(byte) || b"-_.".contains(&byte))
         && text.bytes().next().is_some_and(allowed)
 }
 
 fn is_plain_name(text: &str) -> bool {
-    (1..=LONGEST_NAME).contains(&text.len())
+    (1..=MAX_NAME_BYTES).contains(&text.len())
         && text.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',')
 }
 
@@ -67,7 +67,7 @@
         return true;
     }
     let Some(segments) = text.strip_prefix('/') else { return false };
-    text.len() <= LONGEST_PREFIX
+    text.len() <= MAX_PREFIX_BYTES
         && text.bytes().all(|byte| byte.is_ascii_graphic() && !b"?#%,".contains(&byte))
         && segments.split('/').all(|segment| !["", ".", ".."].contains(&segment))
 }
--- a/crates/papayamux-declarations/src/values/quantities.rs
+++ b/crates/papayamux-declarations/src/values/quantities.rs
@@ -59,8 +59,8 @@
 impl LoadBound {
     /// The bound of a model that declares none: 1.25 times the mean.
     pub const DEFAULT: Self = Self(1_250);
-    const LEAST: u32 = 1_000;
-    const MOST: u32 = 100_000;
+    const MIN: u32 = 1_000;
+    const MAX: u32 = 100_000;
 
     /// The multiple in thousandths.
     pub const fn thousandths(self) -> u32 {
@@ -79,7 +79,7 @@
 
     fn from_str(text: &str) -> Result<Self, ValueError> {
         thousandths(text)
-            .filter(|value| (Self::LEAST..=Self::MOST).contains(value))
+            .filter(|value| (Self::MIN..=Self::MAX).contains(value))
             .map(Self)
             .ok_or_else(|| ValueError::new(text, "a load bound from 1 to 100, such as 1.25"))
     }
--- a/crates/papayamux-declarations/tests/conflicts.rs
+++ b/crates/papayamux-declarations/tests/conflicts.rs
@@ -1,23 +1,23 @@
 //! Clashes between files: who owns a name, what a missing name does, whose limit holds.
 
-use papayamux_declarations::{DeclarationFile, FileSet, InForce, ServerTask};
+use papayamux_declarations::{ConfigurationInForce, DeclarationFile, FileSet, ServerTask};
 
 const WEIGHTS: &str = "version = 1\nweights = w\n";
 
 /// What is in force after each `(file, text)`, later texts being later revisions.
-fn in_force(files: &[(&str, String)]) -> InForce {
+fn in_force(files: &[(&str, String)]) -> ConfigurationInForce {
     let mut set = FileSet::default();
     for (index, (name, text)) in files.iter().enumerate() {
         let Ok(file) = name.parse() else { continue };
         let text = format!("[team]\nname = {name}\n{text}");
         set.offer(DeclarationFile::new(file, (index as u64 + 1).into(), text));
     }
-    let in_force = InForce::compute(&set);
+    let in_force = ConfigurationInForce::compute(&set);
     assert_eq!(in_force.refused, [], "a file is invalid by itself");
     in_force
 }
 
-fn blocks(in_force: &InForce) -> Vec<String> {
+fn blocks(in_force: &ConfigurationInForce) -> Vec<String> {
     let blocked = in_force.blocked.iter();
     blocked
         .map(|item| {
--- a/crates/papayamux-declarations/tests/convergence.rs
+++ b/crates/papayamux-declarations/tests/convergence.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use bolero::check;
-use papayamux_declarations::{DeclarationFile, FileSet, InForce};
-use support::{heard, RevisionChoice};
+use papayamux_declarations::{ConfigurationInForce, DeclarationFile, FileSet};
+use support::{file_set_of, RevisionChoice};
 
 /// Inputs tried by each property: at least as many as a second takes in a debug build.
 const GENERATED_INPUTS: usize = 500;
@@ -22,7 +22,7 @@
 
 fn assert_same(left: &FileSet, right: &FileSet) {
     assert_eq!(left.digest(), right.digest());
-    let (left, right) = (InForce::compute(left), InForce::compute(right));
+    let (left, right) = (ConfigurationInForce::compute(left), ConfigurationInForce::compute(right));
     assert_eq!(left, right);
     assert_eq!(left.digest(), right.digest());
 }
@@ -35,12 +35,12 @@
         .for_each(|(choices, keys)| {
             let files: Vec<_> = choices.iter().map(RevisionChoice::file).collect();
             let shuffled = reordered(&files, keys);
-            let mut repeated = heard(shuffled.iter().chain(&files));
-            assert_same(&heard(&files), &repeated);
+            let mut repeated = file_set_of(shuffled.iter().chain(&files));
+            assert_same(&file_set_of(&files), &repeated);
             for file in &files {
                 repeated.offer(file.clone());
             }
-            assert_same(&heard(&files), &repeated);
+            assert_same(&file_set_of(&files), &repeated);
         });
 }
 
@@ -53,15 +53,15 @@
             let numbered = || files.iter().enumerate();
             let first = numbered().filter(|(index, _)| chosen(*index)).map(|(_, file)| file);
             let rest = numbered().filter(|(index, _)| !chosen(*index)).map(|(_, file)| file);
-            let mut in_turn = heard(first.clone());
-            InForce::compute(&in_turn);
+            let mut in_turn = file_set_of(first.clone());
+            ConfigurationInForce::compute(&in_turn);
             for file in rest.clone() {
                 in_turn.offer(file.clone());
             }
-            assert_same(&heard(&files), &in_turn);
-            let (mut left, right) = (heard(first), heard(rest));
+            assert_same(&file_set_of(&files), &in_turn);
+            let (mut left, right) = (file_set_of(first), file_set_of(rest));
             left.merge(&right);
-            assert_same(&heard(&files), &left);
+            assert_same(&file_set_of(&files), &left);
         },
     );
 }
@@ -70,9 +70,9 @@
 fn merging_partial_sets_commutes_associates_and_repeats() {
     type Choices = [Vec<RevisionChoice>; 3];
     check!().with_iterations(GENERATED_INPUTS).with_type::<Choices>().for_each(|choices| {
-        let [a, b, c] = choices
-            .each_ref()
-            .map(|part| heard(part.iter().map(RevisionChoice::file).collect::<Vec<_>>().iter()));
+        let [a, b, c] = choices.each_ref().map(|part| {
+            file_set_of(part.iter().map(RevisionChoice::file).collect::<Vec<_>>().iter())
+        });
         let join = |left: &FileSet, right: &FileSet| {
             let mut joined = left.clone();
             joined.merge(right);
@@ -89,14 +89,14 @@
 }
 
 #[test]
-fn no_file_ever_goes_back() {
+fn file_revisions_never_decrease() {
     check!().with_iterations(GENERATED_INPUTS).with_type::<Vec<RevisionChoice>>().for_each(
         |choices| {
             let mut set = FileSet::default();
-            let mut previous = InForce::compute(&set);
+            let mut previous = ConfigurationInForce::compute(&set);
             for choice in choices {
                 set.offer(choice.file());
-                let current = InForce::compute(&set);
+                let current = ConfigurationInForce::compute(&set);
                 for (file, revision) in &previous.files {
                     assert!(current.files.get(file) >= Some(revision), "{file} went back");
                 }
@@ -114,9 +114,9 @@
     };
     let valid = file(4, "[team]\nname = kiosk\n[organisation visitors]\nshare = 100%\n");
     let invalid = file(5, "[team]\nname = kiosk\n[organisation visitors]\nshare = much\n");
-    let peer = heard([&valid, &invalid]);
-    let mut newcomer = heard([&invalid]);
-    assert!(InForce::compute(&newcomer).organisations.is_empty());
+    let peer = file_set_of([&valid, &invalid]);
+    let mut newcomer = file_set_of([&invalid]);
+    assert!(ConfigurationInForce::compute(&newcomer).organisations.is_empty());
     for (name, record) in peer.records() {
         if let Some(file) = record.valid() {
             newcomer.offer(file.clone());
@@ -126,19 +126,22 @@
         }
     }
     assert_same(&peer, &newcomer);
-    let in_force = InForce::compute(&newcomer);
+    let in_force = ConfigurationInForce::compute(&newcomer);
     assert_eq!(in_force.organisations.len(), 1);
     assert_eq!(in_force.refused[0].in_force, Some(4.into()));
     assert_eq!(in_force.refused[0].refused.revision, 5.into());
 }
 
 #[test]
-fn processes_that_act_alike_have_one_digest_though_only_one_heard_of_a_refusal() {
+fn a_refusal_changes_the_set_digest_but_not_the_configuration_digest() {
     let file = |revision: u64, text: &str| {
         DeclarationFile::new("kiosk".parse().unwrap(), revision.into(), text)
     };
     let (valid, invalid) = (file(4, "[team]\nname = kiosk\n"), file(5, "[team]\n"));
-    let (without, with) = (heard([&valid]), heard([&valid, &invalid]));
-    assert_eq!(InForce::compute(&without).digest(), InForce::compute(&with).digest());
+    let (without, with) = (file_set_of([&valid]), file_set_of([&valid, &invalid]));
+    assert_eq!(
+        ConfigurationInForce::compute(&without).digest(),
+        ConfigurationInForce::compute(&with).digest()
+    );
     assert_ne!(without.digest(), with.digest(), "peers still see that one knows more");
 }
--- a/crates/papayamux-declarations/tests/invariants.rs
+++ b/crates/papayamux-declarations/tests/invariants.rs
@@ -6,19 +6,19 @@
 
 use bolero::check;
 use papayamux_declarations::{
-    DeclarationFile, FileSet, InForce, ParsedFile, ServerTask, ShareFraction,
+    ConfigurationInForce, DeclarationFile, FileSet, ParsedFile, ServerTask, ShareFraction,
 };
-use support::{heard, RevisionChoice};
+use support::{file_set_of, RevisionChoice};
 
 /// Inputs tried by each property: at least as many as a second takes in a debug build.
 const GENERATED_INPUTS: usize = 500;
 /// The same for texts, which take less.
 const GENERATED_TEXTS: usize = 30_000;
 
-fn in_force(choices: &[RevisionChoice]) -> (FileSet, InForce) {
+fn in_force(choices: &[RevisionChoice]) -> (FileSet, ConfigurationInForce) {
     let files: Vec<DeclarationFile> = choices.iter().map(RevisionChoice::file).collect();
-    let set = heard(&files);
-    let in_force = InForce::compute(&set);
+    let set = file_set_of(&files);
+    let in_force = ConfigurationInForce::compute(&set);
     (set, in_force)
 }
 
@@ -81,7 +81,7 @@
                 .filter_map(|(_, record)| record.parsed())
                 .map(ParsedFile::item_count)
                 .sum();
-            let holds = in_force.organisations.len()
+            let in_force_count = in_force.organisations.len()
                 + in_force.models.len()
                 + in_force.adapters.len()
                 + in_force.servers.len()
@@ -98,7 +98,7 @@
                 })
                 .map(|item| (&item.origin, item.kind, &item.name))
                 .collect();
-            assert_eq!(holds + blocked.len(), declared);
+            assert_eq!(in_force_count + blocked.len(), declared);
         },
     );
 }
--- a/crates/papayamux-declarations/tests/operators_page.rs
+++ b/crates/papayamux-declarations/tests/operators_page.rs
@@ -1,6 +1,6 @@
 //! The examples of the operators' page are valid as they stand there.
 
-use papayamux_declarations::{DeclarationFile, FileSet, InForce};
+use papayamux_declarations::{ConfigurationInForce, DeclarationFile, FileSet};
 
 const PAGE: &str = include_str!("../../../docs/operators/declarations.md");
 
@@ -11,7 +11,7 @@
     for (example, name) in examples.zip(["caverns", "owners"]) {
         set.offer(DeclarationFile::new(name.parse().unwrap(), 1.into(), example));
     }
-    let in_force = InForce::compute(&set);
+    let in_force = ConfigurationInForce::compute(&set);
     assert_eq!(in_force.files.len(), 2);
     assert_eq!((in_force.refused, in_force.blocked), (vec![], vec![]));
 }
--- a/crates/papayamux-declarations/tests/support/mod.rs
+++ b/crates/papayamux-declarations/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use papayamux_declarations::{DeclarationFile, FileName, FileSet};
 
 const FILES: [&str; 5] = ["abacus", "booking", "caverns", "kiosk", "owners"];
-const MOST_ITEMS: usize = 8;
+const MAX_ITEMS: usize = 8;
 
 /// One random thing in a file.
 #[derive(Debug, Clone, TypeGenerator)]
@@ -20,7 +20,7 @@
 pub struct RevisionChoice {
     file: u8,
     revision: u8,
-    fate: u8,
+    content_kind: u8,
     items: Vec<ItemChoice>,
 }
 
@@ -29,7 +29,7 @@
     pub fn file(&self) -> DeclarationFile {
         let name = FILES[usize::from(self.file) % FILES.len()];
         let revision = u64::from(self.revision % 8).into();
-        match self.fate % 8 {
+        match self.content_kind % 8 {
             0 => DeclarationFile::deleted(file_name(name), revision),
             1 => DeclarationFile::new(file_name(name), revision, "[team]\nname = wrong\n"),
             _ => DeclarationFile::new(file_name(name), revision, self.text(name)),
@@ -39,7 +39,7 @@
     fn text(&self, file: &str) -> String {
         let mut text = format!("[team]\nname = {file}\n");
         let mut titles = Vec::new();
-        for item in self.items.iter().take(MOST_ITEMS) {
+        for item in self.items.iter().take(MAX_ITEMS) {
             let (title, keys) = if file == "owners" { item.grant() } else { item.section() };
             if !titles.contains(&title) {
                 text.push_str(&format!("[{title}]\n{keys}"));
@@ -99,7 +99,7 @@
 }
 
 /// The set after hearing `files` in their order.
-pub fn heard<'a>(files: impl IntoIterator<Item = &'a DeclarationFile>) -> FileSet {
+pub fn file_set_of<'a>(files: impl IntoIterator<Item = &'a DeclarationFile>) -> FileSet {
     let mut set = FileSet::default();
     for file in files {
         set.offer(file.clone());
--- a/crates/papayamux-measure/src/conflicts/experiment.rs
+++ b/crates/papayamux-measure/src/conflicts/experiment.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::error::Error;
 
-use papayamux_declarations::{DeclarationFile, FileName, FileRevision, FileSet, InForce};
+use papayamux_declarations::{
+    ConfigurationInForce, DeclarationFile, FileName, FileRevision, FileSet,
+};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use serde_json::json;
@@ -88,7 +90,7 @@
 }
 
 fn run_process(process: &mut RuleProcess, heard: &[DeclarationFile], tally: &mut RuleTally) {
-    let mut previous = InForce::default();
+    let mut previous = ConfigurationInForce::default();
     for file in heard {
         let current = process.hear(file);
         tally.heard += 1;
@@ -101,7 +103,7 @@
     }
 }
 
-fn count_steps_down(previous: &InForce, current: &InForce) -> u64 {
+fn count_steps_down(previous: &ConfigurationInForce, current: &ConfigurationInForce) -> u64 {
     let files = previous.files.iter();
     files.filter(|(name, revision)| current.files.get(*name) < Some(revision)).count() as u64
 }
@@ -109,7 +111,7 @@
 type Place<'a> = (&'a FileName, FileRevision, usize);
 
 /// The places of all that is in force with full effect.
-fn effective_places(in_force: &InForce) -> BTreeSet<Place<'_>> {
+fn effective_places(in_force: &ConfigurationInForce) -> BTreeSet<Place<'_>> {
     let blocked = in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict());
     let blocked: BTreeSet<_> = blocked.map(|blocked| &blocked.origin).collect();
     let organisations = in_force.organisations.values().map(|declared| &declared.origin);
@@ -125,7 +127,11 @@
 }
 
 /// Things that lost their effect though their own file was not submitted.
-fn count_displaced(previous: &InForce, current: &InForce, submitted: &FileName) -> u64 {
+fn count_displaced(
+    previous: &ConfigurationInForce,
+    current: &ConfigurationInForce,
+    submitted: &FileName,
+) -> u64 {
     let kept = effective_places(current);
     let lost = effective_places(previous)
         .into_iter()
@@ -134,7 +140,7 @@
 }
 
 /// Things in the newest valid revisions, and how many of them have full effect.
-fn count_items(heard: &FileSet, in_force: &InForce) -> (u64, u64) {
+fn count_items(heard: &FileSet, in_force: &ConfigurationInForce) -> (u64, u64) {
     let places = effective_places(in_force);
     let (mut declared, mut effective) = (0, 0);
     for (name, record) in heard.records() {
--- a/crates/papayamux-measure/src/conflicts/rules.rs
+++ b/crates/papayamux-measure/src/conflicts/rules.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use papayamux_declarations::{DeclarationFile, FileName, FileRevision, FileSet, InForce, Offered};
+use papayamux_declarations::{
+    ConfigurationInForce, DeclarationFile, FileName, FileRevision, FileSet, RevisionOutcome,
+};
 
 /// A rule for clashes between files.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -66,10 +68,10 @@
     }
 
     /// Hears one revision; gives what is in force after it.
-    pub fn hear(&mut self, file: &DeclarationFile) -> InForce {
+    pub fn hear(&mut self, file: &DeclarationFile) -> ConfigurationInForce {
         self.heard.offer(file.clone());
         let mut set = FileSet::default();
-        if set.offer(file.clone()) == Offered::Accepted {
+        if set.offer(file.clone()) == RevisionOutcome::Accepted {
             let revisions = self.valid.entry(file.name.clone()).or_default();
             revisions.push(ValidRevision { name: file.name.clone(), revision: file.revision, set });
             revisions.sort_by_key(|file| std::cmp::Reverse(file.revision));
@@ -79,12 +81,12 @@
             ConflictRule::WholeByArrival => self.accept_arrivals(),
             ConflictRule::WholeByName => without_clashes(&self.valid, 1),
             ConflictRule::WholeWithFallback => without_clashes(&self.valid, usize::MAX),
-            ConflictRule::BlockedPart => InForce::compute(&self.heard),
+            ConflictRule::BlockedPart => ConfigurationInForce::compute(&self.heard),
         }
     }
 
     /// Accepts newest revisions as long as one adds no clash to what is in force.
-    fn accept_arrivals(&mut self) -> InForce {
+    fn accept_arrivals(&mut self) -> ConfigurationInForce {
         let mut in_force = combine(self.accepted.values());
         loop {
             let pending = self.valid.values().filter_map(|revisions| revisions.first());
@@ -104,21 +106,21 @@
     }
 }
 
-fn combine<'a>(revisions: impl IntoIterator<Item = &'a ValidRevision>) -> InForce {
+fn combine<'a>(revisions: impl IntoIterator<Item = &'a ValidRevision>) -> ConfigurationInForce {
     let mut set = FileSet::default();
     for revision in revisions {
         set.merge(&revision.set);
     }
-    InForce::compute(&set)
+    ConfigurationInForce::compute(&set)
 }
 
-fn clashes(in_force: &InForce) -> usize {
+fn clashes(in_force: &ConfigurationInForce) -> usize {
     in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict()).count()
 }
 
 /// Steps the last file by name that clashes back to an older of its `depth` newest revisions, or
 /// out, until nothing clashes.
-fn without_clashes(valid: &Revisions, depth: usize) -> InForce {
+fn without_clashes(valid: &Revisions, depth: usize) -> ConfigurationInForce {
     let mut back: BTreeMap<&FileName, usize> = valid.keys().map(|name| (name, 0)).collect();
     loop {
         let chosen = back
--- a/crates/papayamux-measure/src/demo.rs
+++ b/crates/papayamux-measure/src/demo.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::StreamExt;
 use http::Method;
-use papayamux_daemon::signals::catch_end_signals;
+use papayamux_daemon::signals::catch_termination_signals;
 use papayamux_protocol::chat::ChatMessage;
 use papayamux_protocol::engine::CHAT_PATH;
 use papayamux_protocol::headers;
@@ -46,7 +46,7 @@
 
 /// Tells how to call the fleet, and waits for Ctrl-C.
 async fn wait_for_end(fleet: &Fleet) -> Result<(), Box<dyn Error>> {
-    let mut signals = catch_end_signals()?;
+    let mut signals = catch_termination_signals()?;
     for router in &fleet.routers {
         println!("router at {}, operators at {}", router.listen()?, router.operations()?);
     }
--- a/crates/papayamux-router/src/claims/claim_settings.rs
+++ b/crates/papayamux-router/src/claims/claim_settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bon::Builder;
-use papayamux_settings::{IniFile, Millis};
+use papayamux_settings::{DurationSetting, IniFile};
 use papayamux_state::claims::DeclaredServer;
 
 /// Minimum ratio of the retention to the time that a call may wait for its start.
@@ -43,9 +43,11 @@
     pub fn read(file: &IniFile, start_within: Duration) -> Self {
         let section = file.optional_section("claims");
         let settings = Self::builder()
-            .maybe_retention(section.optional("retention").map(|time: Millis| time.0))
+            .maybe_retention(section.optional("retention").map(|time: DurationSetting| time.0))
             .maybe_witnesses(section.optional("witnesses"))
-            .maybe_claim_within(section.optional("claim_within").map(|time: Millis| time.0))
+            .maybe_claim_within(
+                section.optional("claim_within").map(|time: DurationSetting| time.0),
+            )
             .fleet(read_fleet(file))
             .build();
         if settings.witnesses.is_multiple_of(2) {
@@ -55,21 +57,21 @@
             let help = format!("a call may wait for {start_within:?} before it starts");
             section.report("retention", "the retention is too short", &help);
         }
-        section.refuse_other_keys();
+        section.report_unknown_keys();
         settings
     }
 }
 
 fn read_fleet(file: &IniFile) -> Vec<WitnessEntry> {
-    let names = file.names_of("witness");
+    let names = file.section_names("witness");
     names.iter().filter_map(|name| read_witness(file, name)).collect()
 }
 
 fn read_witness(file: &IniFile, name: &str) -> Option<WitnessEntry> {
     let section = file.section(&format!("witness {name}"));
-    let server = section.own_name();
+    let server = section.name_after_kind();
     let agent = section.required("agent");
     let domain = section.optional("failure_domain");
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     Some(WitnessEntry { declared: DeclaredServer { server: server?, domain }, agent: agent? })
 }
--- a/crates/papayamux-router/src/configuration.rs
+++ b/crates/papayamux-router/src/configuration.rs
@@ -5,7 +5,7 @@
 
 use futures_util::StreamExt;
 use http::Method;
-use papayamux_declarations::{InForce, MethodName, Route, Server, ServerTask};
+use papayamux_declarations::{ConfigurationInForce, MethodName, Route, Server, ServerTask};
 use papayamux_spread::configuration::ConfigurationView;
 use papayamux_spread::settings::SpreadSettings;
 use papayamux_spread::SpreadIdentity;
@@ -39,12 +39,12 @@
 }
 
 /// Returns the servers in force as entries of the directory.
-pub(crate) fn server_entries(in_force: &InForce) -> Vec<ServerEntry> {
+pub(crate) fn server_entries(in_force: &ConfigurationInForce) -> Vec<ServerEntry> {
     let servers = in_force.servers.iter();
     servers.map(|(server, declared)| server_entry(in_force, server, &declared.value)).collect()
 }
 
-fn server_entry(in_force: &InForce, name: &ServerId, server: &Server) -> ServerEntry {
+fn server_entry(in_force: &ConfigurationInForce, name: &ServerId, server: &Server) -> ServerEntry {
     let models = match &server.task {
         ServerTask::Engine { models, .. } => models.iter().cloned().collect(),
         ServerTask::Service => Vec::new(),
--- a/crates/papayamux-router/src/daemon.rs
+++ b/crates/papayamux-router/src/daemon.rs
@@ -12,7 +12,7 @@
 use monoio::task::JoinHandle;
 use papayamux_daemon::logging::start_logging;
 use papayamux_daemon::operations::{serve_operations, OperationsView, READY_PATH};
-use papayamux_daemon::signals::catch_end_signals;
+use papayamux_daemon::signals::catch_termination_signals;
 use papayamux_spread::configuration::ConfigurationView;
 use papayamux_spread::SpreadIdentity;
 use papayamux_state::address_range::admits;
@@ -75,7 +75,7 @@
 /// Runs a router until a signal stops it and its requests in flight have finished.
 pub fn run_router(settings: RouterSettings) -> Result<(), Box<dyn Error>> {
     start_logging("papayamux-router", log::LevelFilter::Info);
-    let mut signals = catch_end_signals()?;
+    let mut signals = catch_termination_signals()?;
     runtime::run(async move {
         let router = start_router(settings)?;
         signals.next().await;
--- a/crates/papayamux-router/src/direct/settings.rs
+++ b/crates/papayamux-router/src/direct/settings.rs
@@ -13,7 +13,7 @@
 use papayamux_coordination::recent_departures::DepartureBounds;
 use papayamux_coordination::service_retry_budget::RetryAllowance;
 use papayamux_coordination::source_pace::ReadBounds;
-use papayamux_settings::{Findings, IniFile, Millis};
+use papayamux_settings::{DurationSetting, Findings, IniFile};
 use papayamux_state::ids::{FailureDomain, Region};
 use papayamux_transport::http::upstream::PoolLimits;
 
@@ -132,7 +132,7 @@
 const CALLERS_PART: f64 = 0.6;
 
 /// The grace of the usual process managers, less than which none gives.
-const DEFAULT_GRACE: Millis = Millis(Duration::from_secs(8));
+const DEFAULT_GRACE: DurationSetting = DurationSetting(Duration::from_secs(8));
 
 impl DirectSettings {
     /// Connections of callers open at once.
@@ -145,7 +145,7 @@
     pub fn read(name: &str, text: &str) -> Result<Self, Findings> {
         let file = IniFile::parse(name, text)?;
         let settings = read_settings(&file);
-        file.refuse_other_sections(
+        file.report_unknown_sections(
             &[
                 "instance",
                 "listen",
@@ -166,22 +166,22 @@
     let instance = file.section("instance");
     let name: Option<String> = instance.required("name");
     let domain = instance.required("failure_domain");
-    instance.refuse_other_keys();
+    instance.report_unknown_keys();
     let listen = file.section("listen");
     let callers = listen.required("callers");
     let operations = listen.required("operations");
     let ready_path = listen.or("ready_path", "/ready".to_string());
     let metrics = listen.optional("metrics");
     let descriptors = listen.or("descriptors", DEFAULT_DESCRIPTORS);
-    listen.refuse_other_keys();
+    listen.report_unknown_keys();
     let source_section = file.section("source");
     let source = source_section.required("address");
     let readers = source_section.or("readers", SourceReaders::default());
-    source_section.refuse_other_keys();
+    source_section.report_unknown_keys();
     let peers_section = file.section("peers");
     let peers = peers_section.required("listen");
     let seeds: Vec<SocketAddr> = peers_section.list("seeds");
-    peers_section.refuse_other_keys();
+    peers_section.report_unknown_keys();
     let regions = read_regions(file);
     let (grace, fleet) = read_bounds(file, domain, peers)?;
     let expects_others = seeds.iter().any(|seed| Some(seed.ip()) != peers.map(|own| own.ip()));
@@ -227,25 +227,25 @@
     let retries = RetryAllowance {
         ratio: bounds.or("retry_ratio", defaults.ratio),
         slack: bounds.or("retry_slack", defaults.slack),
-        window: bounds.or("retry_window", Millis(defaults.window)).0,
+        window: bounds.or("retry_window", DurationSetting(defaults.window)).0,
     };
-    let revoke_within = bounds.optional::<Millis>("revoke_within").map(|millis| millis.0);
-    let millis = |key: &str| bounds.optional::<Millis>(key).map(|millis| millis.0);
+    let revoke_within = bounds.optional::<DurationSetting>("revoke_within").map(|millis| millis.0);
+    let millis = |key: &str| bounds.optional::<DurationSetting>(key).map(|millis| millis.0);
     let (apply_within, drain_within) = (millis("apply_within"), millis("drain_within"));
     let evacuate_within = millis("evacuate_within");
     let overshoot: Option<f64> = bounds.optional("cold_overshoot");
     let slack = bounds.or("cold_slack", 0.0);
     let cold_allowance = overshoot.map(|overshoot| ColdAllowance { overshoot, slack });
-    let renewal_every = bounds.or("renewal_every", Millis(DEFAULT_RENEWAL)).0;
+    let renewal_every = bounds.or("renewal_every", DurationSetting(DEFAULT_RENEWAL)).0;
     let placement = file.optional_section("placement");
     let policy = placement.or("policy", PlacementPolicy::default());
-    placement.refuse_other_keys();
+    placement.report_unknown_keys();
     let experiment = file.optional_section("experiment");
     let disabled = experiment.list("disable").into_iter().collect();
-    experiment.refuse_other_keys();
+    experiment.report_unknown_keys();
     let load_factor = bounds.or("load_factor", 2.0);
     let grace = bounds.or("grace", DEFAULT_GRACE).0;
-    bounds.refuse_other_keys();
+    bounds.report_unknown_keys();
     let fleet = FleetSettings::builder()
         .address(peers?.ip())
         .domain(domain?)
--- a/crates/papayamux-router/src/main.rs
+++ b/crates/papayamux-router/src/main.rs
@@ -2,11 +2,11 @@
 
 use std::process::ExitCode;
 
-use papayamux_daemon::command_line::{daemon_main, DaemonName};
+use papayamux_daemon::command_line::{daemon_main, DaemonInfo};
 use papayamux_router::daemon::run_router;
 use papayamux_router::settings::RouterSettings;
 
-const NAME: DaemonName = DaemonName {
+const NAME: DaemonInfo = DaemonInfo {
     program: "papayamux-router",
     purpose: "accepts requests from callers and forwards them to the agents of backend servers",
 };
--- a/crates/papayamux-router/src/settings.rs
+++ b/crates/papayamux-router/src/settings.rs
@@ -6,7 +6,7 @@
 
 use bon::Builder;
 use papayamux_protocol::proof::SharedSecret;
-use papayamux_settings::{Findings, IniFile, Millis};
+use papayamux_settings::{DurationSetting, Findings, IniFile};
 use papayamux_spread::settings::{read_spread, SpreadSettings, SPREAD_SECTION};
 use papayamux_state::address_range::AddressRange;
 use papayamux_state::ids::{FailureDomain, ModelId, OrganisationId, ServerId};
@@ -120,7 +120,7 @@
 
 fn read_router(file: &IniFile) -> Option<RouterSettings> {
     let kinds = ["server", "witness", "organisation"];
-    file.refuse_other_sections(&["router", "claims", SPREAD_SECTION], &kinds);
+    file.report_unknown_sections(&["router", "claims", SPREAD_SECTION], &kinds);
     let section = file.section("router");
     let listen = section.required("listen");
     let operations = section.required("operations");
@@ -132,31 +132,35 @@
     let drain_within = section.optional("drain_within");
     let resume_within = section.optional("resume_within");
     let caller_stall = section.optional("caller_stall");
-    let secret = section.hidden("secret");
+    let secret = section.optional_secret("secret");
     let allow = section.list("allow");
     let policy = section.optional("policy");
-    section.refuse_other_keys();
-    let start_longest = start_within.map_or(DEFAULT_START_TIMEOUT, |within: Millis| within.0);
+    section.report_unknown_keys();
+    let start_longest =
+        start_within.map_or(DEFAULT_START_TIMEOUT, |within: DurationSetting| within.0);
     let claims = ClaimSettings::read(file, start_longest);
     let spread = read_spread(file);
     let servers: Vec<_> =
-        file.names_of("server").iter().map(|name| read_server(file, name)).collect();
+        file.section_names("server").iter().map(|name| read_server(file, name)).collect();
     let servers = servers.into_iter().collect::<Option<Vec<_>>>();
-    let organisations: Vec<_> =
-        file.names_of("organisation").iter().map(|name| read_organisation(file, name)).collect();
+    let organisations: Vec<_> = file
+        .section_names("organisation")
+        .iter()
+        .map(|name| read_organisation(file, name))
+        .collect();
     let organisations = organisations.into_iter().collect::<Option<HashMap<_, _>>>();
     let settings = RouterSettings::builder()
         .listen(listen?)
         .operations(operations?)
         .domain(domain?)
         .maybe_longest_body(longest_body)
-        .maybe_start_within(start_within.map(|within: Millis| within.0))
+        .maybe_start_within(start_within.map(|within: DurationSetting| within.0))
         .claims(claims)
         .maybe_most_offers(most_offers)
-        .maybe_balancer_delay(balancer_delay.map(|delay: Millis| delay.0))
-        .maybe_drain_within(drain_within.map(|within: Millis| within.0))
-        .maybe_resume_within(resume_within.map(|within: Millis| within.0))
-        .maybe_caller_stall(caller_stall.map(|stall: Millis| stall.0))
+        .maybe_balancer_delay(balancer_delay.map(|delay: DurationSetting| delay.0))
+        .maybe_drain_within(drain_within.map(|within: DurationSetting| within.0))
+        .maybe_resume_within(resume_within.map(|within: DurationSetting| within.0))
+        .maybe_caller_stall(caller_stall.map(|stall: DurationSetting| stall.0))
         .maybe_secret(secret)
         .allow(allow)
         .maybe_policy(policy)
@@ -169,20 +173,20 @@
 
 fn read_organisation(file: &IniFile, name: &str) -> Option<(OrganisationId, OrganisationEntry)> {
     let section = file.section(&format!("organisation {name}"));
-    let organisation = section.own_name();
+    let organisation = section.name_after_kind();
     let defaults = OrganisationEntry::default();
     let priority = section.or("priority", defaults.priority);
     let share = section.or("share", defaults.share);
     if share == 0 {
         section.report("share", "the share must be at least 1", "");
     }
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     Some((organisation?, OrganisationEntry { priority, share }))
 }
 
 fn read_server(file: &IniFile, name: &str) -> Option<ServerEntry> {
     let section = file.section(&format!("server {name}"));
-    let server = section.own_name();
+    let server = section.name_after_kind();
     let agent = section.required("agent");
     let domain = section.optional("failure_domain");
     let models = section.list("models");
@@ -194,6 +198,6 @@
     for path in paths.iter().filter(|path| !path.starts_with('/')) {
         section.report("paths", &format!("{path:?} does not start with a slash"), "");
     }
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     Some(ServerEntry { server: server?, agent: agent?, domain, models, paths, idempotent })
 }
--- a/crates/papayamux-settings/src/ini_file.rs
+++ b/crates/papayamux-settings/src/ini_file.rs
@@ -9,7 +9,7 @@
 use crate::section::SectionReader;
 
 /// Findings that one file may have; more are left out, the first in the order of the checks stay.
-const MOST_FINDINGS: usize = 1_000;
+const MAX_FINDINGS: usize = 1_000;
 
 /// A parsed file. Values come from `rust-ini`; their lines from a scan of the same text, because
 /// the library keeps none.
@@ -41,13 +41,13 @@
             key_lines: BTreeMap::new(),
             findings: RefCell::default(),
         };
-        file.locate(text);
-        file.report_repeats();
-        file.report_differences();
+        file.record_lines(text);
+        file.report_duplicates();
+        file.report_scan_differences();
         Ok(file)
     }
 
-    fn locate(&mut self, text: &str) {
+    fn record_lines(&mut self, text: &str) {
         let mut section = String::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -64,7 +64,7 @@
         }
     }
 
-    fn report_repeats(&self) {
+    fn report_duplicates(&self) {
         for (section, lines) in &self.section_lines {
             for line in &lines[1..] {
                 self.report(*line, format!("[{section}]"), "the section stands twice", "join them");
@@ -85,7 +85,7 @@
     /// The library and the scan must have found the same sections and keys. Where they differ,
     /// as after a bare carriage return or in a quoted value of several lines, something would be
     /// passed over in silence.
-    fn report_differences(&self) {
+    fn report_scan_differences(&self) {
         let mut section_counts: BTreeMap<&str, usize> = BTreeMap::new();
         let mut counts: BTreeMap<(&str, &str), usize> = BTreeMap::new();
         for (section, properties) in &self.ini {
@@ -98,28 +98,34 @@
         }
         for (section, count) in &section_counts {
             if self.section_lines.get(*section).map_or(0, Vec::len) != *count {
-                self.report_unseen(self.section_line(section), format!("[{section}]"));
+                self.report_scan_difference(self.section_line(section), format!("[{section}]"));
             }
         }
         for section in self.section_lines.keys() {
             if !section_counts.contains_key(section.as_str()) {
-                self.report_unseen(self.section_line(section), format!("[{section}]"));
+                self.report_scan_difference(self.section_line(section), format!("[{section}]"));
             }
         }
         for ((section, key), count) in &counts {
             let place = (section.to_string(), key.to_string());
             if self.key_lines.get(&place).map_or(0, Vec::len) != *count {
-                self.report_unseen(self.section_line(section), format!("[{section}] {key}"));
+                self.report_scan_difference(
+                    self.section_line(section),
+                    format!("[{section}] {key}"),
+                );
             }
         }
         for (section, key) in self.key_lines.keys() {
             if !counts.contains_key(&(section.as_str(), key.as_str())) {
-                self.report_unseen(self.key_line(section, key), format!("[{section}] {key}"));
+                self.report_scan_difference(
+                    self.key_line(section, key),
+                    format!("[{section}] {key}"),
+                );
             }
         }
     }
 
-    fn report_unseen(&self, line: usize, place: String) {
+    fn report_scan_difference(&self, line: usize, place: String) {
         let help = "write each section and each key on a line of its own, without line breaks \
                     in values";
         self.report(line, place, "it does not stand on a line of its own", help);
@@ -149,7 +155,7 @@
     }
 
     /// The names after `kind` of all sections `[kind name]`, in the order of the file.
-    pub fn names_of(&self, kind: &str) -> Vec<String> {
+    pub fn section_names(&self, kind: &str) -> Vec<String> {
         let mut names: Vec<_> = self
             .section_lines
             .iter()
@@ -163,7 +169,7 @@
     }
 
     /// Reports each section that is neither called `exact` nor of a kind in `kinds`.
-    pub fn refuse_other_sections(&self, exact: &[&str], kinds: &[&str]) {
+    pub fn report_unknown_sections(&self, exact: &[&str], kinds: &[&str]) {
         for (section, lines) in &self.section_lines {
             let kind = section.split(' ').next().unwrap_or_default();
             let known = exact.contains(&section.as_str())
@@ -190,7 +196,7 @@
     /// Adds a finding, up to a bound.
     pub fn report(&self, line: usize, place: String, message: &str, help: &str) {
         let mut findings = self.findings.borrow_mut();
-        if findings.len() >= MOST_FINDINGS {
+        if findings.len() >= MAX_FINDINGS {
             return;
         }
         findings.push(Finding {
--- a/crates/papayamux-settings/src/lib.rs
+++ b/crates/papayamux-settings/src/lib.rs
@@ -6,4 +6,4 @@
 
 pub use finding::{Finding, Findings};
 pub use ini_file::IniFile;
-pub use section::{Millis, SectionReader};
+pub use section::{DurationSetting, SectionReader};
--- a/crates/papayamux-settings/src/section.rs
+++ b/crates/papayamux-settings/src/section.rs
@@ -13,30 +13,30 @@
 
 /// A duration written in milliseconds (`250ms`), seconds (`2s`) or minutes (`5m`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Millis(pub Duration);
+pub struct DurationSetting(pub Duration);
 
 /// Why a text is not a duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a duration is a whole number with ms, s or m behind it")]
-pub struct MillisError;
+pub struct DurationSettingError;
 
-impl FromStr for Millis {
-    type Err = MillisError;
+impl FromStr for DurationSetting {
+    type Err = DurationSettingError;
 
-    fn from_str(text: &str) -> Result<Self, MillisError> {
+    fn from_str(text: &str) -> Result<Self, DurationSettingError> {
         let digits = text.trim_end_matches(|character: char| character.is_ascii_alphabetic());
-        let count: u64 = digits.parse().map_err(|_| MillisError)?;
+        let count: u64 = digits.parse().map_err(|_| DurationSettingError)?;
         let millis = match &text[digits.len()..] {
             "ms" => Some(count),
             "s" => count.checked_mul(1_000),
             "m" => count.checked_mul(60_000),
             _ => None,
         };
-        millis.map(|millis| Self(Duration::from_millis(millis))).ok_or(MillisError)
+        millis.map(|millis| Self(Duration::from_millis(millis))).ok_or(DurationSettingError)
     }
 }
 
-impl fmt::Display for Millis {
+impl fmt::Display for DurationSetting {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}ms", self.0.as_millis())
     }
@@ -57,7 +57,7 @@
     }
 
     /// The name behind the section's kind: `NAME` in `[kind NAME]`.
-    pub fn own_name<T>(&self) -> Option<T>
+    pub fn name_after_kind<T>(&self) -> Option<T>
     where
         T: FromStr,
         T::Err: fmt::Display,
@@ -95,7 +95,7 @@
     }
 
     /// The value of a key that must not be shown, also where it does not fit.
-    pub fn hidden<T>(&self, key: &str) -> Option<T>
+    pub fn optional_secret<T>(&self, key: &str) -> Option<T>
     where
         T: FromStr,
         T::Err: fmt::Display,
@@ -159,7 +159,7 @@
     }
 
     /// Reports each key that was not asked for.
-    pub fn refuse_other_keys(&self) {
+    pub fn report_unknown_keys(&self) {
         let read = self.read.borrow();
         let mut known: Vec<_> = read.iter().map(String::as_str).collect();
         known.sort_unstable();
--- a/crates/papayamux-settings/tests/places.rs
+++ b/crates/papayamux-settings/tests/finding_locations.rs
@@ -2,7 +2,7 @@
 
 use papayamux_settings::IniFile;
 
-fn places(text: &str) -> Vec<(usize, String)> {
+fn finding_locations(text: &str) -> Vec<(usize, String)> {
     let read = IniFile::parse("file", text).and_then(|file| file.finish(|| Some(())));
     let findings = read.err().unwrap_or_default();
     findings.0.into_iter().map(|finding| (finding.line, finding.place)).collect()
@@ -10,26 +10,26 @@
 
 #[test]
 fn lines_that_only_the_library_sees_are_reported() {
-    assert_eq!(places("[a]\nb = 1\r[c]\nd = 2\n")[0], (1, "[c]".to_string()));
-    assert_eq!(places("[a]\nb = 1\rb = 2\n"), [(1, "[a] b".to_string())]);
-    assert_eq!(places("[a] b = 1\n"), [(1, "[a] b".to_string())]);
+    assert_eq!(finding_locations("[a]\nb = 1\r[c]\nd = 2\n")[0], (1, "[c]".to_string()));
+    assert_eq!(finding_locations("[a]\nb = 1\rb = 2\n"), [(1, "[a] b".to_string())]);
+    assert_eq!(finding_locations("[a] b = 1\n"), [(1, "[a] b".to_string())]);
 }
 
 #[test]
 fn a_section_repeated_behind_a_bare_carriage_return_is_reported() {
     let text = "[team]\nname = kiosk\r[team]\nweights=w[model m]\n";
-    assert_eq!(places(text), [(1, "[team]".to_string())]);
+    assert_eq!(finding_locations(text), [(1, "[team]".to_string())]);
 }
 
 #[test]
 fn lines_that_only_the_scan_sees_are_reported() {
-    assert_eq!(places("[a]\nb = \"1\nc = 2\"\n"), [(3, "[a] c".to_string())]);
+    assert_eq!(finding_locations("[a]\nb = \"1\nc = 2\"\n"), [(3, "[a] c".to_string())]);
 }
 
 #[test]
 fn findings_are_bounded() {
     let text: String = (0..5_000).map(|_| "[a]\n").collect();
-    assert_eq!(places(&text).len(), 1_000);
+    assert_eq!(finding_locations(&text).len(), 1_000);
 }
 
 #[test]
--- a/crates/papayamux-spread/src/configuration.rs
+++ b/crates/papayamux-spread/src/configuration.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 
 use futures_channel::mpsc;
-use papayamux_declarations::{DeclarationFile, FileName, FileSet, InForce, ParsedFile};
+use papayamux_declarations::{
+    ConfigurationInForce, DeclarationFile, FileName, FileSet, ParsedFile,
+};
 use papayamux_protocol::platform::InstanceList;
 use papayamux_state::ids::ServerId;
 use papayamux_transport::timer::TimerService;
@@ -30,7 +32,7 @@
 
 struct ConfigurationState {
     set: FileSet,
-    in_force: Rc<InForce>,
+    in_force: Rc<ConfigurationInForce>,
     /// The revision that `in_force` was derived at.
     revision: u64,
     leaving: Rc<BTreeSet<ServerId>>,
@@ -78,7 +80,7 @@
     }
 
     /// What is in force now.
-    pub fn in_force(&self) -> Rc<InForce> {
+    pub fn in_force(&self) -> Rc<ConfigurationInForce> {
         self.state.borrow().in_force.clone()
     }
 
@@ -126,7 +128,7 @@
     fn derive(&self) {
         let mut state = self.state.borrow_mut();
         self.node.with_files(|files| offer_all(files, &mut state.set));
-        state.in_force = Rc::new(InForce::compute(&state.set));
+        state.in_force = Rc::new(ConfigurationInForce::compute(&state.set));
         state.revision = self.node.with_files(FileStore::revision);
         state.leaving = Rc::new(self.node.with_files(leaving_servers));
         let refused = state.in_force.refused.len();
--- a/crates/papayamux-spread/src/files/file_store.rs
+++ b/crates/papayamux-spread/src/files/file_store.rs
@@ -14,7 +14,7 @@
 use crate::instances::is_instances;
 
 /// Files that a store may hold, removed ones included.
-const MOST_FILES: usize = 4_096;
+const MAX_FILES: usize = 4_096;
 /// Bytes of text that a store may hold.
 const MOST_BYTES: usize = 16 * 1024 * 1024;
 /// Deltas kept for each file.
@@ -129,7 +129,7 @@
         }
         let too_long = version.text.len() > LONGEST_FILE || key.name.len() > LONGEST_FILE_NAME;
         let too_much = self.bytes + version.text.len() > MOST_BYTES;
-        let too_many = !self.files.contains_key(&key.name) && self.files.len() >= MOST_FILES;
+        let too_many = !self.files.contains_key(&key.name) && self.files.len() >= MAX_FILES;
         (too_long || too_much || too_many).then_some(JoinOutcome::TooLarge)
     }
 
--- a/crates/papayamux-spread/src/settings.rs
+++ b/crates/papayamux-spread/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bon::Builder;
-use papayamux_settings::{IniFile, Millis};
+use papayamux_settings::{DurationSetting, IniFile};
 use papayamux_state::address_range::AddressRange;
 use papayamux_state::quantities::ByteCount;
 
@@ -71,7 +71,7 @@
     if bytes_per_second.is_some_and(|rate: ByteCount| rate.get() < LEAST_RATE) {
         section.report("bytes_per_second", &format!("must be at least {LEAST_RATE}"), "");
     }
-    section.refuse_other_keys();
+    section.report_unknown_keys();
     let settings = SpreadSettings::builder()
         .service(service?)
         .maybe_instances(instances)
@@ -81,9 +81,9 @@
         .maybe_fanout(fanout)
         .maybe_watchers(watchers)
         .maybe_bytes_per_second(bytes_per_second)
-        .maybe_fresh_within(fresh_within.map(|within: Millis| within.0))
-        .maybe_ask_within(ask_within.map(|within: Millis| within.0))
-        .maybe_watch_for(watch_for.map(|wait: Millis| wait.0))
+        .maybe_fresh_within(fresh_within.map(|within: DurationSetting| within.0))
+        .maybe_ask_within(ask_within.map(|within: DurationSetting| within.0))
+        .maybe_watch_for(watch_for.map(|wait: DurationSetting| wait.0))
         .build();
     Some(settings)
 }
