--- a/crates/papayamux-command/src/check.rs
+++ b/crates/papayamux-command/src/check.rs
@@ -1,4 +1,4 @@
-//! `papayamux check`: the fleet's verdict on files, by themselves and together.
+//! `papayamux check`: whether the fleet would accept files, each alone and all together.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 use crate::output::{CommandOutput, ExitMeaning};
 use crate::wire::{to_json, BlockedWire, FileWire, RefusalWire, VerdictWire};
 
-/// The verdict on `files`. A file of which several revisions are given is judged by its newest.
+/// Checks `files`. If several revisions of a file are given, the newest is checked.
 pub fn check_files(files: &[DeclarationFile], json: bool) -> CommandOutput {
     let in_force = ConfigurationInForce::compute(&file_set(files));
     let refused: Vec<_> =
@@ -24,7 +24,7 @@
     CommandOutput::new(exit, text)
 }
 
-/// All findings of a refused revision, of which processes keep but the first.
+/// Returns all findings of a refused revision; the refusal itself keeps only the first ones.
 fn all_findings(files: &[DeclarationFile], refusal: &FileRefusal) -> Findings {
     let revision = refusal.refused.revision;
     let mut refused =
--- a/crates/papayamux-command/src/command_line.rs
+++ b/crates/papayamux-command/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: `papayamux TASK [options] …`.
+//! Parsing of the command line: `papayamux TASK [options] …`.
 
 use std::net::SocketAddr;
 
@@ -87,7 +87,7 @@
     options
 }
 
-/// Runs the command with the arguments after the program's name.
+/// Runs the command with the arguments after the program name.
 pub fn run_command(arguments: impl Iterator<Item = String>) -> CommandOutput {
     run_task(arguments).unwrap_or_else(|error| CommandOutput::usage(&error))
 }
--- a/crates/papayamux-command/src/explain.rs
+++ b/crates/papayamux-command/src/explain.rs
@@ -1,4 +1,4 @@
-//! `papayamux explain`: which file and revision decide a thing, and what was refused and why.
+//! `papayamux explain`: which file and revision decide an item, and what was refused and why.
 
 use papayamux_declarations::{ConfigurationInForce, DeclarationFile, ExplainQuery, Explanation};
 
@@ -6,7 +6,7 @@
 use crate::output::{CommandOutput, ExitMeaning};
 use crate::wire::{to_json, ExplanationWire};
 
-/// Answers `questions` as a process would that has heard `files`.
+/// Answers `questions` from the configuration of a process that has received `files`.
 pub fn explain_files(
     files: &[DeclarationFile],
     questions: Vec<ExplainQuery>,
--- a/crates/papayamux-command/src/input_files.rs
+++ b/crates/papayamux-command/src/input_files.rs
@@ -1,4 +1,4 @@
-//! The files that the command line names, as revisions.
+//! Reads the declaration files and logs named on the command line.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,44 +6,44 @@
 use papayamux_declarations::{DeclarationFile, FileName, FileRevision, FileSet};
 use thiserror::Error;
 
-/// The ending that a file may have on disk; its name in the service has none.
+/// The optional extension of a file on disk; its name in the configuration service has none.
 const FILE_EXTENSION: &str = ".ini";
 
-/// Why a file can't be taken.
+/// The error of reading an input file.
 #[derive(Debug, Error)]
 pub enum InputFileError {
-    /// No file was named.
+    /// The command line names no file.
     #[error("name the files; try --help")]
     NoFiles,
-    /// It can't be read.
+    /// A file can't be read.
     #[error("{path}: {source}")]
     Read {
-        /// The file.
+        /// The path on the command line.
         path: String,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// Its name can't be one of a declaration file.
+    /// The name of a file is no valid name of a declaration file.
     #[error("{path}: {source}")]
     Name {
-        /// The file.
+        /// The path on the command line.
         path: String,
-        /// What is wrong with it.
+        /// The error of parsing the name.
         source: papayamux_declarations::ValueError,
     },
-    /// Two files are the same revision of the same file.
+    /// A revision of a file is given twice.
     #[error("{path}: {name}@{revision} is given already; write FILE@REVISION")]
     Repeated {
-        /// The file.
+        /// The path on the command line.
         path: String,
-        /// Its name.
+        /// The name of the declaration file.
         name: FileName,
-        /// Its revision.
+        /// The repeated revision.
         revision: FileRevision,
     },
 }
 
-/// Reads the named logs as they are, each with its name.
+/// Reads the named logs; returns pairs of path and text.
 pub fn read_logs(paths: &[String]) -> Result<Vec<(String, String)>, InputFileError> {
     if paths.is_empty() {
         return Err(InputFileError::NoFiles);
@@ -55,8 +55,8 @@
     paths.iter().map(read).collect()
 }
 
-/// Reads the named files. One given as `FILE@REVISION` has that revision; of the others, each
-/// counts one up from the one of the same name before it, from 1.
+/// Reads the named declaration files. `FILE@REVISION` sets the revision; without it, the revision is
+/// one more than the highest of the preceding files of the same name, starting at 1.
 pub fn read_files(paths: &[String]) -> Result<Vec<DeclarationFile>, InputFileError> {
     let mut files: Vec<DeclarationFile> = Vec::new();
     let mut newest: BTreeMap<FileName, u64> = BTreeMap::new();
@@ -79,7 +79,7 @@
     }
 }
 
-/// The set that a process holds after hearing `files`.
+/// Returns the set of a process that has received `files`.
 pub fn file_set(files: &[DeclarationFile]) -> FileSet {
     let mut set = FileSet::default();
     for file in files {
--- a/crates/papayamux-command/src/lib.rs
+++ b/crates/papayamux-command/src/lib.rs
@@ -1,7 +1,8 @@
-//! The operators' command: check declaration files, explain what decides, show processes' status,
-//! trace a request through logs, explain why prompts were read again.
+//! The operators' command `papayamux`. It checks declaration files, explains which declaration
+//! decides, shows the status of processes, traces a request through logs, and explains repeated
+//! prefills of prompts.
 //!
-//! The command reads files and the operators' ports of processes; it writes nothing.
+//! The command is read-only: it reads files and queries the operators' ports of processes.
 
 mod check;
 mod command_line;
--- a/crates/papayamux-command/src/log_line.rs
+++ b/crates/papayamux-command/src/log_line.rs
@@ -1,23 +1,23 @@
-//! One line of a process's log.
+//! Parsing of log lines.
 
 use serde_json::{Map, Value};
 
-/// A line with what it says.
+/// A parsed line of a process's log.
 #[derive(Debug, Clone)]
 pub(crate) struct LogLine {
-    /// Where it was read.
+    /// The file that contains the line.
     pub(crate) file: String,
-    /// Who wrote it: what a collector has put before the line ends with the instance's name, or else
-    /// the file.
+    /// The instance that wrote the line: the last word that a log collector has put before the JSON, or
+    /// else the file.
     pub(crate) writer: String,
-    /// When it was written.
+    /// The time at which the line was written, in milliseconds since the Unix epoch.
     pub(crate) time_ms: u64,
-    /// What it says.
+    /// All fields of the JSON object.
     pub(crate) fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Reads a line, whatever a collector has put before it.
+    /// Parses a line, ignoring a prefix added by a log collector. Returns `None` for other text.
     pub(crate) fn read(file: &str, text: &str) -> Option<Self> {
         let (before, json) = text.split_at(text.find('{')?);
         let writer = before.split_whitespace().last().unwrap_or(file).to_string();
@@ -26,7 +26,7 @@
         Some(Self { file: file.to_string(), writer, time_ms, fields })
     }
 
-    /// A field that is text.
+    /// Returns the value of a text field.
     pub(crate) fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field)?.as_str()
     }
--- a/crates/papayamux-command/src/main.rs
+++ b/crates/papayamux-command/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command `papayamux`.
+//! Entry point of the operators' command `papayamux`.
 
 use std::process::ExitCode;
 
--- a/crates/papayamux-command/src/output.rs
+++ b/crates/papayamux-command/src/output.rs
@@ -1,18 +1,18 @@
-//! What the command prints, and the code it leaves with.
+//! The output and the exit code of the command.
 
-/// What an exit code means.
+/// The meaning of an exit code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitMeaning {
-    /// Nothing was found; every process answered.
+    /// There are no findings, and every queried process answered.
     Clean,
-    /// There are findings, or something asked about is not in force, or a process did not answer.
+    /// There are findings, or a queried item is not in force or not found, or a process didn't answer.
     Findings,
-    /// The command line can't be understood or a file can't be read.
+    /// The command line is invalid or a file can't be read.
     Usage,
 }
 
 impl ExitMeaning {
-    /// The exit code.
+    /// Returns the exit code.
     pub const fn code(self) -> u8 {
         match self {
             ExitMeaning::Clean => 0,
@@ -22,24 +22,24 @@
     }
 }
 
-/// What the command prints before it leaves.
+/// The result of a run of the command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandOutput {
-    /// For standard output.
+    /// Text for standard output.
     pub text: String,
-    /// For standard error.
+    /// Text for standard error.
     pub errors: String,
-    /// The exit code's meaning.
+    /// The meaning of the exit code.
     pub exit: ExitMeaning,
 }
 
 impl CommandOutput {
-    /// An outcome with nothing on standard error.
+    /// Creates an output with nothing on standard error.
     pub fn new(exit: ExitMeaning, text: String) -> Self {
         Self { text, errors: String::new(), exit }
     }
 
-    /// A refused command line.
+    /// Creates the output for a command that fails with a usage error.
     pub fn usage(error: &dyn std::fmt::Display) -> Self {
         let errors = format!("papayamux: {error}\n");
         Self { text: String::new(), errors, exit: ExitMeaning::Usage }
--- a/crates/papayamux-command/src/rereads.rs
+++ b/crates/papayamux-command/src/rereads.rs
@@ -1,10 +1,11 @@
-//! Why shared parts of prompts were read again, from the logs of all routers.
+//! `papayamux rereads`: why engines prefilled shared parts of prompts again, from the logs of all
+//! routers.
 //!
-//! The logs say which engine was given which shared parts and when its answer began; from then on it
-//! holds them. What an engine was given and did not hold, while another one did, was read again, for
-//! one of a few reasons. How long engines keep parts isn't in the logs: a part that an engine was given
-//! before is taken to be held, unless it has been given more than so many tokens of other shared parts
-//! since.
+//! The logs show which shared parts each engine received and when its answer began. From then on the
+//! engine is assumed to hold them. If an engine receives a part that it doesn't hold while another
+//! engine does, the part is prefilled again, and this module assigns one cause to it. The logs don't
+//! show how long engines keep parts: a part is assumed to be held until the engine has received more
+//! tokens of other shared parts than a given capacity.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,33 +15,34 @@
 use crate::log_line::LogLine;
 use crate::output::{CommandOutput, ExitMeaning};
 
-/// Time from its start for which a router's choices are put down to its start: the others have told
-/// it of most parts by then.
+/// Time after the start of a router during which repeated prefills are attributed to the start. By its
+/// end the other routers have sent it most parts.
 const STARTUP_WINDOW_MS: u64 = 3_000;
-/// Bounds of the classes of age, in milliseconds, of what a router did not know: one round of reports,
-/// one second, and what routers are told again.
+/// Upper bounds, in milliseconds, of the classes by age of holders that a router didn't know: one round
+/// of reports, one second, and the interval at which reports to routers are repeated.
 const AGE_BOUNDS_MS: [u64; 3] = [250, 1_000, 4_000];
 
-/// Why a part was read though another engine had read it.
+/// The cause of prefilling a part that another engine had prefilled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RereadCause {
-    /// Nobody had read it: no rereading, counted for comparison.
+    /// No engine had prefilled it. This isn't a repeated prefill and is counted for comparison.
     FirstRead,
-    /// Another engine was reading it at the time.
+    /// Another engine was prefilling it at the time.
     ConcurrentElsewhere,
-    /// The same engine was reading it for another request; whether it reads it twice isn't in the logs.
+    /// The same engine was prefilling it for another request; the logs don't show whether it prefills
+    /// the part twice.
     ConcurrentAtEngine,
     /// The router had just started.
     RouterStarted,
-    /// The engine is the group's home, was believed to hold it and did not.
+    /// The engine is the group's home, which was assumed to hold the part but didn't.
     HomeLacksPart,
-    /// It was to be copied from an engine that did not hold it.
+    /// The part was to be copied from an engine that didn't hold it.
     SourceLacksPart,
-    /// The router knew of a holder and sent the request without a copy.
+    /// The router knew a holder and sent the request without copying.
     NotCopied,
-    /// The engine had been given it, and too much else since.
+    /// The engine had held it and has since received more other tokens than its capacity.
     Evicted,
-    /// The router did not know of a holder that had read it this long ago.
+    /// The router didn't know a holder; the number is the age class of the holder's prefill.
     HolderUnknown(usize),
 }
 
@@ -63,7 +65,7 @@
     }
 }
 
-/// One request as it was given to an engine.
+/// A request as sent to an engine.
 #[derive(Debug)]
 struct PlacedPrompt {
     router: String,
@@ -93,14 +95,14 @@
     }
 }
 
-/// Requests and tokens of one cause.
+/// The parts and tokens counted for a cause.
 #[derive(Debug, Default, Clone, Copy)]
 struct CauseCount {
     parts: u64,
     tokens: u64,
 }
 
-/// What an engine's cache holds of shared parts, the least recently used first.
+/// The shared parts in an engine's cache, least recently used first.
 #[derive(Debug, Default)]
 struct EngineCache {
     parts: Vec<(PartId, u64)>,
@@ -112,14 +114,14 @@
         self.parts.push((prefix, tokens));
     }
 
-    /// Tokens of other parts that the engine was given since it was given this one.
+    /// Returns the tokens of other parts that the engine has received since it last received this one.
     fn tokens_since(&self, prefix: PartId) -> u64 {
         let since = self.parts.iter().rev().take_while(|(part, _)| *part != prefix);
         since.map(|(_, tokens)| tokens).sum()
     }
 }
 
-/// When engines have read parts, by prefix and engine, and what their caches hold since.
+/// The times at which engines prefilled parts, by prefix and engine, and the state of their caches.
 #[derive(Debug, Default)]
 struct PrefillHistory {
     times: HashMap<PartId, HashMap<String, u64>>,
@@ -147,7 +149,7 @@
             && !self.was_evicted(prefix, server)
     }
 
-    /// When the first other engine had read a part.
+    /// Returns the time at which the first other engine had prefilled a part.
     fn first_prefill_elsewhere(&self, prefix: PartId, server: &str) -> Option<u64> {
         let servers = self.times.get(&prefix)?.iter();
         servers.filter(|(other, _)| *other != server).map(|(_, read)| *read).min()
@@ -161,8 +163,8 @@
     }
 }
 
-/// Attributes each rereading of a shared part to one cause. Engines are taken to keep `capacity` tokens of
-/// shared parts, or all that they were given.
+/// Attributes each repeated prefill of a shared part to one cause. Engines are assumed to keep
+/// `capacity` tokens of shared parts, or all parts if it is `None`.
 pub fn explain_rereads(files: &[(String, String)], capacity: Option<u64>) -> CommandOutput {
     let mut lines: Vec<_> = files
         .iter()
@@ -205,7 +207,8 @@
     counts
 }
 
-/// Why an engine read the part up to `end` of a prompt; `None` where it held it or could copy it.
+/// Returns the cause of prefilling the part of a prompt that ends at token `end`; `None` if the engine
+/// held it or could copy it.
 fn reread_cause(
     prompt: &PlacedPrompt,
     prefix: PartId,
--- a/crates/papayamux-command/src/status.rs
+++ b/crates/papayamux-command/src/status.rs
@@ -1,4 +1,4 @@
-//! `papayamux status`: what processes say about themselves, as a table.
+//! `papayamux status`: a table of the status of processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 use crate::output::{CommandOutput, ExitMeaning};
 use crate::wire::to_json;
 
-/// Bytes of the longest status that is read.
+/// Maximum size of a status in bytes.
 const MAX_STATUS_BYTES: u64 = 1024 * 1024;
-/// How long one process may take to answer.
+/// Time limit for the answer of one process.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Processes asked at the same time.
+/// Maximum number of concurrent status requests.
 const MAX_CONCURRENT_REQUESTS: usize = 32;
 
-/// The columns after the address: title, and path in the status.
+/// The columns after the address: title, and JSON pointer into the status.
 const COLUMNS: [(&str, &str); 7] = [
     ("PROGRAM", "/program"),
     ("DOMAIN", "/failure_domain"),
@@ -33,7 +33,7 @@
     ("CONFIGURATION", "/configuration/digest"),
 ];
 
-/// Why a process's status could not be read.
+/// The error of fetching the status of a process.
 #[derive(Debug, Error)]
 enum StatusError {
     #[error(transparent)]
@@ -48,7 +48,7 @@
     Request(#[from] http::Error),
 }
 
-/// One process's answer for `--json`.
+/// The status of a process, or the error, for `--json`.
 #[derive(Debug, Serialize)]
 struct StatusWire {
     address: SocketAddr,
@@ -56,7 +56,7 @@
     error: Option<String>,
 }
 
-/// Asks the operators' ports at `addresses`.
+/// Fetches and prints the status from the operators' ports at `addresses`.
 pub fn show_status(addresses: &[SocketAddr], json: bool) -> CommandOutput {
     let answers = match runtime::run(fetch_all(addresses)) {
         Ok(answers) => answers,
--- a/crates/papayamux-command/src/trace.rs
+++ b/crates/papayamux-command/src/trace.rs
@@ -1,17 +1,17 @@
-//! The story of one request, from the logs of routers.
+//! `papayamux trace`: the log lines of a request, with the state changes of the routers around it.
 
 use serde_json::Value;
 
 use crate::log_line::LogLine;
 use crate::output::{CommandOutput, ExitMeaning};
 
-/// How long before a request's last line a change of a process's beliefs is shown with it: the
-/// bound on the age of keys, after which nothing older decides anything.
+/// Time before the first line of a request from which state changes of the same processes are shown.
+/// It equals the maximum age of keys; older changes don't affect any decision.
 const CONTEXT_WINDOW_MS: u64 = 5_000;
-/// Fields that every line has and that say nothing about the request.
+/// Fields of every line, which are left out of the details.
 const COMMON_FIELDS: [&str; 6] = ["time_ms", "level", "program", "target", "message", "request"];
 
-/// A line as the story shows it.
+/// Formats a line with its time offset to the request's first line.
 fn format_line(line: &LogLine, since_ms: u64) -> String {
     let message = line.text("message").unwrap_or_default();
     let details = line.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
@@ -25,7 +25,7 @@
     format!("{after:>+7} ms  {}: {message}  {}\n", line.file, details.join(" "))
 }
 
-/// Tells what became of a request, by the lines of log files that are given with their names.
+/// Traces a request through log files, given as pairs of name and text.
 pub fn trace_request(request: &str, files: &[(String, String)]) -> CommandOutput {
     let mut lines: Vec<_> = files
         .iter()
--- a/crates/papayamux-command/src/wire.rs
+++ b/crates/papayamux-command/src/wire.rs
@@ -1,10 +1,10 @@
-//! What `--json` prints.
+//! The JSON output of `--json`.
 
 use papayamux_declarations::{BlockedItem, Explanation, FileRefusal};
 use papayamux_settings::Finding;
 use serde::Serialize;
 
-/// One finding.
+/// A finding.
 #[derive(Debug, Clone, Serialize)]
 pub struct FindingWire {
     file: String,
@@ -21,7 +21,7 @@
     }
 }
 
-/// One refused revision.
+/// A refused revision.
 #[derive(Debug, Clone, Serialize)]
 pub struct RefusalWire {
     file: String,
@@ -31,7 +31,7 @@
 }
 
 impl RefusalWire {
-    /// The refusal with all of `findings`, where the refusal itself keeps but the first.
+    /// Creates the refusal with all `findings`; the refusal itself keeps only the first ones.
     pub fn with_findings(refusal: &FileRefusal, findings: &[Finding]) -> Self {
         Self {
             file: refusal.file.to_string(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// One part of an accepted file without effect.
+/// A part of an accepted file without effect.
 #[derive(Debug, Clone, Serialize)]
 pub struct BlockedWire {
     file: String,
@@ -81,7 +81,7 @@
     }
 }
 
-/// The verdict of `check`.
+/// The result of `check`.
 #[derive(Debug, Clone, Serialize)]
 pub struct VerdictWire {
     pub(crate) clean: bool,
@@ -91,14 +91,14 @@
     pub(crate) digest: String,
 }
 
-/// One file in force.
+/// A file in force.
 #[derive(Debug, Clone, Serialize)]
 pub struct FileWire {
     pub(crate) file: String,
     pub(crate) revision: u64,
 }
 
-/// The answer of `explain`.
+/// The answer of `explain` to one query.
 #[derive(Debug, Clone, Serialize)]
 pub struct ExplanationWire {
     question: String,
@@ -127,7 +127,7 @@
     }
 }
 
-/// `value` as JSON on lines of their own.
+/// Formats `value` as indented JSON with a final newline.
 pub fn to_json(value: &impl Serialize) -> String {
     match serde_json::to_string_pretty(value) {
         Ok(text) => format!("{text}\n"),
--- a/crates/papayamux-command/tests/command.rs
+++ b/crates/papayamux-command/tests/command.rs
@@ -1,4 +1,4 @@
-//! What the command prints, and its exit codes.
+//! The output and the exit codes of the command.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -11,7 +11,7 @@
 const ALL: &str =
     "tests/declarations/owners.ini tests/declarations/caverns.ini tests/declarations/kiosk.ini";
 
-/// Runs the command with arguments parted by spaces; `_` stands for a space within one.
+/// Runs the command with space-separated arguments; `_` stands for a space within an argument.
 fn run(arguments: &str) -> CommandOutput {
     run_command(arguments.split_whitespace().map(|argument| argument.replace('_', " ")))
 }
@@ -50,7 +50,7 @@
     let questions = "--item model_itinerary --organisation kiosk/visitors --adapter kiosk/refunds \
                      --server engine-1 --path /tickets/7 --path /gate --method POST --model nowhere";
     let output = run(&format!("explain {ALL} {questions}"));
-    assert_eq!(output.exit.code(), 1, "something asked about is not in force");
+    assert_eq!(output.exit.code(), 1, "a queried item is not in force");
     assert_snapshot!(output.text);
     assert_snapshot!(run(&format!("explain --json {ALL} --model itinerary")).text);
 }
@@ -103,7 +103,7 @@
     assert_snapshot!(errors);
 }
 
-/// An operators' port that gives one answer.
+/// Starts an operators' port that answers one request.
 fn operators_port(head: &'static str, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap_or_else(|error| unreachable!("{error}"));
     let address = listener.local_addr().unwrap_or_else(|error| unreachable!("{error}"));
@@ -164,8 +164,8 @@
     assert_eq!(unknown.exit, ExitMeaning::Findings);
 }
 
-/// A router's line on a prompt: when its answer began, how long it was under way, where it was read and
-/// what the router knew.
+/// Returns a router's log line on a prompt: the time its answer began, the time since it was sent, the
+/// engine, and the knowledge of the router.
 fn prompt_line(router: &str, at: [u64; 2], shared: &str, server: &str, rest: &str) -> String {
     let [time, sent] = at;
     format!(
@@ -181,13 +181,13 @@
     let home = r#""known":0,"home":true,"copied_from":"""#;
     let lines = [
         r#"r1 {"time_ms":100,"message":"router started"}"#.to_string(),
-        // First of all, beside it at the same engine, and at another one at the same time.
+        // The first prefill, a concurrent one at the same engine, and a concurrent one at another engine.
         prompt_line("r1", [20_300, 300], "a1:1000", "i-1", nothing),
         prompt_line("r2", [20_310, 200], "a1:1000", "i-1", nothing),
         prompt_line("r2", [20_320, 250], "a1:1000", "i-2", nothing),
-        // Held there by now.
+        // The engine holds the part by now.
         prompt_line("r1", [21_000, 20], "a1:1000", "i-1", nothing),
-        // Not known, by a home that lacks it, by a source that lacks it, known and not copied.
+        // Holder not known (two ages), home without the part, source without it, known but not copied.
         prompt_line("r1", [21_200, 30], "a1:1000", "i-3", nothing),
         prompt_line("r1", [29_000, 30], "a1:1000", "i-4", nothing),
         prompt_line("r1", [29_100, 30], "a1:1000", "i-5", home),
@@ -205,7 +205,7 @@
             "i-7",
             r#""known":1000,"home":false,"copied_from":"""#,
         ),
-        // Copied from one that holds it.
+        // Copied from an engine that holds it.
         prompt_line(
             "r1",
             [29_400, 30],
@@ -213,7 +213,7 @@
             "i-8",
             r#""known":1000,"home":false,"copied_from":"i-1""#,
         ),
-        // Just started.
+        // A router that has just started.
         r#"r3 {"time_ms":30000,"message":"router started"}"#.to_string(),
         prompt_line("r3", [30_500, 30], "a1:1000", "i-10", home),
     ];
@@ -221,7 +221,7 @@
     let output = run(&format!("rereads {}", log.display()));
     assert_eq!(output.exit, ExitMeaning::Clean);
     assert_snapshot!(output.text);
-    // An engine that keeps 1,500 tokens gives up the second part for the others, and then the first.
+    // An engine that keeps 1,500 tokens evicts the second part in favour of the others, then the first.
     let lines = [
         prompt_line("r1", [20_000, 30], "a1:1000", "i-1", nothing),
         prompt_line("r1", [20_100, 30], "a1:1000", "i-2", nothing),
--- a/crates/papayamux-daemon/src/command_line.rs
+++ b/crates/papayamux-daemon/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of a daemon.
+//! The command line and exit codes of a daemon.
 
 use std::process::ExitCode;
 
@@ -6,33 +6,33 @@
 use papayamux_settings::Findings;
 use thiserror::Error;
 
-/// What a daemon says about itself.
+/// The name and purpose of a daemon, for its help text.
 #[derive(Debug, Clone, Copy)]
 pub struct DaemonInfo {
-    /// The program's name.
+    /// The name of the program.
     pub program: &'static str,
-    /// One sentence on what it does.
+    /// A short description of what it does.
     pub purpose: &'static str,
 }
 
-/// What the command line asks for.
+/// The task that the command line requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DaemonTask {
-    /// Print the text and leave.
+    /// Print the text and exit.
     Print(String),
-    /// Check the settings file and leave.
+    /// Check the settings file and exit.
     Check(String),
     /// Run with the settings file.
     Run(String),
 }
 
-/// Why the command line can't be understood.
+/// The error of parsing the command line.
 #[derive(Debug, Error)]
 pub enum CommandLineError {
     /// An option is unknown or lacks its value.
     #[error("{0}; try --help")]
     Option(#[from] getopts::Fail),
-    /// The settings file is not named.
+    /// The settings file is missing.
     #[error("--settings FILE is missing; try --help")]
     NoSettings,
 }
@@ -50,7 +50,7 @@
     options
 }
 
-/// Reads the arguments after the program's name.
+/// Parses the arguments after the program name.
 pub fn read_arguments(
     name: DaemonInfo,
     arguments: impl Iterator<Item = String>,
@@ -77,10 +77,11 @@
     }
 }
 
-/// The exit code for a wrong command line or wrong settings.
+/// The exit code for an invalid command line or invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Runs a daemon's `main`: reads the command line and the settings, then runs or checks.
+/// Implements `main` of a daemon: reads the command line and the settings, then runs the daemon or
+/// reports that the settings are valid.
 pub fn daemon_main<S>(
     name: DaemonInfo,
     read_settings: impl FnOnce(&str, &str) -> Result<S, Findings>,
--- a/crates/papayamux-daemon/src/lib.rs
+++ b/crates/papayamux-daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every daemon shares: command line, logs, signals, and the operators' port.
+//! Parts shared by all daemons: command line, logs, metrics, signals and the operators' port.
 
 pub mod command_line;
 mod log_writer;
--- a/crates/papayamux-daemon/src/log_writer.rs
+++ b/crates/papayamux-daemon/src/log_writer.rs
@@ -1,18 +1,18 @@
-//! Writes log lines without ever holding up who logs.
+//! Writes log lines without waiting for the output.
 //!
-//! Lines are collected in memory and written in batches by a thread of their own. While the
-//! reader of the output is slow, or there are too many lines, lines are dropped and counted.
+//! Lines are buffered in memory and written in batches by a separate thread. If the reader of the
+//! output is slow, or there are too many lines, lines are dropped and counted.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Pause between two batches: short enough to follow a process, long enough that a busy one
-/// makes ten writes a second and not one a line.
+/// Interval between batches: short enough to follow a log live, and it limits a busy process to ten
+/// writes per second instead of one per line.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// Bytes that wait for the output at most.
+/// Maximum size of the buffer in bytes.
 const MAX_BUFFERED_BYTES: usize = 512 * 1024;
-/// Lines in a second at most: several times what a router with a hundred requests a second logs.
+/// Maximum lines per second: several times the log rate of a router with 100 requests per second.
 const MAX_LINES_PER_SECOND: u32 = 2_000;
 
 #[derive(Debug, Default)]
@@ -53,14 +53,14 @@
     }
 }
 
-/// Collects lines for an output.
+/// Buffers log lines for an output.
 #[derive(Clone, Default)]
 pub(crate) struct LogWriter {
     buffer: Arc<Mutex<LogBuffer>>,
 }
 
 impl LogWriter {
-    /// A writer whose thread writes to `output`.
+    /// Creates a writer and starts its thread, which writes to `output`.
     pub(crate) fn start(output: impl Write + Send + 'static) -> std::io::Result<Self> {
         let writer = Self::default();
         let buffer = writer.buffer.clone();
@@ -72,13 +72,13 @@
         Ok(writer)
     }
 
-    /// Adds a line.
+    /// Adds a line to the buffer, or drops and counts it at the limits.
     pub(crate) fn push(&self, line: &str) {
         let mut buffer = self.buffer.lock().unwrap_or_else(PoisonError::into_inner);
         buffer.push(line, Instant::now());
     }
 
-    /// Writes what waits, at the end of the process.
+    /// Writes the buffered lines to `output` at once, for use before the process exits.
     pub(crate) fn flush(&self, output: &mut impl Write) {
         write_batch(&self.buffer, output);
     }
@@ -89,7 +89,7 @@
     if bytes.is_empty() {
         return;
     }
-    // Where the output itself fails there is nowhere left to say so.
+    // An error of the log output itself can't be reported anywhere.
     let _ = output.write_all(&bytes).and_then(|()| output.flush());
 }
 
--- a/crates/papayamux-daemon/src/logging.rs
+++ b/crates/papayamux-daemon/src/logging.rs
@@ -1,4 +1,5 @@
-//! Logs: one JSON object a line on standard output, with the record's fields beside its message.
+//! Logging to standard output: one JSON object per line, with the fields of the record beside its
+//! message.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -34,7 +35,7 @@
     serde_json::Value::Object(fields).to_string()
 }
 
-/// Passes lines to the writer.
+/// Passes formatted lines to the [`LogWriter`].
 struct LineSink(LogWriter);
 
 impl Log for LineSink {
@@ -51,14 +52,14 @@
     }
 }
 
-/// Starts logging at `level` to standard output; a second call changes nothing.
+/// Starts logging to standard output at `level`. A second call has no effect.
 ///
-/// Call `log::logger().flush()` before the process ends, since lines are written in batches.
+/// Lines are written in batches: call `log::logger().flush()` before the process exits.
 pub fn start_logging(program: &'static str, level: LevelFilter) {
     let writer = match LogWriter::start(std::io::stdout()) {
         Ok(writer) => writer,
         Err(error) => {
-            eprintln!("{program}: no thread for logs: {error}");
+            eprintln!("{program}: could not start the log thread: {error}");
             return;
         }
     };
@@ -67,6 +68,6 @@
         .level(level)
         .format(move |out, _, record| out.finish(format_args!("{}", record_line(program, record))))
         .chain(sink);
-    // It fails only where logging has been started before.
+    // Fails only if a logger has been installed before.
     let _ = dispatch.apply();
 }
--- a/crates/papayamux-daemon/src/metrics.rs
+++ b/crates/papayamux-daemon/src/metrics.rs
@@ -1,28 +1,28 @@
-//! Metrics that more than one daemon needs.
+//! Metrics shared by several daemons.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// The label of counters by reason.
+/// The label set of counters by reason.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ReasonLabel {
-    /// A stable word from a fixed set.
+    /// A stable label from a fixed set.
     pub reason: &'static str,
 }
 
-/// A counter for each reason.
+/// A family of counters, one for each reason.
 #[derive(Debug, Clone, Default)]
 pub struct ReasonCounters(pub Family<ReasonLabel, Counter>);
 
 impl ReasonCounters {
-    /// Counts one more of `reason`.
+    /// Increments the counter of `reason`.
     pub fn count(&self, reason: &'static str) {
         self.0.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// How many of `reason` were counted.
+    /// Returns the count of `reason`.
     pub fn get(&self, reason: &'static str) -> u64 {
         self.0.get_or_create(&ReasonLabel { reason }).get()
     }
@@ -33,17 +33,17 @@
     way: &'static str,
 }
 
-/// Bytes of control messages between routers and agents, by the way that they went.
+/// Bytes of control messages between routers and agents, by direction.
 #[derive(Debug, Clone, Default)]
 pub struct ControlBytes(Family<DirectionLabel, Counter>);
 
 impl ControlBytes {
-    /// Counts `bytes` received.
+    /// Adds `bytes` to the received bytes.
     pub fn receive(&self, bytes: u64) {
         self.0.get_or_create(&DirectionLabel { way: "in" }).inc_by(bytes);
     }
 
-    /// Counts `bytes` sent.
+    /// Adds `bytes` to the sent bytes.
     pub fn send(&self, bytes: u64) {
         self.0.get_or_create(&DirectionLabel { way: "out" }).inc_by(bytes);
     }
--- a/crates/papayamux-daemon/src/operations.rs
+++ b/crates/papayamux-daemon/src/operations.rs
@@ -1,4 +1,4 @@
-//! The operators' port: `/metrics`, `/status` and `/ready`.
+//! The HTTP server of the operators' port: `/metrics`, `/status` and `/ready`.
 
 use std::io;
 use std::rc::Rc;
@@ -12,23 +12,23 @@
 use prometheus_client::encoding::text::encode;
 use prometheus_client::registry::Registry;
 
-/// What a daemon shows its operators.
+/// The state of a daemon that the operators' port serves.
 pub trait OperationsView {
-    /// Whether the balancer should send callers here.
+    /// Returns `true` if the load balancer should send callers to this process.
     fn is_ready(&self) -> bool;
-    /// The daemon's state, for people and programs.
+    /// Returns the state of the daemon for `/status`.
     fn status(&self) -> serde_json::Value;
 }
 
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 const JSON_TYPE: &str = "application/json";
-/// Connections of operators open at once.
+/// Maximum number of open connections.
 const MAX_CONNECTIONS: usize = 64;
 
-/// The path at which a balancer asks whether a daemon is ready, where nothing else is set.
+/// The default path of the load balancer's readiness check.
 pub const READY_PATH: &str = "/ready";
 
-/// Serves the operators' port until `shutdown`; `ready_path` answers the balancer.
+/// Serves the operators' port until `shutdown`; `ready_path` is the path of the readiness check.
 pub async fn serve_operations(
     listener: TcpListener,
     ready_path: String,
--- a/crates/papayamux-daemon/src/signals.rs
+++ b/crates/papayamux-daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGINT, brought from a thread of their own to the daemon's runtime.
+//! Forwards SIGTERM, SIGINT and SIGHUP from a separate thread to the daemon's runtime.
 
 use std::io;
 
@@ -7,15 +7,15 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// Signal numbers as they arrive.
+/// Receives the numbers of caught signals.
 pub type SignalReceiver = UnboundedReceiver<i32>;
 
-/// Catches the signals that end a daemon.
+/// Catches the signals that terminate a daemon.
 pub fn catch_termination_signals() -> io::Result<SignalReceiver> {
     catch(&[SIGTERM, SIGINT])
 }
 
-/// Catches the signals that end a daemon, and the one that asks it to read its settings again.
+/// Catches the signals that terminate a daemon, and SIGHUP, which makes it reload its settings.
 pub fn catch_signals() -> io::Result<SignalReceiver> {
     catch(&[SIGTERM, SIGINT, SIGHUP])
 }
--- a/crates/papayamux-daemon/tests/command_line.rs
+++ b/crates/papayamux-daemon/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What a daemon's command line gives.
+//! Parsing of a daemon's command line and its help and error texts.
 
 use papayamux_daemon::command_line::{read_arguments, CommandLineError, DaemonInfo, DaemonTask};
 
--- a/crates/papayamux-settings/src/finding.rs
+++ b/crates/papayamux-settings/src/finding.rs
@@ -1,21 +1,21 @@
-//! What is wrong with a file, and where.
+//! Findings: errors in a settings or declaration file, with their location.
 
 use std::fmt;
 
 use thiserror::Error;
 
-/// One mistake with its place.
+/// An error in a file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The file's name.
+    /// The name of the file.
     pub file: String,
-    /// The line, counted from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The section, and the key where there is one.
+    /// The section, and the key if the finding concerns one.
     pub place: String,
-    /// What is wrong.
+    /// The error.
     pub message: String,
-    /// What would be right.
+    /// Advice on how to correct it; may be empty.
     pub help: String,
 }
 
@@ -30,12 +30,12 @@
     }
 }
 
-/// All mistakes of one or more files, in the order of their places.
+/// All findings in one or more files.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Error)]
 pub struct Findings(pub Vec<Finding>);
 
 impl Findings {
-    /// `value` where nothing was found, else the findings.
+    /// Returns `value` if there are no findings, or else the findings sorted by location.
     pub fn or<T>(mut self, value: T) -> Result<T, Findings> {
         if self.0.is_empty() {
             return Ok(value);
--- a/crates/papayamux-settings/src/ini_file.rs
+++ b/crates/papayamux-settings/src/ini_file.rs
@@ -1,4 +1,4 @@
-//! One INI file with the line of each section and key.
+//! An INI file with the line numbers of its sections and keys.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 use crate::finding::{Finding, Findings};
 use crate::section::SectionReader;
 
-/// Findings that one file may have; more are left out, the first in the order of the checks stay.
+/// Maximum number of findings per file; the first in the order of the checks are kept.
 const MAX_FINDINGS: usize = 1_000;
 
-/// A parsed file. Values come from `rust-ini`; their lines from a scan of the same text, because
-/// the library keeps none.
+/// A parsed INI file. Values come from `rust-ini`. Line numbers come from a separate scan of the text,
+/// because the library doesn't provide them.
 #[derive(Debug)]
 pub struct IniFile {
     name: String,
@@ -23,7 +23,7 @@
 }
 
 impl IniFile {
-    /// Parses `text`, which came from the file called `name`.
+    /// Parses `text`, the content of the file called `name`.
     pub fn parse(name: &str, text: &str) -> Result<Self, Findings> {
         let ini = Ini::load_from_str_noescape(text).map_err(|error| {
             Findings(vec![Finding {
@@ -82,9 +82,9 @@
         }
     }
 
-    /// The library and the scan must have found the same sections and keys. Where they differ,
-    /// as after a bare carriage return or in a quoted value of several lines, something would be
-    /// passed over in silence.
+    /// Reports sections and keys that only the library or only the scan has found. They differ after
+    /// a bare carriage return or in a quoted value of several lines, for example, and a section or
+    /// key would be ignored silently.
     fn report_scan_differences(&self) {
         let mut section_counts: BTreeMap<&str, usize> = BTreeMap::new();
         let mut counts: BTreeMap<(&str, &str), usize> = BTreeMap::new();
@@ -131,12 +131,12 @@
         self.report(line, place, "it does not stand on a line of its own", help);
     }
 
-    /// The file's name.
+    /// Returns the name of the file.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The section called `name`; one that is missing is read as empty and reported.
+    /// Returns the section called `name`. A missing section is reported and read as empty.
     pub fn section<'a>(&'a self, name: &str) -> SectionReader<'a> {
         if self.ini.section(Some(name)).is_none() {
             self.report(1, format!("[{name}]"), "the section is missing", "");
@@ -144,17 +144,17 @@
         self.optional_section(name)
     }
 
-    /// The section called `name`; one that is missing is read as empty.
+    /// Returns the section called `name`. A missing section is read as empty.
     pub fn optional_section<'a>(&'a self, name: &str) -> SectionReader<'a> {
         SectionReader::new(self, name, self.ini.section(Some(name)))
     }
 
-    /// Whether the file has a section called `name`.
+    /// Returns `true` if the file has a section called `name`.
     pub fn has_section(&self, name: &str) -> bool {
         self.ini.section(Some(name)).is_some()
     }
 
-    /// The names after `kind` of all sections `[kind name]`, in the order of the file.
+    /// Returns the names of all sections `[kind name]` of a kind, in file order.
     pub fn section_names(&self, kind: &str) -> Vec<String> {
         let mut names: Vec<_> = self
             .section_lines
@@ -168,7 +168,7 @@
         names.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Reports each section that is neither called `exact` nor of a kind in `kinds`.
+    /// Reports each section that is neither named in `exact` nor of a kind in `kinds`.
     pub fn report_unknown_sections(&self, exact: &[&str], kinds: &[&str]) {
         for (section, lines) in &self.section_lines {
             let kind = section.split(' ').next().unwrap_or_default();
@@ -181,19 +181,19 @@
         }
     }
 
-    /// The line of the section called `name`, counted from 1; 1 where there is none.
+    /// Returns the line number of the section called `name`, starting at 1; 1 if there is none.
     pub fn section_line(&self, name: &str) -> usize {
         self.section_lines.get(name).and_then(|lines| lines.first()).copied().unwrap_or(1)
     }
 
-    /// The line of a key, or of its section where the key is missing.
+    /// Returns the line number of a key, or of its section if the key is missing.
     pub(crate) fn key_line(&self, section: &str, key: &str) -> usize {
         let place = (section.to_string(), key.to_string());
         let key_line = self.key_lines.get(&place).and_then(|lines| lines.first());
         key_line.copied().unwrap_or_else(|| self.section_line(section))
     }
 
-    /// Adds a finding, up to a bound.
+    /// Adds a finding, unless the file already has the maximum number.
     pub fn report(&self, line: usize, place: String, message: &str, help: &str) {
         let mut findings = self.findings.borrow_mut();
         if findings.len() >= MAX_FINDINGS {
@@ -208,7 +208,7 @@
         });
     }
 
-    /// `value` where nothing was found in the file, else all findings.
+    /// Returns the value if the file has no findings, or else the findings.
     pub fn finish<T>(self, value: impl FnOnce() -> Option<T>) -> Result<T, Findings> {
         let findings = Findings(self.findings.into_inner());
         if findings.0.is_empty() {
--- a/crates/papayamux-settings/src/lib.rs
+++ b/crates/papayamux-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! INI settings with findings that name file, line and key.
+//! INI settings files, with findings that give file, line and key.
 
 mod finding;
 mod ini_file;
--- a/crates/papayamux-settings/src/section.rs
+++ b/crates/papayamux-settings/src/section.rs
@@ -1,4 +1,4 @@
-//! Typed reading of one section.
+//! Typed access to the keys of a section.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DurationSetting(pub Duration);
 
-/// Why a text is not a duration.
+/// The error of parsing a [`DurationSetting`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a duration is a whole number with ms, s or m behind it")]
 pub struct DurationSettingError;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads the keys of one section and reports what is missing, malformed or unknown.
+/// Reads the keys of a section and reports those that are missing, malformed or unknown.
 #[derive(Debug)]
 pub struct SectionReader<'a> {
     file: &'a IniFile,
@@ -56,7 +56,7 @@
         Self { file, name: name.to_string(), properties, read: RefCell::default() }
     }
 
-    /// The name behind the section's kind: `NAME` in `[kind NAME]`.
+    /// Returns the name of the section after its kind: `NAME` in `[kind NAME]`.
     pub fn name_after_kind<T>(&self) -> Option<T>
     where
         T: FromStr,
@@ -72,13 +72,13 @@
         }
     }
 
-    /// The text of a key, if it stands there.
+    /// Returns the text of a key, if present.
     pub fn text(&self, key: &str) -> Option<&'a str> {
         self.read.borrow_mut().insert(key.to_string());
         self.properties.and_then(|properties| properties.get(key))
     }
 
-    /// The value of a key that may be missing.
+    /// Returns the value of an optional key.
     pub fn optional<T>(&self, key: &str) -> Option<T>
     where
         T: FromStr,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The value of a key that must not be shown, also where it does not fit.
+    /// Returns the value of an optional key whose value must not appear in findings.
     pub fn optional_secret<T>(&self, key: &str) -> Option<T>
     where
         T: FromStr,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The value of a key, or `fallback` where the key is missing.
+    /// Returns the value of a key, or `fallback` if the key is missing or malformed.
     pub fn or<T>(&self, key: &str, fallback: T) -> T
     where
         T: FromStr,
@@ -118,7 +118,8 @@
         self.optional(key).unwrap_or(fallback)
     }
 
-    /// The value of a key that must be there.
+    /// Returns the value of a required key and reports a missing one, unless the whole section is
+    /// missing.
     pub fn required<T>(&self, key: &str) -> Option<T>
     where
         T: FromStr,
@@ -130,7 +131,7 @@
         self.optional(key)
     }
 
-    /// The values of a key that holds a list parted by commas.
+    /// Returns the values of a comma-separated list.
     pub fn list<T>(&self, key: &str) -> Vec<T>
     where
         T: FromStr,
@@ -147,18 +148,19 @@
         values
     }
 
-    /// The keys that stand there, in the order of the file, as where keys are names of the operator's own.
+    /// Returns the keys of the section in file order, for sections whose keys are names chosen by the
+    /// operator.
     pub fn keys(&self) -> Vec<&'a str> {
         self.properties.into_iter().flat_map(Properties::iter).map(|(key, _)| key).collect()
     }
 
-    /// Adds a finding about a key of this section.
+    /// Adds a finding on a key of this section.
     pub fn report(&self, key: &str, message: &str, help: &str) {
         let line = self.file.key_line(&self.name, key);
         self.file.report(line, format!("[{}] {key}", self.name), message, help);
     }
 
-    /// Reports each key that was not asked for.
+    /// Reports each key that has not been read.
     pub fn report_unknown_keys(&self) {
         let read = self.read.borrow();
         let mut known: Vec<_> = read.iter().map(String::as_str).collect();
--- a/crates/papayamux-settings/tests/finding_locations.rs
+++ b/crates/papayamux-settings/tests/finding_locations.rs
@@ -1,4 +1,4 @@
-//! Nothing in a file is passed over in silence, and each finding has its line.
+//! No part of a file is ignored silently, and each finding has the right line number.
 
 use papayamux_settings::IniFile;
 
--- a/crates/papayamux-settings/tests/findings.rs
+++ b/crates/papayamux-settings/tests/findings.rs
@@ -1,9 +1,9 @@
-//! Findings name their place, and come all at once.
+//! Parsing never panics, and all findings are reported together with their locations.
 
 use bolero::check;
 use papayamux_settings::{DurationSetting, IniFile};
 
-/// Inputs tried by the property.
+/// Generated inputs of the property test.
 const GENERATED_INPUTS: usize = 10_000;
 
 #[test]
