--- a/crates/papayamux-command/src/check.rs
+++ b/crates/papayamux-command/src/check.rs
@@ -61,11 +61,11 @@
     let mut text = String::new();
     for (refusal, findings) in refused {
         let FileRefusal { file, in_force, refused } = refusal;
-        let place = match in_force {
+        let fallback = match in_force {
             Some(revision) => format!("{file}@{revision} stays in force"),
             None => "no valid revision is known".to_string(),
         };
-        let _ = writeln!(text, "refused: {file}@{}; {place}", refused.revision);
+        let _ = writeln!(text, "refused: {file}@{}; {fallback}", refused.revision);
         let _ = writeln!(text, "{findings}");
     }
     for blocked in &in_force.blocked {
--- a/crates/papayamux-command/src/command_line.rs
+++ b/crates/papayamux-command/src/command_line.rs
@@ -110,8 +110,8 @@
             Ok(check_files(&read_files(named)?, json))
         }
         "explain" => {
-            let questions = read_explain_queries(&matches)?;
-            Ok(explain_files(&read_files(named)?, questions, json))
+            let queries = read_explain_queries(&matches)?;
+            Ok(explain_files(&read_files(named)?, queries, json))
         }
         "status" => {
             refuse_explain_options(&matches)?;
@@ -142,24 +142,24 @@
 }
 
 fn read_explain_queries(matches: &Matches) -> Result<Vec<ExplainQuery>, CommandLineError> {
-    let mut questions = Vec::new();
+    let mut queries = Vec::new();
     for item in matches.opt_strs("item") {
-        questions.push(item.parse()?);
+        queries.push(item.parse()?);
     }
     for kind in ItemKind::ALL {
         let names = matches.opt_strs(kind.label()).into_iter();
-        questions.extend(names.map(|name| ExplainQuery::Item { kind, name }));
+        queries.extend(names.map(|name| ExplainQuery::Item { kind, name }));
     }
     let paths = matches.opt_strs("path");
     if matches.opt_present("method") && paths.is_empty() {
         return Err(CommandLineError::MethodWithoutPath);
     }
     let method = read_method(&matches.opt_str("method").unwrap_or_else(|| "GET".to_string()))?;
-    questions
+    queries
         .extend(paths.into_iter().map(|path| ExplainQuery::Call { path, method: method.clone() }));
-    match questions.is_empty() {
+    match queries.is_empty() {
         true => Err(CommandLineError::NoQuery),
-        false => Ok(questions),
+        false => Ok(queries),
     }
 }
 
--- a/crates/papayamux-command/src/explain.rs
+++ b/crates/papayamux-command/src/explain.rs
@@ -6,15 +6,15 @@
 use crate::output::{CommandOutput, ExitMeaning};
 use crate::wire::{to_json, ExplanationWire};
 
-/// Answers `questions` from the configuration of a process that has received `files`.
+/// Answers `queries` from the configuration of a process that has received `files`.
 pub fn explain_files(
     files: &[DeclarationFile],
-    questions: Vec<ExplainQuery>,
+    queries: Vec<ExplainQuery>,
     json: bool,
 ) -> CommandOutput {
     let in_force = ConfigurationInForce::compute(&file_set(files));
     let explanations: Vec<_> =
-        questions.into_iter().map(|question| Explanation::new(&in_force, question)).collect();
+        queries.into_iter().map(|query| Explanation::new(&in_force, query)).collect();
     let all_in_force = explanations.iter().all(|explanation| explanation.origin.is_some());
     let exit = if all_in_force { ExitMeaning::Clean } else { ExitMeaning::Findings };
     let text = match json {
--- a/crates/papayamux-command/src/wire.rs
+++ b/crates/papayamux-command/src/wire.rs
@@ -113,9 +113,9 @@
 
 impl From<&Explanation> for ExplanationWire {
     fn from(explanation: &Explanation) -> Self {
-        let Explanation { question, origin, value, blocked, refused } = explanation;
+        let Explanation { query, origin, value, blocked, refused } = explanation;
         Self {
-            question: question.to_string(),
+            question: query.to_string(),
             in_force: origin.is_some(),
             file: origin.as_ref().map(|origin| origin.file.to_string()),
             revision: origin.as_ref().map(|origin| origin.revision.get()),
--- a/crates/papayamux-daemon/src/command_line.rs
+++ b/crates/papayamux-daemon/src/command_line.rs
@@ -52,7 +52,7 @@
 
 /// Parses the arguments after the program name.
 pub fn read_arguments(
-    name: DaemonInfo,
+    info: DaemonInfo,
     arguments: impl Iterator<Item = String>,
 ) -> Result<DaemonTask, CommandLineError> {
     let options = options();
@@ -61,14 +61,14 @@
         let brief = format!(
             "{program}: {purpose}\n\nUsage: {program} --settings FILE [--check]\n\nExample: \
              {program} --settings {program}.ini --check\n\n{EXIT_CODES}",
-            program = name.program,
-            purpose = name.purpose,
+            program = info.program,
+            purpose = info.purpose,
         );
         return Ok(DaemonTask::Print(options.usage(&brief)));
     }
     if matches.opt_present("version") {
         let version = env!("CARGO_PKG_VERSION");
-        return Ok(DaemonTask::Print(format!("{} {version}\n", name.program)));
+        return Ok(DaemonTask::Print(format!("{} {version}\n", info.program)));
     }
     let file = matches.opt_str("settings").ok_or(CommandLineError::NoSettings)?;
     match matches.opt_present("check") {
@@ -83,11 +83,11 @@
 /// Implements `main` of a daemon: reads the command line and the settings, then runs the daemon or
 /// reports that the settings are valid.
 pub fn daemon_main<S>(
-    name: DaemonInfo,
+    info: DaemonInfo,
     read_settings: impl FnOnce(&str, &str) -> Result<S, Findings>,
     run: impl FnOnce(S) -> Result<(), Box<dyn std::error::Error>>,
 ) -> ExitCode {
-    let task = match read_arguments(name, std::env::args().skip(1)) {
+    let task = match read_arguments(info, std::env::args().skip(1)) {
         Ok(task) => task,
         Err(error) => return refuse(&error),
     };
@@ -119,7 +119,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("{}: {error}", name.program);
+            eprintln!("{}: {error}", info.program);
             ExitCode::FAILURE
         }
     }
--- a/crates/papayamux-daemon/tests/command_line.rs
+++ b/crates/papayamux-daemon/tests/command_line.rs
@@ -2,10 +2,10 @@
 
 use papayamux_daemon::command_line::{read_arguments, CommandLineError, DaemonInfo, DaemonTask};
 
-const NAME: DaemonInfo = DaemonInfo { program: "papayamux-router", purpose: "takes requests" };
+const INFO: DaemonInfo = DaemonInfo { program: "papayamux-router", purpose: "takes requests" };
 
 fn read(arguments: &[&str]) -> Result<DaemonTask, CommandLineError> {
-    read_arguments(NAME, arguments.iter().map(|argument| argument.to_string()))
+    read_arguments(INFO, arguments.iter().map(|argument| argument.to_string()))
 }
 
 #[test]
--- a/crates/papayamux-declarations/src/explain.rs
+++ b/crates/papayamux-declarations/src/explain.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
     /// The query that this answers.
-    pub question: ExplainQuery,
+    pub query: ExplainQuery,
     /// The file, revision and line of the declaration; `None` if nothing is in force.
     pub origin: Option<Origin>,
     /// The value in force, on one line.
@@ -76,9 +76,9 @@
 }
 
 impl Explanation {
-    /// Looks up the item of `question` in `in_force`.
-    pub fn new(in_force: &ConfigurationInForce, question: ExplainQuery) -> Self {
-        let (kind, name) = match &question {
+    /// Looks up the item of `query` in `in_force`.
+    pub fn new(in_force: &ConfigurationInForce, query: ExplainQuery) -> Self {
+        let (kind, name) = match &query {
             ExplainQuery::Item { kind, name } => (*kind, name.clone()),
             ExplainQuery::Call { path, .. } => {
                 let prefix = in_force.route_of(path).map(|(prefix, _)| prefix.to_string());
@@ -98,14 +98,14 @@
             by_block || origin.as_ref().is_none_or(|origin| origin.file == refusal.file)
         };
         let refused = in_force.refused.iter().filter(concerned).cloned().collect();
-        let value = value.map(|value| match &question {
+        let value = value.map(|value| match &query {
             ExplainQuery::Item { .. } => value,
             ExplainQuery::Call { path, method } => {
                 let repeat = if in_force.is_idempotent(path, method) { "may" } else { "may not" };
                 format!("{value}; a {method} call {repeat} be repeated")
             }
         });
-        Self { question, origin, value, blocked, refused }
+        Self { query, origin, value, blocked, refused }
     }
 }
 
@@ -113,11 +113,11 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.origin, &self.value) {
             (Some(origin), Some(value)) => {
-                writeln!(formatter, "{}: in force", self.question)?;
+                writeln!(formatter, "{}: in force", self.query)?;
                 writeln!(formatter, "  decided by {origin}")?;
                 writeln!(formatter, "  {value}")?;
             }
-            _ => writeln!(formatter, "{}: not in force", self.question)?,
+            _ => writeln!(formatter, "{}: not in force", self.query)?,
         }
         if self.origin.is_none() && self.blocked.is_empty() {
             writeln!(formatter, "  no revision in force declares it")?;
