--- a/crates/papayamux-command/src/rereads.rs
+++ b/crates/papayamux-command/src/rereads.rs
@@ -19,7 +19,7 @@
 /// end the other routers have sent it most parts.
 const STARTUP_WINDOW_MS: u64 = 3_000;
 /// Upper bounds, in milliseconds, of the classes by age of holders that a router didn't know: one round
-/// of reports, one second, and the interval at which reports to routers are repeated.
+/// of reports, one second, and the repeated announcement of holders to routers.
 const AGE_BOUNDS_MS: [u64; 3] = [250, 1_000, 4_000];
 
 /// The cause of prefilling a part that another engine had prefilled.
