--- a/crates/papayamux-command/src/rereads.rs
+++ b/crates/papayamux-command/src/rereads.rs
@@ -1,10 +1,11 @@
-//! Why shared parts of prompts were read again, from the logs of all routers.
+//! `papayamux rereads`: why engines prefilled shared parts of prompts again, from the logs of all
+//! routers.
 //!
-//! The logs say which engine was given which shared parts and when its answer began; from then on it
-//! holds them. What an engine was given and did not hold, while another one did, was read again, for
-//! one of a few reasons. How long engines keep parts isn't in the logs: a part that an engine was given
-//! before is taken to be held, unless it has been given more than so many tokens of other shared parts
-//! since.
+//! The logs show which shared parts each engine received and when its answer began. From then on the
+//! engine is assumed to hold them. If an engine receives a part that it doesn't hold while another
+//! engine does, the part is prefilled again, and this module assigns one cause to it. The logs don't
+//! show how long engines keep parts: a part is assumed to be held until the engine has received more
+//! tokens of other shared parts than a given capacity.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,48 +15,49 @@
 use crate::log_line::LogLine;
 use crate::output::{CommandOutput, ExitMeaning};
 
-/// Time from its start for which a router's choices are put down to its start: the others have told
-/// it of most parts by then.
-const STARTED_WITHIN_MS: u64 = 3_000;
-/// Bounds of the classes of age, in milliseconds, of what a router did not know: one round of reports,
-/// one second, and what routers are told again.
-const AGES_MS: [u64; 3] = [250, 1_000, 4_000];
+/// Time after the start of a router during which repeated prefills are attributed to the start. By its
+/// end the other routers have sent it most parts.
+const STARTUP_WINDOW_MS: u64 = 3_000;
+/// Upper bounds, in milliseconds, of the classes by age of holders that a router didn't know: one round
+/// of reports, one second, and the repeated announcement of holders to routers.
+const AGE_BOUNDS_MS: [u64; 3] = [250, 1_000, 4_000];
 
-/// Why a part was read though another engine had read it.
+/// The cause of prefilling a part that another engine had prefilled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RereadCause {
-    /// Nobody had read it: no rereading, counted for comparison.
+    /// No engine had prefilled it. This isn't a repeated prefill and is counted for comparison.
     FirstRead,
-    /// Another engine was reading it at the time.
-    ReadAtOnce,
-    /// The same engine was reading it for another request; whether it reads it twice isn't in the logs.
-    ReadBeside,
+    /// Another engine was prefilling it at the time.
+    ConcurrentElsewhere,
+    /// The same engine was prefilling it for another request; the logs don't show whether it prefills
+    /// the part twice.
+    ConcurrentAtEngine,
     /// The router had just started.
     RouterStarted,
-    /// The engine is the group's home, was believed to hold it and did not.
-    HomeWithout,
-    /// It was to be copied from an engine that did not hold it.
-    SourceWithout,
-    /// The router knew of a holder and sent the request without a copy.
+    /// The engine is the group's home, which was assumed to hold the part but didn't.
+    HomeLacksPart,
+    /// The part was to be copied from an engine that didn't hold it.
+    SourceLacksPart,
+    /// The router knew a holder and sent the request without copying.
     NotCopied,
-    /// The engine had been given it, and too much else since.
+    /// The engine had held it and has since received more other tokens than its capacity.
     Evicted,
-    /// The router did not know of a holder that had read it this long ago.
-    Unknown(usize),
+    /// The router didn't know a holder; the number is the age class of the holder's prefill.
+    HolderUnknown(usize),
 }
 
 impl RereadCause {
     fn label(self) -> String {
         match self {
             RereadCause::FirstRead => "first read of all".to_string(),
-            RereadCause::ReadAtOnce => "read at two engines at once".to_string(),
-            RereadCause::ReadBeside => "engine was reading it already".to_string(),
+            RereadCause::ConcurrentElsewhere => "read at two engines at once".to_string(),
+            RereadCause::ConcurrentAtEngine => "engine was reading it already".to_string(),
             RereadCause::RouterStarted => "router just started".to_string(),
-            RereadCause::HomeWithout => "home without the part".to_string(),
-            RereadCause::SourceWithout => "copied from an engine without it".to_string(),
+            RereadCause::HomeLacksPart => "home without the part".to_string(),
+            RereadCause::SourceLacksPart => "copied from an engine without it".to_string(),
             RereadCause::Evicted => "evicted since".to_string(),
             RereadCause::NotCopied => "holder known, not copied".to_string(),
-            RereadCause::Unknown(class) => match AGES_MS.get(class) {
+            RereadCause::HolderUnknown(class) => match AGE_BOUNDS_MS.get(class) {
                 Some(age) => format!("holder of under {age} ms ago not known"),
                 None => "older holder not known".to_string(),
             },
@@ -63,7 +65,7 @@
     }
 }
 
-/// One request as it was given to an engine.
+/// A request as sent to an engine.
 #[derive(Debug)]
 struct PlacedPrompt {
     router: String,
@@ -93,14 +95,14 @@
     }
 }
 
-/// Requests and tokens of one cause.
+/// The parts and tokens counted for a cause.
 #[derive(Debug, Default, Clone, Copy)]
 struct CauseCount {
     parts: u64,
     tokens: u64,
 }
 
-/// What an engine's cache holds of shared parts, the least recently used first.
+/// The shared parts in an engine's cache, least recently used first.
 #[derive(Debug, Default)]
 struct EngineCache {
     parts: Vec<(PartId, u64)>,
@@ -112,48 +114,48 @@
         self.parts.push((prefix, tokens));
     }
 
-    /// Tokens of other parts that the engine was given since it was given this one.
-    fn given_since(&self, prefix: PartId) -> u64 {
+    /// Returns the tokens of other parts that the engine has received since it last received this one.
+    fn tokens_since(&self, prefix: PartId) -> u64 {
         let since = self.parts.iter().rev().take_while(|(part, _)| *part != prefix);
         since.map(|(_, tokens)| tokens).sum()
     }
 }
 
-/// When engines have read parts, by prefix and engine, and what their caches hold since.
+/// The times at which engines prefilled parts, by prefix and engine, and the state of their caches.
 #[derive(Debug, Default)]
-struct ReadTimes {
+struct PrefillHistory {
     times: HashMap<PartId, HashMap<String, u64>>,
     caches: HashMap<String, EngineCache>,
     capacity: Option<u64>,
 }
 
-impl ReadTimes {
+impl PrefillHistory {
     fn with_capacity(capacity: Option<u64>) -> Self {
         Self { capacity, ..Self::default() }
     }
 
     fn was_evicted(&self, prefix: PartId, server: &str) -> bool {
         let cache = self.caches.get(server);
-        let since = cache.map_or(0, |cache| cache.given_since(prefix));
+        let since = cache.map_or(0, |cache| cache.tokens_since(prefix));
         self.capacity.is_some_and(|capacity| since > capacity)
     }
 
-    fn at(&self, prefix: PartId, server: &str) -> Option<u64> {
+    fn prefilled_at(&self, prefix: PartId, server: &str) -> Option<u64> {
         self.times.get(&prefix)?.get(server).copied()
     }
 
-    fn held(&self, prefix: PartId, server: &str, at_ms: u64) -> bool {
-        self.at(prefix, server).is_some_and(|read| read <= at_ms)
+    fn held_at(&self, prefix: PartId, server: &str, at_ms: u64) -> bool {
+        self.prefilled_at(prefix, server).is_some_and(|read| read <= at_ms)
             && !self.was_evicted(prefix, server)
     }
 
-    /// When the first other engine had read a part.
-    fn first_elsewhere(&self, prefix: PartId, server: &str) -> Option<u64> {
+    /// Returns the time at which the first other engine had prefilled a part.
+    fn first_prefill_elsewhere(&self, prefix: PartId, server: &str) -> Option<u64> {
         let servers = self.times.get(&prefix)?.iter();
         servers.filter(|(other, _)| *other != server).map(|(_, read)| *read).min()
     }
 
-    fn note(&mut self, prefix: PartId, tokens: u64, server: &str, read_ms: u64) {
+    fn record_prefill(&mut self, prefix: PartId, tokens: u64, server: &str, read_ms: u64) {
         self.caches.entry(server.to_string()).or_default().touch(prefix, tokens);
         let read = self.times.entry(prefix).or_default().entry(server.to_string());
         let read = read.or_insert(read_ms);
@@ -161,8 +163,8 @@
     }
 }
 
-/// Attributes each rereading of a shared part to one cause. Engines are taken to keep `capacity` tokens of
-/// shared parts, or all that they were given.
+/// Attributes each repeated prefill of a shared part to one cause. Engines are assumed to keep
+/// `capacity` tokens of shared parts, or all parts if it is `None`.
 pub fn explain_rereads(files: &[(String, String)], capacity: Option<u64>) -> CommandOutput {
     let mut lines: Vec<_> = files
         .iter()
@@ -179,14 +181,14 @@
         let text = "no line names a prompt's shared parts\n".to_string();
         return CommandOutput::new(ExitMeaning::Findings, text);
     }
-    let counts = count_causes(&prompts, &starts, ReadTimes::with_capacity(capacity));
+    let counts = count_causes(&prompts, &starts, PrefillHistory::with_capacity(capacity));
     CommandOutput::new(ExitMeaning::Clean, table(prompts.len(), &counts))
 }
 
 fn count_causes(
     prompts: &[PlacedPrompt],
     starts: &HashMap<String, Vec<u64>>,
-    times: ReadTimes,
+    times: PrefillHistory,
 ) -> BTreeMap<RereadCause, CauseCount> {
     let mut times = times;
     let mut counts: BTreeMap<RereadCause, CauseCount> = BTreeMap::new();
@@ -199,53 +201,54 @@
                 count.parts += 1;
                 count.tokens += tokens.get();
             }
-            times.note(prefix, tokens.get(), &prompt.server, prompt.read_ms);
+            times.record_prefill(prefix, tokens.get(), &prompt.server, prompt.read_ms);
         }
     }
     counts
 }
 
-/// Why an engine read the part up to `end` of a prompt; `None` where it held it or could copy it.
+/// Returns the cause of prefilling the part of a prompt that ends at token `end`; `None` if the engine
+/// held it or could copy it.
 fn reread_cause(
     prompt: &PlacedPrompt,
     prefix: PartId,
     end: u64,
-    times: &ReadTimes,
+    times: &PrefillHistory,
     starts: &HashMap<String, Vec<u64>>,
 ) -> Option<RereadCause> {
-    if times.held(prefix, &prompt.server, prompt.sent_ms)
-        || times.held(prefix, &prompt.source, prompt.sent_ms)
+    if times.held_at(prefix, &prompt.server, prompt.sent_ms)
+        || times.held_at(prefix, &prompt.source, prompt.sent_ms)
     {
         return None;
     }
-    if times.at(prefix, &prompt.server).is_some() {
+    if times.prefilled_at(prefix, &prompt.server).is_some() {
         return Some(match times.was_evicted(prefix, &prompt.server) {
             true => RereadCause::Evicted,
-            false => RereadCause::ReadBeside,
+            false => RereadCause::ConcurrentAtEngine,
         });
     }
-    let Some(first) = times.first_elsewhere(prefix, &prompt.server) else {
+    let Some(first) = times.first_prefill_elsewhere(prefix, &prompt.server) else {
         return Some(RereadCause::FirstRead);
     };
     if first > prompt.sent_ms {
-        return Some(RereadCause::ReadAtOnce);
+        return Some(RereadCause::ConcurrentElsewhere);
     }
     let started = starts.get(&prompt.router).into_iter().flatten();
     let age = started.filter_map(|start| prompt.sent_ms.checked_sub(*start)).min();
-    if age.is_some_and(|age| age < STARTED_WITHIN_MS) {
+    if age.is_some_and(|age| age < STARTUP_WINDOW_MS) {
         return Some(RereadCause::RouterStarted);
     }
     if !prompt.source.is_empty() {
-        return Some(RereadCause::SourceWithout);
+        return Some(RereadCause::SourceLacksPart);
     }
     if prompt.known >= end {
         return Some(RereadCause::NotCopied);
     }
     if prompt.is_home {
-        return Some(RereadCause::HomeWithout);
+        return Some(RereadCause::HomeLacksPart);
     }
     let unknown_for = prompt.sent_ms - first;
-    Some(RereadCause::Unknown(AGES_MS.partition_point(|age| *age <= unknown_for)))
+    Some(RereadCause::HolderUnknown(AGE_BOUNDS_MS.partition_point(|age| *age <= unknown_for)))
 }
 
 fn table(prompts: usize, counts: &BTreeMap<RereadCause, CauseCount>) -> String {
--- a/crates/papayamux-daemon/src/command_line.rs
+++ b/crates/papayamux-daemon/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of a daemon.
+//! The command line and exit codes of a daemon.
 
 use std::process::ExitCode;
 
@@ -6,33 +6,33 @@
 use papayamux_settings::Findings;
 use thiserror::Error;
 
-/// What a daemon says about itself.
+/// The name and purpose of a daemon, for its help text.
 #[derive(Debug, Clone, Copy)]
-pub struct DaemonName {
-    /// The program's name.
+pub struct DaemonInfo {
+    /// The name of the program.
     pub program: &'static str,
-    /// One sentence on what it does.
+    /// A short description of what it does.
     pub purpose: &'static str,
 }
 
-/// What the command line asks for.
+/// The task that the command line requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DaemonTask {
-    /// Print the text and leave.
+    /// Print the text and exit.
     Print(String),
-    /// Check the settings file and leave.
+    /// Check the settings file and exit.
     Check(String),
     /// Run with the settings file.
     Run(String),
 }
 
-/// Why the command line can't be understood.
+/// The error of parsing the command line.
 #[derive(Debug, Error)]
 pub enum CommandLineError {
     /// An option is unknown or lacks its value.
     #[error("{0}; try --help")]
     Option(#[from] getopts::Fail),
-    /// The settings file is not named.
+    /// The settings file is missing.
     #[error("--settings FILE is missing; try --help")]
     NoSettings,
 }
@@ -50,9 +50,9 @@
     options
 }
 
-/// Reads the arguments after the program's name.
+/// Parses the arguments after the program name.
 pub fn read_arguments(
-    name: DaemonName,
+    info: DaemonInfo,
     arguments: impl Iterator<Item = String>,
 ) -> Result<DaemonTask, CommandLineError> {
     let options = options();
@@ -61,14 +61,14 @@
         let brief = format!(
             "{program}: {purpose}\n\nUsage: {program} --settings FILE [--check]\n\nExample: \
              {program} --settings {program}.ini --check\n\n{EXIT_CODES}",
-            program = name.program,
-            purpose = name.purpose,
+            program = info.program,
+            purpose = info.purpose,
         );
         return Ok(DaemonTask::Print(options.usage(&brief)));
     }
     if matches.opt_present("version") {
         let version = env!("CARGO_PKG_VERSION");
-        return Ok(DaemonTask::Print(format!("{} {version}\n", name.program)));
+        return Ok(DaemonTask::Print(format!("{} {version}\n", info.program)));
     }
     let file = matches.opt_str("settings").ok_or(CommandLineError::NoSettings)?;
     match matches.opt_present("check") {
@@ -77,16 +77,17 @@
     }
 }
 
-/// The exit code for a wrong command line or wrong settings.
+/// The exit code for an invalid command line or invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Runs a daemon's `main`: reads the command line and the settings, then runs or checks.
+/// Implements `main` of a daemon: reads the command line and the settings, then runs the daemon or
+/// reports that the settings are valid.
 pub fn daemon_main<S>(
-    name: DaemonName,
+    info: DaemonInfo,
     read_settings: impl FnOnce(&str, &str) -> Result<S, Findings>,
     run: impl FnOnce(S) -> Result<(), Box<dyn std::error::Error>>,
 ) -> ExitCode {
-    let task = match read_arguments(name, std::env::args().skip(1)) {
+    let task = match read_arguments(info, std::env::args().skip(1)) {
         Ok(task) => task,
         Err(error) => return refuse(&error),
     };
@@ -118,7 +119,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("{}: {error}", name.program);
+            eprintln!("{}: {error}", info.program);
             ExitCode::FAILURE
         }
     }
--- a/crates/papayamux-daemon/tests/command_line.rs
+++ b/crates/papayamux-daemon/tests/command_line.rs
@@ -1,11 +1,11 @@
-//! What a daemon's command line gives.
+//! Parsing of a daemon's command line and its help and error texts.
 
-use papayamux_daemon::command_line::{read_arguments, CommandLineError, DaemonName, DaemonTask};
+use papayamux_daemon::command_line::{read_arguments, CommandLineError, DaemonInfo, DaemonTask};
 
-const NAME: DaemonName = DaemonName { program: "papayamux-router", purpose: "takes requests" };
+const INFO: DaemonInfo = DaemonInfo { program: "papayamux-router", purpose: "takes requests" };
 
 fn read(arguments: &[&str]) -> Result<DaemonTask, CommandLineError> {
-    read_arguments(NAME, arguments.iter().map(|argument| argument.to_string()))
+    read_arguments(INFO, arguments.iter().map(|argument| argument.to_string()))
 }
 
 #[test]
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_says_what_to_do() {
+fn command_line_errors_say_what_to_do() {
     let texts: Vec<_> = [&["--setings", "r.ini"][..], &[], &["--settings"]]
         .iter()
         .filter_map(|arguments| read(arguments).err())
--- a/crates/papayamux-declarations/src/explain.rs
+++ b/crates/papayamux-declarations/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a thing is in force, or is not.
+//! Explains why a declared item is in force or has no effect.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,78 +8,79 @@
 
 use crate::file::{AdapterDeclaration, ModelDeclaration};
 use crate::in_force::{
-    BlockedItem, Declared, FileRefusal, InForce, Organisation, Origin, Route, Server, ServerTask,
+    BlockedItem, ConfigurationInForce, Declared, FileRefusal, Organisation, Origin, Route, Server,
+    ServerTask,
 };
 use crate::values::{ItemKind, MethodName};
 
-/// What an operator asks about.
+/// An operator's query: which declaration decides an item or a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Question {
-    /// A thing by kind and name.
+pub enum ExplainQuery {
+    /// An item by kind and name.
     Item {
-        /// The kind.
+        /// The kind of the item.
         kind: ItemKind,
-        /// The name.
+        /// The name of its section.
         name: String,
     },
-    /// The route of a call.
+    /// The route that takes a call.
     Call {
-        /// The path.
+        /// The path of the call.
         path: String,
-        /// The method.
+        /// The HTTP method of the call.
         method: Method,
     },
 }
 
-/// Why a text is not a question.
+/// The error of parsing an [`ExplainQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is not a kind and a name, such as \"model itinerary\"")]
-pub struct QuestionError {
-    /// The text as given.
+pub struct ExplainQueryError {
+    /// The input text.
     pub text: String,
 }
 
-impl FromStr for Question {
-    type Err = QuestionError;
+impl FromStr for ExplainQuery {
+    type Err = ExplainQueryError;
 
-    fn from_str(text: &str) -> Result<Self, QuestionError> {
-        let error = || QuestionError { text: text.to_string() };
+    fn from_str(text: &str) -> Result<Self, ExplainQueryError> {
+        let error = || ExplainQueryError { text: text.to_string() };
         let (kind, name) = text.trim().split_once(' ').ok_or_else(error)?;
         let kind = kind.parse().map_err(|_| error())?;
-        Ok(Question::Item { kind, name: name.trim().to_string() })
+        Ok(ExplainQuery::Item { kind, name: name.trim().to_string() })
     }
 }
 
-impl fmt::Display for Question {
+impl fmt::Display for ExplainQuery {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Question::Item { kind, name } => write!(formatter, "{kind} {name}"),
-            Question::Call { path, method } => write!(formatter, "{method} {path}"),
+            ExplainQuery::Item { kind, name } => write!(formatter, "{kind} {name}"),
+            ExplainQuery::Call { path, method } => write!(formatter, "{method} {path}"),
         }
     }
 }
 
-/// The answer to a question.
+/// The answer to an [`ExplainQuery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation {
-    /// What was asked.
-    pub question: Question,
-    /// Which file, revision and line decide it; `None` where nothing is in force.
+    /// The query that this answers.
+    pub query: ExplainQuery,
+    /// The file, revision and line of the declaration; `None` if nothing is in force.
     pub origin: Option<Origin>,
-    /// What is in force, on one line.
+    /// The value in force, on one line.
     pub value: Option<String>,
-    /// What other declarations, or parts of this one, have no effect, and why.
+    /// Other declarations of the item, or parts of this one, that have no effect, with the reason.
     pub blocked: Vec<BlockedItem>,
-    /// Refused revisions of the files concerned; of all files where nothing is in force.
+    /// Refused revisions of the files involved, or of all files if nothing is in force.
     pub refused: Vec<FileRefusal>,
 }
 
 impl Explanation {
-    /// Answers `question`.
-    pub fn new(in_force: &InForce, question: Question) -> Self {
-        let (kind, name) = match &question {
-            Question::Item { kind, name } => (*kind, name.clone()),
-            Question::Call { path, .. } => {
+    /// Looks up the item of `query` in `in_force`.
+    pub fn new(in_force: &ConfigurationInForce, query: ExplainQuery) -> Self {
+        let (kind, name) = match &query {
+            ExplainQuery::Item { kind, name } => (*kind, name.clone()),
+            ExplainQuery::Call { path, .. } => {
                 let prefix = in_force.route_of(path).map(|(prefix, _)| prefix.to_string());
                 (ItemKind::Route, prefix.unwrap_or_else(|| path.clone()))
             }
@@ -97,14 +98,14 @@
             by_block || origin.as_ref().is_none_or(|origin| origin.file == refusal.file)
         };
         let refused = in_force.refused.iter().filter(concerned).cloned().collect();
-        let value = value.map(|value| match &question {
-            Question::Item { .. } => value,
-            Question::Call { path, method } => {
+        let value = value.map(|value| match &query {
+            ExplainQuery::Item { .. } => value,
+            ExplainQuery::Call { path, method } => {
                 let repeat = if in_force.is_idempotent(path, method) { "may" } else { "may not" };
                 format!("{value}; a {method} call {repeat} be repeated")
             }
         });
-        Self { question, origin, value, blocked, refused }
+        Self { query, origin, value, blocked, refused }
     }
 }
 
@@ -112,11 +113,11 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match (&self.origin, &self.value) {
             (Some(origin), Some(value)) => {
-                writeln!(formatter, "{}: in force", self.question)?;
+                writeln!(formatter, "{}: in force", self.query)?;
                 writeln!(formatter, "  decided by {origin}")?;
                 writeln!(formatter, "  {value}")?;
             }
-            _ => writeln!(formatter, "{}: not in force", self.question)?,
+            _ => writeln!(formatter, "{}: not in force", self.query)?,
         }
         if self.origin.is_none() && self.blocked.is_empty() {
             writeln!(formatter, "  no revision in force declares it")?;
@@ -139,7 +140,11 @@
     }
 }
 
-fn find_item(in_force: &InForce, kind: ItemKind, name: &str) -> Option<(Origin, String)> {
+fn find_item(
+    in_force: &ConfigurationInForce,
+    kind: ItemKind,
+    name: &str,
+) -> Option<(Origin, String)> {
     fn found<V>(declared: &Declared<V>, line: impl Fn(&V) -> String) -> (Origin, String) {
         (declared.origin.clone(), line(&declared.value))
     }
@@ -155,8 +160,8 @@
     }
 }
 
-/// One line for each thing in force, always in the same order.
-pub(crate) fn item_lines(in_force: &InForce) -> impl Iterator<Item = String> + '_ {
+/// Returns one line for each item in force, in a stable order.
+pub(crate) fn item_lines(in_force: &ConfigurationInForce) -> impl Iterator<Item = String> + '_ {
     fn lines<'a, K: fmt::Display + 'a, V: 'a>(
         kind: ItemKind,
         items: impl Iterator<Item = (&'a K, &'a Declared<V>)> + 'a,
--- a/crates/papayamux-declarations/src/file/parsed_file.rs
+++ b/crates/papayamux-declarations/src/file/parsed_file.rs
@@ -1,4 +1,4 @@
-//! A file that is valid by itself.
+//! A parsed file without findings of its own.
 
 use std::collections::BTreeMap;
 
@@ -6,30 +6,30 @@
 
 use super::grants::GrantSection;
 use super::items::{
-    AdapterDeclaration, ModelDeclaration, OrganisationDeclaration, Placed, RouteDeclaration,
+    AdapterDeclaration, Located, ModelDeclaration, OrganisationDeclaration, RouteDeclaration,
     ServerDeclaration,
 };
 use crate::values::{FileName, PathPrefix};
 
-/// All that a file declares.
+/// All declarations of a file.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ParsedFile {
-    /// Organisations.
-    pub organisations: BTreeMap<OrganisationId, Placed<OrganisationDeclaration>>,
-    /// Models.
-    pub models: BTreeMap<ModelId, Placed<ModelDeclaration>>,
-    /// Adapters.
-    pub adapters: BTreeMap<AdapterId, Placed<AdapterDeclaration>>,
-    /// Backend servers.
-    pub servers: BTreeMap<ServerId, Placed<ServerDeclaration>>,
-    /// Routes.
-    pub routes: BTreeMap<PathPrefix, Placed<RouteDeclaration>>,
-    /// Grants to teams; only in the owners' file.
-    pub grants: BTreeMap<FileName, Placed<GrantSection>>,
+    /// Declared organisations.
+    pub organisations: BTreeMap<OrganisationId, Located<OrganisationDeclaration>>,
+    /// Declared models.
+    pub models: BTreeMap<ModelId, Located<ModelDeclaration>>,
+    /// Declared adapters.
+    pub adapters: BTreeMap<AdapterId, Located<AdapterDeclaration>>,
+    /// Declared backend servers.
+    pub servers: BTreeMap<ServerId, Located<ServerDeclaration>>,
+    /// Declared routes.
+    pub routes: BTreeMap<PathPrefix, Located<RouteDeclaration>>,
+    /// Grants by team; empty except in the owners' file.
+    pub grants: BTreeMap<FileName, Located<GrantSection>>,
 }
 
 impl ParsedFile {
-    /// How many things the file declares.
+    /// Returns the number of declared items, without grants.
     pub fn item_count(&self) -> usize {
         self.organisations.len()
             + self.models.len()
--- a/crates/papayamux-declarations/src/in_force/shares.rs
+++ b/crates/papayamux-declarations/src/in_force/shares.rs
@@ -1,20 +1,20 @@
-//! The organisations' shares of the fleet and the priorities that teams may use.
+//! The organisations' shares of the fleet and the priority limits of teams.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use papayamux_state::ids::OrganisationId;
 
 use super::block::{BlockReason, BlockedItem};
-use super::claims::{Owned, OwnedItems, Ownership};
 use super::items::{Declared, Organisation};
+use super::ownership::{Owned, OwnedItems, Ownership};
 use crate::file::OrganisationDeclaration;
 use crate::values::{FileName, ItemKind, PriorityClass, ShareFraction};
 
-/// The organisations in force, with their shares of the whole fleet.
+/// Returns the organisations in force, with their shares of the whole fleet.
 ///
-/// Each team's organisations part the team's share, so that no file can take from another:
-/// granted shares come first, the teams without a grant part what is left alike.
-pub(super) fn settle_organisations(
+/// The organisations of a team divide the team's share, so that no file can reduce the share of
+/// another team. Granted shares are deducted first; teams without a grant divide the rest equally.
+pub(super) fn resolve_organisations(
     ownership: &Ownership<'_>,
     organisations: &OwnedItems<'_, OrganisationId, OrganisationDeclaration>,
     blocked: &mut Vec<BlockedItem>,
@@ -26,9 +26,9 @@
     let total = ShareFraction::sum(shares).unwrap_or(ShareFraction::WHOLE);
     let others = teams.iter().filter(|team| granted(team).is_none()).count();
     let part = ShareFraction::WHOLE.saturating_sub(total).part(others);
-    let mut settled = BTreeMap::new();
+    let mut resolved = BTreeMap::new();
     for (name, item) in organisations {
-        let declaration = &item.placed.value;
+        let declaration = &item.located.value;
         let team_share = granted(item.file.name).unwrap_or(part);
         let (kind, declared) = (ItemKind::Organisation, declaration.priority);
         let priority = cap_priority(ownership, item, (kind, name.as_str(), declared), blocked);
@@ -38,13 +38,13 @@
             request_rate: declaration.request_rate,
             in_flight: declaration.in_flight,
         };
-        settled.insert((*name).clone(), Declared { origin: item.origin(), value: organisation });
+        resolved.insert((*name).clone(), Declared { origin: item.origin(), value: organisation });
     }
-    settled
+    resolved
 }
 
-/// The declared priority class, or the first that the owners' file leaves the team: of two limits
-/// the stricter holds.
+/// Returns the declared priority class, or the most urgent one that the owners' file allows the team
+/// if that is less urgent: the stricter of the two limits applies.
 pub(super) fn cap_priority<V>(
     ownership: &Ownership<'_>,
     item: &Owned<'_, V>,
--- a/crates/papayamux-settings/src/ini_file.rs
+++ b/crates/papayamux-settings/src/ini_file.rs
@@ -1,4 +1,4 @@
-//! One INI file with the line of each section and key.
+//! An INI file with the line numbers of its sections and keys.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,11 +8,11 @@
 use crate::finding::{Finding, Findings};
 use crate::section::SectionReader;
 
-/// Findings that one file may have; more are left out, the first in the order of the checks stay.
-const MOST_FINDINGS: usize = 1_000;
+/// Maximum number of findings per file; the first in the order of the checks are kept.
+const MAX_FINDINGS: usize = 1_000;
 
-/// A parsed file. Values come from `rust-ini`; their lines from a scan of the same text, because
-/// the library keeps none.
+/// A parsed INI file. Values come from `rust-ini`. Line numbers come from a separate scan of the text,
+/// because the library doesn't provide them.
 #[derive(Debug)]
 pub struct IniFile {
     name: String,
@@ -23,7 +23,7 @@
 }
 
 impl IniFile {
-    /// Parses `text`, which came from the file called `name`.
+    /// Parses `text`, the content of the file called `name`.
     pub fn parse(name: &str, text: &str) -> Result<Self, Findings> {
         let ini = Ini::load_from_str_noescape(text).map_err(|error| {
             Findings(vec![Finding {
@@ -41,13 +41,13 @@
             key_lines: BTreeMap::new(),
             findings: RefCell::default(),
         };
-        file.locate(text);
-        file.report_repeats();
-        file.report_differences();
+        file.record_lines(text);
+        file.report_duplicates();
+        file.report_scan_differences();
         Ok(file)
     }
 
-    fn locate(&mut self, text: &str) {
+    fn record_lines(&mut self, text: &str) {
         let mut section = String::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -64,7 +64,7 @@
         }
     }
 
-    fn report_repeats(&self) {
+    fn report_duplicates(&self) {
         for (section, lines) in &self.section_lines {
             for line in &lines[1..] {
                 self.report(*line, format!("[{section}]"), "the section stands twice", "join them");
@@ -82,10 +82,10 @@
         }
     }
 
-    /// The library and the scan must have found the same sections and keys. Where they differ,
-    /// as after a bare carriage return or in a quoted value of several lines, something would be
-    /// passed over in silence.
-    fn report_differences(&self) {
+    /// Reports sections and keys that only the library or only the scan has found. They differ after
+    /// a bare carriage return or in a quoted value of several lines, for example, and a section or
+    /// key would be ignored silently.
+    fn report_scan_differences(&self) {
         let mut section_counts: BTreeMap<&str, usize> = BTreeMap::new();
         let mut counts: BTreeMap<(&str, &str), usize> = BTreeMap::new();
         for (section, properties) in &self.ini {
@@ -98,39 +98,45 @@
         }
         for (section, count) in &section_counts {
             if self.section_lines.get(*section).map_or(0, Vec::len) != *count {
-                self.report_unseen(self.section_line(section), format!("[{section}]"));
+                self.report_scan_difference(self.section_line(section), format!("[{section}]"));
             }
         }
         for section in self.section_lines.keys() {
             if !section_counts.contains_key(section.as_str()) {
-                self.report_unseen(self.section_line(section), format!("[{section}]"));
+                self.report_scan_difference(self.section_line(section), format!("[{section}]"));
             }
         }
         for ((section, key), count) in &counts {
             let place = (section.to_string(), key.to_string());
             if self.key_lines.get(&place).map_or(0, Vec::len) != *count {
-                self.report_unseen(self.section_line(section), format!("[{section}] {key}"));
+                self.report_scan_difference(
+                    self.section_line(section),
+                    format!("[{section}] {key}"),
+                );
             }
         }
         for (section, key) in self.key_lines.keys() {
             if !counts.contains_key(&(section.as_str(), key.as_str())) {
-                self.report_unseen(self.key_line(section, key), format!("[{section}] {key}"));
+                self.report_scan_difference(
+                    self.key_line(section, key),
+                    format!("[{section}] {key}"),
+                );
             }
         }
     }
 
-    fn report_unseen(&self, line: usize, place: String) {
+    fn report_scan_difference(&self, line: usize, place: String) {
         let help = "write each section and each key on a line of its own, without line breaks \
                     in values";
         self.report(line, place, "it does not stand on a line of its own", help);
     }
 
-    /// The file's name.
+    /// Returns the name of the file.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The section called `name`; one that is missing is read as empty and reported.
+    /// Returns the section called `name`. A missing section is reported and read as empty.
     pub fn section<'a>(&'a self, name: &str) -> SectionReader<'a> {
         if self.ini.section(Some(name)).is_none() {
             self.report(1, format!("[{name}]"), "the section is missing", "");
@@ -138,18 +144,18 @@
         self.optional_section(name)
     }
 
-    /// The section called `name`; one that is missing is read as empty.
+    /// Returns the section called `name`. A missing section is read as empty.
     pub fn optional_section<'a>(&'a self, name: &str) -> SectionReader<'a> {
         SectionReader::new(self, name, self.ini.section(Some(name)))
     }
 
-    /// Whether the file has a section called `name`.
+    /// Returns `true` if the file has a section called `name`.
     pub fn has_section(&self, name: &str) -> bool {
         self.ini.section(Some(name)).is_some()
     }
 
-    /// The names after `kind` of all sections `[kind name]`, in the order of the file.
-    pub fn names_of(&self, kind: &str) -> Vec<String> {
+    /// Returns the names of all sections `[kind name]` of a kind, in file order.
+    pub fn section_names(&self, kind: &str) -> Vec<String> {
         let mut names: Vec<_> = self
             .section_lines
             .iter()
@@ -162,8 +168,8 @@
         names.into_iter().map(|(_, name)| name).collect()
     }
 
-    /// Reports each section that is neither called `exact` nor of a kind in `kinds`.
-    pub fn refuse_other_sections(&self, exact: &[&str], kinds: &[&str]) {
+    /// Reports each section that is neither named in `exact` nor of a kind in `kinds`.
+    pub fn report_unknown_sections(&self, exact: &[&str], kinds: &[&str]) {
         for (section, lines) in &self.section_lines {
             let kind = section.split(' ').next().unwrap_or_default();
             let known = exact.contains(&section.as_str())
@@ -175,22 +181,22 @@
         }
     }
 
-    /// The line of the section called `name`, counted from 1; 1 where there is none.
+    /// Returns the line number of the section called `name`, starting at 1; 1 if there is none.
     pub fn section_line(&self, name: &str) -> usize {
         self.section_lines.get(name).and_then(|lines| lines.first()).copied().unwrap_or(1)
     }
 
-    /// The line of a key, or of its section where the key is missing.
+    /// Returns the line number of a key, or of its section if the key is missing.
     pub(crate) fn key_line(&self, section: &str, key: &str) -> usize {
         let place = (section.to_string(), key.to_string());
         let key_line = self.key_lines.get(&place).and_then(|lines| lines.first());
         key_line.copied().unwrap_or_else(|| self.section_line(section))
     }
 
-    /// Adds a finding, up to a bound.
+    /// Adds a finding, unless the file already has the maximum number.
     pub fn report(&self, line: usize, place: String, message: &str, help: &str) {
         let mut findings = self.findings.borrow_mut();
-        if findings.len() >= MOST_FINDINGS {
+        if findings.len() >= MAX_FINDINGS {
             return;
         }
         findings.push(Finding {
@@ -202,7 +208,7 @@
         });
     }
 
-    /// `value` where nothing was found in the file, else all findings.
+    /// Returns the value if the file has no findings, or else the findings.
     pub fn finish<T>(self, value: impl FnOnce() -> Option<T>) -> Result<T, Findings> {
         let findings = Findings(self.findings.into_inner());
         if findings.0.is_empty() {
--- a/crates/papayamux-settings/src/lib.rs
+++ b/crates/papayamux-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! INI settings with findings that name file, line and key.
+//! INI settings files, with findings that give file, line and key.
 
 mod finding;
 mod ini_file;
@@ -6,4 +6,4 @@
 
 pub use finding::{Finding, Findings};
 pub use ini_file::IniFile;
-pub use section::{Millis, SectionReader};
+pub use section::{DurationSetting, SectionReader};
