--- a/crates/papayamux-measure/src/soak/servers.rs
+++ b/crates/papayamux-measure/src/soak/servers.rs
@@ -90,7 +90,7 @@
     let is_fatal = move |request: &ServerRequest, _: &mut TcpStream| {
         request.is_meant_here() && fatal_book.note_fatal(request, &fatal_name)
     };
-    ServerStandIn::ending_on(id, service, BACK_AFTER, is_fatal, move |request, stream| {
+    ServerStandIn::crashing_on(id, service, BACK_AFTER, is_fatal, move |request, stream| {
         if !request.is_meant_here() {
             return stream.write_all(request.refusal_of_other().as_bytes()).is_ok();
         }
--- a/crates/papayamux-measure/src/surge/engine_model.rs
+++ b/crates/papayamux-measure/src/surge/engine_model.rs
@@ -6,9 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use papayamux_platform_standins::{
-    chunk, QueueStatement, ServerRequest, ServerStandIn, LAST_CHUNK,
-};
+use papayamux_platform_standins::{chunk, QueueReport, ServerRequest, ServerStandIn, LAST_CHUNK};
 use parking_lot::{Condvar, Mutex};
 
 use super::engine_kind::EngineTraits;
@@ -80,7 +78,7 @@
             let mut state = engine.state.lock();
             state.cold_tokens += if held { 0 } else { SHARED_TOKENS };
             let slots = engine.traits.lock().slots;
-            QueueStatement { running: state.running, waiting: state.waiting, slots }
+            QueueReport { running: state.running, waiting: state.waiting, slots }
         };
         let event_every = engine.traits.lock().event_every;
         let answered = answer(request, queue, event_every, stream);
@@ -145,7 +143,7 @@
 
 fn answer(
     request: &ServerRequest,
-    queue: QueueStatement,
+    queue: QueueReport,
     event_every: Duration,
     stream: &mut TcpStream,
 ) -> std::io::Result<()> {
--- a/crates/papayamux-standins/src/call_meter.rs
+++ b/crates/papayamux-standins/src/call_meter.rs
@@ -7,7 +7,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 /// Calls of the last second that are counted exactly.
-const MOST_COUNTED: usize = 1_000_000;
+const MAX_COUNTED_CALLS: usize = 1_000_000;
 
 /// Calls so far, as a test reads them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
     /// A meter that accepts `limit` calls in any one second.
     pub fn new(limit: usize) -> Self {
         Self {
-            limit: limit.min(MOST_COUNTED),
+            limit: limit.min(MAX_COUNTED_CALLS),
             accepted: VecDeque::new(),
             arrived: VecDeque::new(),
             counters: CallCounters::default(),
@@ -42,9 +42,9 @@
 
     /// Counts a call that arrives at `now`, and says whether it is accepted.
     pub fn accept(&mut self, now: Instant) -> bool {
-        forget_old(&mut self.arrived, now);
-        forget_old(&mut self.accepted, now);
-        if self.arrived.len() < MOST_COUNTED {
+        expire_calls(&mut self.arrived, now);
+        expire_calls(&mut self.accepted, now);
+        if self.arrived.len() < MAX_COUNTED_CALLS {
             self.arrived.push_back(now);
         }
         let rate = self.arrived.len() as u64;
@@ -64,7 +64,7 @@
     }
 }
 
-fn forget_old(calls: &mut VecDeque<Instant>, now: Instant) {
+fn expire_calls(calls: &mut VecDeque<Instant>, now: Instant) {
     while calls.front().is_some_and(|at| *at + SECOND <= now) {
         calls.pop_front();
     }
--- a/crates/papayamux-standins/src/config_service/file_history.rs
+++ b/crates/papayamux-standins/src/config_service/file_history.rs
@@ -7,17 +7,19 @@
 use thiserror::Error;
 
 /// Changes that the service remembers.
-const MOST_REVISIONS: u64 = 100_000;
+const MAX_REVISIONS: u64 = 100_000;
 /// Bytes of all texts that the service remembers.
-const MOST_BYTES: usize = 512 * 1024 * 1024;
+const MAX_HISTORY_BYTES: usize = 512 * 1024 * 1024;
 /// Bytes of the longest file name.
-const LONGEST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
 /// Why a file can't be put.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HistoryError {
     /// The name is not of the form that names have.
-    #[error("a file name has 1 to {LONGEST_NAME} letters, digits, dots, hyphens and underscores")]
+    #[error(
+        "a file name has 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens and underscores"
+    )]
     Name,
     /// The text is too long.
     #[error("the file has {0} bytes, the bound is {MAX_FILE_BYTES}")]
@@ -57,7 +59,7 @@
         if length > MAX_FILE_BYTES {
             return Err(HistoryError::TooLong(length));
         }
-        if self.revision >= MOST_REVISIONS || self.bytes + length > MOST_BYTES {
+        if self.revision >= MAX_REVISIONS || self.bytes + length > MAX_HISTORY_BYTES {
             return Err(HistoryError::Full);
         }
         self.revision += 1;
@@ -92,5 +94,5 @@
 
 fn is_name(name: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
-    (1..=LONGEST_NAME).contains(&name.len()) && name.bytes().all(allowed)
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(allowed)
 }
--- a/crates/papayamux-standins/src/engine/answer_record.rs
+++ b/crates/papayamux-standins/src/engine/answer_record.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEnd {
     /// All tokens were produced.
-    Whole(UsageReport),
+    Complete(UsageReport),
     /// The request was cancelled, or nobody read it any more.
     Cancelled,
 }
@@ -37,7 +37,7 @@
     produced: Cell<u64>,
     end: Cell<Option<AnswerEnd>>,
     readers: Cell<usize>,
-    last_left: Cell<Option<Instant>>,
+    last_reader_left_at: Cell<Option<Instant>>,
     wakers: RefCell<Vec<Waker>>,
 }
 
@@ -49,7 +49,7 @@
             produced: Cell::new(0),
             end: Cell::new(None),
             readers: Cell::new(0),
-            last_left: Cell::new(None),
+            last_reader_left_at: Cell::new(None),
             wakers: RefCell::default(),
         })
     }
@@ -80,7 +80,8 @@
 
     /// Whether all readers have been gone for the time of `grace`.
     pub fn is_abandoned(&self, now: Instant, grace: Duration) -> bool {
-        self.readers.get() == 0 && self.last_left.get().is_some_and(|left| left + grace <= now)
+        self.readers.get() == 0
+            && self.last_reader_left_at.get().is_some_and(|left| left + grace <= now)
     }
 
     fn wake(&self) {
@@ -141,6 +142,6 @@
 impl Drop for AnswerReader {
     fn drop(&mut self) {
         self.record.readers.set(self.record.readers.get() - 1);
-        self.record.last_left.set(Some(Instant::now()));
+        self.record.last_reader_left_at.set(Some(Instant::now()));
     }
 }
--- a/crates/papayamux-standins/src/engine/batch.rs
+++ b/crates/papayamux-standins/src/engine/batch.rs
@@ -17,7 +17,7 @@
 
 /// A chain of blocks that the cache holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldChain {
+pub struct CachedChain {
     /// The root below which the chain hangs.
     pub root: u64,
     /// The blocks, the first one first.
@@ -52,7 +52,7 @@
         state.arrivals += 1;
         let job = EngineJob::new(request, record.clone(), state.arrivals);
         state.waiting.push(job);
-        state.note_load(Instant::now());
+        state.record_load(Instant::now());
         if let Some(signal) = self.idle.take() {
             signal.give();
         }
@@ -113,7 +113,7 @@
     }
 
     /// The leading blocks of `chain` that the cache holds; `None` if it holds none.
-    pub fn held_chain(&self, chain: &[u64]) -> Option<HeldChain> {
+    pub fn cached_chain(&self, chain: &[u64]) -> Option<CachedChain> {
         let state = self.state.borrow();
         let mut parent = None;
         let follows = |block: &&u64| {
@@ -123,11 +123,11 @@
         };
         let blocks: Vec<_> = chain.iter().take_while(follows).copied().collect();
         let root = state.cache.root_of(*blocks.first()?)?;
-        Some(HeldChain { root, blocks })
+        Some(CachedChain { root, blocks })
     }
 
     /// Stores a chain that was computed elsewhere.
-    pub fn import(&self, chain: &HeldChain) {
+    pub fn import(&self, chain: &CachedChain) {
         self.state.borrow_mut().import(Instant::now(), chain.root, &chain.blocks);
     }
 
--- a/crates/papayamux-standins/src/engine/batch_state.rs
+++ b/crates/papayamux-standins/src/engine/batch_state.rs
@@ -54,11 +54,11 @@
         self.admit(options.batch_limit);
         self.advance(now, options.prefill_per_step);
         self.drop_ended();
-        self.note_load(now);
+        self.record_load(now);
     }
 
     /// Keeps the load as it is at `now` for the reports.
-    pub fn note_load(&mut self, now: Instant) {
+    pub fn record_load(&mut self, now: Instant) {
         let load = EngineLoad {
             running: self.running.len() as u64,
             waiting: self.waiting.len() as u64,
@@ -76,7 +76,7 @@
 
     /// Empties the cache of everything below `roots`.
     pub fn evict_roots(&mut self, now: Instant, roots: &HashSet<u64>) {
-        self.running.iter_mut().for_each(|job| job.lose_weights(roots));
+        self.running.iter_mut().for_each(|job| job.mark_unloaded(roots));
         let changes = self.cache.evict_roots(roots);
         self.log.append(now, changes);
     }
@@ -90,15 +90,15 @@
 
     fn drop_ended(&mut self) {
         let requests = &mut self.requests;
-        let mut goes_on = |job: &EngineJob| {
+        let mut is_running = |job: &EngineJob| {
             let ended = job.record.end().is_some();
             if ended {
                 requests.end(&job.request.id, &job.record);
             }
             !ended
         };
-        self.waiting.retain(&mut goes_on);
-        self.running.retain(&mut goes_on);
+        self.waiting.retain(&mut is_running);
+        self.running.retain(&mut is_running);
     }
 
     /// Moves waiting requests into the batch, by priority and then by arrival.
--- a/crates/papayamux-standins/src/engine/chat_interface.rs
+++ b/crates/papayamux-standins/src/engine/chat_interface.rs
@@ -27,7 +27,7 @@
 use crate::run_tag::TAG_HEADER;
 
 /// The exit code of an engine that was told to end on a prompt.
-const ENDED_ON_PROMPT: i32 = 70;
+const CRASH_EXIT_CODE: i32 = 70;
 const CANCELLED: &str = "the request was cancelled";
 
 /// Runs a chat request.
@@ -41,9 +41,9 @@
     let chat: ChatRequest = serde_json::from_slice(&body).map_err(invalid_request)?;
     server.loader.check_loaded(&chat.model, chat.adapter.as_deref())?;
     let prompt = render_prompt(&chat.messages);
-    if server.options.ends_on.as_ref().is_some_and(|text| prompt.contains(text)) {
+    if server.options.crash_on.as_ref().is_some_and(|text| prompt.contains(text)) {
         log::error!(request = id; "engine ends, as it was told to for this prompt");
-        std::process::exit(ENDED_ON_PROMPT);
+        std::process::exit(CRASH_EXIT_CODE);
     }
     let plan = AnswerPlan::new(&chat.model, &prompt, chat.max_tokens);
     let (model, adapter) = (chat.model, chat.adapter);
@@ -53,7 +53,7 @@
         reader.ok_or_else(|| engine_error(EngineErrorCode::QueueFull, "too many requests wait"))?;
     match chat.stream {
         true => Ok(stream_answer(id, reader)),
-        false => whole_answer(id, reader).await,
+        false => complete_answer(id, reader).await,
     }
 }
 
@@ -79,12 +79,12 @@
     engine_error(EngineErrorCode::UnknownRequest, message)
 }
 
-async fn whole_answer(id: String, mut reader: AnswerReader) -> EngineResult {
+async fn complete_answer(id: String, mut reader: AnswerReader) -> EngineResult {
     let mut content = String::new();
     while let Some(event) = reader.next().await {
         match event {
             AnswerEvent::Token(token) => content.push_str(&token),
-            AnswerEvent::End(AnswerEnd::Whole(usage)) => {
+            AnswerEvent::End(AnswerEnd::Complete(usage)) => {
                 return Ok(completion(id, content, usage));
             }
             AnswerEvent::End(AnswerEnd::Cancelled) => break,
@@ -108,10 +108,10 @@
         }
         reader.poll_next_unpin(context).map(|event| match event? {
             AnswerEvent::Token(token) => Some(Ok(chunk_piece(&id, token, None))),
-            AnswerEvent::End(AnswerEnd::Whole(_)) if reader.starts_past_usage() => {
+            AnswerEvent::End(AnswerEnd::Complete(_)) if reader.starts_past_usage() => {
                 Some(Ok(Bytes::from(format!("data: {STREAM_END}\n\n"))))
             }
-            AnswerEvent::End(AnswerEnd::Whole(usage)) => {
+            AnswerEvent::End(AnswerEnd::Complete(usage)) => {
                 pending.push_back(Bytes::from(format!("data: {STREAM_END}\n\n")));
                 Some(Ok(chunk_piece(&id, String::new(), Some(usage))))
             }
--- a/crates/papayamux-standins/src/engine/http_interface.rs
+++ b/crates/papayamux-standins/src/engine/http_interface.rs
@@ -61,7 +61,7 @@
     let uri = request.uri().clone();
     match (request.method(), uri.path()) {
         (&Method::POST, CHAT_PATH) => answer_chat(server, request).await,
-        (&Method::POST, ORDERS_PATH) => take_order(server, request).await,
+        (&Method::POST, ORDERS_PATH) => handle_order(server, request).await,
         (&Method::POST, KV_EXPORT_PATH) => export_blocks(server, request).await,
         (&Method::POST, KV_IMPORT_PATH) => import_blob(server, request).await,
         (&Method::GET, STATE_PATH) => Ok(respond::json(StatusCode::OK, &server.loader.state())),
@@ -101,9 +101,9 @@
     batch.cache_events(after, usize::try_from(limit).unwrap_or(usize::MAX))
 }
 
-async fn take_order(server: &EngineServer, request: Request<Incoming>) -> EngineResult {
+async fn handle_order(server: &EngineServer, request: Request<Incoming>) -> EngineResult {
     let body = read_body(request.into_body()).await.map_err(invalid_request)?;
     let order: EngineOrder = serde_json::from_slice(&body).map_err(invalid_request)?;
-    let state = server.loader.obey(order)?;
+    let state = server.loader.apply_order(order)?;
     Ok(respond::json(StatusCode::ACCEPTED, &state))
 }
--- a/crates/papayamux-standins/src/engine/job.rs
+++ b/crates/papayamux-standins/src/engine/job.rs
@@ -51,7 +51,7 @@
     pub arrival: u64,
     /// Prompt tokens that are still to be computed.
     pub prefill_left: u64,
-    weights_gone: bool,
+    weights_unloaded: bool,
     cached: u64,
     prompt_tokens: u64,
 }
@@ -65,7 +65,7 @@
             record,
             arrival,
             prefill_left: tokens,
-            weights_gone: false,
+            weights_unloaded: false,
             cached: 0,
             prompt_tokens: tokens,
         }
@@ -73,8 +73,8 @@
 
     /// The weights below `roots` are gone: a request that runs with them ends as it began, but
     /// nothing it computes may be cached for those that come after them.
-    pub fn lose_weights(&mut self, roots: &HashSet<u64>) {
-        self.weights_gone |= roots.contains(&self.request.root());
+    pub fn mark_unloaded(&mut self, roots: &HashSet<u64>) {
+        self.weights_unloaded |= roots.contains(&self.request.root());
     }
 
     /// Takes what the cache holds of the prompt.
@@ -96,7 +96,7 @@
             self.record.produce();
             return Vec::new();
         }
-        self.record.finish(AnswerEnd::Whole(self.usage()));
+        self.record.finish(AnswerEnd::Complete(self.usage()));
         let turn = format!("assistant: {}\n", self.request.plan.text());
         self.store(&turn, cache)
     }
@@ -112,7 +112,7 @@
     }
 
     fn store(&self, answer: &str, cache: &mut PrefixCache) -> Vec<CacheChange> {
-        match self.weights_gone {
+        match self.weights_unloaded {
             true => Vec::new(),
             false => cache.store(self.request.root(), &self.request.blocks(answer)),
         }
--- a/crates/papayamux-standins/src/engine/kv_blob.rs
+++ b/crates/papayamux-standins/src/engine/kv_blob.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::batch::HeldChain;
+use super::batch::CachedChain;
 
 /// Bytes of a blob that are not contents, at most.
 const OVERHEAD: usize = 64 + 10 * MAX_KV_BLOCKS;
@@ -42,7 +42,7 @@
 
 impl KvBlob {
     /// The blob of a chain that was computed with `weights`.
-    pub fn new(chain: HeldChain, weights: u64, block_bytes: usize) -> Self {
+    pub fn new(chain: CachedChain, weights: u64, block_bytes: usize) -> Self {
         let length = block_bytes.saturating_mul(chain.blocks.len());
         let length = length.min(MAX_KV_BLOB_BYTES - OVERHEAD);
         let contents = Bytes::from(vec![0; length]);
@@ -68,8 +68,8 @@
     }
 
     /// The chain.
-    pub fn into_chain(self) -> HeldChain {
-        HeldChain { root: self.root, blocks: self.blocks }
+    pub fn into_chain(self) -> CachedChain {
+        CachedChain { root: self.root, blocks: self.blocks }
     }
 
     fn compute_checksum(&self) -> u64 {
--- a/crates/papayamux-standins/src/engine/kv_interface.rs
+++ b/crates/papayamux-standins/src/engine/kv_interface.rs
@@ -17,7 +17,7 @@
     let body = read_body(request.into_body()).await.map_err(invalid_request)?;
     let request: KvExportRequest = serde_json::from_slice(&body).map_err(invalid_request)?;
     let chain = &request.blocks[..request.blocks.len().min(MAX_KV_BLOCKS)];
-    let chain = server.batch.held_chain(chain).ok_or_else(|| {
+    let chain = server.batch.cached_chain(chain).ok_or_else(|| {
         engine_error(EngineErrorCode::BlocksNotHeld, "the first block is not cached")
     })?;
     let weights = server.loader.weights_below(chain.root).ok_or_else(|| {
--- a/crates/papayamux-standins/src/engine/model_loader.rs
+++ b/crates/papayamux-standins/src/engine/model_loader.rs
@@ -62,7 +62,7 @@
     }
 
     /// Takes an order; loads go on after this returns.
-    pub fn obey(&self, order: EngineOrder) -> Result<EngineState, EngineError> {
+    pub fn apply_order(&self, order: EngineOrder) -> Result<EngineState, EngineError> {
         if order.models.len() + order.adapters.len() > MAX_ORDERED_WEIGHTS {
             let message =
                 format!("an order names at most {MAX_ORDERED_WEIGHTS} models and adapters");
--- a/crates/papayamux-standins/src/engine/options.rs
+++ b/crates/papayamux-standins/src/engine/options.rs
@@ -60,5 +60,5 @@
     #[builder(default = 256)]
     pub kv_block_bytes: usize,
     /// The process ends when it gets a chat with this text.
-    pub ends_on: Option<String>,
+    pub crash_on: Option<String>,
 }
--- a/crates/papayamux-standins/src/engine/request_table.rs
+++ b/crates/papayamux-standins/src/engine/request_table.rs
@@ -7,9 +7,9 @@
 use super::job::EngineRequest;
 
 /// Ended requests that can still be resumed.
-const MOST_ENDED: usize = 4_096;
+const MAX_ENDED_REQUESTS: usize = 4_096;
 /// Request ids, and tags, of which the runs are counted.
-const MOST_COUNTED: usize = 4_000_000;
+const MAX_COUNTED_NAMES: usize = 4_000_000;
 /// The count of all runs beyond those that are counted one by one.
 const BEYOND_COUNTED: &str = "(further)";
 
@@ -43,7 +43,7 @@
             return;
         }
         self.ended.push_back((id.to_string(), record.clone()));
-        if self.ended.len() <= MOST_ENDED {
+        if self.ended.len() <= MAX_ENDED_REQUESTS {
             return;
         }
         let Some((id, record)) = self.ended.pop_front() else { return };
@@ -72,7 +72,7 @@
 }
 
 fn count(counts: &mut RunCounts, name: &str) {
-    let known = counts.contains_key(name) || counts.len() < MOST_COUNTED;
+    let known = counts.contains_key(name) || counts.len() < MAX_COUNTED_NAMES;
     let name = if known { name } else { BEYOND_COUNTED };
     *counts.entry(name.to_string()).or_default() += 1;
 }
--- a/crates/papayamux-standins/src/fault_proxy/chunk_queue.rs
+++ b/crates/papayamux-standins/src/fault_proxy/chunk_queue.rs
@@ -7,10 +7,10 @@
 use papayamux_transport::shutdown::ShutdownSignal;
 
 /// Bytes kept on one way of one connection before no more are read.
-const MOST_KEPT: usize = 8 * 1024 * 1024;
+const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 
 /// Chunks kept on one way of one connection before no more are read.
-const MOST_CHUNKS: usize = 64 * 1024;
+const MAX_QUEUED_CHUNKS: usize = 64 * 1024;
 
 /// What was read.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
             state.kept += bytes.len();
         }
         state.chunks.push_back((Instant::now(), chunk));
-        tell_change(&mut state);
+        notify_change(&mut state);
     }
 
     /// Waits until there is room for more.
@@ -77,13 +77,13 @@
         if let ReadChunk::Bytes(bytes) = &chunk {
             state.kept -= bytes.len();
         }
-        tell_change(&mut state);
+        notify_change(&mut state);
         Some(chunk)
     }
 
     fn is_full(&self) -> bool {
         let state = self.state.borrow();
-        state.kept >= MOST_KEPT || state.chunks.len() >= MOST_CHUNKS
+        state.kept >= MAX_QUEUED_BYTES || state.chunks.len() >= MAX_QUEUED_CHUNKS
     }
 
     async fn wait_change(&self) {
@@ -92,6 +92,6 @@
     }
 }
 
-fn tell_change(state: &mut QueueState) {
+fn notify_change(state: &mut QueueState) {
     std::mem::take(&mut state.changed).give();
 }
--- a/crates/papayamux-standins/src/fault_proxy/control_interface.rs
+++ b/crates/papayamux-standins/src/fault_proxy/control_interface.rs
@@ -24,7 +24,7 @@
 /// `GET`: the link's [`super::ConnectionReport`].
 pub const CONNECTIONS_PATH: &str = "/standin/connections";
 /// Bytes of the longest order.
-const LONGEST_BODY: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024;
 
 /// Which ways are to be ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,11 +46,11 @@
 
 async fn answer(proxy: LinkProxy, request: Request<Incoming>) -> Response<AnswerBody> {
     let (head, body) = request.into_parts();
-    let body = match Limited::new(body, LONGEST_BODY).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => return respond::refuse(StatusCode::BAD_REQUEST, &error.to_string()),
     };
-    match obey(&proxy, &head.method, head.uri.path(), &body) {
+    match apply_order(&proxy, &head.method, head.uri.path(), &body) {
         Ok(true) => respond::json(StatusCode::OK, &proxy.report()),
         Ok(false) => respond::refuse(StatusCode::NOT_FOUND, "no such order"),
         Err(error) => respond::refuse(StatusCode::BAD_REQUEST, &error.to_string()),
@@ -58,7 +58,7 @@
 }
 
 /// Does what is ordered; `false` where nothing is known by that method and path.
-fn obey(
+fn apply_order(
     proxy: &LinkProxy,
     method: &Method,
     path: &str,
--- a/crates/papayamux-standins/src/fault_proxy/way_pump.rs
+++ b/crates/papayamux-standins/src/fault_proxy/direction_pump.rs
@@ -7,30 +7,30 @@
 use monoio::net::TcpStream;
 
 use super::chunk_queue::ReadChunk;
-use super::link_faults::LinkWay;
+use super::link_faults::LinkDirection;
 use super::proxy_connection::ProxyConnection;
 
 /// Bytes read at once.
 const READ_BYTES: usize = 16 * 1024;
 
 /// One way of a connection.
-pub struct WayPump<'a> {
+pub struct DirectionPump<'a> {
     /// The connection.
     pub connection: &'a ProxyConnection,
     /// The way.
-    pub way: LinkWay,
+    pub direction: LinkDirection,
     /// The way back.
-    pub opposite: LinkWay,
+    pub opposite: LinkDirection,
 }
 
-impl WayPump<'_> {
+impl DirectionPump<'_> {
     /// Moves bytes until the sender has closed its side and all was delivered.
     pub async fn run(&self, mut from: OwnedReadHalf<TcpStream>, mut to: OwnedWriteHalf<TcpStream>) {
         join(self.read_all(&mut from), self.write_all(&mut to)).await;
     }
 
     async fn read_all(&self, from: &mut OwnedReadHalf<TcpStream>) {
-        let queue = self.connection.queue(self.way);
+        let queue = self.connection.queue(self.direction);
         loop {
             queue.wait_room().await;
             let (outcome, mut bytes) = from.read(Vec::with_capacity(READ_BYTES)).await;
@@ -46,7 +46,7 @@
             let ends = !matches!(chunk, ReadChunk::Bytes(_));
             queue.push(chunk);
             if ends {
-                self.connection.read_ended(self.way).give();
+                self.connection.read_ended(self.direction).give();
                 return;
             }
         }
@@ -55,7 +55,7 @@
     async fn write_all(&self, to: &mut OwnedWriteHalf<TcpStream>) {
         let mut is_writable = true;
         while let Some(chunk) = self.next_chunk().await {
-            let drops = self.connection.drops(self.way);
+            let drops = self.connection.drops(self.direction);
             match chunk {
                 ReadChunk::Bytes(_) if drops || !is_writable => {}
                 ReadChunk::Bytes(bytes) => is_writable = self.write(to, bytes).await,
@@ -72,15 +72,15 @@
 
     /// The next chunk that may be delivered; `None` once this way was half-closed.
     async fn next_chunk(&self) -> Option<ReadChunk> {
-        let queue = self.connection.queue(self.way);
+        let queue = self.connection.queue(self.direction);
         loop {
             let first = std::pin::pin!(queue.wait_first());
             let change = std::pin::pin!(self.connection.wait_change());
-            if self.connection.is_half_closed(self.way) && queue.kept() == 0 {
+            if self.connection.is_half_closed(self.direction) && queue.kept() == 0 {
                 return Some(ReadChunk::End);
             }
             let Either::Left((read, _)) = select(first, change).await else { continue };
-            self.connection.wait_released(self.way).await;
+            self.connection.wait_released(self.direction).await;
             let late = (read + self.connection.delay()).saturating_duration_since(Instant::now());
             if !late.is_zero() {
                 let sleep = std::pin::pin!(monoio::time::sleep(late));
@@ -94,7 +94,7 @@
 
     /// Writes what the allowance lets through; `false` where the receiver has gone.
     async fn write(&self, to: &mut OwnedWriteHalf<TcpStream>, mut bytes: Vec<u8>) -> bool {
-        let allowance = self.connection.allowance(self.way).unwrap_or(u64::MAX);
+        let allowance = self.connection.allowance(self.direction).unwrap_or(u64::MAX);
         bytes.truncate(usize::try_from(allowance).unwrap_or(usize::MAX));
         let (outcome, written) = to.write_all(bytes).await;
         if outcome.is_err() {
@@ -103,8 +103,8 @@
             }
             return false;
         }
-        self.connection.note_passed(self.way, written.len() as u64);
-        if self.connection.allowance(self.way) == Some(0) {
+        self.connection.record_passed(self.direction, written.len() as u64);
+        if self.connection.allowance(self.direction) == Some(0) {
             self.connection.cut();
         }
         true
--- a/crates/papayamux-standins/src/fault_proxy/link_faults.rs
+++ b/crates/papayamux-standins/src/fault_proxy/link_faults.rs
@@ -4,19 +4,19 @@
 
 /// One way through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LinkWay {
+pub enum LinkDirection {
     /// From the side that connected to the target.
     ToTarget,
     /// From the target to the side that connected.
     ToClient,
 }
 
-impl LinkWay {
+impl LinkDirection {
     /// The place of this way in an array of both.
     pub(super) const fn index(self) -> usize {
         match self {
-            LinkWay::ToTarget => 0,
-            LinkWay::ToClient => 1,
+            LinkDirection::ToTarget => 0,
+            LinkDirection::ToClient => 1,
         }
     }
 }
@@ -38,12 +38,12 @@
 
 impl FaultyWays {
     /// Whether `way` is concerned.
-    pub fn include(self, way: LinkWay) -> bool {
+    pub fn include(self, direction: LinkDirection) -> bool {
         match self {
             FaultyWays::None => false,
             FaultyWays::Both => true,
-            FaultyWays::ToTarget => way == LinkWay::ToTarget,
-            FaultyWays::ToClient => way == LinkWay::ToClient,
+            FaultyWays::ToTarget => direction == LinkDirection::ToTarget,
+            FaultyWays::ToClient => direction == LinkDirection::ToClient,
         }
     }
 }
--- a/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
+++ b/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
@@ -14,12 +14,12 @@
 use papayamux_transport::shutdown::ShutdownSignal;
 use serde::{Deserialize, Serialize};
 
-use super::link_faults::{FaultyWays, LinkFaults, LinkWay};
+use super::direction_pump::DirectionPump;
+use super::link_faults::{FaultyWays, LinkDirection, LinkFaults};
 use super::proxy_connection::ProxyConnection;
-use super::way_pump::WayPump;
 
 /// Connections open at once; further ones are refused.
-const MOST_CONNECTIONS: usize = 1_024;
+const MAX_CONNECTIONS: usize = 1_024;
 /// How long the listener waits after it could not accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
@@ -85,8 +85,8 @@
     }
 
     /// Ends the given ways of all open connections, after what waits on them.
-    pub fn half_close_all(&self, ways: FaultyWays) {
-        self.open_connections().iter().for_each(|connection| connection.half_close(ways));
+    pub fn half_close_all(&self, directions: FaultyWays) {
+        self.open_connections().iter().for_each(|connection| connection.half_close(directions));
     }
 
     /// What has passed so far.
@@ -94,10 +94,10 @@
         let mut report = self.state.past.get();
         for connection in self.state.connections.borrow().values() {
             report.open += 1;
-            report.bytes_to_target += connection.passed(LinkWay::ToTarget);
-            report.bytes_to_client += connection.passed(LinkWay::ToClient);
-            report.kept_to_target += connection.queue(LinkWay::ToTarget).kept() as u64;
-            report.kept_to_client += connection.queue(LinkWay::ToClient).kept() as u64;
+            report.bytes_to_target += connection.passed(LinkDirection::ToTarget);
+            report.bytes_to_client += connection.passed(LinkDirection::ToClient);
+            report.kept_to_target += connection.queue(LinkDirection::ToTarget).kept() as u64;
+            report.kept_to_client += connection.queue(LinkDirection::ToClient).kept() as u64;
         }
         report
     }
@@ -120,9 +120,9 @@
 
     fn take_connection(&self, client: TcpStream) {
         let faults = self.state.faults_of_new.get();
-        let is_full = self.state.connections.borrow().len() >= MOST_CONNECTIONS;
+        let is_full = self.state.connections.borrow().len() >= MAX_CONNECTIONS;
         if faults.refuse || is_full {
-            return self.note_refused();
+            return self.record_refused();
         }
         let mut past = self.state.past.get();
         past.total += 1;
@@ -137,13 +137,13 @@
     }
 
     async fn run_connection(&self, connection: &ProxyConnection, client: TcpStream) {
-        let Ok(target) = connect(self.target).await else { return self.note_refused() };
+        let Ok(target) = connect(self.target).await else { return self.record_refused() };
         let _ = (client.set_nodelay(true), target.set_nodelay(true));
         let (client_read, client_write) = client.into_split();
         let (target_read, target_write) = target.into_split();
-        let (to_target, to_client) = (LinkWay::ToTarget, LinkWay::ToClient);
-        let forth = WayPump { connection, way: to_target, opposite: to_client };
-        let back = WayPump { connection, way: to_client, opposite: to_target };
+        let (to_target, to_client) = (LinkDirection::ToTarget, LinkDirection::ToClient);
+        let forth = DirectionPump { connection, direction: to_target, opposite: to_client };
+        let back = DirectionPump { connection, direction: to_client, opposite: to_target };
         let pumps = std::pin::pin!(join(
             forth.run(client_read, target_write),
             back.run(target_read, client_write)
@@ -152,7 +152,7 @@
         let _ = select(cut, pumps).await;
     }
 
-    fn note_refused(&self) {
+    fn record_refused(&self) {
         let past = self.state.past.get();
         self.state.past.set(ConnectionReport { refused: past.refused + 1, ..past });
     }
@@ -160,8 +160,8 @@
     fn forget_connection(&self, number: u64) {
         let Some(connection) = self.state.connections.borrow_mut().remove(&number) else { return };
         let mut past = self.state.past.get();
-        past.bytes_to_target += connection.passed(LinkWay::ToTarget);
-        past.bytes_to_client += connection.passed(LinkWay::ToClient);
+        past.bytes_to_target += connection.passed(LinkDirection::ToTarget);
+        past.bytes_to_client += connection.passed(LinkDirection::ToClient);
         self.state.past.set(past);
     }
 }
--- a/crates/papayamux-standins/src/fault_proxy/proxy_connection.rs
+++ b/crates/papayamux-standins/src/fault_proxy/proxy_connection.rs
@@ -6,11 +6,11 @@
 use papayamux_transport::shutdown::ShutdownSignal;
 
 use super::chunk_queue::ChunkQueue;
-use super::link_faults::{FaultyWays, LinkFaults, LinkWay};
+use super::link_faults::{FaultyWays, LinkDirection, LinkFaults};
 
 /// One way's share of a connection.
 #[derive(Default)]
-struct WayState {
+struct DirectionState {
     queue: ChunkQueue,
     dropped: Cell<bool>,
     half_closed: Cell<bool>,
@@ -23,7 +23,7 @@
     faults: Cell<LinkFaults>,
     changed: RefCell<ShutdownSignal>,
     cut: ShutdownSignal,
-    ways: [WayState; 2],
+    directions: [DirectionState; 2],
 }
 
 impl ProxyConnection {
@@ -33,7 +33,7 @@
             faults: Cell::default(),
             changed: RefCell::default(),
             cut: ShutdownSignal::new(),
-            ways: Default::default(),
+            directions: Default::default(),
         };
         connection.set_faults(faults);
         connection
@@ -42,12 +42,12 @@
     /// Replaces the faults.
     pub fn set_faults(&self, faults: LinkFaults) {
         self.faults.set(faults);
-        for way in [LinkWay::ToTarget, LinkWay::ToClient] {
-            if faults.drop.include(way) {
-                self.way(way).dropped.set(true);
+        for direction in [LinkDirection::ToTarget, LinkDirection::ToClient] {
+            if faults.drop.include(direction) {
+                self.direction(direction).dropped.set(true);
             }
         }
-        self.tell_change();
+        self.notify_change();
     }
 
     /// Closes both sides at once; what was not delivered is lost.
@@ -61,38 +61,38 @@
     }
 
     /// Ends the given ways as if their senders had closed them, after what waits.
-    pub fn half_close(&self, ways: FaultyWays) {
-        for way in [LinkWay::ToTarget, LinkWay::ToClient] {
-            if ways.include(way) {
-                self.way(way).half_closed.set(true);
+    pub fn half_close(&self, directions: FaultyWays) {
+        for direction in [LinkDirection::ToTarget, LinkDirection::ToClient] {
+            if directions.include(direction) {
+                self.direction(direction).half_closed.set(true);
             }
         }
-        self.tell_change();
+        self.notify_change();
     }
 
     /// Whether `way` was ended by [`Self::half_close`].
-    pub fn is_half_closed(&self, way: LinkWay) -> bool {
-        self.way(way).half_closed.get()
+    pub fn is_half_closed(&self, direction: LinkDirection) -> bool {
+        self.direction(direction).half_closed.get()
     }
 
     /// What waits on `way`.
-    pub fn queue(&self, way: LinkWay) -> &ChunkQueue {
-        &self.way(way).queue
+    pub fn queue(&self, direction: LinkDirection) -> &ChunkQueue {
+        &self.direction(direction).queue
     }
 
     /// Whether what comes on `way` is thrown away.
-    pub fn drops(&self, way: LinkWay) -> bool {
-        self.way(way).dropped.get()
+    pub fn drops(&self, direction: LinkDirection) -> bool {
+        self.direction(direction).dropped.get()
     }
 
     /// Whether the other side may not see what happens on `way`.
-    pub fn hides(&self, way: LinkWay) -> bool {
-        self.drops(way) || self.faults.get().hold.include(way)
+    pub fn hides(&self, direction: LinkDirection) -> bool {
+        self.drops(direction) || self.faults.get().hold.include(direction)
     }
 
     /// Waits until `way` is not held, or its bytes are thrown away anyway.
-    pub async fn wait_released(&self, way: LinkWay) {
-        while self.faults.get().hold.include(way) && !self.drops(way) {
+    pub async fn wait_released(&self, direction: LinkDirection) {
+        while self.faults.get().hold.include(direction) && !self.drops(direction) {
             self.wait_change().await;
         }
     }
@@ -109,35 +109,35 @@
     }
 
     /// Bytes that may still go to the client before the connection is cut.
-    pub fn allowance(&self, way: LinkWay) -> Option<u64> {
-        self.faults.get().cut_after_bytes.filter(|_| way == LinkWay::ToClient)
+    pub fn allowance(&self, direction: LinkDirection) -> Option<u64> {
+        self.faults.get().cut_after_bytes.filter(|_| direction == LinkDirection::ToClient)
     }
 
     /// Notes that bytes were delivered on `way`.
-    pub fn note_passed(&self, way: LinkWay, bytes: u64) {
-        let passed = &self.way(way).passed;
+    pub fn record_passed(&self, direction: LinkDirection, bytes: u64) {
+        let passed = &self.direction(direction).passed;
         passed.set(passed.get() + bytes);
-        if let Some(left) = self.allowance(way) {
+        if let Some(left) = self.allowance(direction) {
             let cut_after_bytes = Some(left.saturating_sub(bytes));
             self.faults.set(LinkFaults { cut_after_bytes, ..self.faults.get() });
         }
     }
 
     /// Bytes delivered on `way`.
-    pub fn passed(&self, way: LinkWay) -> u64 {
-        self.way(way).passed.get()
+    pub fn passed(&self, direction: LinkDirection) -> u64 {
+        self.direction(direction).passed.get()
     }
 
     /// Given once the sender on `way` has closed its side or broken off.
-    pub fn read_ended(&self, way: LinkWay) -> &ShutdownSignal {
-        &self.way(way).read_ended
+    pub fn read_ended(&self, direction: LinkDirection) -> &ShutdownSignal {
+        &self.direction(direction).read_ended
     }
 
-    fn tell_change(&self) {
+    fn notify_change(&self) {
         self.changed.take().give();
     }
 
-    fn way(&self, way: LinkWay) -> &WayState {
-        &self.ways[way.index()]
+    fn direction(&self, direction: LinkDirection) -> &DirectionState {
+        &self.directions[direction.index()]
     }
 }
--- a/crates/papayamux-standins/src/instance_list.rs
+++ b/crates/papayamux-standins/src/instance_list.rs
@@ -18,7 +18,7 @@
 /// The path of the list as it truly is; a test replaces it there.
 pub const TRUE_INSTANCES_PATH: &str = "/standin/instances";
 /// Instances in the longest list.
-const MOST_INSTANCES: usize = 10_000;
+const MAX_INSTANCES: usize = 10_000;
 
 type SharedList = Rc<RefCell<LaggedValue<Rc<InstanceList>>>>;
 
@@ -59,7 +59,7 @@
     let body = read_body(request.into_body()).await.map_err(|error| error.to_string())?;
     let list: InstanceList = serde_json::from_slice(&body).map_err(|error| error.to_string())?;
     match list.instances.len() {
-        0..=MOST_INSTANCES => Ok(list),
-        count => Err(format!("{count} instances, the bound is {MOST_INSTANCES}")),
+        0..=MAX_INSTANCES => Ok(list),
+        count => Err(format!("{count} instances, the bound is {MAX_INSTANCES}")),
     }
 }
--- a/crates/papayamux-standins/src/kinds/engine.rs
+++ b/crates/papayamux-standins/src/kinds/engine.rs
@@ -89,7 +89,7 @@
 fn set_kv_options(engine: &mut EngineOptions, matches: &Matches) -> Result<(), StandinError> {
     engine.kv_export_time = micros_or(matches, "kv-export-us", engine.kv_export_time)?;
     engine.kv_import_time = micros_or(matches, "kv-import-us", engine.kv_import_time)?;
-    engine.ends_on = matches.opt_str("ends-on");
+    engine.crash_on = matches.opt_str("ends-on");
     engine.kv_block_bytes = value_or(matches, "kv-block-bytes", engine.kv_block_bytes)?;
     Ok(())
 }
--- a/crates/papayamux-standins/src/lagged.rs
+++ b/crates/papayamux-standins/src/lagged.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 /// Changes kept at most; beyond that, the oldest become visible early.
-const MOST_CHANGES: usize = 65_536;
+const MAX_PENDING_CHANGES: usize = 65_536;
 
 /// A value of which readers see the state of some time ago.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
         }
         self.changes.push_back((now, value));
         self.settle(now);
-        if self.changes.len() > MOST_CHANGES {
+        if self.changes.len() > MAX_PENDING_CHANGES {
             self.show_next();
         }
     }
--- a/crates/papayamux-standins/src/weight_store.rs
+++ b/crates/papayamux-standins/src/weight_store.rs
@@ -20,7 +20,7 @@
 /// The path of the store's [`StoreCounters`].
 pub const STORE_COUNTERS_PATH: &str = "/standin/counters";
 /// Weights of which the loads are counted one by one.
-const MOST_WEIGHTS: usize = 10_000;
+const MAX_COUNTED_WEIGHTS: usize = 10_000;
 
 /// Options of a weight store.
 #[derive(Debug, Clone, Copy)]
@@ -106,7 +106,7 @@
 
     fn count_load(&self, weights: &str) {
         let mut loads = self.loads.borrow_mut();
-        if loads.len() < MOST_WEIGHTS || loads.contains_key(weights) {
+        if loads.len() < MAX_COUNTED_WEIGHTS || loads.contains_key(weights) {
             *loads.entry(weights.to_string()).or_default() += 1;
         }
     }
--- a/crates/papayamux-standins/tests/engine_requests.rs
+++ b/crates/papayamux-standins/tests/engine_requests.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_higher_class_goes_first() {
+fn a_higher_priority_class_runs_first() {
     run(async {
         let mut options = engine_options();
         options.batch_limit = 1;
--- a/crates/papayamux-standins/tests/platform.rs
+++ b/crates/papayamux-standins/tests/platform.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_engine_loads_from_the_store_and_tells_what_failed() {
+fn an_engine_loads_from_the_store_and_reports_failures() {
     run(async {
         let options = WeightStoreOptions { loads_per_second: 0, ..Default::default() };
         let (busy, store) = (start_store(options), start_store(WeightStoreOptions::default()));
--- a/crates/papayamux-standins/tests/prefix_cache.rs
+++ b/crates/papayamux-standins/tests/prefix_cache.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn no_block_outlives_its_parent_and_changes_tell_all() {
+fn no_block_outlives_its_parent_and_changes_are_complete() {
     check!().with_iterations(GENERATED_INPUTS).with_type::<Vec<(u8, u8, Vec<u8>)>>().for_each(
         |uses| {
             let mut cache = PrefixCache::new(CAPACITY);
--- a/crates/papayamux-standins/tests/support/mod.rs
+++ b/crates/papayamux-standins/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-const LONGEST_ANSWER: u64 = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 pub const MODEL: &str = "itinerary";
 
 /// Runs a test on the runtime that the stand-ins use.
@@ -70,7 +70,7 @@
         let request = Request::builder().method(method).uri(path).header("host", "standin");
         let answer = self.send(request.body(body).unwrap()).await;
         let status = answer.head.status;
-        (status, answer.whole_body(LONGEST_ANSWER).await.unwrap())
+        (status, answer.whole_body(MAX_ANSWER_BYTES).await.unwrap())
     }
 
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> T {
