--- a/crates/papayamux-standins/src/call_meter.rs
+++ b/crates/papayamux-standins/src/call_meter.rs
@@ -1,4 +1,4 @@
-//! Counts calls, and refuses those above a rate.
+//! Call counting and rate limiting over a sliding window of one second.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -6,21 +6,21 @@
 use serde::{Deserialize, Serialize};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Calls of the last second that are counted exactly.
+/// Maximum number of calls of the last second that are counted exactly.
 const MAX_COUNTED_CALLS: usize = 1_000_000;
 
-/// Calls so far, as a test reads them.
+/// Call counters, as tests read them over HTTP.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounters {
-    /// All calls, also those refused.
+    /// Total number of calls, including refused ones.
     pub calls: u64,
-    /// Calls refused because of the rate limit.
+    /// Number of calls refused by the rate limit.
     pub refused: u64,
-    /// The most calls in any one second, also those refused.
+    /// Highest number of calls within any one second, including refused ones.
     pub highest_per_second: u64,
 }
 
-/// Calls of the last second, against a limit.
+/// Limits the rate of accepted calls with a sliding window of one second.
 #[derive(Debug)]
 pub struct CallMeter {
     limit: usize,
@@ -30,7 +30,7 @@
 }
 
 impl CallMeter {
-    /// A meter that accepts `limit` calls in any one second.
+    /// Creates a meter that accepts at most `limit` calls within any one second.
     pub fn new(limit: usize) -> Self {
         Self {
             limit: limit.min(MAX_COUNTED_CALLS),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts a call that arrives at `now`, and says whether it is accepted.
+    /// Counts a call that arrives at `now` and returns `true` if it is accepted.
     pub fn accept(&mut self, now: Instant) -> bool {
         expire_calls(&mut self.arrived, now);
         expire_calls(&mut self.accepted, now);
@@ -58,7 +58,7 @@
         accepted
     }
 
-    /// The counters so far.
+    /// Returns the current counters.
     pub fn counters(&self) -> CallCounters {
         self.counters
     }
--- a/crates/papayamux-standins/src/command_line.rs
+++ b/crates/papayamux-standins/src/command_line.rs
@@ -15,7 +15,7 @@
                           line is wrong; a running one ends by a signal.";
 const DEFAULT_ADDRESS: &str = "127.0.0.1:0";
 
-/// Runs the stand-in that the command line names.
+/// Runs the stand-in named on the command line.
 pub fn standin_main() -> ExitCode {
     match run_standin() {
         Ok(()) => ExitCode::SUCCESS,
@@ -77,7 +77,7 @@
     options
 }
 
-/// Kinds with a control port say themselves that they have started, with both addresses.
+/// Returns `true` for kinds with a control port, which log their own start with both addresses.
 fn has_control_port(matches: &Matches) -> bool {
     matches.opt_defined("operations")
 }
--- a/crates/papayamux-standins/src/config_service/file_history.rs
+++ b/crates/papayamux-standins/src/config_service/file_history.rs
@@ -1,4 +1,4 @@
-//! All revisions of all files, so that an older state can be served.
+//! History of all files with all their revisions, so that an older state can be served.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -6,37 +6,37 @@
 use papayamux_protocol::platform::{ConfigFile, FileListing, FileRevision, MAX_FILE_BYTES};
 use thiserror::Error;
 
-/// Changes that the service remembers.
+/// Maximum number of revisions in the history.
 const MAX_REVISIONS: u64 = 100_000;
-/// Bytes of all texts that the service remembers.
+/// Maximum total size of all texts in the history, in bytes.
 const MAX_HISTORY_BYTES: usize = 512 * 1024 * 1024;
-/// Bytes of the longest file name.
+/// Maximum length of a file name in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Why a file can't be put.
+/// The error of putting a file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HistoryError {
-    /// The name is not of the form that names have.
+    /// The file name is invalid.
     #[error(
         "a file name has 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens and underscores"
     )]
     Name,
-    /// The text is too long.
+    /// The text exceeds [`MAX_FILE_BYTES`].
     #[error("the file has {0} bytes, the bound is {MAX_FILE_BYTES}")]
     TooLong(usize),
-    /// The history is at its bound.
+    /// The history has reached its limit.
     #[error("the stand-in remembers no more revisions")]
     Full,
 }
 
-/// `None` stands for a removed file.
+/// A version of a file; `text` is `None` if the file was removed.
 #[derive(Debug)]
 struct FileVersion {
     revision: u64,
     text: Option<Rc<str>>,
 }
 
-/// Files with all their revisions.
+/// All files with all of their revisions.
 #[derive(Debug, Default)]
 pub struct FileHistory {
     revision: u64,
@@ -45,12 +45,12 @@
 }
 
 impl FileHistory {
-    /// The revision of the newest change.
+    /// Returns the revision of the newest change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Puts a file as a whole, or removes it where `text` is `None`; gives the new revision.
+    /// Replaces the text of a file, or removes it if `text` is `None`. Returns the new revision.
     pub fn put(&mut self, name: &str, text: Option<&str>) -> Result<u64, HistoryError> {
         let length = text.map_or(0, str::len);
         if !is_name(name) {
@@ -69,7 +69,7 @@
         Ok(self.revision)
     }
 
-    /// The files changed after revision `after`, as they were at revision `at`.
+    /// Lists the files changed after revision `after`, as they were at revision `at`.
     pub fn listing(&self, at: u64, after: u64) -> FileListing {
         let revisions = self.files.iter().filter_map(|(name, versions)| {
             let version = version_at(versions, at)?;
@@ -80,7 +80,7 @@
         FileListing { revision: at.min(self.revision), files }
     }
 
-    /// A file as it was at revision `at`.
+    /// Returns a file as it was at revision `at`.
     pub fn file(&self, at: u64, name: &str) -> Option<ConfigFile> {
         let version = version_at(self.files.get(name)?, at)?;
         let text = version.text.as_deref()?.to_string();
--- a/crates/papayamux-standins/src/config_service/mod.rs
+++ b/crates/papayamux-standins/src/config_service/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration service stand-in: files with revisions that can be read and watched, and
-//! faults that a test brings about.
+//! Stand-in for the configuration service: versioned files that can be read and watched, and
+//! faults that tests inject.
 
 mod file_history;
 mod options;
--- a/crates/papayamux-standins/src/config_service/options.rs
+++ b/crates/papayamux-standins/src/config_service/options.rs
@@ -1,14 +1,14 @@
-//! How the configuration service behaves, at its start and while a test runs.
+//! Options and runtime faults of the configuration service.
 
 use serde::{Deserialize, Serialize};
 
-/// Reads a second that the service answers where nothing else is said.
+/// Default rate limit in reads per second.
 const READS_PER_SECOND: usize = 2_000;
 
-/// Options of a configuration service.
+/// Options of a configuration service stand-in.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigServiceOptions {
-    /// Reads that are answered in any one second.
+    /// Maximum number of reads answered within any one second.
     pub reads_per_second: usize,
 }
 
@@ -18,27 +18,27 @@
     }
 }
 
-/// Which state of the files readers see.
+/// The state of the files that is served to readers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServedView {
-    /// The newest.
+    /// The newest state.
     #[default]
     Live,
-    /// The newest of now, whatever is put from now on.
+    /// The state at the time the fault is set; later changes are not served.
     Frozen,
-    /// That of an older revision.
+    /// The state at the given revision.
     At(u64),
 }
 
-/// What is wrong with the service for its readers.
+/// Faults that the service shows to readers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ConfigFaults {
-    /// Which state readers see.
+    /// State of the files that is served.
     pub view: ServedView,
-    /// Whether each read fails with status 503.
+    /// Makes each read fail with status 503.
     pub unavailable: bool,
-    /// Milliseconds by which each answer is late.
+    /// Delay of each answer in milliseconds.
     pub delay_ms: u64,
 }
--- a/crates/papayamux-standins/src/config_service/server.rs
+++ b/crates/papayamux-standins/src/config_service/server.rs
@@ -1,4 +1,4 @@
-//! The configuration service's HTTP interface, for readers and for tests.
+//! HTTP interface of the configuration service, for readers and tests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::request_body::read_body;
 use crate::respond;
 
-/// The path below which tests put and remove files.
+/// Path below which tests put and remove files.
 pub const STANDIN_FILES_PATH: &str = "/standin/files";
-/// The path of the faults that tests bring about.
+/// Path at which tests read and replace the faults.
 pub const FAULTS_PATH: &str = "/standin/faults";
-/// The path of the counters.
+/// Path of the call counters.
 pub const COUNTERS_PATH: &str = "/standin/counters";
 
-/// The path at which tests put a file.
+/// Returns the path at which tests put and remove a file.
 pub fn standin_file_path(name: &str) -> String {
     format!("{STANDIN_FILES_PATH}/{name}")
 }
--- a/crates/papayamux-standins/src/config_service/service_state.rs
+++ b/crates/papayamux-standins/src/config_service/service_state.rs
@@ -1,4 +1,4 @@
-//! Files, faults and counters of a configuration service, shared by its connections.
+//! State of a configuration service: files, faults and counters, shared by its connections.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -20,7 +20,7 @@
 }
 
 impl ServiceState {
-    /// A service without files.
+    /// Creates the state of a service without files.
     pub fn new(options: ConfigServiceOptions) -> Self {
         Self {
             history: RefCell::default(),
@@ -30,22 +30,23 @@
         }
     }
 
-    /// Counts a read, and says whether it is within the rate.
+    /// Counts a read and returns `true` if it is within the rate limit.
     pub fn accept_read(&self) -> bool {
         self.meter.borrow_mut().accept(Instant::now())
     }
 
-    /// The counters so far.
+    /// Returns the call counters.
     pub fn counters(&self) -> CallCounters {
         self.meter.borrow().counters()
     }
 
-    /// The present faults.
+    /// Returns the current faults.
     pub fn faults(&self) -> ConfigFaults {
         *self.faults.borrow()
     }
 
-    /// Replaces the faults; waiting watches look again.
+    /// Replaces the faults and wakes pending watches. Returns the faults now in effect, in which
+    /// [`ServedView::Frozen`] is resolved to a revision.
     pub fn set_faults(&self, mut faults: ConfigFaults) -> ConfigFaults {
         if faults.view == ServedView::Frozen {
             faults.view = ServedView::At(self.served_revision());
@@ -55,24 +56,25 @@
         faults
     }
 
-    /// Puts or removes a file; waiting watches look again.
+    /// Puts or removes a file and wakes pending watches.
     pub fn put(&self, name: &str, text: Option<&str>) -> Result<u64, HistoryError> {
         let revision = self.history.borrow_mut().put(name, text)?;
         self.wake_watches();
         Ok(revision)
     }
 
-    /// The files as readers see them, those changed after `after`.
+    /// Lists the files changed after revision `after`, as served to readers.
     pub fn listing(&self, after: u64) -> FileListing {
         self.history.borrow().listing(self.served_revision(), after)
     }
 
-    /// A file as readers see it.
+    /// Returns a file as served to readers.
     pub fn file(&self, name: &str) -> Option<ConfigFile> {
         self.history.borrow().file(self.served_revision(), name)
     }
 
-    /// Waits until readers see a change after `after`, the time is over, or the service fails.
+    /// Waits until a change after revision `after` is served, the timeout expires, or the service
+    /// becomes unavailable.
     pub async fn watch(&self, after: u64, timeout: Duration) -> FileListing {
         let mut over = Box::pin(monoio::time::sleep(timeout));
         loop {
--- a/crates/papayamux-standins/src/engine/answer_plan.rs
+++ b/crates/papayamux-standins/src/engine/answer_plan.rs
@@ -1,8 +1,8 @@
-//! Answers that are derived from the request, so that a caller can check each byte.
+//! Deterministic answers derived from the request, so that a caller can check each byte.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens of an answer where the caller names no bound.
+/// Number of answer tokens if the request sets no maximum.
 const DEFAULT_TOKENS: u64 = 32;
 
 const SYLLABLES: [&str; 16] = [
@@ -10,23 +10,23 @@
     "do",
 ];
 
-/// What an engine is going to answer.
+/// The predetermined answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerPlan {
     seed: u64,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     pub tokens: u64,
 }
 
 impl AnswerPlan {
-    /// The answer to a prompt.
+    /// Derives the answer to a prompt.
     pub fn new(model: &str, prompt: &str, max_tokens: Option<u32>) -> Self {
         let model_seed = xxh3_64_with_seed(model.as_bytes(), 0);
         let seed = xxh3_64_with_seed(prompt.as_bytes(), model_seed);
         Self { seed, tokens: max_tokens.map_or(DEFAULT_TOKENS, u64::from) }
     }
 
-    /// The text of token number `index`.
+    /// Returns the text of the token at `index`.
     pub fn token(self, index: u64) -> String {
         let hash = xxh3_64_with_seed(&index.to_le_bytes(), self.seed);
         let first = SYLLABLES[(hash & 15) as usize];
@@ -34,13 +34,13 @@
         format!("{first}{second} ")
     }
 
-    /// The whole text.
+    /// Returns the complete text of the answer.
     pub fn text(self) -> String {
         (0..self.tokens).map(|index| self.token(index)).collect()
     }
 }
 
-/// The whole answer that any engine gives to a prompt.
+/// Returns the complete answer that every engine stand-in gives to a prompt.
 pub fn expected_answer(model: &str, prompt: &str, max_tokens: Option<u32>) -> String {
     AnswerPlan::new(model, prompt, max_tokens).text()
 }
--- a/crates/papayamux-standins/src/engine/answer_record.rs
+++ b/crates/papayamux-standins/src/engine/answer_record.rs
@@ -1,4 +1,4 @@
-//! How far a request's answer has come, for those who read it now or resume it later.
+//! Progress of a request's answer, for current readers and for readers that resume it later.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -11,16 +11,16 @@
 
 use super::answer_plan::AnswerPlan;
 
-/// How an answer ended.
+/// The final state of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEnd {
     /// All tokens were produced.
     Complete(UsageReport),
-    /// The request was cancelled, or nobody read it any more.
+    /// The request was cancelled, or abandoned by all of its readers.
     Cancelled,
 }
 
-/// What a reader of an answer receives.
+/// An event that a reader of an answer receives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerEvent {
     /// The next token.
@@ -29,10 +29,10 @@
     End(AnswerEnd),
 }
 
-/// The state of one answer. The tokens follow from the plan, so that none is buffered.
+/// The state of one answer. Tokens are derived from the plan, so none are buffered.
 #[derive(Debug)]
 pub struct AnswerRecord {
-    /// What is answered.
+    /// The answer's content.
     pub plan: AnswerPlan,
     produced: Cell<u64>,
     end: Cell<Option<AnswerEnd>>,
@@ -42,7 +42,7 @@
 }
 
 impl AnswerRecord {
-    /// An answer of which nothing was produced yet.
+    /// Creates the record of an answer without any produced tokens.
     pub fn new(plan: AnswerPlan) -> Rc<Self> {
         Rc::new(Self {
             plan,
@@ -54,23 +54,23 @@
         })
     }
 
-    /// Tokens produced so far.
+    /// Returns the number of tokens produced so far.
     pub fn produced(&self) -> u64 {
         self.produced.get()
     }
 
-    /// How the answer ended, if it has.
+    /// Returns the final state of the answer, or `None` while it is in progress.
     pub fn end(&self) -> Option<AnswerEnd> {
         self.end.get()
     }
 
-    /// One more token is there.
+    /// Records another produced token and wakes the readers.
     pub fn produce(&self) {
         self.produced.set(self.produced.get() + 1);
         self.wake();
     }
 
-    /// Ends the answer; only the first end counts.
+    /// Ends the answer and wakes the readers. Only the first call takes effect.
     pub fn finish(&self, end: AnswerEnd) {
         if self.end.get().is_none() {
             self.end.set(Some(end));
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether all readers have been gone for the time of `grace`.
+    /// Returns `true` if the answer has had no reader for at least `grace`.
     pub fn is_abandoned(&self, now: Instant, grace: Duration) -> bool {
         self.readers.get() == 0
             && self.last_reader_left_at.get().is_some_and(|left| left + grace <= now)
@@ -97,7 +97,8 @@
     }
 }
 
-/// Reads an answer from some token on; the answer is abandoned once its last reader is dropped.
+/// Reads an answer from a given token on. The answer counts as abandoned once its last reader has
+/// been dropped for the grace period.
 #[derive(Debug)]
 pub struct AnswerReader {
     record: Rc<AnswerRecord>,
@@ -106,13 +107,13 @@
 }
 
 impl AnswerReader {
-    /// A reader whose first token has number `from`.
+    /// Creates a reader that starts at token number `from`.
     pub fn new(record: Rc<AnswerRecord>, from: u64) -> Self {
         record.readers.set(record.readers.get() + 1);
         Self { record, next: from, ended: false }
     }
 
-    /// Whether the reader has had the event behind the last token, which brings the usage.
+    /// Returns `true` if the reader starts after the usage event, which follows the last token.
     pub fn starts_past_usage(&self) -> bool {
         self.next > self.record.plan.tokens
     }
--- a/crates/papayamux-standins/src/engine/batch.rs
+++ b/crates/papayamux-standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The engine's continuous batch: each step computes prompt tokens and one token of each answer.
+//! The engine's continuous batching: each step prefills prompt tokens and decodes answer tokens.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -15,16 +15,16 @@
 use super::job::{EngineJob, EngineRequest};
 use super::options::EngineOptions;
 
-/// A chain of blocks that the cache holds.
+/// A chain of cached blocks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CachedChain {
-    /// The root below which the chain hangs.
+    /// Root hash of the chain, which identifies its model and adapter.
     pub root: u64,
-    /// The blocks, the first one first.
+    /// Block hashes, from the start of the prompt.
     pub blocks: Vec<u64>,
 }
 
-/// The engine's batch and cache; clones share them.
+/// The engine's batch and cache. Clones share their state.
 #[derive(Clone)]
 pub struct EngineBatch {
     options: Rc<EngineOptions>,
@@ -33,7 +33,7 @@
 }
 
 impl EngineBatch {
-    /// Starts the batch's steps on the current runtime.
+    /// Starts the step loop on the current runtime.
     pub fn start(options: Rc<EngineOptions>) -> Self {
         let state = Rc::new(RefCell::new(BatchState::new(&options)));
         let batch = Self { options, state, idle: Rc::default() };
@@ -41,7 +41,7 @@
         batch
     }
 
-    /// Adds a request; `None` if too many wait already.
+    /// Queues a request and returns a reader of its answer, or `None` if the queue is full.
     pub fn submit(&self, request: EngineRequest) -> Option<AnswerReader> {
         let mut state = self.state.borrow_mut();
         if state.waiting.len() >= self.options.waiting_limit {
@@ -59,50 +59,50 @@
         Some(AnswerReader::new(record, 0))
     }
 
-    /// Reads the answer of a request that runs or ended recently, from token number `from` on.
+    /// Returns a reader from token number `from` on, if the request is running or ended recently.
     pub fn resume(&self, id: &str, from: u64) -> Option<AnswerReader> {
         let state = self.state.borrow();
         state.requests.find(id).map(|record| AnswerReader::new(record.clone(), from))
     }
 
-    /// How the answer of a request ended; `None` while it goes on or if the id is not known.
+    /// Returns the final state of an answer, or `None` if it is in progress or the id is unknown.
     pub fn end_of(&self, id: &str) -> Option<AnswerEnd> {
         self.state.borrow().requests.find(id).and_then(|record| record.end())
     }
 
-    /// Cancels a request, and says how it ended; `None` if the id is not known.
+    /// Cancels a request and returns the final state of its answer, or `None` if the id is unknown.
     pub fn cancel(&self, id: &str) -> Option<AnswerEnd> {
         let record = self.state.borrow().requests.find(id).cloned()?;
         record.finish(AnswerEnd::Cancelled);
         record.end()
     }
 
-    /// How often each request id was started.
+    /// Returns the number of runs by request id.
     pub fn runs(&self) -> HashMap<String, u64> {
         self.state.borrow().requests.runs().clone()
     }
 
-    /// How often a request with each tag was started.
+    /// Returns the number of runs by tag.
     pub fn tag_runs(&self) -> HashMap<String, u64> {
         self.state.borrow().requests.tag_runs().clone()
     }
 
-    /// The load as the engine reports it, with its lag.
+    /// Returns the load as the engine reports it, with the configured lag.
     pub fn reported_load(&self) -> EngineLoad {
         self.state.borrow_mut().load.seen(Instant::now()).clone()
     }
 
-    /// The load as it truly is.
+    /// Returns the current load, without lag.
     pub fn true_load(&self) -> EngineLoad {
         self.state.borrow().load.present().clone()
     }
 
-    /// The cache events after number `after`, at most `limit`.
+    /// Returns a page of at most `limit` cache events after number `after`.
     pub fn cache_events(&self, after: u64, limit: usize) -> CacheEventPage {
         self.state.borrow().log.page(Instant::now(), after, limit)
     }
 
-    /// The cache as it is now.
+    /// Returns a snapshot of the cache.
     pub fn cache_snapshot(&self) -> CacheSnapshot {
         let state = self.state.borrow();
         CacheSnapshot {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The leading blocks of `chain` that the cache holds; `None` if it holds none.
+    /// Returns the leading blocks of `chain` that are cached, or `None` if the first one is not.
     pub fn cached_chain(&self, chain: &[u64]) -> Option<CachedChain> {
         let state = self.state.borrow();
         let mut parent = None;
@@ -126,12 +126,12 @@
         Some(CachedChain { root, blocks })
     }
 
-    /// Stores a chain that was computed elsewhere.
+    /// Caches a chain that another engine computed.
     pub fn import(&self, chain: &CachedChain) {
         self.state.borrow_mut().import(Instant::now(), chain.root, &chain.blocks);
     }
 
-    /// Empties the cache of everything below `roots`.
+    /// Evicts all blocks below `roots`.
     pub fn evict_roots(&self, roots: &HashSet<u64>) {
         self.state.borrow_mut().evict_roots(Instant::now(), roots);
     }
@@ -168,7 +168,7 @@
     }
 }
 
-/// Lets the other tasks run once.
+/// Yields to the runtime's other tasks once.
 async fn yield_once() {
     let mut yielded = false;
     poll_fn(|context| {
--- a/crates/papayamux-standins/src/engine/batch_state.rs
+++ b/crates/papayamux-standins/src/engine/batch_state.rs
@@ -1,4 +1,4 @@
-//! What the engine holds: requests, cache, event log and load.
+//! The engine's state: requests, cache, event log and load.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -13,11 +13,11 @@
 use super::request_table::RequestTable;
 use crate::lagged::LaggedValue;
 
-/// The state that each step of the engine changes.
+/// The state that each engine step advances.
 pub struct BatchState {
-    /// Requests that arrived since the engine started.
+    /// Number of requests queued since the engine started.
     pub arrivals: u64,
-    /// Requests that wait for a place.
+    /// Requests that wait for a slot in the batch.
     pub waiting: Vec<EngineJob>,
     /// Requests in the batch.
     pub running: Vec<EngineJob>,
@@ -25,14 +25,14 @@
     pub requests: RequestTable,
     /// The prefix cache.
     pub cache: PrefixCache,
-    /// The cache's events.
+    /// Log of the cache's changes.
     pub log: EventLog,
-    /// The load, as reported with its lag.
+    /// Load, reported with a lag.
     pub load: LaggedValue<EngineLoad>,
 }
 
 impl BatchState {
-    /// An engine without requests.
+    /// Creates the state of an engine without requests.
     pub fn new(options: &EngineOptions) -> Self {
         let batch_limit = options.batch_limit as u64;
         let load = EngineLoad { batch_limit, ..EngineLoad::default() };
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Does one step of all requests.
+    /// Advances all requests by one step.
     pub fn step(&mut self, now: Instant, options: &EngineOptions) {
         self.drop_abandoned(now, options.cancel_grace);
         self.drop_ended();
@@ -57,7 +57,7 @@
         self.record_load(now);
     }
 
-    /// Keeps the load as it is at `now` for the reports.
+    /// Records the load at `now` for load reports.
     pub fn record_load(&mut self, now: Instant) {
         let load = EngineLoad {
             running: self.running.len() as u64,
@@ -68,13 +68,13 @@
         self.load.set(now, load);
     }
 
-    /// Stores a chain that was computed elsewhere.
+    /// Caches a chain that another engine computed.
     pub fn import(&mut self, now: Instant, root: u64, chain: &[u64]) {
         let changes = self.cache.store(root, chain);
         self.log.append(now, changes);
     }
 
-    /// Empties the cache of everything below `roots`.
+    /// Evicts all blocks below `roots` and stops running requests from caching blocks there.
     pub fn evict_roots(&mut self, now: Instant, roots: &HashSet<u64>) {
         self.running.iter_mut().for_each(|job| job.mark_unloaded(roots));
         let changes = self.cache.evict_roots(roots);
@@ -101,7 +101,7 @@
         self.running.retain(&mut is_running);
     }
 
-    /// Moves waiting requests into the batch, by priority and then by arrival.
+    /// Moves waiting requests into the batch, ordered by priority, then by arrival.
     fn admit(&mut self, limit: usize) {
         self.waiting.sort_by_key(|job| (job.request.priority, job.arrival));
         let places = limit.saturating_sub(self.running.len()).min(self.waiting.len());
--- a/crates/papayamux-standins/src/engine/chat_interface.rs
+++ b/crates/papayamux-standins/src/engine/chat_interface.rs
@@ -1,4 +1,4 @@
-//! Chat requests, and the streams of their answers.
+//! Chat requests and the streaming of their answers.
 
 use std::collections::VecDeque;
 use std::task::Poll;
@@ -26,11 +26,11 @@
 use crate::respond;
 use crate::run_tag::TAG_HEADER;
 
-/// The exit code of an engine that was told to end on a prompt.
+/// Exit code of an engine that crashes on a prompt, as configured with `--ends-on`.
 const CRASH_EXIT_CODE: i32 = 70;
 const CANCELLED: &str = "the request was cancelled";
 
-/// Runs a chat request.
+/// Answers a chat request, as a stream or as a single JSON response.
 pub async fn answer_chat(server: &EngineServer, request: Request<Incoming>) -> EngineResult {
     let (head, body) = request.into_parts();
     let text_of = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
@@ -42,7 +42,7 @@
     server.loader.check_loaded(&chat.model, chat.adapter.as_deref())?;
     let prompt = render_prompt(&chat.messages);
     if server.options.crash_on.as_ref().is_some_and(|text| prompt.contains(text)) {
-        log::error!(request = id; "engine ends, as it was told to for this prompt");
+        log::error!(request = id; "engine exits: the prompt contains the text of --ends-on");
         std::process::exit(CRASH_EXIT_CODE);
     }
     let plan = AnswerPlan::new(&chat.model, &prompt, chat.max_tokens);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Resumes the stream of a request.
+/// Resumes the answer stream of a request from the token in the `from` query parameter.
 pub fn resume_stream(batch: &EngineBatch, id: &str, request: &Request<Incoming>) -> EngineResult {
     let from = query_number(request.uri(), "from").unwrap_or(0);
     if batch.end_of(id) == Some(AnswerEnd::Cancelled) {
@@ -99,7 +99,7 @@
     respond::json(StatusCode::OK, &ChatCompletion { id, choices: vec![choice], usage })
 }
 
-/// The answer as server-sent events; that of a cancelled request is cut off.
+/// Streams the answer as server-sent events. The stream of a cancelled request is truncated.
 fn stream_answer(id: String, mut reader: AnswerReader) -> Response<AnswerBody> {
     let mut pending = VecDeque::new();
     let pieces = stream::poll_fn(move |context| {
--- a/crates/papayamux-standins/src/engine/event_log.rs
+++ b/crates/papayamux-standins/src/engine/event_log.rs
@@ -1,4 +1,4 @@
-//! The log of cache events: bounded, late, and with gaps where the options ask for them.
+//! A bounded log of cache events, with optional delay and event loss.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,16 +7,16 @@
 use papayamux_state::ids::Incarnation;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How the log treats its events.
+/// Options of an event log.
 #[derive(Debug, Clone, Copy)]
 pub struct EventLogOptions {
-    /// Events kept.
+    /// Maximum number of retained events.
     pub capacity: usize,
-    /// How long after a change its event becomes visible.
+    /// Delay until the event of a change becomes visible.
     pub lateness: Duration,
-    /// The share of events that are lost, from 0 to 1.
+    /// Fraction of events that are lost, from 0 to 1.
     pub gap_share: f64,
-    /// The seed that decides which ones are lost.
+    /// Seed that selects the lost events.
     pub gap_seed: u64,
 }
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// `None` stands for an event that was lost.
+/// A logged cache change; `change` is `None` for a lost event.
 #[derive(Debug)]
 struct LoggedChange {
     at: Instant,
     change: Option<CacheChange>,
 }
 
-/// Numbered cache events of one life of an engine.
+/// Numbered cache events of one engine incarnation.
 #[derive(Debug)]
 pub struct EventLog {
     options: EventLogOptions,
@@ -43,22 +43,22 @@
 }
 
 impl EventLog {
-    /// An empty log; the first event gets number 1.
+    /// Creates an empty log. The first event gets number 1.
     pub fn new(options: EventLogOptions) -> Self {
         Self { options, incarnation: Incarnation::draw(), last: 0, changes: VecDeque::new() }
     }
 
-    /// The life of the engine that this log belongs to.
+    /// Returns the incarnation of the engine that this log belongs to.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.get()
     }
 
-    /// The number of the last event, also of one that is not visible yet or was lost.
+    /// Returns the number of the last event, even if it is not visible yet or was lost.
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Numbers and keeps changes that happened at `now`.
+    /// Appends changes that happened at `now`, with ascending numbers.
     pub fn append(&mut self, now: Instant, changes: Vec<CacheChange>) {
         for change in changes {
             self.last += 1;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The events after number `after` that are visible at `now`, at most `limit`.
+    /// Returns at most `limit` events after number `after` that are visible at `now`.
     pub fn page(&self, now: Instant, after: u64, limit: usize) -> CacheEventPage {
         let first_kept = self.last + 1 - self.changes.len() as u64;
         let skipped = after.saturating_add(1).saturating_sub(first_kept);
--- a/crates/papayamux-standins/src/engine/failure.rs
+++ b/crates/papayamux-standins/src/engine/failure.rs
@@ -1,4 +1,4 @@
-//! Failures of the engine as responses.
+//! Engine errors and their HTTP responses.
 
 use http::Response;
 use papayamux_protocol::engine::{EngineError, EngineErrorCode, EngineFailure};
@@ -9,17 +9,17 @@
 /// The result of handling a request.
 pub type EngineResult = Result<Response<AnswerBody>, EngineError>;
 
-/// A failure with the given code.
+/// Creates an error with the given code.
 pub fn engine_error(code: EngineErrorCode, message: impl Into<String>) -> EngineError {
     EngineError { code, message: message.into(), highest_fence: None }
 }
 
-/// A failure of a request that is malformed.
+/// Creates the error for a malformed request.
 pub fn invalid_request(error: impl std::fmt::Display) -> EngineError {
     engine_error(EngineErrorCode::InvalidRequest, error.to_string())
 }
 
-/// The response to a request that failed.
+/// Builds the response for a failed request.
 pub fn failure_response(error: EngineError) -> Response<AnswerBody> {
     respond::json(error.code.status(), &EngineFailure { error })
 }
--- a/crates/papayamux-standins/src/engine/http_interface.rs
+++ b/crates/papayamux-standins/src/engine/http_interface.rs
@@ -24,18 +24,18 @@
 use crate::respond;
 use crate::run_tag::TAG_RUNS_PATH;
 
-/// The path that says how often each request id was run.
+/// Path of the number of runs by request id.
 pub const RUNS_PATH: &str = "/standin/runs";
-/// The path of the load as it truly is, without lag.
+/// Path of the current load, without lag.
 pub const TRUE_LOAD_PATH: &str = "/standin/load";
 
-/// The parts that answer an engine's requests.
+/// The components that serve an engine's requests.
 pub struct EngineServer {
-    /// The engine's options.
+    /// Options of the engine.
     pub options: Rc<EngineOptions>,
-    /// The batch.
+    /// Batch that runs the requests.
     pub batch: EngineBatch,
-    /// The loader.
+    /// Loader of models and adapters.
     pub loader: ModelLoader,
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Requests below the path of one request.
+/// Handles calls to the path of a single request: cancelling it and resuming its stream.
 fn answer_for_request(server: &EngineServer, request: &Request<Incoming>) -> EngineResult {
     let path = request.uri().path();
     let below = path.strip_prefix(REQUESTS_PATH).and_then(|path| path.strip_prefix('/'));
--- a/crates/papayamux-standins/src/engine/job.rs
+++ b/crates/papayamux-standins/src/engine/job.rs
@@ -1,4 +1,4 @@
-//! One request in the engine.
+//! A request and its progress in the engine.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -12,22 +12,22 @@
 use super::answer_record::{AnswerEnd, AnswerRecord};
 use super::prefix_cache::PrefixCache;
 
-/// A request as the engine understands it.
+/// A parsed chat request.
 #[derive(Debug, Clone)]
 pub struct EngineRequest {
-    /// The id that the caller gave.
+    /// Request id set by the caller; empty if absent.
     pub id: String,
-    /// The tag under which a test counts the request's runs.
+    /// Tag under which the request's runs are counted for tests.
     pub tag: Option<String>,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: Option<String>,
-    /// The rendered prompt.
+    /// Rendered prompt.
     pub prompt: String,
-    /// The priority class; a lower number goes first.
+    /// Priority class; lower numbers are admitted first.
     pub priority: u32,
-    /// What will be answered.
+    /// Predetermined answer.
     pub plan: AnswerPlan,
 }
 
@@ -41,15 +41,15 @@
     }
 }
 
-/// A request that waits for or has a place in the batch.
+/// A request that is waiting for a slot in the batch or running in one.
 pub struct EngineJob {
     /// The request.
     pub request: EngineRequest,
-    /// Its answer.
+    /// Progress of the answer.
     pub record: Rc<AnswerRecord>,
-    /// The number of its arrival.
+    /// Sequence number of the request's arrival.
     pub arrival: u64,
-    /// Prompt tokens that are still to be computed.
+    /// Number of prompt tokens still to be prefilled.
     pub prefill_left: u64,
     weights_unloaded: bool,
     cached: u64,
@@ -57,7 +57,7 @@
 }
 
 impl EngineJob {
-    /// A request that has just arrived.
+    /// Creates the job of a request that has just arrived.
     pub fn new(request: EngineRequest, record: Rc<AnswerRecord>, arrival: u64) -> Self {
         let tokens = prompt_tokens(request.prompt.len());
         Self {
@@ -71,13 +71,14 @@
         }
     }
 
-    /// The weights below `roots` are gone: a request that runs with them ends as it began, but
-    /// nothing it computes may be cached for those that come after them.
+    /// Marks the request's weights as unloaded if they belong to one of `roots`. The request still
+    /// completes with them, but its blocks are no longer cached, since they are invalid for the
+    /// weights loaded next.
     pub fn mark_unloaded(&mut self, roots: &HashSet<u64>) {
         self.weights_unloaded |= roots.contains(&self.request.root());
     }
 
-    /// Takes what the cache holds of the prompt.
+    /// Reuses the cached prefix of the prompt, which reduces the remaining prefill.
     pub fn reuse(&mut self, cache: &mut PrefixCache) {
         let blocks = self.request.blocks("");
         let warm = cache.warm_blocks(&blocks);
@@ -86,8 +87,8 @@
         self.prefill_left = self.prompt_tokens.saturating_sub(self.cached);
     }
 
-    /// Does one step of the request, with at most `prefill` prompt tokens, and gives what this
-    /// changed in the cache.
+    /// Advances the request by one step and returns the resulting cache changes. `prefill` is the
+    /// step's remaining budget of prompt tokens.
     pub fn advance(&mut self, prefill: &mut u64, cache: &mut PrefixCache) -> Vec<CacheChange> {
         if self.prefill_left > 0 {
             return self.compute_prompt(prefill, cache);
--- a/crates/papayamux-standins/src/engine/kv_blob.rs
+++ b/crates/papayamux-standins/src/engine/kv_blob.rs
@@ -1,4 +1,4 @@
-//! Blobs of KV cache: a chain of blocks with as many bytes as an export would have.
+//! KV cache blobs: a chain of blocks with placeholder contents of the size of an export.
 
 use bytes::Bytes;
 use papayamux_protocol::engine::{MAX_KV_BLOB_BYTES, MAX_KV_BLOCKS};
@@ -8,24 +8,24 @@
 
 use super::batch::CachedChain;
 
-/// Bytes of a blob that are not contents, at most.
+/// Maximum number of bytes in an encoded blob besides its contents.
 const OVERHEAD: usize = 64 + 10 * MAX_KV_BLOCKS;
 
-/// Why a blob can't be taken.
+/// The error of reading a KV blob.
 #[derive(Debug, Error)]
 pub enum KvBlobError {
-    /// It is no blob.
+    /// The bytes do not decode as a blob.
     #[error("this is no KV blob: {0}")]
     Shape(#[from] prost::DecodeError),
-    /// It is not as it was exported.
+    /// The checksum does not match.
     #[error("the KV blob is damaged")]
     Damaged,
-    /// It has too many blocks.
+    /// The blob has more than [`MAX_KV_BLOCKS`] blocks.
     #[error("the KV blob has {0} blocks, the bound is {MAX_KV_BLOCKS}")]
     TooMany(usize),
 }
 
-/// A chain with what its KV cache would need to be used elsewhere.
+/// An exported chain, with placeholder contents and the identity of its weights.
 #[derive(Clone, PartialEq, Message)]
 pub struct KvBlob {
     #[prost(fixed64, tag = "1")]
@@ -41,7 +41,7 @@
 }
 
 impl KvBlob {
-    /// The blob of a chain that was computed with `weights`.
+    /// Creates the blob of a chain that was computed with `weights`.
     pub fn new(chain: CachedChain, weights: u64, block_bytes: usize) -> Self {
         let length = block_bytes.saturating_mul(chain.blocks.len());
         let length = length.min(MAX_KV_BLOB_BYTES - OVERHEAD);
@@ -52,7 +52,7 @@
         blob
     }
 
-    /// Reads a blob.
+    /// Decodes a blob and verifies its checksum.
     pub fn read(bytes: Bytes) -> Result<Self, KvBlobError> {
         let blob = Self::decode(bytes)?;
         match blob.blocks.len() {
@@ -62,12 +62,12 @@
         }
     }
 
-    /// The number that tells which weights the chain was computed with.
+    /// Returns the identity of the weights that the chain was computed with.
     pub fn weights(&self) -> u64 {
         self.weights
     }
 
-    /// The chain.
+    /// Returns the blob's chain.
     pub fn into_chain(self) -> CachedChain {
         CachedChain { root: self.root, blocks: self.blocks }
     }
--- a/crates/papayamux-standins/src/engine/kv_interface.rs
+++ b/crates/papayamux-standins/src/engine/kv_interface.rs
@@ -1,4 +1,4 @@
-//! Export and import of KV cache.
+//! Export and import of KV cache blocks.
 
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
@@ -12,7 +12,7 @@
 use crate::request_body::read_body;
 use crate::respond;
 
-/// Exports the leading blocks of a chain that are cached.
+/// Exports the cached leading blocks of a chain.
 pub async fn export_blocks(server: &EngineServer, request: Request<Incoming>) -> EngineResult {
     let body = read_body(request.into_body()).await.map_err(invalid_request)?;
     let request: KvExportRequest = serde_json::from_slice(&body).map_err(invalid_request)?;
@@ -29,7 +29,7 @@
     Ok(respond::typed(StatusCode::OK, "application/octet-stream", body))
 }
 
-/// Imports a blob.
+/// Imports a blob into the cache, if it was computed with the weights that are loaded here.
 pub async fn import_blob(server: &EngineServer, request: Request<Incoming>) -> EngineResult {
     let body = read_body(request.into_body()).await.map_err(invalid_request)?;
     let blob = KvBlob::read(body).map_err(invalid_request)?;
--- a/crates/papayamux-standins/src/engine/loaded_weights.rs
+++ b/crates/papayamux-standins/src/engine/loaded_weights.rs
@@ -1,4 +1,4 @@
-//! The engine's models and adapters: loaded, loading, failed.
+//! Load state of the engine's models and adapters.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,28 +10,28 @@
 
 use super::options::EngineOptions;
 
-/// What weights are for.
+/// Distinguishes the weights of models and adapters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum WeightsKind {
     Model,
     Adapter,
 }
 
-/// A model or an adapter, whatever its version.
+/// Identifies a model or an adapter, independent of its version.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WeightsKey {
     kind: WeightsKind,
-    /// Its name.
+    /// Name of the model or adapter.
     pub name: String,
 }
 
 impl WeightsKey {
-    /// A model.
+    /// Creates the key of a model.
     pub fn model(name: &str) -> Self {
         Self { kind: WeightsKind::Model, name: name.to_string() }
     }
 
-    /// An adapter.
+    /// Creates the key of an adapter.
     pub fn adapter(name: &str) -> Self {
         Self { kind: WeightsKind::Adapter, name: name.to_string() }
     }
@@ -40,7 +40,8 @@
 /// Versions by model and adapter.
 type VersionTable = BTreeMap<WeightsKey, String>;
 
-/// Models and adapters of an engine, and what the last order says of them.
+/// Models and adapters that are loaded, loading or failed, and the last accepted order's fence and
+/// role.
 #[derive(Debug, Default)]
 pub struct LoadedWeights {
     fence: Option<u64>,
@@ -52,7 +53,7 @@
 }
 
 impl LoadedWeights {
-    /// What the options say is loaded at the start.
+    /// Creates the initial state, with the models and adapters of the options loaded.
     pub fn new(options: &EngineOptions) -> Self {
         let models = options.models.iter().map(|model| WeightsKey::model(model.as_str()));
         let adapters = options.adapters.iter().map(|adapter| WeightsKey::adapter(adapter.as_str()));
@@ -60,17 +61,17 @@
         Self { loaded: loaded.collect(), ..Self::default() }
     }
 
-    /// Whether requests for `key` are answered.
+    /// Returns `true` if `key` is loaded, so that requests for it are answered.
     pub fn is_loaded(&self, key: &WeightsKey) -> bool {
         self.loaded.contains_key(key)
     }
 
-    /// The highest fencing number seen.
+    /// Returns the highest fencing number of all applied orders.
     pub fn highest_fence(&self) -> u64 {
         self.highest_fence
     }
 
-    /// Takes an order's targets: unloads what it does not name, and gives what has to be loaded.
+    /// Applies an order: unloads what it does not name, and returns what has to be loaded.
     pub fn retarget(&mut self, order: EngineOrder) -> Vec<(WeightsKey, String)> {
         let targets = order_targets(&order);
         self.fence = Some(order.fence);
@@ -87,7 +88,7 @@
         missing
     }
 
-    /// A load has ended; where a later order wants something else, nothing changes.
+    /// Records the result of a load. It is ignored if a later order has superseded the load.
     pub fn loaded(&mut self, key: WeightsKey, version: String, result: Result<(), String>) {
         if self.loading.get(&key) != Some(&version) {
             return;
@@ -104,8 +105,8 @@
         }
     }
 
-    /// The roots of all chains that can be cached, each with a number that differs between
-    /// versions.
+    /// Returns the root hashes of all chains that can be cached, each with an identity that differs
+    /// between versions of the weights.
     pub fn roots(&self) -> HashMap<u64, u64> {
         let mut roots = HashMap::new();
         for (model, version) in self.of_kind(WeightsKind::Model) {
@@ -119,7 +120,7 @@
         roots
     }
 
-    /// The state as published.
+    /// Returns the state as published over HTTP.
     pub fn state(&self, server: &ServerId) -> EngineState {
         EngineState {
             name: server.to_string(),
--- a/crates/papayamux-standins/src/engine/mod.rs
+++ b/crates/papayamux-standins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The model engine stand-in: batches continuously, caches prompt prefixes in limited memory.
+//! Stand-in for a model engine, with continuous batching and a bounded prefix cache.
 
 mod answer_plan;
 mod answer_record;
--- a/crates/papayamux-standins/src/engine/model_loader.rs
+++ b/crates/papayamux-standins/src/engine/model_loader.rs
@@ -1,4 +1,4 @@
-//! Orders: which models and adapters the engine has loaded, and is to load.
+//! Loading of models and adapters, as ordered by the agent.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -17,7 +17,7 @@
 use super::loaded_weights::{LoadedWeights, WeightsKey};
 use super::options::EngineOptions;
 
-/// Brings the engine to what orders say; clones share its state.
+/// Loads and unloads weights according to orders. Clones share their state.
 #[derive(Clone)]
 pub struct ModelLoader {
     options: Rc<EngineOptions>,
@@ -27,19 +27,19 @@
 }
 
 impl ModelLoader {
-    /// A loader that has the models and adapters of the options loaded.
+    /// Creates a loader that has the models and adapters of the options loaded.
     pub fn new(options: Rc<EngineOptions>, batch: EngineBatch) -> Self {
         let weights = Rc::new(RefCell::new(LoadedWeights::new(&options)));
         let store = options.weight_store.map(HttpClient::new);
         Self { options, weights, batch, store }
     }
 
-    /// What is loaded now.
+    /// Returns the current load state.
     pub fn state(&self) -> EngineState {
         self.weights.borrow().state(&self.options.server)
     }
 
-    /// Refuses a request for a model or adapter that is not loaded.
+    /// Returns an error if the model or the adapter is not loaded.
     pub fn check_loaded(&self, model: &str, adapter: Option<&str>) -> Result<(), EngineError> {
         let weights = self.weights.borrow();
         if !weights.is_loaded(&WeightsKey::model(model)) {
@@ -55,13 +55,13 @@
         }
     }
 
-    /// What tells the weights below a root from those of other versions; `None` if they are not
-    /// loaded.
+    /// Returns the identity of the weights below a root, which differs between versions. Returns
+    /// `None` if they are not loaded.
     pub fn weights_below(&self, root: u64) -> Option<u64> {
         self.weights.borrow().roots().get(&root).copied()
     }
 
-    /// Takes an order; loads go on after this returns.
+    /// Applies an order. Loads continue in the background.
     pub fn apply_order(&self, order: EngineOrder) -> Result<EngineState, EngineError> {
         if order.models.len() + order.adapters.len() > MAX_ORDERED_WEIGHTS {
             let message =
@@ -86,7 +86,7 @@
         Err(EngineError { highest_fence: Some(highest), ..error })
     }
 
-    /// Changes the weights, and empties the cache of what was computed with weights now gone.
+    /// Changes the weights, and evicts all blocks that were computed with weights no longer loaded.
     fn change<T>(&self, change: impl FnOnce(&mut LoadedWeights) -> T) -> T {
         let mut weights = self.weights.borrow_mut();
         let before = weights.roots();
--- a/crates/papayamux-standins/src/engine/options.rs
+++ b/crates/papayamux-standins/src/engine/options.rs
@@ -1,4 +1,4 @@
-//! How an engine stand-in behaves.
+//! Options of an engine stand-in.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,47 +8,47 @@
 
 use super::event_log::EventLogOptions;
 
-/// Options of an engine stand-in; the defaults are those of an engine of today.
+/// Options of an engine stand-in. The defaults are typical of a present-day engine.
 #[derive(Debug, Clone, Builder)]
 pub struct EngineOptions {
-    /// Its name.
+    /// Server id of the engine.
     pub server: ServerId,
-    /// Models it has loaded.
+    /// Models loaded at startup.
     pub models: Vec<ModelId>,
-    /// Adapters it has loaded.
+    /// Adapters loaded at startup.
     #[builder(default)]
     pub adapters: Vec<AdapterId>,
-    /// Time of one step, in which each running request gets one token.
+    /// Duration of a step, in which each decoding request gets one token.
     #[builder(default = Duration::from_millis(4))]
     pub step: Duration,
-    /// Places in the batch.
+    /// Maximum number of requests in the batch.
     #[builder(default = 64)]
     pub batch_limit: usize,
-    /// Prompt tokens computed in one step, over all requests.
+    /// Maximum number of prompt tokens prefilled per step, over all requests.
     #[builder(default = 512)]
     pub prefill_per_step: u64,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     #[builder(default = 8_192)]
     pub cache_blocks: usize,
-    /// How cache events are kept.
+    /// Options of the cache event log.
     #[builder(default)]
     pub events: EventLogOptions,
-    /// How old the state is that load reports show.
+    /// Age of the state shown by load reports.
     #[builder(default)]
     pub load_lag: Duration,
-    /// Requests that may wait for a place in the batch.
+    /// Maximum number of requests that wait for a slot in the batch.
     #[builder(default = 10_000)]
     pub waiting_limit: usize,
-    /// How long a request runs on after its last reader has gone.
+    /// Time for which a request keeps running after its last reader has disconnected.
     #[builder(default)]
     pub cancel_grace: Duration,
-    /// Whether orders are obeyed whatever their fencing number.
+    /// Accepts orders regardless of their fencing number.
     #[builder(default)]
     pub ignore_fencing: bool,
-    /// Time to load a model or adapter, after its weights were fetched.
+    /// Time to load a model or adapter after its weights were fetched.
     #[builder(default = Duration::from_millis(200))]
     pub load_time: Duration,
-    /// Where weights are fetched from before a load.
+    /// Address of the weight store from which weights are fetched before a load.
     pub weight_store: Option<SocketAddr>,
     /// Time to export one block of KV cache.
     #[builder(default = Duration::from_micros(20))]
@@ -56,9 +56,9 @@
     /// Time to import one block of KV cache.
     #[builder(default = Duration::from_micros(50))]
     pub kv_import_time: Duration,
-    /// Bytes of one block in a KV blob.
+    /// Size of one block in a KV blob, in bytes.
     #[builder(default = 256)]
     pub kv_block_bytes: usize,
-    /// The process ends when it gets a chat with this text.
+    /// Text that makes the process exit when a prompt contains it.
     pub crash_on: Option<String>,
 }
--- a/crates/papayamux-standins/src/engine/prefix_cache.rs
+++ b/crates/papayamux-standins/src/engine/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The engine's prefix cache: a tree of blocks, evicted from its leaves.
+//! The engine's prefix cache: a tree of blocks with LRU eviction from the leaves.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -11,10 +11,10 @@
     last_use: u64,
 }
 
-/// Blocks that an engine holds, the least recently used evicted first.
+/// A bounded set of cached blocks with least-recently-used eviction.
 ///
-/// Each use of a block also uses all its ancestors, and later than the block itself. The least
-/// recently used block is therefore always a leaf, so that no block outlives its parent.
+/// Each use of a block also marks all of its ancestors as used, after the block itself. The least
+/// recently used block is therefore always a leaf, so no block outlives its parent.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     capacity: usize,
@@ -24,34 +24,34 @@
 }
 
 impl PrefixCache {
-    /// A cache that holds `capacity` blocks.
+    /// Creates a cache with a capacity in blocks.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, ..Self::default() }
     }
 
-    /// Leading blocks of `chain` that are held.
+    /// Returns the number of leading blocks of `chain` that are cached.
     pub fn warm_blocks(&self, chain: &[u64]) -> usize {
         chain.iter().take_while(|block| self.blocks.contains_key(block)).count()
     }
 
-    /// Blocks held now, in ascending order.
+    /// Returns the cached blocks in ascending order.
     pub fn blocks(&self) -> Vec<u64> {
         let mut blocks: Vec<_> = self.blocks.keys().copied().collect();
         blocks.sort_unstable();
         blocks
     }
 
-    /// The root of a block that is held.
+    /// Returns the root of a cached block.
     pub fn root_of(&self, block: u64) -> Option<u64> {
         self.blocks.get(&block).map(|held| held.root)
     }
 
-    /// The parent of a block that is held; `None` for the first block of a chain.
+    /// Returns the parent of a cached block, or `None` for the first block of a chain.
     pub fn parent_of(&self, block: u64) -> Option<u64> {
         self.blocks.get(&block).and_then(|held| held.parent)
     }
 
-    /// Marks the blocks of `chain` that are held as used.
+    /// Marks the cached blocks of `chain` as used.
     pub fn touch(&mut self, chain: &[u64]) {
         for block in chain.iter().rev() {
             let Some(held) = self.blocks.get_mut(block) else { continue };
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Stores or refreshes a whole chain, from the block after `root` on, and gives the changes
-    /// that this made. Of a chain that is longer than the cache, the end is not stored.
+    /// Stores or refreshes a chain whose first block follows `root`, and returns the resulting
+    /// changes. If the chain is longer than the cache's capacity, its tail is not stored.
     pub fn store(&mut self, root: u64, chain: &[u64]) -> Vec<CacheChange> {
         let chain = &chain[..chain.len().min(self.capacity)];
         let mut changes = Vec::new();
@@ -85,7 +85,7 @@
         changes
     }
 
-    /// Evicts all blocks below `roots`, and gives the changes that this made.
+    /// Evicts all blocks below `roots` and returns the resulting changes.
     pub fn evict_roots(&mut self, roots: &HashSet<u64>) -> Vec<CacheChange> {
         let below = |block: &u64| self.root_of(*block).is_some_and(|root| roots.contains(&root));
         let evicted: Vec<_> = self.by_use.values().copied().filter(below).collect();
--- a/crates/papayamux-standins/src/engine/request_table.rs
+++ b/crates/papayamux-standins/src/engine/request_table.rs
@@ -1,4 +1,4 @@
-//! Requests by their id: those that run, and the last ones that ended.
+//! Table of running and recently ended requests by id.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -6,16 +6,16 @@
 use super::answer_record::AnswerRecord;
 use super::job::EngineRequest;
 
-/// Ended requests that can still be resumed.
+/// Maximum number of ended requests that can still be resumed.
 const MAX_ENDED_REQUESTS: usize = 4_096;
-/// Request ids, and tags, of which the runs are counted.
+/// Maximum number of request ids, and of tags, whose runs are counted separately.
 const MAX_COUNTED_NAMES: usize = 4_000_000;
-/// The count of all runs beyond those that are counted one by one.
+/// Key that counts the runs of all names beyond [`MAX_COUNTED_NAMES`].
 const BEYOND_COUNTED: &str = "(further)";
 
 type RunCounts = HashMap<String, u64>;
 
-/// Answers by request id, and how often each id was run.
+/// Answers by request id, and run counts by request id and tag.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     answers: HashMap<String, Rc<AnswerRecord>>,
@@ -25,19 +25,19 @@
 }
 
 impl RequestTable {
-    /// Adds a request; a request without an id can't be found again.
+    /// Adds a request. A request with an empty id is not stored and can't be found later.
     pub fn add(&mut self, id: &str, record: Rc<AnswerRecord>) {
         if !id.is_empty() {
             self.answers.insert(id.to_string(), record);
         }
     }
 
-    /// The answer of a request that runs or ended recently.
+    /// Returns the answer of a running or recently ended request.
     pub fn find(&self, id: &str) -> Option<&Rc<AnswerRecord>> {
         self.answers.get(id)
     }
 
-    /// A request has left the engine.
+    /// Records that a request has ended, and removes the oldest ended one above the limit.
     pub fn end(&mut self, id: &str, record: &Rc<AnswerRecord>) {
         if id.is_empty() {
             return;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Counts a run of a request.
+    /// Counts a run of a request, by id and by tag.
     pub fn count_run(&mut self, request: &EngineRequest) {
         count(&mut self.runs, &request.id);
         if let Some(tag) = &request.tag {
@@ -60,12 +60,12 @@
         }
     }
 
-    /// How often each request id was run.
+    /// Returns the number of runs by request id.
     pub fn runs(&self) -> &HashMap<String, u64> {
         &self.runs
     }
 
-    /// How often a request with each tag was run.
+    /// Returns the number of runs by tag.
     pub fn tag_runs(&self) -> &HashMap<String, u64> {
         &self.tag_runs
     }
--- a/crates/papayamux-standins/src/fault_proxy/chunk_queue.rs
+++ b/crates/papayamux-standins/src/fault_proxy/chunk_queue.rs
@@ -1,4 +1,4 @@
-//! What was read on one way and not written yet.
+//! Queue of chunks that were read in one direction and not written yet.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -6,20 +6,20 @@
 
 use papayamux_transport::shutdown::ShutdownSignal;
 
-/// Bytes kept on one way of one connection before no more are read.
+/// Number of queued bytes per direction of a connection at which reading pauses.
 const MAX_QUEUED_BYTES: usize = 8 * 1024 * 1024;
 
-/// Chunks kept on one way of one connection before no more are read.
+/// Number of queued chunks per direction of a connection at which reading pauses.
 const MAX_QUEUED_CHUNKS: usize = 64 * 1024;
 
-/// What was read.
+/// The result of a read.
 #[derive(Debug)]
 pub enum ReadChunk {
-    /// Bytes.
+    /// Received bytes.
     Bytes(Vec<u8>),
-    /// The sender has closed its side.
+    /// The sender closed its side of the connection.
     End,
-    /// The sender's connection broke.
+    /// Reading failed, as after a reset by the sender.
     Broken,
 }
 
@@ -30,19 +30,19 @@
     changed: ShutdownSignal,
 }
 
-/// A bounded queue between the reader and the writer of one way.
+/// A bounded queue between the reader and the writer of one direction.
 #[derive(Default)]
 pub struct ChunkQueue {
     state: RefCell<QueueState>,
 }
 
 impl ChunkQueue {
-    /// Bytes that wait.
+    /// Returns the number of queued bytes.
     pub fn kept(&self) -> usize {
         self.state.borrow().kept
     }
 
-    /// Adds what was read, with the time it was read at.
+    /// Queues a chunk with the current time as its read time.
     pub fn push(&self, chunk: ReadChunk) {
         let mut state = self.state.borrow_mut();
         if let ReadChunk::Bytes(bytes) = &chunk {
@@ -52,14 +52,14 @@
         notify_change(&mut state);
     }
 
-    /// Waits until there is room for more.
+    /// Waits until the queue is below its limits.
     pub async fn wait_room(&self) {
         while self.is_full() {
             self.wait_change().await;
         }
     }
 
-    /// Waits until something is there and gives the time it was read at.
+    /// Waits until the queue is not empty, and returns the read time of its first chunk.
     pub async fn wait_first(&self) -> Instant {
         loop {
             let first = self.state.borrow().chunks.front().map(|(read, _)| *read);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Takes the first.
+    /// Removes and returns the first chunk.
     pub fn pop(&self) -> Option<ReadChunk> {
         let mut state = self.state.borrow_mut();
         let (_, chunk) = state.chunks.pop_front()?;
--- a/crates/papayamux-standins/src/fault_proxy/control_interface.rs
+++ b/crates/papayamux-standins/src/fault_proxy/control_interface.rs
@@ -1,4 +1,4 @@
-//! The HTTP port over which a link's faults are set.
+//! HTTP control port that sets a link's faults.
 
 use std::rc::Rc;
 
@@ -15,22 +15,22 @@
 use super::link_proxy::LinkProxy;
 use crate::respond;
 
-/// `POST`, with [`LinkFaults`] as JSON: replaces the faults.
+/// `POST` with [`LinkFaults`] as JSON replaces the faults.
 pub const FAULTS_PATH: &str = "/standin/faults";
-/// `POST`: closes all connections now.
+/// `POST` closes all connections immediately.
 pub const CUT_PATH: &str = "/standin/cut";
-/// `POST`, with [`HalfCloseOrder`] as JSON: ends ways of all open connections.
+/// `POST` with [`HalfCloseOrder`] as JSON half-closes all open connections.
 pub const HALF_CLOSE_PATH: &str = "/standin/half-close";
-/// `GET`: the link's [`super::ConnectionReport`].
+/// `GET` returns the link's [`super::ConnectionReport`].
 pub const CONNECTIONS_PATH: &str = "/standin/connections";
-/// Bytes of the longest order.
+/// Maximum size of a request body in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// Which ways are to be ended.
+/// An order to half-close all open connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HalfCloseOrder {
-    /// The ways.
+    /// Directions to close.
     pub ways: FaultyWays,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Does what is ordered; `false` where nothing is known by that method and path.
+/// Applies an order. Returns `false` if the method and path are unknown.
 fn apply_order(
     proxy: &LinkProxy,
     method: &Method,
--- a/crates/papayamux-standins/src/fault_proxy/direction_pump.rs
+++ b/crates/papayamux-standins/src/fault_proxy/direction_pump.rs
@@ -1,4 +1,4 @@
-//! Moving bytes one way: a reader that fills the queue, a writer that empties it.
+//! Forwarding of bytes in one direction: a reader that fills the queue, a writer that drains it.
 
 use std::time::Instant;
 
@@ -10,21 +10,21 @@
 use super::link_faults::LinkDirection;
 use super::proxy_connection::ProxyConnection;
 
-/// Bytes read at once.
+/// Buffer size of a read in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// One way of a connection.
+/// Forwards bytes in one direction of a connection.
 pub struct DirectionPump<'a> {
-    /// The connection.
+    /// Connection that the direction belongs to.
     pub connection: &'a ProxyConnection,
-    /// The way.
+    /// Direction of the forwarded bytes.
     pub direction: LinkDirection,
-    /// The way back.
+    /// The reverse direction.
     pub opposite: LinkDirection,
 }
 
 impl DirectionPump<'_> {
-    /// Moves bytes until the sender has closed its side and all was delivered.
+    /// Forwards bytes until the sender has closed its side and all bytes are delivered.
     pub async fn run(&self, mut from: OwnedReadHalf<TcpStream>, mut to: OwnedWriteHalf<TcpStream>) {
         join(self.read_all(&mut from), self.write_all(&mut to)).await;
     }
@@ -70,7 +70,8 @@
         self.connection.read_ended(self.opposite).given().await;
     }
 
-    /// The next chunk that may be delivered; `None` once this way was half-closed.
+    /// Waits for the next chunk that may be delivered, or for a half-close of this direction, which
+    /// yields [`ReadChunk::End`] once the queue is drained.
     async fn next_chunk(&self) -> Option<ReadChunk> {
         let queue = self.connection.queue(self.direction);
         loop {
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Writes what the allowance lets through; `false` where the receiver has gone.
+    /// Writes as many bytes as the allowance permits. Returns `false` if the receiver has closed its
+    /// connection.
     async fn write(&self, to: &mut OwnedWriteHalf<TcpStream>, mut bytes: Vec<u8>) -> bool {
         let allowance = self.connection.allowance(self.direction).unwrap_or(u64::MAX);
         bytes.truncate(usize::try_from(allowance).unwrap_or(usize::MAX));
--- a/crates/papayamux-standins/src/fault_proxy/link_faults.rs
+++ b/crates/papayamux-standins/src/fault_proxy/link_faults.rs
@@ -1,18 +1,18 @@
-//! Which faults a proxied link shows.
+//! Faults of a proxied link.
 
 use serde::{Deserialize, Serialize};
 
-/// One way through the proxy.
+/// A direction through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkDirection {
-    /// From the side that connected to the target.
+    /// From the client to the target.
     ToTarget,
-    /// From the target to the side that connected.
+    /// From the target to the client.
     ToClient,
 }
 
 impl LinkDirection {
-    /// The place of this way in an array of both.
+    /// Returns the index of this direction in an array of both.
     pub(super) const fn index(self) -> usize {
         match self {
             LinkDirection::ToTarget => 0,
@@ -21,23 +21,23 @@
     }
 }
 
-/// The ways that a fault concerns.
+/// The directions that a fault affects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultyWays {
-    /// No way: the fault is off.
+    /// Neither direction; the fault is off.
     #[default]
     None,
-    /// From the side that connected to the target.
+    /// From the client to the target.
     ToTarget,
-    /// From the target to the side that connected.
+    /// From the target to the client.
     ToClient,
-    /// Both ways.
+    /// Both directions.
     Both,
 }
 
 impl FaultyWays {
-    /// Whether `way` is concerned.
+    /// Returns `true` if `direction` is affected.
     pub fn include(self, direction: LinkDirection) -> bool {
         match self {
             FaultyWays::None => false,
@@ -48,27 +48,28 @@
     }
 }
 
-/// All faults of a link; the default is none. Setting them replaces those set before.
+/// All faults of a link; none by default. Setting them replaces the previous ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkFaults {
-    /// Milliseconds by which every byte is late.
+    /// Delay of every byte in milliseconds.
     pub delay_ms: u64,
-    /// Ways on which bytes and ends are kept until the hold is lifted, then delivered in order.
+    /// Directions in which bytes and closes are withheld until the fault is removed, and then
+    /// delivered in order.
     pub hold: FaultyWays,
-    /// Ways on which bytes and ends are thrown away. A connection that has dropped once stays
-    /// silent on that way for good, also when the fault is lifted.
+    /// Directions in which bytes and closes are discarded. A connection affected once stays silent
+    /// in that direction permanently, even after the fault is removed.
     pub drop: FaultyWays,
-    /// New connections are closed at once.
+    /// Closes new connections immediately.
     pub refuse: bool,
-    /// The faults concern the connections that are open when they are set, not later ones.
+    /// Applies the faults only to connections that are open when the faults are set.
     pub only_existing: bool,
-    /// Each connection is closed after this many further bytes to the client.
+    /// Closes each connection after this many further bytes to the client.
     pub cut_after_bytes: Option<u64>,
 }
 
 impl LinkFaults {
-    /// The faults that a connection opened later shows.
+    /// Returns the faults that apply to connections opened later.
     pub(super) fn of_new_connections(self) -> Self {
         match self.only_existing {
             true => Self::default(),
--- a/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
+++ b/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxied link: one listener, one target, and the connections between them.
+//! A proxied link from a listener to a target, and its connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,27 +18,27 @@
 use super::link_faults::{FaultyWays, LinkDirection, LinkFaults};
 use super::proxy_connection::ProxyConnection;
 
-/// Connections open at once; further ones are refused.
+/// Maximum number of open connections; further ones are refused.
 const MAX_CONNECTIONS: usize = 1_024;
-/// How long the listener waits after it could not accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What has passed through a link.
+/// Connection and byte counts of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionReport {
-    /// Connections open now.
+    /// Number of open connections.
     pub open: u64,
-    /// Connections opened since the start.
+    /// Number of connections accepted since the start, excluding those refused on arrival.
     pub total: u64,
-    /// Connections refused, or closed because the target could not be reached.
+    /// Number of connections refused, or closed because the target was unreachable.
     pub refused: u64,
-    /// Bytes delivered to the target.
+    /// Number of bytes delivered to the target.
     pub bytes_to_target: u64,
-    /// Bytes delivered to the client.
+    /// Number of bytes delivered to the client.
     pub bytes_to_client: u64,
-    /// Bytes kept, on the way to the target.
+    /// Number of bytes queued for the target.
     pub kept_to_target: u64,
-    /// Bytes kept, on the way to the client.
+    /// Number of bytes queued for the client.
     pub kept_to_client: u64,
 }
 
@@ -49,7 +49,7 @@
     past: Cell<ConnectionReport>,
 }
 
-/// A link with faults that are set while it runs; clones share it.
+/// A proxied link whose faults can be changed at runtime. Clones share its state.
 #[derive(Clone)]
 pub struct LinkProxy {
     target: SocketAddr,
@@ -57,12 +57,12 @@
 }
 
 impl LinkProxy {
-    /// A link to `target` without faults.
+    /// Creates a link to `target` without faults.
     pub fn new(target: SocketAddr) -> Self {
         Self { target, state: Rc::default() }
     }
 
-    /// Accepts connections until `shutdown`, then cuts those that are open.
+    /// Accepts connections until `shutdown`, then closes the open ones.
     pub async fn serve(&self, listener: TcpListener, shutdown: ShutdownSignal) -> io::Result<()> {
         let accept = std::pin::pin!(self.accept_all(listener));
         let given = std::pin::pin!(shutdown.given());
@@ -71,7 +71,8 @@
         Ok(())
     }
 
-    /// Replaces the faults of the open connections, and of new ones if they are meant too.
+    /// Replaces the faults of open connections, and those of new connections, which have none if
+    /// [`LinkFaults::only_existing`] is set.
     pub fn set_faults(&self, faults: LinkFaults) {
         self.state.faults_of_new.set(faults.of_new_connections());
         for connection in self.open_connections() {
@@ -79,17 +80,17 @@
         }
     }
 
-    /// Closes all connections now.
+    /// Closes all connections immediately.
     pub fn cut_all(&self) {
         self.open_connections().iter().for_each(|connection| connection.cut());
     }
 
-    /// Ends the given ways of all open connections, after what waits on them.
+    /// Closes the given directions of all open connections once their queued bytes are delivered.
     pub fn half_close_all(&self, directions: FaultyWays) {
         self.open_connections().iter().for_each(|connection| connection.half_close(directions));
     }
 
-    /// What has passed so far.
+    /// Returns the current connection and byte counts.
     pub fn report(&self) -> ConnectionReport {
         let mut report = self.state.past.get();
         for connection in self.state.connections.borrow().values() {
--- a/crates/papayamux-standins/src/fault_proxy/mod.rs
+++ b/crates/papayamux-standins/src/fault_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting TCP proxy: delays, holds, drops, refuses and cuts connections on order.
+//! Fault-injecting TCP proxy: delays, withholds or discards bytes, refuses or closes connections.
 
 mod chunk_queue;
 mod control_interface;
--- a/crates/papayamux-standins/src/fault_proxy/proxy_connection.rs
+++ b/crates/papayamux-standins/src/fault_proxy/proxy_connection.rs
@@ -1,4 +1,4 @@
-//! What the two ways of one proxied connection share.
+//! State shared by the two directions of a proxied connection.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::chunk_queue::ChunkQueue;
 use super::link_faults::{FaultyWays, LinkDirection, LinkFaults};
 
-/// One way's share of a connection.
+/// State of one direction of a connection.
 #[derive(Default)]
 struct DirectionState {
     queue: ChunkQueue,
@@ -18,7 +18,7 @@
     passed: Cell<u64>,
 }
 
-/// One connection through the proxy.
+/// A connection through the proxy.
 pub struct ProxyConnection {
     faults: Cell<LinkFaults>,
     changed: RefCell<ShutdownSignal>,
@@ -27,7 +27,7 @@
 }
 
 impl ProxyConnection {
-    /// A connection that shows `faults`.
+    /// Creates a connection with the given faults.
     pub fn new(faults: LinkFaults) -> Self {
         let connection = Self {
             faults: Cell::default(),
@@ -39,7 +39,7 @@
         connection
     }
 
-    /// Replaces the faults.
+    /// Replaces the faults. A direction that has discarded bytes keeps doing so.
     pub fn set_faults(&self, faults: LinkFaults) {
         self.faults.set(faults);
         for direction in [LinkDirection::ToTarget, LinkDirection::ToClient] {
@@ -50,17 +50,17 @@
         self.notify_change();
     }
 
-    /// Closes both sides at once; what was not delivered is lost.
+    /// Closes both sides immediately. Undelivered bytes are lost.
     pub fn cut(&self) {
         self.cut.give();
     }
 
-    /// Waits until the connection is cut.
+    /// Waits until [`Self::cut`] is called.
     pub async fn wait_cut(&self) {
         self.cut.given().await;
     }
 
-    /// Ends the given ways as if their senders had closed them, after what waits.
+    /// Closes the given directions as if their senders had closed them, after the queued bytes.
     pub fn half_close(&self, directions: FaultyWays) {
         for direction in [LinkDirection::ToTarget, LinkDirection::ToClient] {
             if directions.include(direction) {
@@ -70,50 +70,51 @@
         self.notify_change();
     }
 
-    /// Whether `way` was ended by [`Self::half_close`].
+    /// Returns `true` if `direction` was closed by [`Self::half_close`].
     pub fn is_half_closed(&self, direction: LinkDirection) -> bool {
         self.direction(direction).half_closed.get()
     }
 
-    /// What waits on `way`.
+    /// Returns the queue of `direction`.
     pub fn queue(&self, direction: LinkDirection) -> &ChunkQueue {
         &self.direction(direction).queue
     }
 
-    /// Whether what comes on `way` is thrown away.
+    /// Returns `true` if bytes in `direction` are discarded.
     pub fn drops(&self, direction: LinkDirection) -> bool {
         self.direction(direction).dropped.get()
     }
 
-    /// Whether the other side may not see what happens on `way`.
+    /// Returns `true` if bytes and closes in `direction` are withheld or discarded.
     pub fn hides(&self, direction: LinkDirection) -> bool {
         self.drops(direction) || self.faults.get().hold.include(direction)
     }
 
-    /// Waits until `way` is not held, or its bytes are thrown away anyway.
+    /// Waits until bytes in `direction` are not withheld, or are discarded anyway.
     pub async fn wait_released(&self, direction: LinkDirection) {
         while self.faults.get().hold.include(direction) && !self.drops(direction) {
             self.wait_change().await;
         }
     }
 
-    /// Waits for the next change of faults.
+    /// Waits for the next change of the faults or half-closes.
     pub async fn wait_change(&self) {
         let changed = self.changed.borrow().clone();
         changed.given().await;
     }
 
-    /// By how much bytes are late.
+    /// Returns the delay of every byte.
     pub fn delay(&self) -> Duration {
         Duration::from_millis(self.faults.get().delay_ms)
     }
 
-    /// Bytes that may still go to the client before the connection is cut.
+    /// Returns the number of bytes that may still be delivered in `direction` before the connection
+    /// is closed, or `None` if unlimited. Only the direction to the client has a limit.
     pub fn allowance(&self, direction: LinkDirection) -> Option<u64> {
         self.faults.get().cut_after_bytes.filter(|_| direction == LinkDirection::ToClient)
     }
 
-    /// Notes that bytes were delivered on `way`.
+    /// Records that bytes were delivered in `direction`.
     pub fn record_passed(&self, direction: LinkDirection, bytes: u64) {
         let passed = &self.direction(direction).passed;
         passed.set(passed.get() + bytes);
@@ -123,12 +124,12 @@
         }
     }
 
-    /// Bytes delivered on `way`.
+    /// Returns the number of bytes delivered in `direction`.
     pub fn passed(&self, direction: LinkDirection) -> u64 {
         self.direction(direction).passed.get()
     }
 
-    /// Given once the sender on `way` has closed its side or broken off.
+    /// Returns the signal given once the sender in `direction` closed its side or reading failed.
     pub fn read_ended(&self, direction: LinkDirection) -> &ShutdownSignal {
         &self.direction(direction).read_ended
     }
--- a/crates/papayamux-standins/src/instance_list.rs
+++ b/crates/papayamux-standins/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! The instance list stand-in: gives the list as it was some time ago.
+//! Stand-in for the instance list: serves the list with a configurable lag.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use crate::request_body::read_body;
 use crate::respond;
 
-/// The path of the list as it truly is; a test replaces it there.
+/// Path of the current list, without lag; tests replace the list there.
 pub const TRUE_INSTANCES_PATH: &str = "/standin/instances";
-/// Instances in the longest list.
+/// Maximum number of instances in a list.
 const MAX_INSTANCES: usize = 10_000;
 
 type SharedList = Rc<RefCell<LaggedValue<Rc<InstanceList>>>>;
 
-/// Serves an instance list that is `lag` old until `shutdown`.
+/// Serves an instance list to which changes become visible after `lag`, until `shutdown`.
 pub async fn serve_instance_list(
     listener: TcpListener,
     lag: Duration,
--- a/crates/papayamux-standins/src/kinds/config_service.rs
+++ b/crates/papayamux-standins/src/kinds/config_service.rs
@@ -1,4 +1,4 @@
-//! `papayamux-standins config-service`.
+//! The `papayamux-standins config-service` command.
 
 use getopts::Options;
 use papayamux_transport::shutdown::ShutdownSignal;
--- a/crates/papayamux-standins/src/kinds/engine.rs
+++ b/crates/papayamux-standins/src/kinds/engine.rs
@@ -1,4 +1,4 @@
-//! `papayamux-standins engine`.
+//! The `papayamux-standins engine` command.
 
 use getopts::{Matches, Options};
 use papayamux_transport::shutdown::ShutdownSignal;
@@ -7,8 +7,9 @@
 use super::{StandinError, StandinKind};
 use crate::engine::{serve_engine, EngineOptions, EventLogOptions};
 
-/// The name of an engine and of its model where the command line names none.
+/// Default name of the engine.
 const DEFAULT_NAME: &str = "engine";
+/// Model that is loaded unless the command line lists any.
 const DEFAULT_MODEL: &str = "model";
 
 pub(super) const KIND: StandinKind = StandinKind {
@@ -27,23 +28,23 @@
     options.optopt("", "models", "models it has loaded", "A,B");
     options.optopt("", "adapters", "adapters it has loaded", "A,B");
     options.optopt("", "step-us", "time of one step", "MICROSECONDS");
-    options.optopt("", "batch", "places in the batch", "COUNT");
+    options.optopt("", "batch", "slots in the batch", "COUNT");
     options.optopt("", "prefill", "prompt tokens computed in one step", "COUNT");
-    options.optopt("", "waiting", "requests that may wait for a place", "COUNT");
+    options.optopt("", "waiting", "requests that may wait for a slot", "COUNT");
     options.optopt("", "cancel-grace-ms", "time until an unread request ends", "MILLISECONDS");
     options.optopt("", "cache-blocks", "blocks in the prefix cache", "COUNT");
     options.optopt("", "load-lag-ms", "age of the state that load reports show", "MILLISECONDS");
     options.optopt("", "event-log", "cache events kept", "COUNT");
     options.optopt("", "event-late-ms", "time until a cache event is visible", "MILLISECONDS");
     options.optopt("", "event-gap-share", "share of cache events lost", "0..1");
-    options.optopt("", "event-gap-seed", "which cache events are lost", "NUMBER");
-    options.optflag("", "ignore-fencing", "obey orders whatever their fencing number");
+    options.optopt("", "event-gap-seed", "seed that selects the lost cache events", "NUMBER");
+    options.optflag("", "ignore-fencing", "accept orders regardless of their fencing number");
     options.optopt("", "load-ms", "time to load a model or adapter", "MILLISECONDS");
     options.optopt("", "weight-store", "where weights are fetched from", "ADDRESS");
     options.optopt("", "kv-export-us", "time to export one block", "MICROSECONDS");
     options.optopt("", "kv-import-us", "time to import one block", "MICROSECONDS");
     options.optopt("", "kv-block-bytes", "bytes of one block in a KV blob", "COUNT");
-    options.optopt("", "ends-on", "end the process on a chat with this text", "TEXT");
+    options.optopt("", "ends-on", "exit the process on a chat with this text", "TEXT");
 }
 
 fn engine_options(matches: &Matches) -> Result<EngineOptions, StandinError> {
--- a/crates/papayamux-standins/src/kinds/fault_proxy.rs
+++ b/crates/papayamux-standins/src/kinds/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! `papayamux-standins fault-proxy`.
+//! The `papayamux-standins fault-proxy` command.
 
 use std::net::SocketAddr;
 
@@ -16,7 +16,7 @@
     declare,
     serve: |listener, matches| {
         Box::pin(async move {
-            let target = matches.opt_str("target").ok_or("name the --target")?.parse()?;
+            let target = matches.opt_str("target").ok_or("--target is required")?.parse()?;
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
             let operators = listen(value_or(&matches, "operations", any)?)?;
             run_proxy(listener, operators, target).await
@@ -25,8 +25,8 @@
 };
 
 fn declare(options: &mut Options) {
-    options.optopt("", "target", "where its connections lead", "ADDRESS");
-    options.optopt("", "operations", "where its faults are set", "ADDRESS");
+    options.optopt("", "target", "address that connections are forwarded to", "ADDRESS");
+    options.optopt("", "operations", "address of the control port that sets faults", "ADDRESS");
 }
 
 async fn run_proxy(
--- a/crates/papayamux-standins/src/kinds/instance_list.rs
+++ b/crates/papayamux-standins/src/kinds/instance_list.rs
@@ -1,4 +1,4 @@
-//! `papayamux-standins instance-list`.
+//! The `papayamux-standins instance-list` command.
 
 use std::time::Duration;
 
--- a/crates/papayamux-standins/src/kinds/mod.rs
+++ b/crates/papayamux-standins/src/kinds/mod.rs
@@ -1,4 +1,4 @@
-//! The kinds of stand-ins: what the command line offers of each, one file a kind.
+//! The kinds of stand-ins and their command-line options, one file per kind.
 
 mod config_service;
 mod engine;
--- a/crates/papayamux-standins/src/kinds/service.rs
+++ b/crates/papayamux-standins/src/kinds/service.rs
@@ -1,4 +1,4 @@
-//! `papayamux-standins service`.
+//! The `papayamux-standins service` command.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::{StandinError, StandinKind};
 use crate::service::{serve_service, ServiceOptions};
 
-/// Time of one call where the command line names none.
+/// Default processing time of a call.
 const CALL_TIME: Duration = Duration::from_millis(2);
 
 pub(super) const KIND: StandinKind = StandinKind {
--- a/crates/papayamux-standins/src/kinds/standin_kind.rs
+++ b/crates/papayamux-standins/src/kinds/standin_kind.rs
@@ -1,4 +1,4 @@
-//! What the command line has to know of a kind, and the list of all kinds.
+//! The description of a stand-in kind for the command line, and the list of all kinds.
 
 use std::error::Error;
 use std::fmt::Display;
@@ -11,20 +11,20 @@
 
 use super::{config_service, engine, fault_proxy, instance_list, service, weight_store};
 
-/// Why a stand-in does not start or run on.
+/// The error of starting or running a stand-in.
 pub type StandinError = Box<dyn Error>;
 
-/// One kind of stand-in.
+/// A kind of stand-in.
 pub struct StandinKind {
-    /// The kind's name on the command line.
+    /// Name of the kind on the command line.
     pub name: &'static str,
-    /// Adds the kind's own options.
+    /// Adds the options specific to this kind.
     pub declare: fn(&mut Options),
-    /// Serves the kind until the process ends.
+    /// Serves a stand-in of this kind until the process exits.
     pub serve: fn(TcpListener, Matches) -> LocalBoxFuture<'static, Result<(), StandinError>>,
 }
 
-/// All kinds.
+/// All kinds of stand-ins.
 pub const KINDS: &[StandinKind] = &[
     engine::KIND,
     service::KIND,
@@ -34,17 +34,17 @@
     fault_proxy::KIND,
 ];
 
-/// The kind of that name.
+/// Returns the kind with the given name.
 pub fn find_kind(name: &str) -> Option<&'static StandinKind> {
     KINDS.iter().find(|kind| kind.name == name)
 }
 
-/// The names of all kinds, for people.
+/// Returns the names of all kinds, separated by commas, for help and error texts.
 pub fn kind_names() -> String {
     KINDS.iter().map(|kind| kind.name).collect::<Vec<_>>().join(", ")
 }
 
-/// The value of an option, or `fallback` where it is not given.
+/// Parses the value of an option, or returns `fallback` if the option is absent.
 pub(super) fn value_or<T>(matches: &Matches, option: &str, fallback: T) -> Result<T, StandinError>
 where
     T: FromStr,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The time that an option gives in milliseconds.
+/// Parses a duration in milliseconds, or returns `fallback` if the option is absent.
 pub(super) fn millis_or(
     matches: &Matches,
     option: &str,
@@ -65,7 +65,7 @@
     value_or(matches, option, fallback.as_millis() as u64).map(Duration::from_millis)
 }
 
-/// The time that an option gives in microseconds.
+/// Parses a duration in microseconds, or returns `fallback` if the option is absent.
 pub(super) fn micros_or(
     matches: &Matches,
     option: &str,
@@ -74,7 +74,7 @@
     value_or(matches, option, fallback.as_micros() as u64).map(Duration::from_micros)
 }
 
-/// The values of an option that are separated by commas.
+/// Parses the comma-separated values of an option.
 pub(super) fn list_of<T>(matches: &Matches, option: &str) -> Result<Vec<T>, StandinError>
 where
     T: FromStr,
--- a/crates/papayamux-standins/src/kinds/weight_store.rs
+++ b/crates/papayamux-standins/src/kinds/weight_store.rs
@@ -1,4 +1,4 @@
-//! `papayamux-standins weight-store`.
+//! The `papayamux-standins weight-store` command.
 
 use getopts::{Matches, Options};
 use papayamux_transport::shutdown::ShutdownSignal;
--- a/crates/papayamux-standins/src/lagged.rs
+++ b/crates/papayamux-standins/src/lagged.rs
@@ -1,12 +1,12 @@
-//! Values that others see some time after they changed.
+//! Values whose changes become visible to readers after a lag.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Changes kept at most; beyond that, the oldest become visible early.
+/// Maximum number of pending changes; beyond that, the oldest become visible early.
 const MAX_PENDING_CHANGES: usize = 65_536;
 
-/// A value of which readers see the state of some time ago.
+/// A value whose changes become visible to readers after a fixed lag.
 #[derive(Debug)]
 pub struct LaggedValue<T> {
     lag: Duration,
@@ -15,12 +15,12 @@
 }
 
 impl<T: Clone + PartialEq> LaggedValue<T> {
-    /// A value that readers see `lag` late, and that was `first` ever since.
+    /// Creates a value that is `first` initially, and whose changes become visible after `lag`.
     pub fn new(lag: Duration, first: T) -> Self {
         Self { lag, visible: first, changes: VecDeque::new() }
     }
 
-    /// The value is `value` from `now` on.
+    /// Changes the value to `value` as of `now`.
     pub fn set(&mut self, now: Instant, value: T) {
         if *self.present() == value {
             return;
@@ -32,12 +32,12 @@
         }
     }
 
-    /// The value as it truly is.
+    /// Returns the current value, without lag.
     pub fn present(&self) -> &T {
         self.changes.back().map_or(&self.visible, |(_, value)| value)
     }
 
-    /// The value as a reader sees it at `now`.
+    /// Returns the value that is visible to readers at `now`.
     pub fn seen(&mut self, now: Instant) -> &T {
         self.settle(now);
         &self.visible
--- a/crates/papayamux-standins/src/lib.rs
+++ b/crates/papayamux-standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of outside systems, for the demo, the tests and the measurements. Never shipped.
+//! Stand-ins for external systems, used by the demo, tests and measurements. Not shipped.
 
 pub mod call_meter;
 pub mod command_line;
--- a/crates/papayamux-standins/src/main.rs
+++ b/crates/papayamux-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in.
+//! Entry point of the `papayamux-standins` program.
 
 use std::process::ExitCode;
 
--- a/crates/papayamux-standins/src/respond.rs
+++ b/crates/papayamux-standins/src/respond.rs
@@ -1,22 +1,22 @@
-//! Responses that all stand-ins give.
+//! HTTP responses shared by all stand-ins.
 
 use http::header::{CONTENT_TYPE, RETRY_AFTER};
 use http::{HeaderValue, Response, StatusCode};
 use papayamux_transport::http::AnswerBody;
 use serde::Serialize;
 
-/// A JSON response.
+/// Builds a JSON response.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<AnswerBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     typed(status, "application/json", AnswerBody::from(body))
 }
 
-/// A response that says what is wrong with the request.
+/// Builds an error response with a JSON body that contains `message`.
 pub fn refuse(status: StatusCode, message: &str) -> Response<AnswerBody> {
     json(status, &serde_json::json!({ "error": { "message": message } }))
 }
 
-/// A response with the given content type.
+/// Builds a response with the given content type.
 pub fn typed(
     status: StatusCode,
     content_type: &'static str,
@@ -28,7 +28,7 @@
     response
 }
 
-/// A response to a call above a rate limit, which may be repeated after a second.
+/// Builds the response to a call above the rate limit, with a `Retry-After` of one second.
 pub fn too_many(message: &str) -> Response<AnswerBody> {
     let mut response = refuse(StatusCode::TOO_MANY_REQUESTS, message);
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
--- a/crates/papayamux-standins/src/run_tag.rs
+++ b/crates/papayamux-standins/src/run_tag.rs
@@ -1,7 +1,7 @@
-//! Tags that callers of a test put on their requests, so that its runs can be counted whatever the
-//! caller learns of them.
+//! Tags that callers in tests set on their requests, so that the runs of a request can be counted
+//! independently of what the caller learns about them.
 
-/// The header with the tag, passed on to the backend server like any other.
+/// Header of the tag, forwarded to the backend server like any other header.
 pub const TAG_HEADER: &str = "x-standin-tag";
-/// The path that says how often a request with each tag was started.
+/// Path of the number of started requests per tag.
 pub const TAG_RUNS_PATH: &str = "/standin/tag-runs";
--- a/crates/papayamux-standins/src/service.rs
+++ b/crates/papayamux-standins/src/service.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in: answers each call with what it was asked, and counts its runs.
+//! Stand-in for a plain service: echoes each call and counts its runs.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,35 +17,35 @@
 use crate::respond;
 use crate::run_tag::{TAG_HEADER, TAG_RUNS_PATH};
 
-/// The path that says how often each request id and each key was run.
+/// Path of the [`ServiceRuns`]: the number of runs per request id, idempotency key and tag.
 pub const RUNS_PATH: &str = "/standin/runs";
 
-/// How a plain service stand-in behaves.
+/// Options of a plain service stand-in.
 #[derive(Debug, Clone)]
 pub struct ServiceOptions {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Time that one call takes.
+    /// Processing time of a call.
     pub call_time: Duration,
 }
 
-/// What was run, as a test reads it.
+/// Run counts, as tests read them over HTTP.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRuns {
-    /// Runs by request id.
+    /// Number of runs by request id.
     pub by_request: HashMap<String, u64>,
-    /// Runs by idempotency key.
+    /// Number of runs by idempotency key.
     pub by_key: HashMap<String, u64>,
-    /// Runs by the tag that a test gave.
+    /// Number of runs by tag, see [`TAG_HEADER`].
     pub by_tag: HashMap<String, u64>,
 }
 
-/// The answer to a call.
+/// The answer to a call, which echoes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// The method of the call.
+    /// HTTP method of the call.
     pub method: String,
     /// Path and query of the call.
     pub path: String,
--- a/crates/papayamux-standins/src/weight_store.rs
+++ b/crates/papayamux-standins/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store stand-in: gives the bytes of any model's weights, at a limited rate.
+//! Stand-in for the weight store: serves the weights of any model as zero bytes, at a limited rate.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,19 +17,19 @@
 use crate::call_meter::{CallCounters, CallMeter};
 use crate::respond;
 
-/// The path of the store's [`StoreCounters`].
+/// Path of the store's [`StoreCounters`].
 pub const STORE_COUNTERS_PATH: &str = "/standin/counters";
-/// Weights of which the loads are counted one by one.
+/// Maximum number of distinct weights whose loads are counted.
 const MAX_COUNTED_WEIGHTS: usize = 10_000;
 
-/// Options of a weight store.
+/// Options of a weight store stand-in.
 #[derive(Debug, Clone, Copy)]
 pub struct WeightStoreOptions {
-    /// Loads that are answered in any one second.
+    /// Maximum number of loads answered within any one second.
     pub loads_per_second: usize,
-    /// Bytes of each model's weights, at most [`MAX_WEIGHTS_BYTES`].
+    /// Size of each model's weights in bytes, at most [`MAX_WEIGHTS_BYTES`].
     pub weight_bytes: usize,
-    /// Time until a load is answered.
+    /// Delay before a load is answered.
     pub load_time: Duration,
 }
 
@@ -39,12 +39,12 @@
     }
 }
 
-/// Loads so far, as a test reads them.
+/// Load counters, as tests read them over HTTP.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreCounters {
-    /// All calls, and their highest rate.
+    /// Counters of all calls, including refused ones.
     pub calls: CallCounters,
-    /// Loads answered, by `MODEL/VERSION`.
+    /// Number of accepted loads by `MODEL/VERSION`.
     pub loads: BTreeMap<String, u64>,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// Whether this is `MODEL/VERSION`.
+/// Returns `true` if `path` has the form `MODEL/VERSION`.
 fn names_weights(path: &str) -> bool {
     path.split('/').count() == 2 && path.split('/').all(|part| !part.is_empty())
 }
--- a/crates/papayamux-standins/tests/config_service.rs
+++ b/crates/papayamux-standins/tests/config_service.rs
@@ -1,5 +1,5 @@
-//! The configuration service stand-in as its readers see it, and with faults.
-#![allow(clippy::unwrap_used, reason = "a test, which may panic")]
+//! Tests of the configuration service stand-in, with and without faults.
+#![allow(clippy::unwrap_used, reason = "tests may panic")]
 
 mod support;
 
--- a/crates/papayamux-standins/tests/engine_cache.rs
+++ b/crates/papayamux-standins/tests/engine_cache.rs
@@ -1,5 +1,5 @@
-//! What the engine publishes of its cache, and KV cache moved between engines.
-#![allow(clippy::unwrap_used, reason = "a test, which may panic")]
+//! Tests of the engine's published cache state and of KV cache transfers between engines.
+#![allow(clippy::unwrap_used, reason = "tests may panic")]
 
 mod support;
 
--- a/crates/papayamux-standins/tests/engine_orders.rs
+++ b/crates/papayamux-standins/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine, and what it has loaded after them.
+//! Tests of orders to the engine and the models loaded after them.
 
 mod support;
 
@@ -71,7 +71,7 @@
         give(&engine, &order(2, &[MODEL], "2")).await;
         settled(&engine).await;
         let snapshot: CacheSnapshot = engine.get(CACHE_BLOCKS_PATH).await;
-        assert!(snapshot.blocks.is_empty(), "a new version can't use the old one's cache");
+        assert!(snapshot.blocks.is_empty(), "a new version can't reuse the old version's cache");
         give(&engine, &order(3, &[], "1")).await;
         let refused = engine.chat("r-2", &question, 3).await;
         assert_eq!(refused.status(), StatusCode::NOT_FOUND);
@@ -86,7 +86,7 @@
         stream.tokens(1).await;
         give(&engine, &order(1, &[MODEL], "2")).await;
         settled(&engine).await;
-        assert!(stream.rest().await.is_some(), "it runs to its end");
+        assert!(stream.rest().await.is_some(), "the running request completes");
         let snapshot: CacheSnapshot = engine.get(CACHE_BLOCKS_PATH).await;
         assert!(snapshot.blocks.is_empty());
     });
--- a/crates/papayamux-standins/tests/engine_requests.rs
+++ b/crates/papayamux-standins/tests/engine_requests.rs
@@ -1,4 +1,4 @@
-//! Requests at the engine: resumed, cancelled, refused.
+//! Tests of resumed, cancelled and refused requests to the engine.
 
 mod support;
 
@@ -62,7 +62,7 @@
         let outcome: CancelOutcome = serde_json::from_slice(&body).unwrap();
         assert!(outcome.cancelled);
         assert_eq!(second.rest().await.unwrap(), expected("second", 3));
-        assert_eq!(first.rest().await, None, "a cancelled stream is cut off");
+        assert_eq!(first.rest().await, None, "a cancelled stream is truncated");
         let (_, body) = engine.call(Method::POST, &cancel_path("r-2"), Bytes::new()).await;
         assert_eq!(&body[..], b"{\"cancelled\":false}");
     });
@@ -95,7 +95,7 @@
         let low = engine.chat_at("low", 7, "low", ENDLESS).await;
         let high = engine.chat_at("high", 1, "high", 3).await;
         engine.call(Method::POST, &cancel_path("r-1"), Bytes::new()).await;
-        let answer = high.rest().await.expect("the endless one of the lower class waits");
+        let answer = high.rest().await.expect("the lower class waits for the higher one");
         assert_eq!(answer, expected("high", 3));
         drop(low);
     });
--- a/crates/papayamux-standins/tests/fault_proxy.rs
+++ b/crates/papayamux-standins/tests/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy does to connections what it is ordered, and nothing else.
+//! Tests that the fault proxy applies exactly the faults that are set.
 
 use std::error::Error;
 use std::future::Future;
@@ -39,7 +39,7 @@
         Ok(Self { target, proxy, address })
     }
 
-    /// A connection through the proxy: the client's end and the target's.
+    /// Opens a connection through the proxy and returns the client's and the target's side.
     async fn connect(&self) -> Result<(TcpStream, TcpStream), Box<dyn Error>> {
         let client = TcpStream::connect_addr(self.address).await?;
         Ok((client, self.target.accept().await?.0))
@@ -66,7 +66,7 @@
     Ok(String::from_utf8(buffer)?)
 }
 
-/// Whether the connection has ended, by a close or a reset.
+/// Returns `true` if the connection has ended, by a close or a reset.
 async fn has_ended(stream: &mut TcpStream) -> bool {
     matches!(stream.read(vec![0; 16]).await.0, Ok(0) | Err(_))
 }
--- a/crates/papayamux-standins/tests/lateness.rs
+++ b/crates/papayamux-standins/tests/lateness.rs
@@ -1,4 +1,4 @@
-//! Values and events that are seen late, and events that are lost.
+//! Tests of delayed values, and of delayed and lost cache events.
 
 use std::time::{Duration, Instant};
 
--- a/crates/papayamux-standins/tests/platform.rs
+++ b/crates/papayamux-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The instance list and the weight store, and the engine that loads from the store.
+//! Tests of the instance list, the weight store, and the engine that loads from the store.
 
 mod support;
 
--- a/crates/papayamux-standins/tests/prefix_cache.rs
+++ b/crates/papayamux-standins/tests/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The engine's cache under any order of uses.
+//! Property tests of the engine's prefix cache.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -7,12 +7,13 @@
 use papayamux_standins::engine::PrefixCache;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Inputs tried by each property: at least as many as a second takes in a debug build.
+/// Number of generated inputs per property; at least as many as run in one second in a debug build.
 const GENERATED_INPUTS: usize = 2_000;
 
 const CAPACITY: usize = 7;
 
-/// A chain below one of four roots; few different parts, so that chains share prefixes.
+/// Builds a chain below one of four roots. Parts have three distinct values, so that chains share
+/// prefixes.
 fn chain(root: u8, parts: &[u8]) -> (u64, Vec<u64>) {
     let root = u64::from(root % 4);
     let mut parent = root;
--- a/crates/papayamux-standins/tests/support/mod.rs
+++ b/crates/papayamux-standins/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins in the test's own process, and calls to them.
-#![allow(dead_code, reason = "each test file uses a part of this")]
-#![allow(clippy::unwrap_used, reason = "a helper of tests, which may panic")]
+//! Test support: starts stand-ins in the test process and calls them.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
+#![allow(clippy::unwrap_used, reason = "test helpers may panic")]
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 pub const MODEL: &str = "itinerary";
 
-/// Runs a test on the runtime that the stand-ins use.
+/// Runs a test on the stand-ins' runtime.
 pub fn run(test: impl Future<Output = ()>) {
     runtime::run(test).unwrap();
 }
@@ -51,7 +51,7 @@
     start(|listener, shutdown| serve_engine(listener, options, shutdown))
 }
 
-/// Calls to one stand-in.
+/// A client of one stand-in.
 #[derive(Clone)]
 pub struct TestClient {
     client: HttpClient,
@@ -79,7 +79,7 @@
         serde_json::from_slice(&body).unwrap()
     }
 
-    /// Sends JSON and reads the JSON of an answer with the given status.
+    /// Sends a JSON body, checks the status and parses the JSON of the answer.
     pub async fn put<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -93,7 +93,7 @@
         serde_json::from_slice(&body).unwrap()
     }
 
-    /// Asks until the answer is as awaited.
+    /// Polls `path` until the answer satisfies `met`.
     pub async fn until<T: DeserializeOwned>(&self, path: &str, met: impl Fn(&T) -> bool) -> T {
         loop {
             let value = self.get(path).await;
@@ -108,7 +108,7 @@
         self.chat_at(id, 0, question, tokens).await
     }
 
-    /// Starts a streamed chat of the given priority class.
+    /// Starts a streamed chat in the given priority class.
     pub async fn chat_at(&self, id: &str, class: u32, question: &str, tokens: u32) -> TestStream {
         let body = serde_json::to_vec(&chat_request(question, tokens)).unwrap();
         let request = Request::post(CHAT_PATH).header("host", "engine");
@@ -116,7 +116,7 @@
         TestStream::new(self.send(request.body(body.into()).unwrap()).await)
     }
 
-    /// Opens the stream of a request that was started before.
+    /// Resumes the stream of a request.
     pub async fn resume(&self, path: &str) -> TestStream {
         let request = Request::get(path).header("host", "engine").body(Bytes::new());
         TestStream::new(self.send(request.unwrap()).await)
@@ -155,7 +155,7 @@
         self.answer.head.status
     }
 
-    /// The next event's data; `None` if the stream was cut off.
+    /// Returns the data of the next event, or `None` if the stream is truncated.
     async fn next_data(&mut self) -> Option<String> {
         loop {
             if let Some((event, rest)) = self.text.split_once("\n\n") {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The text of the next `count` tokens.
+    /// Reads the text of the next `count` tokens.
     pub async fn tokens(&mut self, count: usize) -> String {
         let mut text = String::new();
         for _ in 0..count {
@@ -179,7 +179,7 @@
         text
     }
 
-    /// The text up to the end; `None` if the stream is cut off before.
+    /// Reads the remaining text, or returns `None` if the stream is truncated.
     pub async fn rest(mut self) -> Option<String> {
         let mut text = String::new();
         loop {
