--- a/crates/papayamux-standins/src/fault_proxy/direction_pump.rs
+++ b/crates/papayamux-standins/src/fault_proxy/direction_pump.rs
@@ -10,7 +10,7 @@
 use super::link_faults::LinkDirection;
 use super::proxy_connection::ProxyConnection;
 
-/// Buffer size of a read in bytes.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 16 * 1024;
 
 /// Forwards bytes in one direction of a connection.
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Writes as many bytes as the allowance permits. Returns `false` if the receiver has closed its
-    /// connection.
+    /// Writes as many bytes as the allowance permits. Returns `false` if the receiver no longer
+    /// accepts bytes.
     async fn write(&self, to: &mut OwnedWriteHalf<TcpStream>, mut bytes: Vec<u8>) -> bool {
         let allowance = self.connection.allowance(self.direction).unwrap_or(u64::MAX);
         bytes.truncate(usize::try_from(allowance).unwrap_or(usize::MAX));
