--- a/crates/papayamux-measure/src/soak/servers.rs
+++ b/crates/papayamux-measure/src/soak/servers.rs
@@ -88,11 +88,11 @@
     let (book, name) = (book.clone(), service.to_string());
     let (fatal_book, fatal_name) = (book.clone(), name.clone());
     let is_fatal = move |request: &ServerRequest, _: &mut TcpStream| {
-        request.is_meant_here() && fatal_book.note_fatal(request, &fatal_name)
+        request.is_addressed_here() && fatal_book.note_fatal(request, &fatal_name)
     };
     ServerStandIn::crashing_on(id, service, BACK_AFTER, is_fatal, move |request, stream| {
-        if !request.is_meant_here() {
-            return stream.write_all(request.refusal_of_other().as_bytes()).is_ok();
+        if !request.is_addressed_here() {
+            return stream.write_all(request.misdirected_answer().as_bytes()).is_ok();
         }
         book.note(request, &name);
         match name.as_str() {
--- a/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
+++ b/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
@@ -110,7 +110,7 @@
     async fn accept_all(&self, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((client, _)) => self.take_connection(client),
+                Ok((client, _)) => self.accept_connection(client),
                 Err(error) => {
                     log::warn!(error:% = error; "accepting failed");
                     monoio::time::sleep(ACCEPT_PAUSE).await;
@@ -119,7 +119,7 @@
         }
     }
 
-    fn take_connection(&self, client: TcpStream) {
+    fn accept_connection(&self, client: TcpStream) {
         let faults = self.state.faults_of_new.get();
         let is_full = self.state.connections.borrow().len() >= MAX_CONNECTIONS;
         if faults.refuse || is_full {
