--- a/crates/papayamux-standins/src/engine/chat_interface.rs
+++ b/crates/papayamux-standins/src/engine/chat_interface.rs
@@ -1,4 +1,4 @@
-//! Chat requests, and the streams of their answers.
+//! Chat requests and the streaming of their answers.
 
 use std::collections::VecDeque;
 use std::task::Poll;
@@ -26,11 +26,11 @@
 use crate::respond;
 use crate::run_tag::TAG_HEADER;
 
-/// The exit code of an engine that was told to end on a prompt.
-const ENDED_ON_PROMPT: i32 = 70;
+/// Exit code of an engine that crashes on a prompt, as configured with `--ends-on`.
+const CRASH_EXIT_CODE: i32 = 70;
 const CANCELLED: &str = "the request was cancelled";
 
-/// Runs a chat request.
+/// Answers a chat request, as a stream or as a single JSON response.
 pub async fn answer_chat(server: &EngineServer, request: Request<Incoming>) -> EngineResult {
     let (head, body) = request.into_parts();
     let text_of = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
@@ -41,9 +41,9 @@
     let chat: ChatRequest = serde_json::from_slice(&body).map_err(invalid_request)?;
     server.loader.check_loaded(&chat.model, chat.adapter.as_deref())?;
     let prompt = render_prompt(&chat.messages);
-    if server.options.ends_on.as_ref().is_some_and(|text| prompt.contains(text)) {
-        log::error!(request = id; "engine ends, as it was told to for this prompt");
-        std::process::exit(ENDED_ON_PROMPT);
+    if server.options.crash_on.as_ref().is_some_and(|text| prompt.contains(text)) {
+        log::error!(request = id; "engine exits: the prompt contains the text of --ends-on");
+        std::process::exit(CRASH_EXIT_CODE);
     }
     let plan = AnswerPlan::new(&chat.model, &prompt, chat.max_tokens);
     let (model, adapter) = (chat.model, chat.adapter);
@@ -53,11 +53,11 @@
         reader.ok_or_else(|| engine_error(EngineErrorCode::QueueFull, "too many requests wait"))?;
     match chat.stream {
         true => Ok(stream_answer(id, reader)),
-        false => whole_answer(id, reader).await,
+        false => complete_answer(id, reader).await,
     }
 }
 
-/// Resumes the stream of a request.
+/// Resumes the answer stream of a request from the token in the `from` query parameter.
 pub fn resume_stream(batch: &EngineBatch, id: &str, request: &Request<Incoming>) -> EngineResult {
     let from = query_number(request.uri(), "from").unwrap_or(0);
     if batch.end_of(id) == Some(AnswerEnd::Cancelled) {
@@ -79,12 +79,12 @@
     engine_error(EngineErrorCode::UnknownRequest, message)
 }
 
-async fn whole_answer(id: String, mut reader: AnswerReader) -> EngineResult {
+async fn complete_answer(id: String, mut reader: AnswerReader) -> EngineResult {
     let mut content = String::new();
     while let Some(event) = reader.next().await {
         match event {
             AnswerEvent::Token(token) => content.push_str(&token),
-            AnswerEvent::End(AnswerEnd::Whole(usage)) => {
+            AnswerEvent::End(AnswerEnd::Complete(usage)) => {
                 return Ok(completion(id, content, usage));
             }
             AnswerEvent::End(AnswerEnd::Cancelled) => break,
@@ -99,7 +99,7 @@
     respond::json(StatusCode::OK, &ChatCompletion { id, choices: vec![choice], usage })
 }
 
-/// The answer as server-sent events; that of a cancelled request is cut off.
+/// Streams the answer as server-sent events. The stream of a cancelled request is truncated.
 fn stream_answer(id: String, mut reader: AnswerReader) -> Response<AnswerBody> {
     let mut pending = VecDeque::new();
     let pieces = stream::poll_fn(move |context| {
@@ -108,10 +108,10 @@
         }
         reader.poll_next_unpin(context).map(|event| match event? {
             AnswerEvent::Token(token) => Some(Ok(chunk_piece(&id, token, None))),
-            AnswerEvent::End(AnswerEnd::Whole(_)) if reader.starts_past_usage() => {
+            AnswerEvent::End(AnswerEnd::Complete(_)) if reader.starts_past_usage() => {
                 Some(Ok(Bytes::from(format!("data: {STREAM_END}\n\n"))))
             }
-            AnswerEvent::End(AnswerEnd::Whole(usage)) => {
+            AnswerEvent::End(AnswerEnd::Complete(usage)) => {
                 pending.push_back(Bytes::from(format!("data: {STREAM_END}\n\n")));
                 Some(Ok(chunk_piece(&id, String::new(), Some(usage))))
             }
--- a/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
+++ b/crates/papayamux-standins/src/fault_proxy/link_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxied link: one listener, one target, and the connections between them.
+//! A proxied link from a listener to a target, and its connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,31 +14,31 @@
 use papayamux_transport::shutdown::ShutdownSignal;
 use serde::{Deserialize, Serialize};
 
-use super::link_faults::{FaultyWays, LinkFaults, LinkWay};
+use super::direction_pump::DirectionPump;
+use super::link_faults::{FaultyWays, LinkDirection, LinkFaults};
 use super::proxy_connection::ProxyConnection;
-use super::way_pump::WayPump;
 
-/// Connections open at once; further ones are refused.
-const MOST_CONNECTIONS: usize = 1_024;
-/// How long the listener waits after it could not accept.
+/// Maximum number of open connections; further ones are refused.
+const MAX_CONNECTIONS: usize = 1_024;
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What has passed through a link.
+/// Connection and byte counts of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionReport {
-    /// Connections open now.
+    /// Number of open connections.
     pub open: u64,
-    /// Connections opened since the start.
+    /// Number of connections accepted since the start, excluding those refused on arrival.
     pub total: u64,
-    /// Connections refused, or closed because the target could not be reached.
+    /// Number of connections refused, or closed because the target was unreachable.
     pub refused: u64,
-    /// Bytes delivered to the target.
+    /// Number of bytes delivered to the target.
     pub bytes_to_target: u64,
-    /// Bytes delivered to the client.
+    /// Number of bytes delivered to the client.
     pub bytes_to_client: u64,
-    /// Bytes kept, on the way to the target.
+    /// Number of bytes queued for the target.
     pub kept_to_target: u64,
-    /// Bytes kept, on the way to the client.
+    /// Number of bytes queued for the client.
     pub kept_to_client: u64,
 }
 
@@ -49,7 +49,7 @@
     past: Cell<ConnectionReport>,
 }
 
-/// A link with faults that are set while it runs; clones share it.
+/// A proxied link whose faults can be changed at runtime. Clones share its state.
 #[derive(Clone)]
 pub struct LinkProxy {
     target: SocketAddr,
@@ -57,12 +57,12 @@
 }
 
 impl LinkProxy {
-    /// A link to `target` without faults.
+    /// Creates a link to `target` without faults.
     pub fn new(target: SocketAddr) -> Self {
         Self { target, state: Rc::default() }
     }
 
-    /// Accepts connections until `shutdown`, then cuts those that are open.
+    /// Accepts connections until `shutdown`, then closes the open ones.
     pub async fn serve(&self, listener: TcpListener, shutdown: ShutdownSignal) -> io::Result<()> {
         let accept = std::pin::pin!(self.accept_all(listener));
         let triggered = std::pin::pin!(shutdown.triggered());
@@ -71,7 +71,8 @@
         Ok(())
     }
 
-    /// Replaces the faults of the open connections, and of new ones if they are meant too.
+    /// Replaces the faults of open connections, and those of new connections, which have none if
+    /// [`LinkFaults::only_existing`] is set.
     pub fn set_faults(&self, faults: LinkFaults) {
         self.state.faults_of_new.set(faults.of_new_connections());
         for connection in self.open_connections() {
@@ -79,25 +80,25 @@
         }
     }
 
-    /// Closes all connections now.
+    /// Closes all connections immediately.
     pub fn cut_all(&self) {
         self.open_connections().iter().for_each(|connection| connection.cut());
     }
 
-    /// Ends the given ways of all open connections, after what waits on them.
-    pub fn half_close_all(&self, ways: FaultyWays) {
-        self.open_connections().iter().for_each(|connection| connection.half_close(ways));
+    /// Closes the given directions of all open connections once their queued bytes are delivered.
+    pub fn half_close_all(&self, directions: FaultyWays) {
+        self.open_connections().iter().for_each(|connection| connection.half_close(directions));
     }
 
-    /// What has passed so far.
+    /// Returns the current connection and byte counts.
     pub fn report(&self) -> ConnectionReport {
         let mut report = self.state.past.get();
         for connection in self.state.connections.borrow().values() {
             report.open += 1;
-            report.bytes_to_target += connection.passed(LinkWay::ToTarget);
-            report.bytes_to_client += connection.passed(LinkWay::ToClient);
-            report.kept_to_target += connection.queue(LinkWay::ToTarget).kept() as u64;
-            report.kept_to_client += connection.queue(LinkWay::ToClient).kept() as u64;
+            report.bytes_to_target += connection.passed(LinkDirection::ToTarget);
+            report.bytes_to_client += connection.passed(LinkDirection::ToClient);
+            report.kept_to_target += connection.queue(LinkDirection::ToTarget).kept() as u64;
+            report.kept_to_client += connection.queue(LinkDirection::ToClient).kept() as u64;
         }
         report
     }
@@ -109,7 +110,7 @@
     async fn accept_all(&self, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((client, _)) => self.take_connection(client),
+                Ok((client, _)) => self.accept_connection(client),
                 Err(error) => {
                     log::warn!(error:% = error; "accepting failed");
                     monoio::time::sleep(ACCEPT_PAUSE).await;
@@ -118,11 +119,11 @@
         }
     }
 
-    fn take_connection(&self, client: TcpStream) {
+    fn accept_connection(&self, client: TcpStream) {
         let faults = self.state.faults_of_new.get();
-        let is_full = self.state.connections.borrow().len() >= MOST_CONNECTIONS;
+        let is_full = self.state.connections.borrow().len() >= MAX_CONNECTIONS;
         if faults.refuse || is_full {
-            return self.note_refused();
+            return self.record_refused();
         }
         let mut past = self.state.past.get();
         past.total += 1;
@@ -137,13 +138,13 @@
     }
 
     async fn run_connection(&self, connection: &ProxyConnection, client: TcpStream) {
-        let Ok(target) = connect(self.target).await else { return self.note_refused() };
+        let Ok(target) = connect(self.target).await else { return self.record_refused() };
         let _ = (client.set_nodelay(true), target.set_nodelay(true));
         let (client_read, client_write) = client.into_split();
         let (target_read, target_write) = target.into_split();
-        let (to_target, to_client) = (LinkWay::ToTarget, LinkWay::ToClient);
-        let forth = WayPump { connection, way: to_target, opposite: to_client };
-        let back = WayPump { connection, way: to_client, opposite: to_target };
+        let (to_target, to_client) = (LinkDirection::ToTarget, LinkDirection::ToClient);
+        let forth = DirectionPump { connection, direction: to_target, opposite: to_client };
+        let back = DirectionPump { connection, direction: to_client, opposite: to_target };
         let pumps = std::pin::pin!(join(
             forth.run(client_read, target_write),
             back.run(target_read, client_write)
@@ -152,7 +153,7 @@
         let _ = select(cut, pumps).await;
     }
 
-    fn note_refused(&self) {
+    fn record_refused(&self) {
         let past = self.state.past.get();
         self.state.past.set(ConnectionReport { refused: past.refused + 1, ..past });
     }
@@ -160,8 +161,8 @@
     fn forget_connection(&self, number: u64) {
         let Some(connection) = self.state.connections.borrow_mut().remove(&number) else { return };
         let mut past = self.state.past.get();
-        past.bytes_to_target += connection.passed(LinkWay::ToTarget);
-        past.bytes_to_client += connection.passed(LinkWay::ToClient);
+        past.bytes_to_target += connection.passed(LinkDirection::ToTarget);
+        past.bytes_to_client += connection.passed(LinkDirection::ToClient);
         self.state.past.set(past);
     }
 }
--- a/crates/papayamux-standins/src/instance_list.rs
+++ b/crates/papayamux-standins/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! The instance list stand-in: gives the list as it was some time ago.
+//! Stand-in for the instance list: serves the list with a configurable lag.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use crate::request_body::read_body;
 use crate::respond;
 
-/// The path of the list as it truly is; a test replaces it there.
+/// Path of the current list, without lag; tests replace the list there.
 pub const TRUE_INSTANCES_PATH: &str = "/standin/instances";
-/// Instances in the longest list.
-const MOST_INSTANCES: usize = 10_000;
+/// Maximum number of instances in a list.
+const MAX_INSTANCES: usize = 10_000;
 
 type SharedList = Rc<RefCell<LaggedValue<Rc<InstanceList>>>>;
 
-/// Serves an instance list that is `lag` old until `shutdown`.
+/// Serves an instance list to which changes become visible after `lag`, until `shutdown`.
 pub async fn serve_instance_list(
     listener: TcpListener,
     lag: Duration,
@@ -59,7 +59,7 @@
     let body = read_body(request.into_body()).await.map_err(|error| error.to_string())?;
     let list: InstanceList = serde_json::from_slice(&body).map_err(|error| error.to_string())?;
     match list.instances.len() {
-        0..=MOST_INSTANCES => Ok(list),
-        count => Err(format!("{count} instances, the bound is {MOST_INSTANCES}")),
+        0..=MAX_INSTANCES => Ok(list),
+        count => Err(format!("{count} instances, the bound is {MAX_INSTANCES}")),
     }
 }
--- a/crates/papayamux-standins/tests/platform.rs
+++ b/crates/papayamux-standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The instance list and the weight store, and the engine that loads from the store.
+//! Tests of the instance list, the weight store, and the engine that loads from the store.
 
 mod support;
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_engine_loads_from_the_store_and_tells_what_failed() {
+fn an_engine_loads_from_the_store_and_reports_failures() {
     run(async {
         let options = WeightStoreOptions { loads_per_second: 0, ..Default::default() };
         let (busy, store) = (start_store(options), start_store(WeightStoreOptions::default()));
