--- a/crates/papayamux-agent/src/answers/answer_record.rs
+++ b/crates/papayamux-agent/src/answers/answer_record.rs
@@ -112,7 +112,7 @@
         Rc::new(Self {
             id: open.id,
             organisation: open.organisation.clone(),
-            may_cancel: open.repeat == RetryRule::Idempotent,
+            may_cancel: open.retry_rule == RetryRule::Idempotent,
             limits,
             keeps_events: Cell::new(false),
             state: RefCell::new(state),
--- a/crates/papayamux-agent/src/claims/kept_answers.rs
+++ b/crates/papayamux-agent/src/claims/kept_answers.rs
@@ -96,7 +96,7 @@
         open: &OpenRequest,
         now: Duration,
     ) -> Result<Option<RunRecorder>, RefusalReason> {
-        let RetryRule::AtMostOnce(Some(key)) = &open.repeat else { return Ok(None) };
+        let RetryRule::AtMostOnce(Some(key)) = &open.retry_rule else { return Ok(None) };
         if open.claim.is_none() {
             return Err(RefusalReason::ClaimMissing);
         }
--- a/crates/papayamux-agent/src/claims/recall.rs
+++ b/crates/papayamux-agent/src/claims/recall.rs
@@ -42,7 +42,7 @@
             offset += data.bytes.len() as u64;
             self.send(AgentMessage::Data(data));
         }
-        self.send(AgentMessage::End(AnswerEnd::Whole(length)));
+        self.send(AgentMessage::End(AnswerEnd::Complete(length)));
     }
 }
 
--- a/crates/papayamux-agent/src/daemon.rs
+++ b/crates/papayamux-agent/src/daemon.rs
@@ -162,7 +162,7 @@
 }
 
 fn start_agent(settings: &AgentSettings) -> Result<Rc<AgentCore>, Box<dyn Error>> {
-    let incarnation = Incarnation::draw();
+    let incarnation = Incarnation::generate();
     let metrics = AgentMetrics::default();
     let mut registry = Registry::default();
     metrics.register(&mut registry);
--- a/crates/papayamux-agent/src/run.rs
+++ b/crates/papayamux-agent/src/run.rs
@@ -76,7 +76,7 @@
     match run_at_server(core, open, record, recorder).await {
         Ok(RunEnd::Whole) => {
             core.crashes.note_run(content);
-            record.finish(AnswerEnd::Whole(record.length()));
+            record.finish(AnswerEnd::Complete(record.length()));
             RunEnd::Whole
         }
         Ok(end) => end,
@@ -95,7 +95,7 @@
     record: &AnswerRecord,
     recorder: Option<&RunRecorder>,
 ) -> Result<RunEnd, ServerError> {
-    let idempotent = open.repeat == RetryRule::Idempotent;
+    let idempotent = open.retry_rule == RetryRule::Idempotent;
     let start_before = open.start_before;
     let not_run = |reason: RefusalReason| {
         if let Some(recorder) = recorder {
--- a/crates/papayamux-agent/tests/answer_records.rs
+++ b/crates/papayamux-agent/tests/answer_records.rs
@@ -23,14 +23,14 @@
     AnswerStore::new(limits.total_bytes(total_bytes).answer_bytes(total_bytes).build())
 }
 
-fn open(number: u64, repeat: RetryRule) -> OpenRequest {
+fn open(number: u64, retry_rule: RetryRule) -> OpenRequest {
     OpenRequest {
         id: RequestId { incarnation: Incarnation::from(7), number },
         agent: Incarnation::from(8),
         organisation: "desk".parse().unwrap(),
         priority: 0,
         start_before: AgentClock(1_000),
-        repeat,
+        retry_rule,
         claim: None,
         chat: None,
         method: "POST".to_string(),
@@ -94,9 +94,9 @@
         append_events(&record, 3).await;
         assert!(record.attach(on_stream(2, &sender), ResumePoint::Offset(2)));
         record.lose(on_stream(1, &sender).key);
-        record.finish(AnswerEnd::Whole(7));
+        record.finish(AnswerEnd::Complete(7));
         let (body, last) = read_stream(&mut receiver, 2, 2).await;
-        assert_eq!((body, last), (vec![2, 3, 0, 1, 2], AgentMessage::End(AnswerEnd::Whole(7))));
+        assert_eq!((body, last), (vec![2, 3, 0, 1, 2], AgentMessage::End(AnswerEnd::Complete(7))));
     })
     .unwrap();
 }
@@ -165,7 +165,7 @@
             let record = store.start_record(&open(number, RetryRule::Idempotent), attachment);
             record.set_head(AnswerHead { status: 200, headers: Vec::new() }, true);
             record.append(Bytes::from(vec![0; 400]), &[400]).await;
-            record.finish(AnswerEnd::Whole(400));
+            record.finish(AnswerEnd::Complete(400));
             record.arrive(on_stream(number, &sender).key);
         }
         store.sweep(Instant::now());
--- a/crates/papayamux-agent/tests/kept_answers.rs
+++ b/crates/papayamux-agent/tests/kept_answers.rs
@@ -31,7 +31,7 @@
         organisation: "desk".parse().unwrap(),
         priority: 0,
         start_before: AgentClock(1_000),
-        repeat: RetryRule::AtMostOnce(Some(key.parse().unwrap())),
+        retry_rule: RetryRule::AtMostOnce(Some(key.parse().unwrap())),
         claim: Some(ClaimId(id)),
         chat: None,
         method: "POST".to_string(),
--- a/crates/papayamux-coordination/src/crash_quarantine.rs
+++ b/crates/papayamux-coordination/src/crash_quarantine.rs
@@ -78,10 +78,11 @@
 }
 
 impl SuspectRequest {
-    fn new(record: CrashRecord, held: Duration, jitter: f64, now: Instant) -> Self {
+    fn new(record: CrashRecord, quarantine_left: Duration, jitter: f64, now: Instant) -> Self {
         // Routers allow a trial at different times, so that the first of them finds out for all.
-        let trial_from = now + held.mul_f64(1.0 + jitter);
-        let (quarantined_until, is_quarantined) = (now + held, !held.is_zero());
+        let trial_from = now + quarantine_left.mul_f64(1.0 + jitter);
+        let (quarantined_until, is_quarantined) =
+            (now + quarantine_left, !quarantine_left.is_zero());
         Self {
             record,
             changed: now,
@@ -93,8 +94,8 @@
     }
 
     fn notice(&self, fingerprint: RequestFingerprint, now: Instant) -> CrashNotice {
-        let held = self.quarantined_until.saturating_duration_since(now);
-        CrashNotice { fingerprint, record: self.record, held }
+        let quarantine_left = self.quarantined_until.saturating_duration_since(now);
+        CrashNotice { fingerprint, record: self.record, quarantine_left }
     }
 
     fn is_expired(&self, now: Instant) -> bool {
@@ -179,8 +180,8 @@
         now: Instant,
     ) -> Option<CrashRecord> {
         let record = sent.after_crash();
-        let held = self.quarantine_duration(record, now);
-        let notice = CrashNotice { fingerprint, record, held };
+        let quarantine_left = self.quarantine_duration(record, now);
+        let notice = CrashNotice { fingerprint, record, quarantine_left };
         self.apply(notice, NoticeOrigin::Observed, jitter, now).then_some(record)
     }
 
@@ -197,14 +198,18 @@
         if record.crashes == 0 {
             return false;
         }
-        let notice = CrashNotice { fingerprint, record: record.after_run(), held: Duration::ZERO };
+        let notice = CrashNotice {
+            fingerprint,
+            record: record.after_run(),
+            quarantine_left: Duration::ZERO,
+        };
         self.apply(notice, NoticeOrigin::Observed, 0.0, now)
     }
 
     /// Applies a notice of another router. Returns whether it was new.
     pub fn receive_notice(&mut self, notice: CrashNotice, jitter: f64, now: Instant) -> bool {
-        let held = notice.held.min(max_quarantine(notice.record));
-        self.apply(CrashNotice { held, ..notice }, NoticeOrigin::Received, jitter, now)
+        let quarantine_left = notice.quarantine_left.min(max_quarantine(notice.record));
+        self.apply(CrashNotice { quarantine_left, ..notice }, NoticeOrigin::Received, jitter, now)
     }
 
     fn apply(
@@ -214,13 +219,13 @@
         jitter: f64,
         now: Instant,
     ) -> bool {
-        let CrashNotice { fingerprint, record, held } = notice;
+        let CrashNotice { fingerprint, record, quarantine_left } = notice;
         let known = self.requests.get(&fingerprint).map(|suspect| suspect.record);
         if known.unwrap_or_default() >= record {
             return false;
         }
         self.make_room(now);
-        let suspect = SuspectRequest::new(record, held, jitter, now);
+        let suspect = SuspectRequest::new(record, quarantine_left, jitter, now);
         self.requests.insert(fingerprint, SuspectRequest { unannounced: Some(origin), ..suspect });
         true
     }
--- a/crates/papayamux-coordination/src/placement/recent_holders.rs
+++ b/crates/papayamux-coordination/src/placement/recent_holders.rs
@@ -48,7 +48,7 @@
 
 impl RecentHolders {
     /// Records that `server` was given `chain`.
-    pub fn note_use(&mut self, server: &ServerId, chain: &PromptChain, now: Instant) {
+    pub fn record_use(&mut self, server: &ServerId, chain: &PromptChain, now: Instant) {
         let prefixes = chain.shared_prefixes();
         let Some((part, _)) = prefixes.last().copied() else { return };
         if chain.shared_tokens().get() < MIN_ANNOUNCED_TOKENS {
--- a/crates/papayamux-coordination/src/server_notices.rs
+++ b/crates/papayamux-coordination/src/server_notices.rs
@@ -27,11 +27,11 @@
 impl NoticeTable {
     /// Records the notice of a server.
     pub fn record(&mut self, server: &ServerId, notice: ServerNotice, now: Instant) {
-        if notice.leaves {
+        if notice.is_draining {
             self.record_draining(server, now);
         }
-        if let Some(rest) = notice.rest {
-            self.record_backoff(server, rest, now);
+        if let Some(backoff) = notice.backoff {
+            self.record_backoff(server, backoff, now);
         }
     }
 
@@ -47,11 +47,11 @@
     }
 
     /// Of several back-offs the one that ends last counts, since answers may overtake each other.
-    fn record_backoff(&mut self, server: &ServerId, rest: Duration, now: Instant) {
+    fn record_backoff(&mut self, server: &ServerId, backoff: Duration, now: Instant) {
         if self.backoff_until.len() >= MAX_SERVERS {
             self.backoff_until.retain(|_, until| *until > now);
         }
-        let until = now + rest.min(MAX_BACKOFF);
+        let until = now + backoff.min(MAX_BACKOFF);
         let known = self.backoff_until.entry(server.clone()).or_insert(until);
         *known = until.max(*known);
     }
--- a/crates/papayamux-coordination/tests/crash_quarantine.rs
+++ b/crates/papayamux-coordination/tests/crash_quarantine.rs
@@ -53,7 +53,7 @@
         "it was sent before the clearing run"
     );
     let record = CrashRecord { cleared: 0, crashes: 2 };
-    let stale = CrashNotice { fingerprint: FATAL, record, held: seconds(30) };
+    let stale = CrashNotice { fingerprint: FATAL, record, quarantine_left: seconds(30) };
     assert!(!quarantine.receive_notice(stale, 0.0, now));
     assert_eq!(quarantine.quarantine_left(FATAL, now), None);
 }
@@ -77,9 +77,9 @@
     let (mut quarantine, mut now) = (CrashQuarantine::default(), Instant::now());
     crash(&mut quarantine, now);
     crash(&mut quarantine, now);
-    for held in [30, 120, 480, 1_920, 3_600, 3_600] {
-        assert_eq!(quarantine.quarantine_left(FATAL, now), Some(seconds(held)));
-        now += seconds(held);
+    for quarantine_left in [30, 120, 480, 1_920, 3_600, 3_600] {
+        assert_eq!(quarantine.quarantine_left(FATAL, now), Some(seconds(quarantine_left)));
+        now += seconds(quarantine_left);
         assert_eq!(quarantine.quarantine_left(FATAL, now), None);
         let sent = quarantine.begin_attempt(FATAL, now);
         assert_eq!(
@@ -95,7 +95,11 @@
 fn quarantine_of_another_router_is_adopted_for_its_remaining_time() {
     let (mut quarantine, now) = (CrashQuarantine::default(), Instant::now());
     let record = CrashRecord { cleared: 0, crashes: 2 };
-    let notice = |held| CrashNotice { fingerprint: FATAL, record, held: seconds(held) };
+    let notice = |quarantine_left| CrashNotice {
+        fingerprint: FATAL,
+        record,
+        quarantine_left: seconds(quarantine_left),
+    };
     assert!(quarantine.receive_notice(notice(20), 0.5, now));
     assert!(!quarantine.receive_notice(notice(30), 0.0, now), "already known");
     assert_eq!(
@@ -113,8 +117,12 @@
 fn excessive_quarantine_is_capped() {
     let (mut quarantine, now) = (CrashQuarantine::default(), Instant::now());
     let record = CrashRecord { cleared: 0, crashes: 2 };
-    let held = Duration::from_millis(u64::from(u32::MAX));
-    assert!(quarantine.receive_notice(CrashNotice { fingerprint: FATAL, record, held }, 0.0, now));
+    let quarantine_left = Duration::from_millis(u64::from(u32::MAX));
+    assert!(quarantine.receive_notice(
+        CrashNotice { fingerprint: FATAL, record, quarantine_left },
+        0.0,
+        now
+    ));
     assert_eq!(quarantine.quarantine_left(FATAL, now), Some(seconds(30)));
 }
 
@@ -177,7 +185,7 @@
     assert_eq!(quarantine.quarantine_left(FATAL, now + seconds(1)), None);
     let announced = quarantine.next_unannounced(NoticeOrigin::Observed, 8, now + seconds(1));
     assert_eq!(
-        announced[0].held,
+        announced[0].quarantine_left,
         Duration::ZERO,
         "other routers are not asked to quarantine it either"
     );
--- a/crates/papayamux-coordination/tests/crash_spread.rs
+++ b/crates/papayamux-coordination/tests/crash_spread.rs
@@ -214,7 +214,7 @@
                     let notice = CrashNotice {
                         fingerprint: RequestFingerprint(fingerprint),
                         record: CrashRecord { cleared, crashes },
-                        held: Duration::from_millis(held_ms),
+                        quarantine_left: Duration::from_millis(held_ms),
                     };
                     self.routers[router].quarantine.receive_notice(notice, jitter, now);
                 }
@@ -326,7 +326,7 @@
         }
         let notices = notices.iter().map(|notice| {
             let CrashRecord { cleared, crashes } = notice.record;
-            (notice.fingerprint.0, cleared, crashes, notice.held.as_millis() as u64)
+            (notice.fingerprint.0, cleared, crashes, notice.quarantine_left.as_millis() as u64)
         });
         let notices = notices.collect();
         let delay_ms = self.random.random_range(1..=MAX_DATAGRAM_DELAY_MS);
--- a/crates/papayamux-coordination/tests/server_notices.rs
+++ b/crates/papayamux-coordination/tests/server_notices.rs
@@ -8,7 +8,7 @@
 use papayamux_state::ids::ServerId;
 
 fn backoff(millis: u64) -> ServerNotice {
-    ServerNotice { rest: Some(Duration::from_millis(millis)), ..ServerNotice::default() }
+    ServerNotice { backoff: Some(Duration::from_millis(millis)), ..ServerNotice::default() }
 }
 
 fn id(name: &str) -> ServerId {
@@ -32,7 +32,7 @@
 #[test]
 fn excessive_backoff_is_capped() {
     let (mut table, now) = (NoticeTable::default(), Instant::now());
-    let excessive = ServerNotice { rest: Some(Duration::MAX), ..ServerNotice::default() };
+    let excessive = ServerNotice { backoff: Some(Duration::MAX), ..ServerNotice::default() };
     table.record(&id("a"), excessive, now);
     let left = table.backoff_left(&id("a"), now).unwrap();
     assert!(left >= Duration::from_secs(60) && left <= Duration::from_secs(600), "{left:?}");
@@ -52,7 +52,7 @@
 #[test]
 fn draining_persists_after_later_answers() {
     let (mut table, now) = (NoticeTable::default(), Instant::now());
-    let draining = ServerNotice { leaves: true, rest: None };
+    let draining = ServerNotice { is_draining: true, backoff: None };
     table.record(&id("a"), draining, now);
     table.record(&id("a"), ServerNotice::default(), now + Duration::from_secs(60));
     assert!(table.is_draining(&id("a")));
--- a/crates/papayamux-coordination/tests/support/mod.rs
+++ b/crates/papayamux-coordination/tests/support/mod.rs
@@ -27,7 +27,7 @@
         organisation: organisation.parse()?,
         priority: 2,
         start_before: AgentClock(1_000_000),
-        repeat: RetryRule::Idempotent,
+        retry_rule: RetryRule::Idempotent,
         claim: None,
         chat: None,
         method: "POST".to_string(),
--- a/crates/papayamux-measure/src/control/agent_end.rs
+++ b/crates/papayamux-measure/src/control/agent_end.rs
@@ -42,7 +42,7 @@
         let answer = match message {
             RouterMessage::Hello(_) => AgentMessage::Welcome(AgentWelcome {
                 version: PROTOCOL_VERSION,
-                incarnation: Incarnation::draw(),
+                incarnation: Incarnation::generate(),
                 server: server.clone(),
                 domain: domain.clone(),
                 clock: AgentClock(1),
--- a/crates/papayamux-measure/src/control/router_end.rs
+++ b/crates/papayamux-measure/src/control/router_end.rs
@@ -15,7 +15,7 @@
 pub async fn open_router_end(agent: SocketAddr) -> Result<RouterEnd, Box<dyn Error>> {
     let stream = connect(agent).await?;
     let (sender, mut receiver) = start_link::<RouterFrame, AgentFrame, RouterMessage>(stream)?;
-    let (incarnation, domain) = (Incarnation::draw(), "a".parse()?);
+    let (incarnation, domain) = (Incarnation::generate(), "a".parse()?);
     let hello = RouterHello { version: PROTOCOL_VERSION, incarnation, domain, nonce: None };
     sender.send(0, RouterMessage::Hello(hello));
     let first = receiver.receive().await.ok_or("the agent closed the connection")??;
--- a/crates/papayamux-protocol/src/chat.rs
+++ b/crates/papayamux-protocol/src/chat.rs
@@ -89,7 +89,7 @@
             organisation,
             model: &model,
             adapter: adapter.as_ref(),
-            first_turns: &first_turns(&request.messages),
+            first_messages: &first_messages(&request.messages),
         }),
     };
     Ok(ChatCall { model, adapter, chat, request })
@@ -103,7 +103,7 @@
 }
 
 /// Returns the turns up to and including the user's first.
-fn first_turns(messages: &[ChatMessage]) -> Vec<&str> {
+fn first_messages(messages: &[ChatMessage]) -> Vec<&str> {
     let first_user = messages.iter().position(|message| message.role == "user");
     let opening = &messages[..=first_user.unwrap_or(messages.len() - 1)];
     opening.iter().flat_map(|message| [message.role.as_str(), message.content.as_str()]).collect()
--- a/crates/papayamux-protocol/src/crash_notices.rs
+++ b/crates/papayamux-protocol/src/crash_notices.rs
@@ -21,8 +21,9 @@
 
 impl From<&[CrashNotice]> for CrashNoticesWire {
     fn from(notices: &[CrashNotice]) -> Self {
-        let held_ms =
-            |notice: &CrashNotice| u32::try_from(notice.held.as_millis()).unwrap_or(u32::MAX);
+        let held_ms = |notice: &CrashNotice| {
+            u32::try_from(notice.quarantine_left.as_millis()).unwrap_or(u32::MAX)
+        };
         Self {
             fingerprints: notices.iter().map(|notice| notice.fingerprint.0).collect(),
             cleared: notices.iter().map(|notice| notice.record.cleared).collect(),
@@ -39,7 +40,7 @@
         let notices = columns.map(|((fingerprint, (cleared, crashes)), held_ms)| CrashNotice {
             fingerprint: RequestFingerprint(fingerprint),
             record: CrashRecord { cleared, crashes },
-            held: Duration::from_millis(u64::from(held_ms)),
+            quarantine_left: Duration::from_millis(u64::from(held_ms)),
         });
         notices.collect()
     }
--- a/crates/papayamux-protocol/src/fleet_update.rs
+++ b/crates/papayamux-protocol/src/fleet_update.rs
@@ -27,11 +27,11 @@
     /// The server is present in this state.
     Present(BackendServer),
     /// The server has departed.
-    Gone {
+    Departed {
         /// The name under which the server was listed.
         name: ServerName,
         /// `true` if the server is terminating: departed, but still finishing its work.
-        lingers: bool,
+        terminating: bool,
     },
 }
 
@@ -181,9 +181,12 @@
 impl From<&ServerUpdate> for ServerWire {
     fn from(update: &ServerUpdate) -> Self {
         match update {
-            ServerUpdate::Gone { name, lingers } => {
-                Self { name: name.to_string(), gone: true, lingers: *lingers, ..Self::default() }
-            }
+            ServerUpdate::Departed { name, terminating } => Self {
+                name: name.to_string(),
+                gone: true,
+                lingers: *terminating,
+                ..Self::default()
+            },
             ServerUpdate::Present(server) => Self {
                 name: server.name.to_string(),
                 start: server.start.map(|start| start.0),
@@ -207,7 +210,7 @@
         let name: ServerName =
             wire.name.parse().map_err(|error| invalid_part("server name")(&error))?;
         if wire.gone {
-            return Ok(Self::Gone { name, lingers: wire.lingers });
+            return Ok(Self::Departed { name, terminating: wire.lingers });
         }
         let start = wire.start.map(ServerStart);
         let address: SocketAddr =
--- a/crates/papayamux-protocol/src/link.rs
+++ b/crates/papayamux-protocol/src/link.rs
@@ -86,7 +86,7 @@
     /// The start deadline of the request, on the agent's clock.
     pub start_before: AgentClock,
     /// The rule for retrying the call.
-    pub repeat: RetryRule,
+    pub retry_rule: RetryRule,
     /// The claim that permits a call with an idempotency key to run.
     pub claim: Option<ClaimId>,
     /// The chat's target; `None` for plain services.
@@ -340,7 +340,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerEnd {
     /// The body is complete and has this number of bytes.
-    Whole(u64),
+    Complete(u64),
     /// The server failed after it had received the request.
     Failed(String),
 }
--- a/crates/papayamux-protocol/src/wire/convert_agent.rs
+++ b/crates/papayamux-protocol/src/wire/convert_agent.rs
@@ -157,7 +157,7 @@
 impl From<AnswerEnd> for WireEnd {
     fn from(end: AnswerEnd) -> Self {
         match end {
-            AnswerEnd::Whole(length) => Self { length, failure: None },
+            AnswerEnd::Complete(length) => Self { length, failure: None },
             AnswerEnd::Failed(failure) => Self { length: 0, failure: Some(failure) },
         }
     }
@@ -166,7 +166,7 @@
 impl From<WireEnd> for AnswerEnd {
     fn from(end: WireEnd) -> Self {
         match end.failure {
-            None => Self::Whole(end.length),
+            None => Self::Complete(end.length),
             Some(failure) => Self::Failed(failure),
         }
     }
--- a/crates/papayamux-protocol/src/wire/convert_router.rs
+++ b/crates/papayamux-protocol/src/wire/convert_router.rs
@@ -171,7 +171,7 @@
 
 impl From<OpenRequest> for WireOpen {
     fn from(open: OpenRequest) -> Self {
-        let (at_most_once, idempotency_key) = match open.repeat {
+        let (at_most_once, idempotency_key) = match open.retry_rule {
             RetryRule::Idempotent => (false, None),
             RetryRule::AtMostOnce(key) => (true, key.map(|key| key.to_string())),
         };
@@ -203,7 +203,7 @@
     type Error = WireError;
 
     fn try_from(open: WireOpen) -> Result<Self, WireError> {
-        let repeat = match (open.at_most_once, open.idempotency_key) {
+        let retry_rule = match (open.at_most_once, open.idempotency_key) {
             (false, _) => RetryRule::Idempotent,
             (true, None) => RetryRule::AtMostOnce(None),
             (true, Some(key)) => RetryRule::AtMostOnce(Some(identifier("idempotency_key", &key)?)),
@@ -220,7 +220,7 @@
             organisation: identifier("organisation", &open.organisation)?,
             priority: open.priority,
             start_before: AgentClock(open.start_before_ms),
-            repeat,
+            retry_rule,
             claim: open.claim.map(|claim| ClaimId(claim.into())),
             chat: open.chat.map(TryInto::try_into).transpose()?,
             method: open.method,
--- a/crates/papayamux-protocol/tests/round_trip.rs
+++ b/crates/papayamux-protocol/tests/round_trip.rs
@@ -30,7 +30,7 @@
         organisation: "desk".parse().unwrap(),
         priority: 3,
         start_before: AgentClock(1_234),
-        repeat: RetryRule::AtMostOnce(Some("booking-4".parse().unwrap())),
+        retry_rule: RetryRule::AtMostOnce(Some("booking-4".parse().unwrap())),
         claim: Some(claim()),
         chat: Some(ChatTarget {
             model: "itinerary".parse().unwrap(),
--- a/crates/papayamux-protocol/tests/router_report.rs
+++ b/crates/papayamux-protocol/tests/router_report.rs
@@ -67,12 +67,12 @@
             CrashNotice {
                 fingerprint: RequestFingerprint(u64::MAX),
                 record: CrashRecord { cleared: 1, crashes: 2 },
-                held: Duration::from_millis(29_500),
+                quarantine_left: Duration::from_millis(29_500),
             },
             CrashNotice {
                 fingerprint: RequestFingerprint(1),
                 record: CrashRecord { cleared: 0, crashes: 1 },
-                held: Duration::ZERO,
+                quarantine_left: Duration::ZERO,
             },
         ],
         counted: 24,
@@ -98,7 +98,7 @@
 }
 
 fn departed() -> ServerUpdate {
-    ServerUpdate::Gone { name: "i-409792a0e0".parse().unwrap(), lingers: true }
+    ServerUpdate::Departed { name: "i-409792a0e0".parse().unwrap(), terminating: true }
 }
 
 fn news(changes: Vec<ServerUpdate>) -> FleetUpdate {
--- a/crates/papayamux-router/src/agents/agent_link.rs
+++ b/crates/papayamux-router/src/agents/agent_link.rs
@@ -107,7 +107,7 @@
             agent: Some(open.agent),
             organisation: open.organisation.clone(),
             start_before: Some(open.start_before),
-            idempotent: open.repeat == RetryRule::Idempotent,
+            idempotent: open.retry_rule == RetryRule::Idempotent,
         };
         let (events, inbox) = unbounded::channel();
         let state = StreamState::new(origin, ResumePoint::Offset(0), events);
@@ -359,7 +359,7 @@
             state.receive_end(StreamEvent::Refused(notice));
             true
         }
-        AgentMessage::End(AnswerEnd::Whole(length)) if !state.has_all(length) => false,
+        AgentMessage::End(AnswerEnd::Complete(length)) if !state.has_all(length) => false,
         AgentMessage::End(end) => {
             state.receive_end(StreamEvent::End(end));
             true
--- a/crates/papayamux-router/src/agents/agent_updates.rs
+++ b/crates/papayamux-router/src/agents/agent_updates.rs
@@ -30,11 +30,12 @@
         quarantine.forget_old(now);
         for notice in notices {
             let is_new = quarantine.receive_notice(*notice, rand::random(), now);
-            let held = quarantine.quarantine_left(notice.fingerprint, now).filter(|_| is_new);
-            if let Some(held) = held {
+            let quarantine_left =
+                quarantine.quarantine_left(notice.fingerprint, now).filter(|_| is_new);
+            if let Some(quarantine_left) = quarantine_left {
                 log::info!(
                     fingerprint:% = notice.fingerprint, crashes = notice.record.crashes,
-                    held_ms = held.as_millis() as u64; "request is held by an agent's word"
+                    held_ms = quarantine_left.as_millis() as u64; "request is held by an agent's word"
                 );
             }
         }
@@ -46,7 +47,7 @@
     }
 
     /// Returns the time for which a request stays quarantined, or `None` if it isn't.
-    pub fn hold_left(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
+    pub fn quarantine_left(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
         self.0.borrow().quarantine_left(fingerprint, Instant::now())
     }
 
--- a/crates/papayamux-router/src/callers/answer_stream.rs
+++ b/crates/papayamux-router/src/callers/answer_stream.rs
@@ -58,7 +58,7 @@
                 self.stream.acknowledge(self.delivered);
                 Some(Ok(data.bytes))
             }
-            StreamEvent::End(AnswerEnd::Whole(_)) => {
+            StreamEvent::End(AnswerEnd::Complete(_)) => {
                 self.progress = AnswerProgress::Ended;
                 None
             }
--- a/crates/papayamux-router/src/callers/chat_handler.rs
+++ b/crates/papayamux-router/src/callers/chat_handler.rs
@@ -26,7 +26,7 @@
     let plan = frontend.planner.plan_chat(&call, servers).await;
     let offer = RequestOffer {
         organisation: request.organisation,
-        repeat: RetryRule::Idempotent,
+        retry_rule: RetryRule::Idempotent,
         claim: None,
         chat: Some(ChatTarget { model: call.model, adapter: call.adapter, chat: call.chat }),
         method: request.head.method.to_string(),
--- a/crates/papayamux-router/src/callers/offer.rs
+++ b/crates/papayamux-router/src/callers/offer.rs
@@ -27,7 +27,7 @@
     /// The calling organisation.
     pub organisation: OrganisationId,
     /// The rule for retries of the call.
-    pub repeat: RetryRule,
+    pub retry_rule: RetryRule,
     /// The claim under which a call with an idempotency key may run.
     pub claim: Option<Rc<ClaimAttempt>>,
     /// The chat's model, adapter and key; `None` for calls to plain services.
@@ -48,10 +48,10 @@
     }
 
     /// Returns the time for which the request stays quarantined because servers crashed under it.
-    fn hold_left(&self, quarantine: &RequestQuarantine) -> Option<Duration> {
+    fn quarantine_left(&self, quarantine: &RequestQuarantine) -> Option<Duration> {
         match quarantine.is_empty() {
             true => None,
-            false => quarantine.hold_left(self.fingerprint()),
+            false => quarantine.quarantine_left(self.fingerprint()),
         }
     }
 
@@ -117,7 +117,7 @@
     while let Some(candidate) = plan.next(named.as_ref()) {
         named = None;
         // Servers crashed under this request before, so each further offer could crash another.
-        if let Some(left) = offer.hold_left(quarantine) {
+        if let Some(left) = offer.quarantine_left(quarantine) {
             let left = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             log::info!(fingerprint:% = offer.fingerprint(), held_ms = left; "request is held");
             refusal = RefusalNotice::new(RefusalReason::Quarantined, left);
@@ -147,7 +147,7 @@
             OfferOutcome::Unknown => {
                 frontend.planner.record_evidence(&server, EvidenceKind::Unreachable);
                 may_have_run = true;
-                if offer.repeat != RetryRule::Idempotent {
+                if offer.retry_rule != RetryRule::Idempotent {
                     break;
                 }
                 if !frontend.planner.retries().take_retry() {
@@ -159,7 +159,7 @@
         }
     }
     Err(match may_have_run {
-        true => lost(&offer.repeat),
+        true => lost(&offer.retry_rule),
         false => refused(&refusal),
     })
 }
@@ -195,14 +195,14 @@
     let Some(start_before) = offer.start_before(&link, frontend.settings.start_within) else {
         return OfferOutcome::NotRun(RefusalNotice::new(RefusalReason::DeadlinePassed, 0));
     };
-    let id = frontend.request_ids.draw();
+    let id = frontend.request_ids.generate();
     let open = OpenRequest {
         id,
         agent: link.welcome().incarnation,
         organisation: offer.organisation.clone(),
         priority: frontend.settings.organisation(&offer.organisation).priority,
         start_before,
-        repeat: offer.repeat.clone(),
+        retry_rule: offer.retry_rule.clone(),
         claim: offer.claim.as_ref().map(|attempt| attempt.claim()),
         chat: offer.chat.clone(),
         method: offer.method.clone(),
@@ -251,8 +251,8 @@
         .retry_after(notice.retry_after_ms.div_ceil(1_000).max(1))
 }
 
-fn lost(repeat: &RetryRule) -> FailureBody {
-    let message = match repeat {
+fn lost(retry_rule: &RetryRule) -> FailureBody {
+    let message = match retry_rule {
         RetryRule::Idempotent => "the connection to the server was lost",
         RetryRule::AtMostOnce(_) => "the connection to the server was lost; it may have run",
     };
--- a/crates/papayamux-router/src/callers/service_handler.rs
+++ b/crates/papayamux-router/src/callers/service_handler.rs
@@ -23,7 +23,7 @@
         let message = format!("no server is declared for the path {path}");
         return Err(FailureBody::not_run(FailureCode::UnknownRoute, message));
     };
-    let repeat = if route.idempotent || request.head.method.is_safe() {
+    let retry_rule = if route.idempotent || request.head.method.is_safe() {
         RetryRule::Idempotent
     } else {
         RetryRule::AtMostOnce(read_key(&request)?)
@@ -31,7 +31,7 @@
     let path_and_query = request.head.uri.path_and_query();
     let offer = RequestOffer {
         organisation: request.organisation,
-        repeat,
+        retry_rule,
         claim: None,
         chat: None,
         method: request.head.method.to_string(),
@@ -40,7 +40,7 @@
         body: request.body,
     };
     let plan = frontend.planner.plan_service(route).await;
-    match &offer.repeat {
+    match &offer.retry_rule {
         RetryRule::AtMostOnce(Some(key)) => {
             let call = KeyedCall::new(&offer, key);
             run_detached(frontend.clone(), call, offer, plan).await
--- a/crates/papayamux-router/src/claims/keyed_call.rs
+++ b/crates/papayamux-router/src/claims/keyed_call.rs
@@ -62,7 +62,7 @@
             monoio::time::sleep(Duration::from_millis(delay_ms)).await;
             frontend.metrics.retries.count(RefusalReason::KeyHeld.label());
         }
-        let claim = ClaimId(frontend.request_ids.draw());
+        let claim = ClaimId(frontend.request_ids.generate());
         let attempt = ClaimAttempt::new(call.key, claim, started);
         match claim_key(&frontend.fleets, call, attempt, frontend.settings.start_within).await {
             RoundOutcome::Won(attempt) => {
--- a/crates/papayamux-router/src/claims/recall.rs
+++ b/crates/papayamux-router/src/claims/recall.rs
@@ -39,7 +39,7 @@
         key: call.idempotency_key.clone(),
         fingerprint: call.fingerprint,
     };
-    let id = frontend.request_ids.draw();
+    let id = frontend.request_ids.generate();
     let Some(mut stream) = link.recall_stream(id, request) else { return unreachable() };
     match stream.next_event().await {
         StreamEvent::Head(mut head) => {
--- a/crates/papayamux-router/src/daemon.rs
+++ b/crates/papayamux-router/src/daemon.rs
@@ -120,7 +120,7 @@
 
 fn start_router(settings: RouterSettings) -> Result<ServingRouter, Box<dyn Error>> {
     let identity = RouterIdentity {
-        incarnation: Incarnation::draw(),
+        incarnation: Incarnation::generate(),
         domain: settings.domain.clone(),
         secret: settings.secret.clone(),
         resume_within: settings.resume_within,
--- a/crates/papayamux-router/src/direct/call_plan.rs
+++ b/crates/papayamux-router/src/direct/call_plan.rs
@@ -135,7 +135,7 @@
     /// Waits in the queue of the service until a slot is free.
     pub(super) async fn wait_for_slot(&self) -> Result<(), CallFailure> {
         let request = self.queue_request();
-        let patience = request.time.wait_budget();
+        let wait_budget = request.time.wait_budget();
         match self.fleet.wait_for_slot(&self.service, request).await {
             Ok(Some(waited)) => self.fleet.metrics().record_wait(self.kind(), waited),
             Ok(None) => {}
@@ -144,7 +144,7 @@
                     request:% = self.call.id, service:% = self.service,
                     organisation:% = self.organisation().map_or("", OrganisationId::as_str),
                     wait_ms = refusal.wait.as_millis() as u64,
-                    patience_ms = patience.as_millis() as u64, waiting = refusal.waiting;
+                    patience_ms = wait_budget.as_millis() as u64, waiting = refusal.waiting;
                     "no place in time"
                 );
                 return Err(self.failure(NotRunReason::Full));
@@ -264,7 +264,7 @@
         let is_first = self.tried.is_empty()
             && self.kind().is_stream()
             && self.fleet.uses(Mechanism::EarlyRefusal);
-        is_first && chosen.is_reading && chosen.expected > self.left()
+        is_first && chosen.is_prefilling && chosen.expected > self.left()
     }
 
     /// Returns the data that the next attempt carries.
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -52,7 +52,7 @@
     /// Expected time to the first event.
     pub expected: Duration,
     /// `true` if the server prefills prompts of other requests.
-    pub is_reading: bool,
+    pub is_prefilling: bool,
 }
 
 impl Fleet {
@@ -115,7 +115,7 @@
             missing,
             load: ServerLoad { requests: 1, backlog: cold.get() },
             expected: chosen.speed.time_to_first_event(backlog + cold) + copying + slot_wait,
-            is_reading: chosen.load.backlog > 0,
+            is_prefilling: chosen.load.backlog > 0,
             fetch_from: placement.fetch_from.map(|index| servers[index].clone()),
             placement,
         })
@@ -153,13 +153,13 @@
             true => ServerStanding::Ejected,
             false => self.evidence.borrow().standing(&server.id, now),
         };
-        let room = self.send_quota(server, now);
+        let quota = self.send_quota(server, now);
         let takes = self.takes_requests(server);
-        if takes && room.is_empty() {
+        if takes && quota.is_empty() {
             self.record_passed_over_server(server);
         }
         PlacementCandidate {
-            accepts: takes && !room.is_empty() && !self.is_backing_off(server, now),
+            accepts: takes && !quota.is_empty() && !self.is_backing_off(server, now),
             serves: server.phase == ServerPhase::Serving,
             load: self.ledger.borrow().total(&server.id, now, speed.prefill_tokens_per_ms),
             waiting: self.queue_reports.borrow().waiting(&server.id, now),
@@ -192,7 +192,7 @@
         let presence = self.presence.borrow();
         let servers = presence.catalog().of_service(service);
         let stays = |server: &&Rc<BackendServer>| {
-            server.phase == ServerPhase::Serving && !self.leaves(server)
+            server.phase == ServerPhase::Serving && !self.is_draining(server)
         };
         let mut serving = servers.filter(stays).peekable();
         serving.peek()?;
@@ -207,7 +207,7 @@
     /// Returns whether new requests may be sent to a server.
     pub(in crate::direct) fn takes_requests(&self, server: &BackendServer) -> bool {
         server.phase == ServerPhase::Serving
-            && !self.leaves(server)
+            && !self.is_draining(server)
             && !self.evacuations.borrow().covers(&server.domain)
     }
 
@@ -275,7 +275,7 @@
     }
 
     /// Returns what this router knows about the holders of shared parts, for the other routers.
-    pub fn next_holder_notes(&self, now: Instant) -> Vec<HolderUpdate> {
+    pub fn next_holder_updates(&self, now: Instant) -> Vec<HolderUpdate> {
         let notes = self.holders.borrow_mut().next_updates(now);
         if self.uses(Mechanism::HoldersTold) {
             notes
--- a/crates/papayamux-router/src/direct/fleet/crash_records.rs
+++ b/crates/papayamux-router/src/direct/fleet/crash_records.rs
@@ -59,14 +59,14 @@
             return;
         };
         self.metrics.crash_records.count("crash");
-        let held = quarantine.quarantine_left(fingerprint, now);
-        if held.is_some() {
+        let quarantine_left = quarantine.quarantine_left(fingerprint, now);
+        if quarantine_left.is_some() {
             self.metrics.crash_records.count("held");
         }
-        let held = held.unwrap_or_default();
+        let quarantine_left = quarantine_left.unwrap_or_default();
         log::info!(
             fingerprint:% = fingerprint, server:% = server, crashes = record.crashes,
-            held_ms = held.as_millis() as u64; "server ended under a request"
+            held_ms = quarantine_left.as_millis() as u64; "server ended under a request"
         );
         self.crash_recorded.take().give();
     }
@@ -97,11 +97,11 @@
                 continue;
             }
             learnt = true;
-            if let Some(held) = quarantine.quarantine_left(notice.fingerprint, now) {
+            if let Some(quarantine_left) = quarantine.quarantine_left(notice.fingerprint, now) {
                 self.metrics.crash_records.count("told");
                 log::info!(
                     peer:% = peer, fingerprint:% = notice.fingerprint,
-                    crashes = notice.record.crashes, held_ms = held.as_millis() as u64;
+                    crashes = notice.record.crashes, held_ms = quarantine_left.as_millis() as u64;
                     "request is held by another router's word"
                 );
             }
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -53,10 +53,10 @@
         let asks = self.uses(Mechanism::PartOwners)
             && is_worth_announcing(shared.get())
             && !self.knows_holder(service, part);
-        let reading = self.profiles.borrow().service_speed(service).prefill_time(shared);
-        let wait_budget = self.outbox.answers.borrow().wait_budget(reading).filter(|_| asks);
+        let prefill = self.profiles.borrow().service_speed(service).prefill_time(shared);
+        let wait_budget = self.outbox.answers.borrow().wait_budget(prefill).filter(|_| asks);
         let Some(wait_budget) = wait_budget else { return false };
-        let asked = Instant::now();
+        let queried_at = Instant::now();
         let (reply, answer) = oneshot::channel();
         self.outbox.inquiries.borrow_mut().push(PartInquiry { part, reply });
         self.outbox.waiting.take().give();
@@ -66,7 +66,7 @@
             self.metrics.part_inquiries.count("unanswered");
             return false;
         };
-        self.record_owner_answer(asked.elapsed());
+        self.record_owner_answer(queried_at.elapsed());
         let found = self.record_reported_holders(&prefixes, &answer);
         let result = match (found, answer.is_sure) {
             (true, _) => "found",
@@ -106,9 +106,9 @@
     /// Returns the servers that are known to hold or prefill a part, those that hold it first.
     pub(in crate::direct) fn holders_of(&self, part: PartId) -> Vec<PartHolder> {
         let now = Instant::now();
-        let (warm, flights) = (self.warm.borrow(), self.flights.borrow());
+        let (warm, part_prefills) = (self.warm.borrow(), self.part_prefills.borrow());
         let holding = warm.iter().filter(|(_, cache)| cache.holds(part)).map(|(server, _)| {
-            let (cold, left) = flights.remaining(server, part, now).unwrap_or_default();
+            let (cold, left) = part_prefills.remaining(server, part, now).unwrap_or_default();
             let reading_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             PartHolder { server: ServerKey::from(server), cold, reading_ms }
         });
@@ -154,14 +154,14 @@
             self.record_holder(&HolderUpdate { server, prefixes: prefixes.to_vec() });
             return;
         }
-        let reading = PromptPrefill {
+        let prefill = PromptPrefill {
             cold: holder.cold,
             started_at: Instant::now(),
             expected: Duration::from_millis(u64::from(holder.reading_ms)),
             ahead: holder.cold,
             waiting: 0,
         };
-        let reading = Some(reading);
-        self.record_prefill(&PrefillUpdate { server, prefixes: prefixes.to_vec(), reading });
+        let prefill = Some(prefill);
+        self.record_prefill(&PrefillUpdate { server, prefixes: prefixes.to_vec(), prefill });
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/part_prefills.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_prefills.rs
@@ -21,7 +21,7 @@
     /// The shared prefixes of the prompt, with their tokens.
     pub prefixes: Vec<(PartId, TokenCount)>,
     /// The prefill in progress; `None` after its end.
-    pub reading: Option<PromptPrefill>,
+    pub prefill: Option<PromptPrefill>,
 }
 
 /// A prefill for a request of this router.
@@ -52,7 +52,7 @@
         let mut waited = false;
         loop {
             let now = Instant::now();
-            let deadline = self.flights.borrow().wait_until(server, prefixes, now);
+            let deadline = self.part_prefills.borrow().wait_until(server, prefixes, now);
             let Some(deadline) = deadline.map(|deadline| deadline.min(begun + wait_budget)) else {
                 break;
             };
@@ -92,26 +92,29 @@
         let server = &chosen.server.id;
         let ahead = TokenCount::new(self.load_at(&chosen.server, now).backlog);
         let waiting = self.queue_reports.borrow().waiting(server, now);
-        let reading = PromptPrefill { cold, started_at: now, expected, ahead, waiting };
+        let prefill = PromptPrefill { cold, started_at: now, expected, ahead, waiting };
         if !lacking.is_empty() && is_worth_reporting(prefixes) {
-            let reading = Some(reading);
+            let prefill = Some(prefill);
             self.notify_owner(PrefillUpdate {
                 server: server.clone(),
                 prefixes: prefixes.to_vec(),
-                reading,
+                prefill,
             });
         }
         let is_announced =
-            self.uses(Mechanism::ReadingsTold) && reading.is_worth_announcing(&lacking);
+            self.uses(Mechanism::ReadingsTold) && prefill.is_worth_announcing(&lacking);
         let announced = is_announced.then(|| {
             // The complete chain is announced, so that the order of its parts is known.
             let prefixes = prefixes.to_vec();
-            PrefillUpdate { server: server.clone(), prefixes, reading: Some(reading) }
+            PrefillUpdate { server: server.clone(), prefixes, prefill: Some(prefill) }
         });
         if let Some(update) = &announced {
             self.announce_prefill(update.clone());
         }
-        OwnPrefill { ticket: self.flights.borrow_mut().begin(server, &lacking, reading), announced }
+        OwnPrefill {
+            ticket: self.part_prefills.borrow_mut().begin(server, &lacking, prefill),
+            announced,
+        }
     }
 
     fn announce_prefill(&self, update: PrefillUpdate) {
@@ -131,15 +134,15 @@
 
     /// Records the start or the end of a prefill for another router.
     pub(in crate::direct) fn record_prefill(&self, update: &PrefillUpdate) {
-        let PrefillUpdate { server, prefixes, reading } = update;
-        match reading {
-            Some(reading) => {
+        let PrefillUpdate { server, prefixes, prefill } = update;
+        match prefill {
+            Some(prefill) => {
                 let note = HolderUpdate { server: server.clone(), prefixes: prefixes.clone() };
                 self.record_holder(&note);
-                self.flights.borrow_mut().record_remote(server, prefixes, *reading);
+                self.part_prefills.borrow_mut().record_remote(server, prefixes, *prefill);
             }
             None => {
-                self.flights.borrow_mut().end_remote(server, prefixes);
+                self.part_prefills.borrow_mut().end_remote(server, prefixes);
                 self.prefill_ended.take().give();
             }
         }
@@ -147,9 +150,9 @@
 
     /// Records that the prefill of a request has ended or won't take place.
     pub(in crate::direct) fn end_prefill(&self, own: OwnPrefill) {
-        self.flights.borrow_mut().end(&own.ticket);
+        self.part_prefills.borrow_mut().end(&own.ticket);
         if let Some(announced) = own.announced {
-            self.announce_prefill(PrefillUpdate { reading: None, ..announced });
+            self.announce_prefill(PrefillUpdate { prefill: None, ..announced });
         }
         self.prefill_ended.take().give();
     }
--- a/crates/papayamux-router/src/direct/fleet/requests.rs
+++ b/crates/papayamux-router/src/direct/fleet/requests.rs
@@ -61,7 +61,7 @@
             let mut warm = self.warm.borrow_mut();
             let parts = warm.entry(server.id.clone()).or_insert_with(|| WarmParts::new(capacity));
             parts.record_use(prompt);
-            self.holders.borrow_mut().note_use(&server.id, prompt, Instant::now());
+            self.holders.borrow_mut().record_use(&server.id, prompt, Instant::now());
         }
     }
 
@@ -200,7 +200,7 @@
         }
         self.records.borrow_mut().values_mut().for_each(|record| record.remove_decayed(now));
         self.queue_reports.borrow_mut().forget_old(now);
-        self.flights.borrow_mut().forget_old(now);
+        self.part_prefills.borrow_mut().forget_old(now);
         self.quarantine.borrow_mut().forget_old(now);
         self.update_router_count(now);
         self.update_cold_servers(now);
--- a/crates/papayamux-router/src/direct/fleet/server_checks.rs
+++ b/crates/papayamux-router/src/direct/fleet/server_checks.rs
@@ -34,7 +34,9 @@
         let is_serving = {
             let presence = self.presence.borrow();
             let known = presence.catalog().get(&server.id);
-            known.is_some_and(|known| known.phase == ServerPhase::Serving && !self.leaves(known))
+            known.is_some_and(|known| {
+                known.phase == ServerPhase::Serving && !self.is_draining(known)
+            })
         };
         is_serving && self.pending_probe(server).await == ProbeResult::Refused
     }
--- a/crates/papayamux-router/src/direct/fleet/server_notices.rs
+++ b/crates/papayamux-router/src/direct/fleet/server_notices.rs
@@ -10,20 +10,20 @@
 impl Fleet {
     /// Records the notice in an answer of a server.
     pub(in crate::direct) fn record_notice(&self, server: &BackendServer, notice: ServerNotice) {
-        if notice.leaves && !self.leaves(server) {
+        if notice.is_draining && !self.is_draining(server) {
             self.metrics.server_notices.count("leaves");
             log::info!(server:% = server.id; "server says that it leaves");
         }
-        if let Some(rest) = notice.rest {
+        if let Some(backoff) = notice.backoff {
             self.metrics.server_notices.count("rests");
-            let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+            let rest_ms = u64::try_from(backoff.as_millis()).unwrap_or(u64::MAX);
             log::info!(server:% = server.id, rest_ms = rest_ms; "server asks for rest");
         }
         self.notices.borrow_mut().record(&server.id, notice, Instant::now());
     }
 
     /// Returns whether a server has announced with an answer that it drains.
-    pub(in crate::direct) fn leaves(&self, server: &BackendServer) -> bool {
+    pub(in crate::direct) fn is_draining(&self, server: &BackendServer) -> bool {
         self.notices.borrow().is_draining(&server.id)
     }
 
@@ -45,6 +45,6 @@
         let open = servers.filter(|server| self.takes_requests(server));
         let open = open.filter(|server| self.is_home(server, homes));
         let backoffs = open.map(|server| notices.backoff_left(&server.id, now));
-        backoffs.min_by_key(|rest| rest.unwrap_or_default()).flatten()
+        backoffs.min_by_key(|backoff| backoff.unwrap_or_default()).flatten()
     }
 }
--- a/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
+++ b/crates/papayamux-router/src/direct/fleet/source_knowledge.rs
@@ -225,7 +225,9 @@
         for change in span.changes {
             match change {
                 ServerUpdate::Present(server) => self.adopt_server(server, now),
-                ServerUpdate::Gone { name, lingers } => self.adopt_departure(&name, lingers, now),
+                ServerUpdate::Departed { name, terminating } => {
+                    self.adopt_departure(&name, terminating, now)
+                }
             }
         }
         self.adopt_grace(grace, now);
@@ -295,7 +297,7 @@
     let changes = span.changes.into_iter().map(|change| match change {
         ServerChange::Present(server) => ServerUpdate::Present((*server).clone()),
         ServerChange::Departed { name, terminating } => {
-            ServerUpdate::Gone { name, lingers: terminating }
+            ServerUpdate::Departed { name, terminating }
         }
     });
     UpdateSpan {
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -151,9 +151,9 @@
             }
         };
         let now = Instant::now();
-        let news =
+        let update =
             PeerUpdate { sequence: report.sequence, known: &report.known, fresh: report.fresh };
-        let newer = self.peers.borrow_mut().record_update(sender, news, now);
+        let newer = self.peers.borrow_mut().record_update(sender, update, now);
         self.fleet.record_reported_routers(sender, &report.known, report.counted, now);
         if !newer {
             return;
@@ -178,8 +178,8 @@
                 self.fleet.record_listing(&CacheListing::new(server, parts));
             }
         }
-        for reading in report.readings {
-            self.receive_prefill(reading, now);
+        for prefill in report.readings {
+            self.receive_prefill(prefill, now);
         }
         if let Some(question) = report.part_question {
             self.answer_part_query(sender, question);
@@ -190,8 +190,8 @@
         if let Some(request) = report.follow {
             self.receive_follow_request(sender, request, now);
         }
-        if let Some(news) = report.news {
-            self.fleet.receive_update(sender, self.life, news);
+        if let Some(update) = report.news {
+            self.fleet.receive_update(sender, self.life, update);
         }
         self.fleet.receive_crash_notices(sender, &report.crashes);
         if report.is_partial {
@@ -214,23 +214,23 @@
         let ReportedPrefill { server, prefixes, cold, expected_ms } = reported;
         let Some(server) = self.fleet.server_by_key(server) else { return };
         let expected = Duration::from_millis(u64::from(expected_ms));
-        let reading = PromptPrefill { cold, started_at: now, expected, ahead: cold, waiting: 0 };
-        let reading = (expected_ms > 0).then_some(reading);
-        self.fleet.record_prefill(&PrefillUpdate { server, prefixes, reading });
+        let prefill = PromptPrefill { cold, started_at: now, expected, ahead: cold, waiting: 0 };
+        let prefill = (expected_ms > 0).then_some(prefill);
+        self.fleet.record_prefill(&PrefillUpdate { server, prefixes, prefill });
     }
 
     /// Announces long prefills to other routers at once: by the next report they would mostly be
     /// done, and another router would have had the same parts prefilled in addition.
     async fn announce_prefills(self: Rc<Self>) {
         loop {
-            let readings = self.fleet.next_prefills().await;
+            let prefills = self.fleet.next_prefills().await;
             let now = Instant::now();
-            let readings = readings.iter().filter_map(|update| reported_prefill(update, now));
-            let readings: Vec<_> = readings.take(MAX_PREFILLS_PER_REPORT).collect();
-            if readings.is_empty() {
+            let prefills = prefills.iter().filter_map(|update| reported_prefill(update, now));
+            let prefills: Vec<_> = prefills.take(MAX_PREFILLS_PER_REPORT).collect();
+            if prefills.is_empty() {
                 continue;
             }
-            let report = RouterReport { readings, ..RouterReport::default() };
+            let report = RouterReport { readings: prefills, ..RouterReport::default() };
             let targets = self.sample_alive(PREFILL_FANOUT);
             let bytes = self.send_partial(report, &targets).await;
             let pause = Duration::from_secs_f64(bytes as f64 / MAX_PREFILL_BYTES_PER_SECOND);
@@ -310,7 +310,7 @@
             requests: load.requests,
             backlog: load.backlog,
         });
-        let notes = self.fleet.next_holder_notes(now);
+        let notes = self.fleet.next_holder_updates(now);
         let holders = notes.into_iter().map(|note| {
             let HolderUpdate { server, prefixes } = note;
             ReportedHolder { server: (&server).into(), prefixes }
@@ -363,12 +363,12 @@
 
 /// Returns the report of a prefill; `None` if it should have ended by now.
 pub(super) fn reported_prefill(update: &PrefillUpdate, now: Instant) -> Option<ReportedPrefill> {
-    let PrefillUpdate { server, prefixes, reading } = update;
-    let (cold, expected_ms) = match reading {
-        Some(reading) => {
-            let age = now.saturating_duration_since(reading.started_at);
-            let left = reading.expected.saturating_sub(age).as_millis();
-            (reading.cold, u32::try_from(left).ok().filter(|left| *left > 0)?)
+    let PrefillUpdate { server, prefixes, prefill } = update;
+    let (cold, expected_ms) = match prefill {
+        Some(prefill) => {
+            let age = now.saturating_duration_since(prefill.started_at);
+            let left = prefill.expected.saturating_sub(age).as_millis();
+            (prefill.cold, u32::try_from(left).ok().filter(|left| *left > 0)?)
         }
         None => (TokenCount::default(), 0),
     };
--- a/crates/papayamux-router/src/direct/peers/owner_queries.rs
+++ b/crates/papayamux-router/src/direct/peers/owner_queries.rs
@@ -18,7 +18,7 @@
 /// A query without an answer so far.
 pub(super) struct OpenQuery {
     owner: IpAddr,
-    asked: Instant,
+    queried_at: Instant,
     reply: oneshot::Sender<PartAnswer>,
 }
 
@@ -34,10 +34,10 @@
             for update in notes {
                 let Some((part, _)) = update.prefixes.last() else { continue };
                 let owner = self.owner_of(*part);
-                let Some(reading) = reported_prefill(&update, now) else { continue };
+                let Some(prefill) = reported_prefill(&update, now) else { continue };
                 if owner != self.own_address() {
                     let report =
-                        RouterReport { readings: vec![reading], ..RouterReport::default() };
+                        RouterReport { readings: vec![prefill], ..RouterReport::default() };
                     self.send_partial(report, &[owner]).await;
                 }
             }
@@ -76,13 +76,13 @@
         // A late answer still shows how long answers take; an owner without any answer counts as
         // silent.
         open.retain(|_, question| {
-            let is_lost = now.saturating_duration_since(question.asked) >= OWNER_TIMEOUT;
+            let is_lost = now.saturating_duration_since(question.queried_at) >= OWNER_TIMEOUT;
             if is_lost {
                 self.silent_owners.borrow_mut().record(question.owner, now);
             }
             !is_lost
         });
-        open.insert(number, OpenQuery { owner, asked: now, reply });
+        open.insert(number, OpenQuery { owner, queried_at: now, reply });
         number
     }
 
@@ -104,7 +104,7 @@
         let open = self.open_queries.borrow_mut().remove(&answer.number);
         let Some(question) = open.filter(|question| question.owner == sender) else { return };
         if question.reply.send(answer).is_err() {
-            self.fleet.record_owner_answer(question.asked.elapsed());
+            self.fleet.record_owner_answer(question.queried_at.elapsed());
         }
     }
 }
--- a/crates/papayamux-router/src/direct/peers/source_updates.rs
+++ b/crates/papayamux-router/src/direct/peers/source_updates.rs
@@ -19,17 +19,17 @@
 impl PeerExchange {
     /// Repeatedly chooses the router to follow, and sends it follow requests.
     pub(super) async fn follow(self: Rc<Self>) {
-        let mut asked: Option<(IpAddr, Instant)> = None;
+        let mut last_request: Option<(IpAddr, Instant)> = None;
         loop {
             let now = Instant::now();
             let known = self.peers.borrow().known();
             self.fleet.choose_source_role(&known, now);
             if let Some((followed, request)) = self.fleet.follow_request(self.life) {
-                let due = asked.is_none_or(|(router, at)| {
+                let due = last_request.is_none_or(|(router, at)| {
                     router != followed || now.saturating_duration_since(at) >= FOLLOW_INTERVAL
                 });
                 if due {
-                    asked = Some((followed, now));
+                    last_request = Some((followed, now));
                     self.send_partial(
                         RouterReport { follow: Some(request), ..RouterReport::default() },
                         &[followed],
--- a/crates/papayamux-standins/src/engine/event_log.rs
+++ b/crates/papayamux-standins/src/engine/event_log.rs
@@ -45,7 +45,7 @@
 impl EventLog {
     /// An empty log; the first event gets number 1.
     pub fn new(options: EventLogOptions) -> Self {
-        Self { options, incarnation: Incarnation::draw(), last: 0, changes: VecDeque::new() }
+        Self { options, incarnation: Incarnation::generate(), last: 0, changes: VecDeque::new() }
     }
 
     /// The life of the engine that this log belongs to.
--- a/crates/papayamux-state/src/backend/server_notice.rs
+++ b/crates/papayamux-state/src/backend/server_notice.rs
@@ -6,8 +6,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerNotice {
     /// Whether the server is draining.
-    pub leaves: bool,
+    pub is_draining: bool,
     /// The back-off that the server requests: how long the router that receives this is to send it
     /// nothing.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
--- a/crates/papayamux-state/src/chat_key.rs
+++ b/crates/papayamux-state/src/chat_key.rs
@@ -14,7 +14,7 @@
     /// The requested adapter.
     pub adapter: Option<&'a AdapterId>,
     /// The text up to and including the user's first turn. The prompts of later turns repeat it.
-    pub first_turns: &'a [&'a str],
+    pub first_messages: &'a [&'a str],
 }
 
 /// Derives the key of a chat from its opening. Longer prompts of the same chat have the same opening
@@ -23,7 +23,7 @@
     let mut hasher = Xxh3::new();
     let adapter = opening.adapter.map_or("", AdapterId::as_str);
     let parts = [opening.organisation.as_str(), opening.model.as_str(), adapter];
-    for part in parts.iter().chain(opening.first_turns) {
+    for part in parts.iter().chain(opening.first_messages) {
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part.as_bytes());
     }
--- a/crates/papayamux-state/src/crash_record.rs
+++ b/crates/papayamux-state/src/crash_record.rs
@@ -35,5 +35,5 @@
     /// The crash record of the request.
     pub record: CrashRecord,
     /// The remaining time for which the request is quarantined.
-    pub held: Duration,
+    pub quarantine_left: Duration,
 }
--- a/crates/papayamux-state/src/ids/incarnation.rs
+++ b/crates/papayamux-state/src/ids/incarnation.rs
@@ -16,7 +16,7 @@
 impl Incarnation {
     /// Generates the incarnation of a process that starts now, with the milliseconds of the wall
     /// clock in the high bits and random low bits.
-    pub fn draw() -> Self {
+    pub fn generate() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let millis = since_epoch.as_millis() as u64;
         let random_bits = rand::random::<u64>() >> (u64::BITS - RANDOM_BITS);
--- a/crates/papayamux-state/src/ids/request_id.rs
+++ b/crates/papayamux-state/src/ids/request_id.rs
@@ -57,7 +57,7 @@
     }
 
     /// Generates a new id.
-    pub fn draw(&self) -> RequestId {
+    pub fn generate(&self) -> RequestId {
         let number = self.next.get();
         self.next.set(number + 1);
         RequestId { incarnation: self.incarnation, number }
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -277,16 +277,16 @@
 ) -> Result<RefusalReason, Box<dyn Error>> {
     let stream = TcpStream::connect_addr(address).await?;
     let (sender, mut receiver) = start_link::<RouterFrame, AgentFrame, RouterMessage>(stream)?;
-    let incarnation = Incarnation::draw();
+    let incarnation = Incarnation::generate();
     let domain = "a".parse()?;
     let hello = RouterHello { version: PROTOCOL_VERSION, incarnation, domain, nonce: None };
     let open = OpenRequest {
-        id: RequestIdSource::new(incarnation).draw(),
+        id: RequestIdSource::new(incarnation).generate(),
         agent,
         organisation: "yanchang-desk".parse()?,
         priority: 0,
         start_before,
-        repeat: RetryRule::AtMostOnce(None),
+        retry_rule: RetryRule::AtMostOnce(None),
         claim: None,
         chat: None,
         method: "POST".to_string(),
--- a/crates/papayamux-transport/src/http/upstream/connection_pool.rs
+++ b/crates/papayamux-transport/src/http/upstream/connection_pool.rs
@@ -22,7 +22,7 @@
     pub idle_within: Duration,
     /// How long a connection rests after an answer before it is used again: a server that goes
     /// wrong may send a second answer behind the first, which must not be met by a request.
-    pub rest: Duration,
+    pub min_idle: Duration,
     /// Idle connections kept for one server.
     pub idle_per_server: usize,
 }
@@ -32,7 +32,7 @@
         Self {
             connect_within: Duration::from_millis(250),
             idle_within: Duration::from_secs(4),
-            rest: Duration::from_millis(20),
+            min_idle: Duration::from_millis(20),
             idle_per_server: 32,
         }
     }
@@ -107,7 +107,7 @@
         connections.retain(|connection| !is_over(connection, now));
         let usable = |connection: &UpstreamConnection| {
             let idle = now.saturating_duration_since(connection.idle_since);
-            connection.is_ready() && idle >= self.limits.rest
+            connection.is_ready() && idle >= self.limits.min_idle
         };
         let index = connections.iter().rposition(usable)?;
         Some(connections.remove(index))
--- a/crates/papayamux-transport/tests/upstream_pool.rs
+++ b/crates/papayamux-transport/tests/upstream_pool.rs
@@ -85,7 +85,7 @@
             assert_eq!(&body[..], b"ok");
             assert!(answer.next_piece().await.is_none());
             answer.finish();
-            monoio::time::sleep(PoolLimits::default().rest * 2).await;
+            monoio::time::sleep(PoolLimits::default().min_idle * 2).await;
         }
     })
     .unwrap();
