--- a/crates/papayamux-router/src/claims/witness_round.rs
+++ b/crates/papayamux-router/src/claims/witness_round.rs
@@ -61,8 +61,8 @@
         .map(|witness| {
             let (tracker, attempt, ask) = (tracker.clone(), attempt.clone(), ask.clone());
             async move {
-                let asked = request_claim(&tracker, &witness, ask, &attempt, start_within);
-                let reply = monoio::time::timeout(claim_within, asked).await;
+                let claim_reply = request_claim(&tracker, &witness, ask, &attempt, start_within);
+                let reply = monoio::time::timeout(claim_within, claim_reply).await;
                 (witness, reply.ok().flatten())
             }
         })
--- a/crates/papayamux-router/src/direct/fleet/choice.rs
+++ b/crates/papayamux-router/src/direct/fleet/choice.rs
@@ -276,9 +276,9 @@
 
     /// Returns what this router knows about the holders of shared parts, for the other routers.
     pub fn next_holder_updates(&self, now: Instant) -> Vec<HolderUpdate> {
-        let notes = self.holders.borrow_mut().next_updates(now);
+        let updates = self.holders.borrow_mut().next_updates(now);
         if self.uses(Mechanism::HoldersTold) {
-            notes
+            updates
         } else {
             Vec::new()
         }
--- a/crates/papayamux-router/src/direct/fleet/configuration_freshness.rs
+++ b/crates/papayamux-router/src/direct/fleet/configuration_freshness.rs
@@ -88,12 +88,12 @@
         &self,
         peer: IpAddr,
         life: u64,
-        question: FreshnessQuery,
+        query: FreshnessQuery,
         freshness_report: FreshnessReport,
     ) {
         let now = boot_now();
         let own = (life, self.configuration_version());
-        let Some(known) = confirmed_until(question, own, freshness_report, now) else { return };
+        let Some(known) = confirmed_until(query, own, freshness_report, now) else { return };
         let mut freshness = self.freshness.borrow_mut();
         freshness.confirm_by_peer(known);
         if !freshness.is_confirmed(now) && !self.confirmed_by_peers.replace(true) {
--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub(super) struct OwnerOutbox {
     inquiries: RefCell<Vec<PartInquiry>>,
-    notes: RefCell<Vec<PrefillUpdate>>,
+    updates: RefCell<Vec<PrefillUpdate>>,
     waiting: RefCell<ShutdownSignal>,
     answers: RefCell<AnswerTimes>,
 }
@@ -85,7 +85,7 @@
     /// Notifies the owner of a part that a server holds it, or will hold it after its prefill.
     pub(super) fn notify_owner(&self, update: PrefillUpdate) {
         if self.uses(Mechanism::PartOwners) {
-            self.outbox.notes.borrow_mut().push(update);
+            self.outbox.updates.borrow_mut().push(update);
             self.outbox.waiting.take().give();
         }
     }
@@ -95,12 +95,12 @@
         &self,
     ) -> (Vec<PartInquiry>, Vec<PrefillUpdate>) {
         let is_empty =
-            self.outbox.inquiries.borrow().is_empty() && self.outbox.notes.borrow().is_empty();
+            self.outbox.inquiries.borrow().is_empty() && self.outbox.updates.borrow().is_empty();
         if is_empty {
             let waiting = self.outbox.waiting.borrow().clone();
             waiting.given().await;
         }
-        (self.outbox.inquiries.take(), self.outbox.notes.take())
+        (self.outbox.inquiries.take(), self.outbox.updates.take())
     }
 
     /// Returns the servers that are known to hold or prefill a part, those that hold it first.
--- a/crates/papayamux-router/src/direct/peers/exchange.rs
+++ b/crates/papayamux-router/src/direct/peers/exchange.rs
@@ -310,9 +310,9 @@
             requests: load.requests,
             backlog: load.backlog,
         });
-        let notes = self.fleet.next_holder_updates(now);
-        let holders = notes.into_iter().map(|note| {
-            let HolderUpdate { server, prefixes } = note;
+        let updates = self.fleet.next_holder_updates(now);
+        let holders = updates.into_iter().map(|update| {
+            let HolderUpdate { server, prefixes } = update;
             ReportedHolder { server: (&server).into(), prefixes }
         });
         let listings = self.listings.borrow_mut().next(now).into_iter();
@@ -376,8 +376,8 @@
 }
 
 fn parse_freshness_query(question: ReportedQuery) -> FreshnessQuery {
-    let asked = BootInstant(Duration::from_millis(question.asked_ms));
-    FreshnessQuery { incarnation: question.life, sent_at: asked }
+    let sent_at = BootInstant(Duration::from_millis(question.asked_ms));
+    FreshnessQuery { incarnation: question.life, sent_at }
 }
 
 fn whole_millis(span: Duration) -> u64 {
--- a/crates/papayamux-router/src/direct/peers/owner_queries.rs
+++ b/crates/papayamux-router/src/direct/peers/owner_queries.rs
@@ -26,12 +26,12 @@
     /// Sends queries about parts to their owners, and notifies owners of new holders.
     pub(super) async fn send_to_owners(self: Rc<Self>) {
         loop {
-            let (inquiries, notes) = self.fleet.next_owner_messages().await;
+            let (inquiries, updates) = self.fleet.next_owner_messages().await;
             for inquiry in inquiries {
                 self.query_owner(inquiry).await;
             }
             let now = Instant::now();
-            for update in notes {
+            for update in updates {
                 let Some((part, _)) = update.prefixes.last() else { continue };
                 let owner = self.owner_of(*part);
                 let Some(prefill) = reported_prefill(&update, now) else { continue };
@@ -75,10 +75,10 @@
         let mut open = self.open_queries.borrow_mut();
         // A late answer still shows how long answers take; an owner without any answer counts as
         // silent.
-        open.retain(|_, question| {
-            let is_lost = now.saturating_duration_since(question.queried_at) >= OWNER_TIMEOUT;
+        open.retain(|_, query| {
+            let is_lost = now.saturating_duration_since(query.queried_at) >= OWNER_TIMEOUT;
             if is_lost {
-                self.silent_owners.borrow_mut().record(question.owner, now);
+                self.silent_owners.borrow_mut().record(query.owner, now);
             }
             !is_lost
         });
@@ -86,8 +86,8 @@
         number
     }
 
-    pub(super) fn answer_part_query(self: &Rc<Self>, sender: IpAddr, question: PartQuery) {
-        let part_answer = Some(self.part_answer(question.number, question.part));
+    pub(super) fn answer_part_query(self: &Rc<Self>, sender: IpAddr, query: PartQuery) {
+        let part_answer = Some(self.part_answer(query.number, query.part));
         let exchange = self.clone();
         monoio::spawn(async move {
             let report = RouterReport { part_answer, ..RouterReport::default() };
@@ -102,9 +102,9 @@
 
     pub(super) fn receive_part_answer(&self, sender: IpAddr, answer: PartAnswer) {
         let open = self.open_queries.borrow_mut().remove(&answer.number);
-        let Some(question) = open.filter(|question| question.owner == sender) else { return };
-        if question.reply.send(answer).is_err() {
-            self.fleet.record_owner_answer(question.queried_at.elapsed());
+        let Some(query) = open.filter(|query| query.owner == sender) else { return };
+        if query.reply.send(answer).is_err() {
+            self.fleet.record_owner_answer(query.queried_at.elapsed());
         }
     }
 }
