--- a/crates/papayamux-coordination/src/server_notices.rs
+++ b/crates/papayamux-coordination/src/server_notices.rs
@@ -9,18 +9,18 @@
 use papayamux_state::backend::ServerNotice;
 use papayamux_state::ids::ServerId;
 
-/// Maximum back-off that is kept. A server that asks for more by mistake would be lost for its
-/// whole life; it is tried again after this time.
+/// Maximum back-off that is kept. Without this bound, a server that requested too much by mistake
+/// would get no requests until it restarts; with it, the server is tried again after this time.
 const MAX_BACKOFF: Duration = Duration::from_secs(300);
-/// Number of servers at which elapsed back-offs are removed, and the servers that have been
-/// draining longest.
+/// Number of servers from which on a new entry first removes the expired back-offs, or the server
+/// that has been draining longest.
 const MAX_SERVERS: usize = 4_096;
 
-/// The servers that are draining, and those that asked for a back-off.
+/// The servers that are draining, and those that requested a back-off.
 #[derive(Debug, Default)]
 pub struct NoticeTable {
     backoff_until: HashMap<ServerId, Instant>,
-    /// When servers announced that they are draining.
+    /// The time at which each server first announced that it is draining.
     draining_since: HashMap<ServerId, Instant>,
 }
 
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Draining is final: an answer without the notice was sent before it.
+    /// Records that a server is draining. Draining is final: an answer without the notice was sent
+    /// before it.
     fn record_draining(&mut self, server: &ServerId, now: Instant) {
         if self.draining_since.len() >= MAX_SERVERS && !self.is_draining(server) {
             let first = self.draining_since.iter().min_by_key(|(_, since)| **since);
@@ -46,7 +47,8 @@
         self.draining_since.entry(server.clone()).or_insert(now);
     }
 
-    /// Of several back-offs the one that ends last counts, since answers may overtake each other.
+    /// Records a back-off. Of several, the one that ends last counts, since answers may overtake each
+    /// other.
     fn record_backoff(&mut self, server: &ServerId, backoff: Duration, now: Instant) {
         if self.backoff_until.len() >= MAX_SERVERS {
             self.backoff_until.retain(|_, until| *until > now);
--- a/crates/papayamux-protocol/src/chat.rs
+++ b/crates/papayamux-protocol/src/chat.rs
@@ -102,7 +102,7 @@
     text.parse().map_err(|source| ChatError::Field { field, source })
 }
 
-/// Returns the turns up to and including the user's first.
+/// Returns the roles and texts of the messages up to and including the user's first.
 fn first_messages(messages: &[ChatMessage]) -> Vec<&str> {
     let first_user = messages.iter().position(|message| message.role == "user");
     let opening = &messages[..=first_user.unwrap_or(messages.len() - 1)];
--- a/crates/papayamux-router/src/direct/fleet/cold_starts.rs
+++ b/crates/papayamux-router/src/direct/fleet/cold_starts.rs
@@ -114,7 +114,7 @@
         self.cold_tracker.borrow_mut().release(&server.id);
     }
 
-    /// Records that a choice passed over a server without room.
+    /// Records that a choice passed over a server whose send quota is used up.
     pub(super) fn record_passed_over_server(&self, server: &BackendServer) {
         self.metrics.cold_requests.count("passed_over");
         self.cold_tracker.borrow_mut().record_passed_over(&server.id);
--- a/crates/papayamux-router/src/direct/fleet/server_notices.rs
+++ b/crates/papayamux-router/src/direct/fleet/server_notices.rs
@@ -22,7 +22,7 @@
         self.notices.borrow_mut().record(&server.id, notice, Instant::now());
     }
 
-    /// Returns whether a server has announced with an answer that it drains.
+    /// Returns whether a server has announced with an answer that it is draining.
     pub(in crate::direct) fn is_draining(&self, server: &BackendServer) -> bool {
         self.notices.borrow().is_draining(&server.id)
     }
--- a/crates/papayamux-state/src/backend/server_notice.rs
+++ b/crates/papayamux-state/src/backend/server_notice.rs
@@ -7,7 +7,7 @@
 pub struct ServerNotice {
     /// Whether the server is draining.
     pub is_draining: bool,
-    /// The back-off that the server requests: how long the router that receives this is to send it
-    /// nothing.
+    /// The back-off that the server requests: the time for which the router that receives the
+    /// notice sends it nothing.
     pub backoff: Option<Duration>,
 }
--- a/crates/papayamux-state/src/chat_key.rs
+++ b/crates/papayamux-state/src/chat_key.rs
@@ -13,7 +13,8 @@
     pub model: &'a ModelId,
     /// The requested adapter.
     pub adapter: Option<&'a AdapterId>,
-    /// The text up to and including the user's first turn. The prompts of later turns repeat it.
+    /// The roles and texts of the messages up to and including the user's first. The prompts of
+    /// later turns repeat them.
     pub first_messages: &'a [&'a str],
 }
 
--- a/crates/papayamux-transport/src/http/upstream/connection_pool.rs
+++ b/crates/papayamux-transport/src/http/upstream/connection_pool.rs
@@ -20,8 +20,9 @@
     pub connect_within: Duration,
     /// How long a connection may be idle, where the server doesn't say.
     pub idle_within: Duration,
-    /// How long a connection rests after an answer before it is used again: a server that goes
-    /// wrong may send a second answer behind the first, which must not be met by a request.
+    /// Minimum idle time of a connection after an answer before it is used again. A faulty server
+    /// may send a second answer right after the first, which the next request would take for its
+    /// own.
     pub min_idle: Duration,
     /// Idle connections kept for one server.
     pub idle_per_server: usize,
