--- a/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
+++ b/crates/papayamux-router/src/direct/fleet/part_inquiries.rs
@@ -34,7 +34,7 @@
 #[derive(Default)]
 pub(super) struct OwnerOutbox {
     inquiries: RefCell<Vec<PartInquiry>>,
-    notes: RefCell<Vec<PrefillUpdate>>,
+    updates: RefCell<Vec<PrefillUpdate>>,
     waiting: RefCell<ShutdownSignal>,
     answers: RefCell<AnswerTimes>,
 }
@@ -53,10 +53,10 @@
         let asks = self.uses(Mechanism::PartOwners)
             && is_worth_announcing(shared.get())
             && !self.knows_holder(service, part);
-        let reading = self.profiles.borrow().service_speed(service).prefill_time(shared);
-        let wait_budget = self.outbox.answers.borrow().wait_budget(reading).filter(|_| asks);
+        let prefill = self.profiles.borrow().service_speed(service).prefill_time(shared);
+        let wait_budget = self.outbox.answers.borrow().wait_budget(prefill).filter(|_| asks);
         let Some(wait_budget) = wait_budget else { return false };
-        let asked = Instant::now();
+        let queried_at = Instant::now();
         let (reply, answer) = oneshot::channel();
         self.outbox.inquiries.borrow_mut().push(PartInquiry { part, reply });
         self.outbox.waiting.take().trigger();
@@ -66,7 +66,7 @@
             self.metrics.part_inquiries.count("unanswered");
             return false;
         };
-        self.record_owner_answer(asked.elapsed());
+        self.record_owner_answer(queried_at.elapsed());
         let found = self.record_reported_holders(&prefixes, &answer);
         let result = match (found, answer.is_sure) {
             (true, _) => "found",
@@ -85,7 +85,7 @@
     /// Notifies the owner of a part that a server holds it, or will hold it after its prefill.
     pub(super) fn notify_owner(&self, update: PrefillUpdate) {
         if self.uses(Mechanism::PartOwners) {
-            self.outbox.notes.borrow_mut().push(update);
+            self.outbox.updates.borrow_mut().push(update);
             self.outbox.waiting.take().trigger();
         }
     }
@@ -95,20 +95,20 @@
         &self,
     ) -> (Vec<PartInquiry>, Vec<PrefillUpdate>) {
         let is_empty =
-            self.outbox.inquiries.borrow().is_empty() && self.outbox.notes.borrow().is_empty();
+            self.outbox.inquiries.borrow().is_empty() && self.outbox.updates.borrow().is_empty();
         if is_empty {
             let waiting = self.outbox.waiting.borrow().clone();
             waiting.triggered().await;
         }
-        (self.outbox.inquiries.take(), self.outbox.notes.take())
+        (self.outbox.inquiries.take(), self.outbox.updates.take())
     }
 
     /// Returns the servers that are known to hold or prefill a part, those that hold it first.
     pub(in crate::direct) fn holders_of(&self, part: PartId) -> Vec<PartHolder> {
         let now = Instant::now();
-        let (warm, flights) = (self.warm.borrow(), self.flights.borrow());
+        let (warm, part_prefills) = (self.warm.borrow(), self.part_prefills.borrow());
         let holding = warm.iter().filter(|(_, cache)| cache.holds(part)).map(|(server, _)| {
-            let (cold, left) = flights.remaining(server, part, now).unwrap_or_default();
+            let (cold, left) = part_prefills.remaining(server, part, now).unwrap_or_default();
             let reading_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             PartHolder { server: ServerKey::from(server), cold, reading_ms }
         });
@@ -154,14 +154,14 @@
             self.record_holder(&HolderUpdate { server, prefixes: prefixes.to_vec() });
             return;
         }
-        let reading = PromptPrefill {
+        let prefill = PromptPrefill {
             cold: holder.cold,
             started_at: Instant::now(),
             expected: Duration::from_millis(u64::from(holder.reading_ms)),
             ahead: holder.cold,
             waiting: 0,
         };
-        let reading = Some(reading);
-        self.record_prefill(&PrefillUpdate { server, prefixes: prefixes.to_vec(), reading });
+        let prefill = Some(prefill);
+        self.record_prefill(&PrefillUpdate { server, prefixes: prefixes.to_vec(), prefill });
     }
 }
--- a/crates/papayamux-standins/src/engine/event_log.rs
+++ b/crates/papayamux-standins/src/engine/event_log.rs
@@ -45,7 +45,7 @@
 impl EventLog {
     /// Creates an empty log. The first event gets number 1.
     pub fn new(options: EventLogOptions) -> Self {
-        Self { options, incarnation: Incarnation::draw(), last: 0, changes: VecDeque::new() }
+        Self { options, incarnation: Incarnation::generate(), last: 0, changes: VecDeque::new() }
     }
 
     /// Returns the incarnation of the engine that this log belongs to.
--- a/crates/papayamux-state/src/backend/server_notice.rs
+++ b/crates/papayamux-state/src/backend/server_notice.rs
@@ -6,8 +6,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerNotice {
     /// Whether the server is draining.
-    pub leaves: bool,
-    /// The back-off that the server requests: how long the router that receives this is to send it
-    /// nothing.
-    pub rest: Option<Duration>,
+    pub is_draining: bool,
+    /// The back-off that the server requests: the time for which the router that receives the
+    /// notice sends it nothing.
+    pub backoff: Option<Duration>,
 }
