--- a/crates/papayamux-measure/src/promises/fault_stage.rs
+++ b/crates/papayamux-measure/src/promises/fault_stage.rs
@@ -135,7 +135,7 @@
     }
 
     /// Notes the longest time from a notice to new work.
-    pub fn note_new_work(&self, after: Duration) {
+    pub fn record_new_work(&self, after: Duration) {
         let longest = self.last_new_work.get().unwrap_or_default().max(after);
         self.last_new_work.set(Some(longest));
     }
--- a/crates/papayamux-measure/src/promises/server_leave.rs
+++ b/crates/papayamux-measure/src/promises/server_leave.rs
@@ -9,9 +9,9 @@
 use super::fault_stage::{FaultStage, StagePart};
 
 /// How often a process that ends is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long a process may take to end.
-const EXIT_WITHIN: Duration = Duration::from_secs(90);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(90);
 
 impl FaultStage {
     /// Ends a router gracefully and replaces it.
@@ -39,14 +39,14 @@
         notice: Instant,
         mut runs: u64,
     ) -> Result<(), TestbedError> {
-        self.note_new_work(Duration::ZERO);
+        self.record_new_work(Duration::ZERO);
         while self.exit_of(StagePart::Agent(server), notice)?.is_none() {
             let runs_now = self.runs_of(server).await?;
             if runs_now > runs {
-                self.note_new_work(notice.elapsed());
+                self.record_new_work(notice.elapsed());
             }
             runs = runs_now;
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -59,7 +59,7 @@
     async fn wait_exit(&self, part: StagePart) -> Result<(), TestbedError> {
         let notice = Instant::now();
         while self.exit_of(part, notice)?.is_none() {
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -75,7 +75,7 @@
             StagePart::Router(router) => &mut fleet.routers[router],
             StagePart::Agent(server) => &mut fleet.servers[server].agent,
         };
-        if notice.elapsed() > EXIT_WITHIN {
+        if notice.elapsed() > EXIT_TIMEOUT {
             process.kill()?;
         }
         let exit = process.try_exit()?;
--- a/crates/papayamux-measure/src/promises/truth.rs
+++ b/crates/papayamux-measure/src/promises/truth.rs
@@ -6,7 +6,7 @@
 use papayamux_testbed::{wait_until, AgentStatus, Fleet, TestbedError};
 
 /// How long the fleet may take to finish what is in flight after the faults.
-const SETTLE_WITHIN: Duration = Duration::from_secs(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Nothing may happen for this long before the counts are read.
 const QUIET_FOR: Duration = Duration::from_millis(300);
 
@@ -42,7 +42,7 @@
             }
             Ok(running)
         };
-        let stuck = match wait_until(SETTLE_WITHIN, running, |running| *running == 0).await {
+        let stuck = match wait_until(SETTLE_TIMEOUT, running, |running| *running == 0).await {
             Err(TestbedError::NotReached { .. }) => running().await?,
             outcome => outcome?,
         };
--- a/crates/papayamux-measure/src/promises/workload.rs
+++ b/crates/papayamux-measure/src/promises/workload.rs
@@ -29,11 +29,11 @@
 /// Callers at work at the same time.
 const CALLERS: usize = 24;
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Milliseconds between two requests of a caller.
 const THINK_MS: std::ops::Range<u64> = 0..60;
 /// How often a caller goes on with one answer elsewhere.
-const MOST_RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 /// Tokens of an answer.
 const ANSWER_TOKENS: std::ops::Range<u32> = 5..80;
 /// Of 100 requests, how many are chats.
@@ -41,7 +41,7 @@
 /// Of 100 bookings, how many have a key.
 const KEYED_IN_100: u32 = 75;
 /// Of 100 bookings with a key, how many are sent twice at the same time.
-const TWINS_IN_100: u32 = 25;
+const CONCURRENT_DUPLICATES_IN_100: u32 = 25;
 /// Of 100 bookings with a key that were answered, how many are repeated all the same.
 const REPEATED_IN_100: u32 = 50;
 
@@ -59,7 +59,7 @@
 }
 
 /// All callers of one run.
-struct CallerCrowd {
+struct ClientPool {
     plan: WorkloadPlan,
     drawn: Cell<u64>,
     records: RefCell<Vec<RequestRecord>>,
@@ -77,17 +77,17 @@
 pub fn run_workload(plan: WorkloadPlan) -> std::io::Result<Vec<RequestRecord>> {
     let shared = plan.shared.clone();
     let records = runtime::run(async {
-        let crowd =
-            Rc::new(CallerCrowd { plan, drawn: Cell::default(), records: RefCell::default() });
-        let callers = (0..CALLERS).map(|_| monoio::spawn(crowd.clone().send_until_enough()));
+        let pool =
+            Rc::new(ClientPool { plan, drawn: Cell::default(), records: RefCell::default() });
+        let callers = (0..CALLERS).map(|_| monoio::spawn(pool.clone().send_until_enough()));
         futures_util::future::join_all(callers.collect::<Vec<_>>()).await;
-        crowd.records.take()
+        pool.records.take()
     });
     shared.finished.store(true, Ordering::Relaxed);
     records
 }
 
-impl CallerCrowd {
+impl ClientPool {
     async fn send_until_enough(self: Rc<Self>) {
         while self.records.borrow().len() < self.plan.requests {
             let number = self.drawn.replace(self.drawn.get() + 1);
@@ -113,13 +113,13 @@
         let caller = Caller::new(self.plan.routers[router], "yanchang-desk");
         let headers = [(TAG_HEADER, tag.as_str())];
         let sent = Instant::now();
-        let mut outcome = self.patiently(caller.chat_once(&request, &headers)).await;
+        let mut outcome = self.with_timeout(caller.chat_once(&request, &headers)).await;
         let mut resumes = 0;
-        while let (Some(partial), true) = (resumable(&outcome), resumes < MOST_RESUMES) {
+        while let (Some(partial), true) = (resumable(&outcome), resumes < MAX_RESUMES) {
             resumes += 1;
             let next = self.ready_from(router + resumes as usize);
             let caller = Caller::new(self.plan.routers[next], "yanchang-desk");
-            let resumed = self.patiently(caller.resume_once(&request, partial)).await;
+            let resumed = self.with_timeout(caller.resume_once(&request, partial)).await;
             if !matches!(resumed, Some(CallerOutcome::Answered(_) | CallerOutcome::Broken(_))) {
                 break;
             }
@@ -129,7 +129,7 @@
             outcome.as_ref().map_or_else(AnswerFlaws::default, |o| check_chat(o, &expected));
         let server = outcome.as_ref().and_then(chat_server);
         let record = record_of(&outcome, RequestWork::Chat, router, sent);
-        self.note(RequestRecord { tag: tag.clone(), server, flaws, resumes, ..record });
+        self.add_record(RequestRecord { tag: tag.clone(), server, flaws, resumes, ..record });
     }
 
     async fn send_bookings(&self, number: u64, random: &mut StdRng) {
@@ -140,7 +140,7 @@
         let order = BookingOrder { tag: format!("booking-{number}"), key, path, body };
         let router = self.pick_router(random);
         let other = self.other_router(router);
-        if keyed && random.random_range(0..100) < TWINS_IN_100 {
+        if keyed && random.random_range(0..100) < CONCURRENT_DUPLICATES_IN_100 {
             let first = self.send_booking(&order, router, 0);
             futures_util::future::join(first, self.send_booking(&order, other, 1)).await;
         } else {
@@ -165,7 +165,7 @@
         let body = Bytes::from(order.body.clone());
         let sent = Instant::now();
         let call = caller.call_once(Method::POST, &order.path, &headers, body);
-        let outcome = self.patiently(call).await;
+        let outcome = self.with_timeout(call).await;
         let answer = match &outcome {
             Some(CallerOutcome::Answered(body)) => Some(serde_json::from_slice(body).ok()),
             _ => None,
@@ -176,7 +176,7 @@
         let server = answer.flatten().map(|answer: ServiceAnswer| answer.service);
         let record = record_of(&outcome, RequestWork::Booking, router, sent);
         let learned = record.learned;
-        self.note(RequestRecord {
+        self.add_record(RequestRecord {
             tag: tag.clone(),
             key: order.key.clone(),
             server,
@@ -187,12 +187,12 @@
     }
 
     /// Waits for an outcome as long as a caller does.
-    async fn patiently<A>(
+    async fn with_timeout<A>(
         &self,
         call: impl std::future::Future<Output = CallerOutcome<A>>,
     ) -> Option<CallerOutcome<A>> {
         self.plan.shared.in_flight.fetch_add(1, Ordering::Relaxed);
-        let outcome = monoio::time::timeout(PATIENCE, call).await.ok();
+        let outcome = monoio::time::timeout(CALL_TIMEOUT, call).await.ok();
         self.plan.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
         outcome
     }
@@ -215,7 +215,7 @@
         (0..count).map(|step| (first + step) % count).find(is_ready).unwrap_or(first)
     }
 
-    fn note(&self, record: RequestRecord) {
+    fn add_record(&self, record: RequestRecord) {
         self.records.borrow_mut().push(record);
     }
 }
--- a/crates/papayamux-measure/src/soak/checks.rs
+++ b/crates/papayamux-measure/src/soak/checks.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::history::{CallRecord, RunRecord, SoakHistory, Subject, Told};
-use super::servers::NOBODYS;
+use super::servers::FOREIGN_SERVICE;
 
 /// The routers' bounds, as their settings state them.
 pub(super) const REVOKE_WITHIN: Duration = Duration::from_secs(5);
@@ -22,16 +22,16 @@
 /// How late something may be seen on a busy machine.
 const MACHINE_SLACK: Duration = Duration::from_millis(500);
 /// How long before a moment nothing may have been disturbed for a bound of time to hold.
-const CALM_BEFORE: Duration = Duration::from_secs(4);
+const UNDISTURBED_BEFORE: Duration = Duration::from_secs(4);
 /// How long before a router was given up nothing else may have held its end up: its grace of 4 s, the
 /// wait for its end, and the usual span before.
-const END_CALM: Duration = Duration::from_secs(14);
+const UNDISTURBED_BEFORE_KILL: Duration = Duration::from_secs(14);
 /// Time after the third server has ended under a request in which routers may still learn of it, and how
 /// often it may reach servers after that.
-const CRASHES_KNOWN_WITHIN: Duration = Duration::from_secs(3);
-const MOST_LATE_RUNS: usize = 3;
+const CRASH_REPORT_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_LATE_RUNS: usize = 3;
 /// Time after the last disturbance from which every request must be served.
-const RECOVER_WITHIN: Duration = Duration::from_secs(8);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// A promise of the routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -122,7 +122,7 @@
 }
 
 fn check_foreign(run: &RunRecord) -> Option<Violation> {
-    if run.service != NOBODYS {
+    if run.service != FOREIGN_SERVICE {
         return None;
     }
     broken(Promise::ForeignUnused, format!("{} reached a server of another's entry", run.id))
@@ -143,7 +143,7 @@
 
     fn check_runs(&self, call: &CallRecord) -> Option<Violation> {
         let runs = self.runs.get(call.id.as_str()).map_or(0, Vec::len);
-        let most = call.kind.most_runs();
+        let most = call.kind.max_runs();
         if runs <= most {
             return None;
         }
@@ -153,12 +153,12 @@
     /// The end of a request in time, and in a graceful shutdown with its answer.
     fn check_end(&self, call: &CallRecord) -> Option<Violation> {
         let router = Subject::Router(call.router);
-        let before = call.sent.saturating_sub(CALM_BEFORE);
+        let before = call.sent.saturating_sub(UNDISTURBED_BEFORE);
         let mut on_router = self.history.disturbances.iter().filter(|one| one.subject == router);
         let late = call.ended - call.sent > DEADLINE + MACHINE_SLACK;
         if late && self.history.is_calm(router, before, call.ended) {
-            let took = call.ended - call.sent;
-            return broken(Promise::DeadlineKept, format!("request {} took {took:?}", call.id));
+            let elapsed = call.ended - call.sent;
+            return broken(Promise::DeadlineKept, format!("request {} took {elapsed:?}", call.id));
         }
         let overlaps = |from: Duration, until: Duration| from <= call.ended && until >= before;
         let shutdown = on_router
@@ -177,7 +177,7 @@
 
     fn check_recovery(&self, call: &CallRecord) -> Option<Violation> {
         let newest = self.history.configurations.last()?;
-        let after = call.sent > self.history.calm_from + RECOVER_WITHIN;
+        let after = call.sent > self.history.calm_from + RECOVERY_TIMEOUT;
         if !after || call.told == Told::Served || !newest.keys.contains(&call.key) {
             return None;
         }
@@ -207,7 +207,7 @@
     }
 
     fn knows_the_store(&self, router: usize, from: Duration, until: Duration) -> bool {
-        let from = from.saturating_sub(CALM_BEFORE);
+        let from = from.saturating_sub(UNDISTURBED_BEFORE);
         self.history.is_calm(Subject::Router(router), from, until)
             && self.history.is_calm(Subject::Store, from, until)
     }
@@ -261,8 +261,9 @@
         let mut reached: HashMap<(usize, usize), (usize, Duration)> = HashMap::new();
         let mut violations = Vec::new();
         for (call, run) in plain {
-            let life = self.life(call);
-            let (least, seen) = reached.get(&(call.router, life)).copied().unwrap_or_default();
+            let incarnation = self.incarnation(call);
+            let (least, seen) =
+                reached.get(&(call.router, incarnation)).copied().unwrap_or_default();
             // What was sent before the newer one was seen may still have been under way.
             if call.sent < seen + MACHINE_SLACK {
                 continue;
@@ -271,7 +272,7 @@
             let mut known = configurations.filter(|(_, one)| one.at <= run.at);
             match known.find(|(_, one)| one.service == run.service) {
                 Some((version, _)) if version > least => {
-                    reached.insert((call.router, life), (version, run.at));
+                    reached.insert((call.router, incarnation), (version, run.at));
                 }
                 Some(_) => {}
                 None => {
@@ -284,7 +285,7 @@
     }
 
     /// Which start of its router served a request.
-    fn life(&self, call: &CallRecord) -> usize {
+    fn incarnation(&self, call: &CallRecord) -> usize {
         let starts = self.history.starts.iter();
         starts.filter(|(router, at)| *router == call.router && *at <= call.sent).count()
     }
@@ -302,17 +303,17 @@
     /// Runs of the fatal request after its third server had ended, from routers that could know.
     fn check_fatal_runs(&self) -> Option<Violation> {
         let third = self.history.fatal_runs.get(2)?.at;
-        let known = third + CRASHES_KNOWN_WITHIN + MACHINE_SLACK;
+        let known = third + CRASH_REPORT_TIMEOUT + MACHINE_SLACK;
         let late = self.history.fatal_runs.iter().filter(|run| {
             let call = self.history.fatal_calls.iter().find(|call| call.id == run.id);
             run.at > known
                 && call.is_some_and(|call| {
-                    let from = call.sent.saturating_sub(CALM_BEFORE);
+                    let from = call.sent.saturating_sub(UNDISTURBED_BEFORE);
                     self.history.is_calm(Subject::Router(call.router), from, run.at)
                 })
         });
         let late = late.count();
-        if late <= MOST_LATE_RUNS {
+        if late <= MAX_LATE_RUNS {
             return None;
         }
         broken(Promise::CrashesEnd, format!("{late} runs after the third server had ended"))
@@ -321,7 +322,7 @@
     /// Routers that did not end in their grace, though nothing else held them up.
     fn check_stuck(&self) -> Vec<Violation> {
         let stuck = self.history.stuck_ends.iter().filter(|(router, at)| {
-            let from = at.saturating_sub(END_CALM);
+            let from = at.saturating_sub(UNDISTURBED_BEFORE_KILL);
             let subject = Subject::Router(*router);
             let others = self.history.disturbances.iter().filter(|one| !one.graceful);
             let mut others = others.filter(|one| one.subject == subject);
--- a/crates/papayamux-measure/src/soak/fleet.rs
+++ b/crates/papayamux-measure/src/soak/fleet.rs
@@ -11,7 +11,7 @@
 use super::checks::{
     APPLY_WITHIN, DRAIN_WITHIN, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW, REVOKE_WITHIN,
 };
-use super::servers::{start_server, RunBook};
+use super::servers::{start_server, RunLog};
 use super::workload::CallerBoard;
 use crate::front_settings::FrontSettings;
 
@@ -39,13 +39,13 @@
     /// Starts a server and writes it into the store, at its link's address.
     pub(super) fn start(
         store: &StoreStandIn,
-        book: &RunBook,
+        run_log: &RunLog,
         service: &str,
         id: &str,
     ) -> Result<Self, TestbedError> {
-        let server = start_server(id, service, book);
+        let server = start_server(id, service, run_log);
         let link = LinkControl::start(server.address)?;
-        let started = Self { server, link, starts: 1, is_direct: book.may_end(service) };
+        let started = Self { server, link, starts: 1, is_direct: run_log.may_crash(service) };
         started.list(store, false)?;
         Ok(started)
     }
@@ -74,7 +74,7 @@
 /// All of it.
 pub(super) struct SoakFleet {
     pub(super) store: StoreStandIn,
-    pub(super) book: RunBook,
+    pub(super) run_log: RunLog,
     pub(super) board: Arc<CallerBoard>,
     pub(super) routers: Vec<SoakRouter>,
     pub(super) servers: Vec<SoakServer>,
--- a/crates/papayamux-measure/src/soak/history.rs
+++ b/crates/papayamux-measure/src/soak/history.rs
@@ -21,7 +21,7 @@
         [CallKind::Idempotent, CallKind::Once, CallKind::ResumableStream, CallKind::OnceStream];
 
     /// Servers that may run one request.
-    pub fn most_runs(self) -> usize {
+    pub fn max_runs(self) -> usize {
         match self {
             CallKind::Idempotent => 2,
             CallKind::ResumableStream => 3,
--- a/crates/papayamux-measure/src/soak/injector.rs
+++ b/crates/papayamux-measure/src/soak/injector.rs
@@ -13,11 +13,11 @@
 /// By how much a slow link is late: more than a retransmission, less than a silence is borne.
 const LINK_DELAY_MS: u64 = 120;
 /// How long a router that is asked to end may take, beyond its grace of 4 s.
-const END_WITHIN: Duration = Duration::from_secs(6);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
 /// Keys that are good at once.
-const MOST_KEYS: usize = 2;
+const MAX_ACTIVE_KEYS: usize = 2;
 /// How long a leaving server is listed as draining.
-const LISTED_DRAINING: Duration = Duration::from_secs(3);
+const DRAINING_ENTRY_DURATION: Duration = Duration::from_secs(3);
 
 /// A fault that is under way.
 struct OpenFault {
@@ -74,7 +74,7 @@
         for fault in due {
             self.end(fault).await?;
         }
-        self.remove_left(now);
+        self.remove_drained(now);
         Ok(())
     }
 
@@ -233,7 +233,7 @@
     /// Waits for a router that was asked to end; one that does not is killed.
     fn wait_for_end(&mut self, router: usize) -> Result<(), TestbedError> {
         let Some(process) = &mut self.fleet.routers[router].process else { return Ok(()) };
-        if process.wait_exit(END_WITHIN).is_err() {
+        if process.wait_exit(SHUTDOWN_TIMEOUT).is_err() {
             process.kill()?;
             self.history.stuck_ends.push((router, self.fleet.board.now()));
         }
@@ -257,17 +257,17 @@
         self.replaced += 1;
         let old = self.fleet.servers[index].server.clone();
         let id = format!("s-{}", self.replaced);
-        let fresh = SoakServer::start(&self.fleet.store, &self.fleet.book, old.service(), &id)?;
+        let fresh = SoakServer::start(&self.fleet.store, &self.fleet.run_log, old.service(), &id)?;
         let leaving = std::mem::replace(&mut self.fleet.servers[index], fresh);
         leaving.list(&self.fleet.store, true)?;
         let now = self.fleet.board.now();
         self.history.drains.push((leaving.server.id.clone(), now));
-        self.leaving.push((leaving, now + LISTED_DRAINING));
+        self.leaving.push((leaving, now + DRAINING_ENTRY_DURATION));
         Ok(())
     }
 
     /// Takes servers that have drained off the list; they go on serving what they have.
-    fn remove_left(&mut self, now: Duration) {
+    fn remove_drained(&mut self, now: Duration) {
         for (server, until) in &mut self.leaving {
             if *until <= now {
                 server.server.unlist(&self.fleet.store);
@@ -290,7 +290,7 @@
         let key = format!("key-{}", self.draft.version);
         for organisation in &mut self.draft.organisations {
             organisation.keys.push(key.clone());
-            if organisation.keys.len() > MOST_KEYS {
+            if organisation.keys.len() > MAX_ACTIVE_KEYS {
                 organisation.keys.remove(0);
             }
         }
--- a/crates/papayamux-measure/src/soak/run.rs
+++ b/crates/papayamux-measure/src/soak/run.rs
@@ -13,12 +13,12 @@
 use super::history::{SoakHistory, Told};
 use super::injector::FaultInjector;
 use super::options::SoakOptions;
-use super::servers::{start_foreign_server, RunBook};
+use super::servers::{start_foreign_server, RunLog};
 use super::workload::{run_caller, CallerBoard};
 use crate::tasks::TaskError;
 
 /// How often faults are looked at.
-const TICK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long all is left alone at the end: recovery, and some seconds in which all must be served.
 const CALM: Duration = Duration::from_secs(12);
 /// How long the fleet has before callers come.
@@ -28,7 +28,7 @@
 
 /// Runs a soak; fails where a promise was broken.
 pub fn run_soak(options: &SoakOptions) -> Result<(), TaskError> {
-    let history = runtime::run(play(options))??;
+    let history = runtime::run(simulate(options))??;
     let violations = check_history(&history);
     print_report(options, &history, &violations);
     match violations.is_empty() {
@@ -37,7 +37,7 @@
     }
 }
 
-async fn play(options: &SoakOptions) -> Result<SoakHistory, TaskError> {
+async fn simulate(options: &SoakOptions) -> Result<SoakHistory, TaskError> {
     let begun = Instant::now();
     let mut injector = start(options, begun)?;
     monoio::time::sleep(SETTLE).await;
@@ -65,7 +65,7 @@
             fault.target
         );
         while injector.fleet.board.now() < offset + fault.at {
-            monoio::time::sleep(TICK).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
             injector.end_due().await?;
         }
         injector.begin(fault).await?;
@@ -77,7 +77,7 @@
     injector.end_all().await?;
     let calm_until = injector.fleet.board.now() + CALM;
     while injector.fleet.board.now() < calm_until {
-        monoio::time::sleep(TICK).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
         injector.end_due().await?;
     }
     injector.fleet.board.end();
@@ -86,24 +86,24 @@
     }
     let mut history = injector.history;
     history.calls = injector.fleet.board.take_calls();
-    history.runs = injector.fleet.book.take();
-    history.fatal_runs = injector.fleet.book.take_fatal();
+    history.runs = injector.fleet.run_log.take();
+    history.fatal_runs = injector.fleet.run_log.take_fatal();
     Ok(history)
 }
 
 fn start(options: &SoakOptions, begun: Instant) -> Result<FaultInjector, TaskError> {
     let store = StoreStandIn::start();
-    let book = RunBook::new(begun, options.fatal);
+    let run_log = RunLog::new(begun, options.fatal);
     let board = CallerBoard::new(begun, options.routers, KEY);
     let mut servers = Vec::new();
     for service in SERVICES {
         for number in 0..options.servers {
             let id = format!("{service}-{number}");
-            servers.push(SoakServer::start(&store, &book, service, &id)?);
+            servers.push(SoakServer::start(&store, &run_log, service, &id)?);
         }
     }
-    let foreign = start_foreign_server(&book);
-    let fleet = SoakFleet { store, book, board, routers: Vec::new(), servers, foreign };
+    let foreign = start_foreign_server(&run_log);
+    let fleet = SoakFleet { store, run_log, board, routers: Vec::new(), servers, foreign };
     let mut injector = FaultInjector::new(fleet, ConfigurationDraft::default());
     injector.fleet.start_routers(options.routers)?;
     Ok(injector)
--- a/crates/papayamux-measure/src/soak/servers.rs
+++ b/crates/papayamux-measure/src/soak/servers.rs
@@ -20,11 +20,11 @@
 /// The body of the request under which servers end.
 pub(super) const FATAL_BODY: &str = "fatal";
 /// How long a server is away that has ended.
-const BACK_AFTER: Duration = Duration::from_millis(1_500);
+const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The runs of all servers.
 #[derive(Debug, Clone)]
-pub(super) struct RunBook {
+pub(super) struct RunLog {
     begun: Instant,
     runs: Arc<Mutex<Vec<RunRecord>>>,
     fatal_runs: Arc<Mutex<Vec<RunRecord>>>,
@@ -32,14 +32,14 @@
     is_fatal: bool,
 }
 
-impl RunBook {
+impl RunLog {
     pub(super) fn new(begun: Instant, is_fatal: bool) -> Self {
         Self { begun, runs: Arc::default(), fatal_runs: Arc::default(), is_fatal }
     }
 
     /// Whether the servers of a service may end under a request. A proxy before them would accept
     /// connections all the same, so that they have none.
-    pub(super) fn may_end(&self, service: &str) -> bool {
+    pub(super) fn may_crash(&self, service: &str) -> bool {
         self.is_fatal && service == "llm"
     }
 
@@ -49,12 +49,12 @@
         RunRecord { id, server, service, at: self.begun.elapsed() }
     }
 
-    fn note(&self, request: &ServerRequest, service: &str) {
+    fn record_run(&self, request: &ServerRequest, service: &str) {
         self.runs.lock().push(self.record(request, service));
     }
 
     /// Notes a request if it is the one under which servers end, and returns whether it is.
-    fn note_fatal(&self, request: &ServerRequest, service: &str) -> bool {
+    fn record_if_fatal(&self, request: &ServerRequest, service: &str) -> bool {
         let is_fatal = request.message.body == FATAL_BODY.as_bytes();
         if is_fatal {
             self.fatal_runs.lock().push(self.record(request, service));
@@ -72,29 +72,29 @@
 }
 
 /// The service in whose name the runs of a server are noted that nobody may ask.
-pub(super) const NOBODYS: &str = "nobody's";
+pub(super) const FOREIGN_SERVICE: &str = "nobody's";
 
 /// Starts a server that only entries of other writers lead to.
-pub(super) fn start_foreign_server(book: &RunBook) -> ServerStandIn {
-    let book = book.clone();
+pub(super) fn start_foreign_server(run_log: &RunLog) -> ServerStandIn {
+    let run_log = run_log.clone();
     ServerStandIn::start("foreign", "plain", move |request, stream| {
-        book.note(request, NOBODYS);
+        run_log.record_run(request, FOREIGN_SERVICE);
         answer_plain(request, stream)
     })
 }
 
 /// Starts a server of `service`.
-pub(super) fn start_server(id: &str, service: &str, book: &RunBook) -> ServerStandIn {
-    let (book, name) = (book.clone(), service.to_string());
-    let (fatal_book, fatal_name) = (book.clone(), name.clone());
+pub(super) fn start_server(id: &str, service: &str, run_log: &RunLog) -> ServerStandIn {
+    let (run_log, name) = (run_log.clone(), service.to_string());
+    let (fatal_log, fatal_name) = (run_log.clone(), name.clone());
     let is_fatal = move |request: &ServerRequest, _: &mut TcpStream| {
-        request.is_meant_here() && fatal_book.note_fatal(request, &fatal_name)
+        request.is_meant_here() && fatal_log.record_if_fatal(request, &fatal_name)
     };
-    ServerStandIn::ending_on(id, service, BACK_AFTER, is_fatal, move |request, stream| {
+    ServerStandIn::ending_on(id, service, RESTART_DELAY, is_fatal, move |request, stream| {
         if !request.is_meant_here() {
             return stream.write_all(request.refusal_of_other().as_bytes()).is_ok();
         }
-        book.note(request, &name);
+        run_log.record_run(request, &name);
         match name.as_str() {
             "llm" => answer_stream(request, stream),
             _ => answer_plain(request, stream),
--- a/crates/papayamux-measure/src/soak/workload.rs
+++ b/crates/papayamux-measure/src/soak/workload.rs
@@ -18,7 +18,7 @@
 
 /// How long a caller waits for more of an answer: longer than its deadline, so that a request that
 /// is never answered is seen.
-const WAIT_WITHIN: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 /// The pause between two requests of a caller, in milliseconds.
 const PAUSE_MILLIS: std::ops::Range<u64> = 2..30;
 /// Callers that go on with the key that was replaced: one in this many requests.
@@ -139,7 +139,7 @@
     let router = random.random_range(0..routers.len());
     let address = routers[router]?;
     let sent = board.now();
-    if let Some(connection) = CallerConnection::open(address, WAIT_WITHIN) {
+    if let Some(connection) = CallerConnection::open(address, ANSWER_TIMEOUT) {
         return Some(KeptConnection { router, connection, calls: 0 });
     }
     let call = DraftCall::draw(board, random, id, router);
--- a/crates/papayamux-measure/src/surge/callers.rs
+++ b/crates/papayamux-measure/src/surge/callers.rs
@@ -14,7 +14,7 @@
 const DEADLINE: Duration = Duration::from_secs(3);
 
 /// The longest time for which a caller waits as it is told: a third of its deadline.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 /// The most tokens of an answer: six for each of its eight events.
 const ANSWER_TOKENS: u64 = 48;
 /// Names of callers' own parts begin here, above those of shared parts.
@@ -26,7 +26,7 @@
 }
 
 /// Sends all calls at their times, each from a thread of its own; returns their outcomes.
-pub(super) fn play_calls(
+pub(super) fn run_calls(
     calls: &[PlannedCall],
     routers: &[SocketAddr],
 ) -> Result<Vec<CallOutcome>, TaskError> {
@@ -38,7 +38,7 @@
             .map(|(number, call)| {
                 let due = begun + call.at;
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                scope.spawn(move || play_call(number, *call, routers))
+                scope.spawn(move || run_call(number, *call, routers))
             })
             .collect();
         let joined = running.into_iter().map(|call| call.join());
@@ -46,10 +46,10 @@
     })
 }
 
-fn play_call(number: usize, call: PlannedCall, routers: &[SocketAddr]) -> CallOutcome {
+fn run_call(number: usize, call: PlannedCall, routers: &[SocketAddr]) -> CallOutcome {
     let begun = Instant::now();
     let first = try_call(number, 0, call, routers, DEADLINE);
-    let pause = first.as_ref().and_then(pause_before_return);
+    let pause = first.as_ref().and_then(pause_before_retry);
     let (answer, tried) = match pause {
         None => (first, Duration::ZERO),
         Some(pause) => {
@@ -66,9 +66,9 @@
 }
 
 /// How long a caller that was turned away is told to wait.
-fn pause_before_return(answer: &Answer) -> Option<Duration> {
+fn pause_before_retry(answer: &Answer) -> Option<Duration> {
     let pause = answer.retry_after().filter(|_| answer.promises_not_run())?;
-    Some(pause.min(LONGEST_PAUSE))
+    Some(pause.min(MAX_PAUSE))
 }
 
 fn try_call(
--- a/crates/papayamux-measure/src/surge/engine_model.rs
+++ b/crates/papayamux-measure/src/surge/engine_model.rs
@@ -38,11 +38,11 @@
 
 /// All engines, by their addresses.
 #[derive(Debug, Clone, Default)]
-pub(super) struct EngineRoom {
+pub(super) struct EngineRegistry {
     engines: Arc<Mutex<HashMap<SocketAddr, Arc<Engine>>>>,
 }
 
-impl EngineRoom {
+impl EngineRegistry {
     /// Starts an engine.
     pub(super) fn start(&self, id: &str, traits: EngineTraits) -> ServerStandIn {
         let engine = Arc::new(Engine {
@@ -51,9 +51,9 @@
             freed: Condvar::new(),
             reading: Mutex::new(()),
         });
-        let (own, room) = (engine.clone(), self.clone());
+        let (own, registry) = (engine.clone(), self.clone());
         let server = ServerStandIn::start(id, "llm", move |request, stream| {
-            room.serve(&own, request, stream)
+            registry.serve(&own, request, stream)
         });
         self.engines.lock().insert(server.address, engine);
         server
--- a/crates/papayamux-measure/src/surge/run.rs
+++ b/crates/papayamux-measure/src/surge/run.rs
@@ -11,9 +11,9 @@
 use papayamux_state::quantities::ByteCount;
 use papayamux_testbed::{ProcessHandle, ProcessUsage};
 
-use super::callers::{key_of, play_calls};
+use super::callers::{key_of, run_calls};
 use super::engine_kind::{EngineKind, EngineTraits};
-use super::engine_model::{EngineRoom, OWN_TOKENS, SHARED_TOKENS};
+use super::engine_model::{EngineRegistry, OWN_TOKENS, SHARED_TOKENS};
 use super::footprint::RouterFootprint;
 use super::load_pattern::{draw_calls, LoadPattern, ORGANISATIONS};
 use super::options::SurgeOptions;
@@ -39,7 +39,7 @@
         for pattern in &options.patterns {
             for policy in &options.policies {
                 let case = SurgeCase { kind: *kind, pattern: *pattern, policy: *policy };
-                print_row(case, &play(options, case)?);
+                print_row(case, &measure_case(options, case)?);
             }
         }
     }
@@ -55,16 +55,16 @@
 }
 
 /// What came out with one policy under one pattern.
-struct PlayedPattern {
+struct PatternResult {
     summary: SurgeSummary,
     /// Tokens of shared parts that engines read.
     cold_tokens: u64,
     footprint: RouterFootprint,
 }
 
-fn print_row(case: SurgeCase, played: &PlayedPattern) {
+fn print_row(case: SurgeCase, result: &PatternResult) {
     let SurgeCase { kind, pattern, policy } = case;
-    let PlayedPattern { summary, cold_tokens, footprint } = played;
+    let PatternResult { summary, cold_tokens, footprint } = result;
     println!(
         "| {kind} | {pattern} | {policy} | {:.3} | {:.3} | {:.3} | {:.3} | {:.3} | {} | {} | \
          {cold_tokens} | {:.1}, {:.1} | {:.1} | {:.2} |",
@@ -86,13 +86,14 @@
     bytes.get() as f64 / 1_000_000.0
 }
 
-fn play(options: &SurgeOptions, case: SurgeCase) -> Result<PlayedPattern, TaskError> {
+fn measure_case(options: &SurgeOptions, case: SurgeCase) -> Result<PatternResult, TaskError> {
     let SurgeCase { kind, pattern, policy } = case;
     let usual = EngineTraits::of(kind, usize::MAX);
     let store = StoreStandIn::start();
     store.put_configuration(&configuration(usual));
-    let room = EngineRoom::default();
-    let start = |number| room.start(&format!("engine-{number}"), EngineTraits::of(kind, number));
+    let registry = EngineRegistry::default();
+    let start =
+        |number| registry.start(&format!("engine-{number}"), EngineTraits::of(kind, number));
     let engines: Vec<_> = (0..options.engines).map(start).collect();
     let listing = ServerListing { address: None, slots: usual.slots, draining: false, born: None };
     for engine in &engines {
@@ -106,17 +107,17 @@
     let calls = draw_calls(pattern, options.seed, options.length);
     let outcomes = std::thread::scope(|scope| {
         if pattern == LoadPattern::EnginesGone {
-            scope.spawn(|| leave_halfway(&store, &engines, listing, options.length));
+            scope.spawn(|| drain_halfway(&store, &engines, listing, options.length));
         }
         scope.spawn(|| {
             std::thread::sleep(options.length / 2);
-            room.slow_down();
+            registry.slow_down();
         });
-        play_calls(&calls, &addresses)
+        run_calls(&calls, &addresses)
     })?;
-    Ok(PlayedPattern {
+    Ok(PatternResult {
         summary: summarize(&outcomes)?,
-        cold_tokens: room.cold_tokens(),
+        cold_tokens: registry.cold_tokens(),
         footprint: RouterFootprint::between(&before, &usages(&routers)?, outcomes.len()),
     })
 }
@@ -138,7 +139,7 @@
     }
 }
 
-fn leave_halfway(
+fn drain_halfway(
     store: &StoreStandIn,
     engines: &[ServerStandIn],
     listing: ServerListing,
