--- a/crates/papayamux-measure/src/promises/answer_check.rs
+++ b/crates/papayamux-measure/src/promises/answer_check.rs
@@ -1,11 +1,11 @@
-//! Comparing an answer with the one that must have come, byte for byte.
+//! Compares an answer with the expected one, byte for byte.
 
 use papayamux_standins::service::ServiceAnswer;
 use papayamux_testbed::{CallerAnswer, CallerError, CallerOutcome};
 
 use super::request_record::AnswerFlaws;
 
-/// The flaws of a chat's answer whose whole text is `expected`.
+/// Returns the flaws of a chat's answer whose complete text should be `expected`.
 pub fn check_chat(outcome: &CallerOutcome<CallerAnswer>, expected: &str) -> AnswerFlaws {
     match outcome {
         CallerOutcome::Answered(answer) => check_whole(&answer.text, expected),
@@ -20,7 +20,7 @@
     }
 }
 
-/// The flaws of a service's answer to a call of `path` with `body`.
+/// Returns the flaws of a service's answer to a request for `path` with `body`.
 pub fn check_booking(answer: Option<&ServiceAnswer>, path: &str, body: &str) -> AnswerFlaws {
     match answer {
         Some(answer) if answer.path == path && answer.body == body => AnswerFlaws::default(),
--- a/crates/papayamux-measure/src/promises/fault_kind.rs
+++ b/crates/papayamux-measure/src/promises/fault_kind.rs
@@ -1,31 +1,31 @@
-//! The kinds of fault that a scenario brings about.
+//! The kinds of fault that scenarios inject.
 
 use std::fmt;
 
 /// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FaultKind {
-    /// All bytes of a link are late for a while.
+    /// Delays all bytes of a link for a while.
     LinkDelayed,
-    /// The connections of a link are cut after some bytes of answers.
+    /// Cuts the connections of a link after some bytes of answers.
     LinkCut,
-    /// The open connections of a link go silent for good.
+    /// Silences the open connections of a link for good.
     LinkSilent,
-    /// A link keeps all bytes for a while, and lets them go.
+    /// Holds back all bytes of a link for a while and then releases them.
     LinkHeld,
-    /// The connections of an agent to its server are cut after some bytes of answers.
+    /// Cuts the connections of an agent to its server after some bytes of answers.
     ServerLinkCut,
-    /// The open connections of an agent to its server go silent for good.
+    /// Silences the open connections of an agent to its server for good.
     ServerLinkSilent,
-    /// An agent is killed and restarted with empty memory.
+    /// Kills an agent and restarts it without its state.
     AgentKilled,
-    /// An agent is paused and woken.
+    /// Pauses an agent and resumes it.
     AgentPaused,
-    /// A router ends gracefully and is replaced.
+    /// Shuts a router down gracefully and replaces it.
     RouterTerminated,
-    /// An agent ends gracefully and is replaced.
+    /// Shuts an agent down gracefully and replaces it.
     AgentTerminated,
-    /// The routers know different servers.
+    /// Gives the routers different server lists.
     ListsDiffer,
 }
 
@@ -45,12 +45,12 @@
         FaultKind::ListsDiffer,
     ];
 
-    /// Whether the fault concerns connections that go silent until they are found.
+    /// Returns whether the fault silences connections, which lasts until the silence is detected.
     pub fn is_silent(self) -> bool {
         matches!(self, FaultKind::LinkSilent | FaultKind::ServerLinkSilent)
     }
 
-    /// Whether the fault is a graceful shutdown.
+    /// Returns whether the fault is a graceful shutdown.
     pub fn is_graceful(self) -> bool {
         matches!(self, FaultKind::RouterTerminated | FaultKind::AgentTerminated)
     }
--- a/crates/papayamux-measure/src/promises/fault_stage.rs
+++ b/crates/papayamux-measure/src/promises/fault_stage.rs
@@ -1,4 +1,4 @@
-//! The fleet as the injectors share it, and the record of what they did.
+//! The fleet shared by the injectors, and the record of injected faults.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -11,61 +11,61 @@
 use super::fault_kind::FaultKind;
 use super::link_board::{LinkBoard, LinkPlace};
 
-/// What the callers' thread and the injectors tell each other.
+/// State shared between the callers' thread and the injectors.
 #[derive(Debug, Default)]
 pub struct SharedState {
-    /// For each router, whether the balancer sends callers there.
+    /// For each router, whether the load balancer sends callers to it.
     pub ready: Vec<AtomicBool>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: AtomicU64,
-    /// Whether all callers have finished.
+    /// `true` once all callers have finished.
     pub finished: AtomicBool,
 }
 
-/// One fault that was brought about.
+/// One injected fault.
 #[derive(Debug, Clone)]
 pub struct FaultRecord {
-    /// Its kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The router that it concerned; none for all.
+    /// Index of the affected router; `None` for all.
     pub router: Option<usize>,
-    /// The name of the server that it concerned; none for all.
+    /// Name of the affected server; `None` for all.
     pub server: Option<String>,
-    /// When it began.
+    /// Start of the fault.
     pub from: Instant,
-    /// When it was over.
+    /// End of the fault.
     pub to: Instant,
-    /// Whether requests were in flight when it began.
+    /// `true` if requests were in flight when it began.
     pub met_requests: bool,
 }
 
-/// A process that an injector ends and replaces.
+/// A process that an injector shuts down and replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StagePart {
-    /// A router.
+    /// A router, by index.
     Router(usize),
-    /// An agent.
+    /// An agent, by the index of its server.
     Agent(usize),
 }
 
-/// The fleet with what happens to it.
+/// A fleet under fault injection.
 pub struct FaultStage {
     /// The fleet; never borrowed across an await.
     pub fleet: RefCell<Fleet>,
-    /// The faults of its links.
+    /// Active faults of its links.
     pub board: LinkBoard,
-    /// What is shared with the callers.
+    /// State shared with the callers.
     pub shared: Arc<SharedState>,
-    /// What was done.
+    /// Faults injected so far.
     pub records: RefCell<Vec<FaultRecord>>,
-    /// The longest time from an agent's notice to new work at its server.
+    /// Longest time from an agent's shutdown notice to new work at its server.
     pub last_new_work: Cell<Option<Duration>>,
-    /// Graceful shutdowns that did not end with success.
+    /// Number of graceful shutdowns that did not exit successfully.
     pub unclean_exits: Cell<u64>,
     busy: RefCell<BTreeSet<StagePart>>,
 }
 
-/// Keeps a part for one injector until it is dropped.
+/// Reserves a process for one injector until dropped.
 pub struct PartGuard<'a> {
     stage: &'a FaultStage,
     part: StagePart,
@@ -78,7 +78,7 @@
 }
 
 impl FaultStage {
-    /// The stage of a fleet.
+    /// Creates the stage of a fleet.
     pub fn new(fleet: Fleet, shared: Arc<SharedState>) -> Self {
         Self {
             fleet: RefCell::new(fleet),
@@ -91,22 +91,22 @@
         }
     }
 
-    /// Takes a part for one injector; `None` while another has it.
+    /// Reserves a process for one injector; returns `None` while another holds it.
     pub fn take_part(&self, part: StagePart) -> Option<PartGuard<'_>> {
         self.busy.borrow_mut().insert(part).then_some(PartGuard { stage: self, part })
     }
 
-    /// Whether all callers have finished.
+    /// Returns whether all callers have finished.
     pub fn is_finished(&self) -> bool {
         self.shared.finished.load(Ordering::Relaxed)
     }
 
-    /// Whether requests are in flight.
+    /// Returns whether requests are in flight.
     pub fn has_requests(&self) -> bool {
         self.shared.in_flight.load(Ordering::Relaxed) > 0
     }
 
-    /// The places of all links between routers and agents.
+    /// Returns all links between routers and agents.
     pub fn agent_links(&self) -> Vec<LinkPlace> {
         let fleet = self.fleet.borrow();
         let (routers, servers) = (fleet.routers.len(), fleet.servers.len());
@@ -115,12 +115,12 @@
         known.map(|(router, server)| LinkPlace::Agent { router, server }).collect()
     }
 
-    /// The places of all links between agents and servers.
+    /// Returns all links between agents and servers.
     pub fn server_links(&self) -> Vec<LinkPlace> {
         (0..self.fleet.borrow().servers.len()).map(LinkPlace::Server).collect()
     }
 
-    /// A link's control.
+    /// Returns the control of a link.
     pub fn link(&self, place: LinkPlace) -> Result<LinkControl, TestbedError> {
         let fleet = self.fleet.borrow();
         match place {
@@ -129,12 +129,12 @@
         }
     }
 
-    /// A server's name.
+    /// Returns the name of a server.
     pub fn server_name(&self, server: usize) -> String {
         self.fleet.borrow().servers[server].name.clone()
     }
 
-    /// Notes the longest time from a notice to new work.
+    /// Records a time from a shutdown notice to new work if it is the longest so far.
     pub fn record_new_work(&self, after: Duration) {
         let longest = self.last_new_work.get().unwrap_or_default().max(after);
         self.last_new_work.set(Some(longest));
--- a/crates/papayamux-measure/src/promises/injector.rs
+++ b/crates/papayamux-measure/src/promises/injector.rs
@@ -1,4 +1,4 @@
-//! Bringing about one kind of fault again and again, at times and places drawn from the seed.
+//! Injects one kind of fault repeatedly, at times and places sampled from the seed.
 
 use std::time::{Duration, Instant};
 
@@ -14,33 +14,34 @@
 
 /// Milliseconds between two faults of a kind.
 const GAP_MS: std::ops::Range<u64> = 50..400;
-/// Milliseconds between two links going silent, each of which lasts until it is found.
+/// Milliseconds between two silenced links; each silence lasts until it is detected.
 const SILENT_GAP_MS: std::ops::Range<u64> = 500..2_000;
-/// Milliseconds by which a late link's bytes are late.
+/// Delay of a slow link's bytes, in milliseconds.
 const LATE_MS: std::ops::Range<u64> = 20..300;
-/// Milliseconds for which a link is late.
+/// Duration of a delay fault, in milliseconds.
 const DELAYED_FOR_MS: std::ops::Range<u64> = 300..1_500;
-/// Bytes of answers after which a link is cut.
+/// Number of answer bytes after which a link is cut.
 const CUT_AFTER_BYTES: std::ops::Range<u64> = 0..12_000;
-/// Milliseconds that a link waits for its cut.
+/// Duration of a cut fault, in milliseconds.
 const CUT_FOR_MS: std::ops::Range<u64> = 200..800;
-/// Milliseconds for which a link is held or an agent paused; the longest outlast the heartbeats.
+/// Duration for which a link is held or an agent paused, in milliseconds; the longest exceed the
+/// heartbeat timeout.
 const HELD_FOR_MS: std::ops::Range<u64> = 200..6_000;
-/// Milliseconds for which an agent that was killed is away.
+/// Downtime of a killed agent, in milliseconds.
 const AWAY_FOR_MS: std::ops::Range<u64> = 0..400;
 
-/// One injector of one kind.
+/// Injector of one kind of fault.
 pub struct FaultInjector<'a> {
-    /// Where.
+    /// The fleet to act on.
     pub stage: &'a FaultStage,
-    /// Of which kind.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Draws times and places.
+    /// Source of times and places.
     pub random: StdRng,
 }
 
 impl FaultInjector<'_> {
-    /// Brings about faults until the callers have finished.
+    /// Injects faults until the callers have finished.
     pub async fn run(mut self) -> Result<(), TestbedError> {
         while self.kind != FaultKind::ListsDiffer {
             self.sleep(if self.kind.is_silent() { SILENT_GAP_MS } else { GAP_MS }).await;
@@ -143,7 +144,8 @@
         Ok(Some(server))
     }
 
-    /// Pauses also an agent that another injector ends: it may be asked to end while it stands.
+    /// Pauses an agent, even one that another injector is shutting down: a shutdown request may
+    /// reach a paused agent.
     async fn pause_agent(&mut self, server: usize) -> Result<usize, TestbedError> {
         let paused = self.stage.fleet.borrow().servers[server].agent.id();
         self.stage.fleet.borrow().servers[server].agent.pause()?;
--- a/crates/papayamux-measure/src/promises/link_board.rs
+++ b/crates/papayamux-measure/src/promises/link_board.rs
@@ -1,4 +1,4 @@
-//! The faults of all links, so that two kinds of fault on one link are in force together.
+//! Active faults of all links, combined so that two kinds of fault on one link apply together.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,22 +6,22 @@
 use papayamux_standins::fault_proxy::{FaultyWays, LinkFaults};
 use papayamux_testbed::{LinkControl, TestbedError};
 
-/// A link, by the places of its ends in the fleet.
+/// A link, identified by the indexes of its ends in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkPlace {
-    /// Between a router and the agent of a server.
+    /// The link between a router and the agent of a server.
     Agent {
-        /// The router.
+        /// Index of the router.
         router: usize,
-        /// The server.
+        /// Index of the server.
         server: usize,
     },
-    /// Between an agent and its server.
+    /// The link between an agent and its server, by the server's index.
     Server(usize),
 }
 
 impl LinkPlace {
-    /// The router at one end, where there is one.
+    /// Returns the router at one end, if there is one.
     pub fn router(self) -> Option<usize> {
         match self {
             LinkPlace::Agent { router, .. } => Some(router),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The server that the link leads to.
+    /// Returns the server that the link leads to.
     pub fn server(self) -> usize {
         match self {
             LinkPlace::Agent { server, .. } | LinkPlace::Server(server) => server,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The lasting faults of every link.
+/// Lasting faults of every link.
 #[derive(Default)]
 pub struct LinkBoard {
     faults: RefCell<BTreeMap<LinkPlace, LinkFaults>>,
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Makes a link's open connections silent for good, and keeps its other faults.
+    /// Silences a link's open connections for good and keeps its other faults.
     pub async fn silence(&self, place: LinkPlace, link: &LinkControl) -> Result<(), TestbedError> {
         let lasting = self.faults.borrow().get(&place).copied().unwrap_or_default();
         let drop = FaultyWays::Both;
--- a/crates/papayamux-measure/src/promises/mod.rs
+++ b/crates/papayamux-measure/src/promises/mod.rs
@@ -1,4 +1,4 @@
-//! Whether the promises to callers hold while links, agents and routers fail.
+//! Checks that the guarantees to callers hold while links, agents and routers fail.
 
 mod answer_check;
 mod fault_kind;
--- a/crates/papayamux-measure/src/promises/request_record.rs
+++ b/crates/papayamux-measure/src/promises/request_record.rs
@@ -1,11 +1,11 @@
-//! What one caller learned of one request.
+//! The outcome of one request as its caller saw it.
 
 use std::time::Instant;
 
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
 use papayamux_testbed::{CallerError, CallerOutcome};
 
-/// What a request asks for.
+/// The kind of work that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestWork {
     /// A streamed chat, which is idempotent.
@@ -14,34 +14,34 @@
     Booking,
 }
 
-/// What a caller learned in the end.
+/// The final outcome known to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LearnedOutcome {
-    /// An answer came to its end.
+    /// A complete answer arrived.
     Answered,
-    /// The router said that the request was not run.
+    /// The router reported that the request was not run.
     NotRun,
     /// The router was not reached.
     Unsent,
-    /// The router said that it does not know, or its answer broke off.
+    /// The router reported an unknown outcome, or its answer broke off.
     Unknown,
-    /// The router said that the request ran and failed.
+    /// The router reported that the request ran and failed.
     Failed,
 }
 
-/// What is wrong with an answer's bytes.
+/// Flaws in the bytes of an answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnswerFlaws {
-    /// Bytes of another answer are in it.
+    /// `true` if it contains bytes of another answer.
     pub mixed: bool,
-    /// It ended well, yet lacks bytes.
+    /// `true` if it ended normally but lacks bytes.
     pub short: bool,
-    /// Bytes that came twice.
+    /// Number of duplicated bytes.
     pub doubled_bytes: u64,
 }
 
 impl AnswerFlaws {
-    /// Whether a caller was given a wrong answer for a whole one.
+    /// Returns whether the caller received a wrong answer as a complete one.
     pub fn break_promise(&self) -> bool {
         self.mixed || self.short
     }
@@ -50,37 +50,37 @@
 /// One request of a caller.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// The tag by which the stand-ins count its runs.
+    /// Tag by which the stand-ins count its runs.
     pub tag: String,
-    /// The key under which it may be repeated.
+    /// Idempotency key under which it may be retried.
     pub key: Option<String>,
-    /// What it asked for.
+    /// Kind of work that it asked for.
     pub work: RequestWork,
-    /// The router's place in the fleet.
+    /// Index of the router in the fleet.
     pub router: usize,
-    /// The server that answered, where the caller knows it.
+    /// Server that answered, if the caller knows it.
     pub server: Option<String>,
-    /// When it was sent.
+    /// Time when it was sent.
     pub sent: Instant,
-    /// When the caller knew the outcome.
+    /// Time when the caller knew the outcome.
     pub ended: Instant,
     /// The outcome.
     pub learned: LearnedOutcome,
-    /// The failure that the router told.
+    /// Failure reported by the router.
     pub told: Option<FailureBody>,
-    /// What is wrong with the answer.
+    /// Flaws of the answer.
     pub flaws: AnswerFlaws,
-    /// How often the caller went on with the answer at another router.
+    /// Number of times that the caller resumed the answer at another router.
     pub resumes: u32,
-    /// Whether the caller's connection broke off.
+    /// `true` if the caller's connection broke off.
     pub broke: bool,
-    /// Whether the caller gave up waiting.
+    /// `true` if the caller timed out.
     pub timed_out: bool,
 }
 
 impl RequestRecord {
-    /// Whether the router refused this attempt for its key: it was not run, and what is unknown
-    /// is what became of an earlier attempt.
+    /// Returns whether the router refused this attempt because of its key. The attempt was not run;
+    /// an unknown outcome is that of an earlier attempt.
     pub fn is_refused_for_key(&self) -> bool {
         let code = self.told.as_ref().map(|failure| failure.code);
         matches!(
@@ -96,7 +96,7 @@
     }
 }
 
-/// What a caller learned by an outcome.
+/// Returns the outcome as the caller knows it.
 pub fn learned_of<A>(outcome: &CallerOutcome<A>) -> LearnedOutcome {
     match outcome {
         CallerOutcome::Answered(_) => LearnedOutcome::Answered,
--- a/crates/papayamux-measure/src/promises/run.rs
+++ b/crates/papayamux-measure/src/promises/run.rs
@@ -1,4 +1,4 @@
-//! Running the scenarios one after the other.
+//! Runs the scenarios one after the other.
 
 use std::error::Error;
 use std::sync::atomic::AtomicBool;
@@ -18,26 +18,26 @@
 use super::truth::RunTruth;
 use super::workload::{run_workload, WorkloadPlan};
 
-/// The servers that each router knows where the lists differ, of three engines and two services.
+/// Servers known to each router where the lists differ, of three engines and two services.
 const DIFFERENT_LISTS: [&[usize]; 2] = [&[0, 1, 2, 3, 4], &[1, 2, 4]];
 
-/// What is measured.
+/// Options of the measurement.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct PromiseOptions {
-    /// Draws workload and faults.
+    /// Seed of the workload and the faults.
     #[builder(default = 1)]
     pub seed: u64,
-    /// The scenarios to run, by name; all where there is none.
+    /// Names of the scenarios to run; all if empty.
     #[builder(default)]
     pub scenarios: Vec<String>,
-    /// Requests of each scenario.
+    /// Number of requests per scenario.
     #[builder(default = 450)]
     pub requests: usize,
 }
 
-/// Runs the scenarios and prints a line for each, and one with the sums.
+/// Runs the scenarios and prints one line for each and one with the totals.
 ///
-/// Fails where a promise was broken.
+/// Returns an error if a guarantee was broken.
 pub fn run_promises(options: &PromiseOptions) -> Result<(), Box<dyn Error>> {
     let scenarios = FaultScenario::named(&options.scenarios)?;
     let mut total =
@@ -57,8 +57,8 @@
     }
 }
 
-/// How long witnesses remember a key: longer than a caller waits before it repeats, and short
-/// enough that one that was restarted in the run may come back in it.
+/// Time for which witnesses remember a key: longer than a caller waits before a retry, and short
+/// enough that a witness restarted during the run can rejoin within it.
 const CLAIM_RETENTION: &str = "2m";
 
 fn fleet_plan(scenario: &FaultScenario) -> FleetPlan {
--- a/crates/papayamux-measure/src/promises/scenario.rs
+++ b/crates/papayamux-measure/src/promises/scenario.rs
@@ -6,13 +6,13 @@
 
 use super::fault_kind::FaultKind;
 
-/// No scenario has this name.
+/// The error of looking up an unknown scenario.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("no scenario {name:?}; known: {known}")]
+#[error("unknown scenario {name:?}; known scenarios: {known}")]
 pub struct UnknownScenario {
-    /// The name.
+    /// The unknown name.
     pub name: String,
-    /// All names.
+    /// All known names, separated by commas.
     pub known: String,
 }
 
@@ -20,15 +20,15 @@
     scenarios.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
 }
 
-/// Faults that happen in the same run.
+/// Faults injected in the same run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FaultScenario {
-    /// The kinds, none twice.
+    /// Kinds of fault, without duplicates.
     pub faults: Vec<FaultKind>,
 }
 
 impl FaultScenario {
-    /// Every scenario: none, alone, pairs.
+    /// Returns every scenario: no fault, each fault alone, and each pair.
     pub fn all() -> Vec<Self> {
         let mut scenarios = vec![Self { faults: Vec::new() }];
         scenarios.extend(FaultKind::ALL.map(|kind| Self { faults: vec![kind] }));
@@ -39,7 +39,7 @@
         scenarios
     }
 
-    /// The scenarios with the given names, or all where no name is given.
+    /// Returns the scenarios with the given names, or all if no name is given.
     pub fn named(names: &[String]) -> Result<Vec<Self>, UnknownScenario> {
         let all = Self::all();
         if names.is_empty() {
@@ -52,7 +52,7 @@
         names.iter().map(find).collect()
     }
 
-    /// Whether the routers know different servers.
+    /// Returns whether the routers have different server lists.
     pub fn lists_differ(&self) -> bool {
         self.faults.contains(&FaultKind::ListsDiffer)
     }
--- a/crates/papayamux-measure/src/promises/server_leave.rs
+++ b/crates/papayamux-measure/src/promises/server_leave.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdowns: their end, and the last new work at a server that leaves.
+//! Graceful shutdowns: waits for the exit and measures the last new work at a draining server.
 
 use std::process::ExitStatus;
 use std::sync::atomic::Ordering;
@@ -8,13 +8,13 @@
 
 use super::fault_stage::{FaultStage, StagePart};
 
-/// How often a process that ends is looked at.
+/// Interval at which an exiting process is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a process may take to end.
+/// Time after which a process that has not exited is killed.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(90);
 
 impl FaultStage {
-    /// Ends a router gracefully and replaces it.
+    /// Shuts a router down gracefully and replaces it.
     pub async fn terminate_router(&self, router: usize) -> Result<(), TestbedError> {
         self.fleet.borrow().routers[router].terminate()?;
         self.shared.ready[router].store(false, Ordering::Relaxed);
@@ -24,7 +24,7 @@
         Ok(())
     }
 
-    /// Ends an agent gracefully, watches for new work at its server, and replaces it.
+    /// Shuts an agent down gracefully, watches for new work at its server, and replaces it.
     pub async fn terminate_agent(&self, server: usize) -> Result<(), TestbedError> {
         let notice = Instant::now();
         self.fleet.borrow().servers[server].agent.terminate()?;
@@ -64,7 +64,8 @@
         Ok(())
     }
 
-    /// How a part ended, if it has; one that does not end at all is killed, and counted.
+    /// Returns the exit status of a process that has exited. Kills one that exceeds
+    /// [`EXIT_TIMEOUT`], and counts every unsuccessful exit.
     fn exit_of(
         &self,
         part: StagePart,
--- a/crates/papayamux-measure/src/promises/tally.rs
+++ b/crates/papayamux-measure/src/promises/tally.rs
@@ -1,4 +1,4 @@
-//! The counts of one scenario.
+//! Counts of one scenario.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,73 +9,74 @@
 use super::request_record::{LearnedOutcome, RequestRecord, RequestWork};
 use super::truth::RunTruth;
 
-/// A request that broke this long after a shutdown's end may still have been cut off by it.
+/// A request that broke within this time after the end of a shutdown may have been cut off by it.
 const AFTER_SHUTDOWN: Duration = Duration::from_millis(500);
-/// A request that broke this long after another fault may have been broken by it.
+/// A request that broke within this time after another fault may have been broken by it.
 const AFTER_FAULT: Duration = Duration::from_secs(10);
 
-/// One line of the measurement.
+/// One line of the report.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct PromiseTally {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the workload and the faults.
     pub seed: u64,
-    /// Requests sent, repeats too.
+    /// Requests sent, including retries.
     pub requests: u64,
-    /// Answered to the end.
+    /// Requests with a complete answer.
     pub answered: u64,
-    /// Told not run.
+    /// Requests reported as not run.
     pub not_run: u64,
-    /// Never left the caller, because no router took the connection.
+    /// Requests never sent because no router accepted the connection.
     pub unsent: u64,
     /// Of the answered, those that their callers resumed at another router.
     pub resumed: u64,
-    /// Not known: told so, or the answer broke off.
+    /// Requests with an unknown outcome: reported as unknown, or the answer broke off.
     pub unknown: u64,
-    /// Of the unknown, attempts that were refused for their key, and not run: what became of an
-    /// earlier attempt is not known.
+    /// Of the unknown, attempts that were refused for their key and not run: the outcome of an
+    /// earlier attempt is unknown.
     pub key_unknown: u64,
     /// Of the unknown, chats.
     pub unknown_chats: u64,
     /// Of the unknown, those whose connection to the router broke off.
     pub broken: u64,
-    /// Of the unknown, those that got no answer while the caller was willing to wait.
+    /// Of the unknown, those that got no answer before the caller timed out.
     pub timed_out: u64,
-    /// Told that the request ran and failed.
+    /// Requests reported as run and failed.
     pub failed: u64,
-    /// Of those, requests that no server had started: repeats whose key's first run failed, and
-    /// others, which would be told wrongly.
+    /// Of the failed, requests that no server had started: retries whose key's first run failed,
+    /// and others, for which the report would be wrong.
     pub failed_but_never_ran: u64,
-    /// Answers with bytes of another. Breaks a promise.
+    /// Answers that contain bytes of another. Breaks a guarantee.
     pub mixed: u64,
-    /// Answers that ended well yet lack bytes. Breaks a promise.
+    /// Answers that ended normally but lack bytes. Breaks a guarantee.
     pub short: u64,
-    /// Bytes that came twice.
+    /// Number of duplicated bytes.
     pub doubled_bytes: u64,
-    /// Bookings that the service ran twice. Breaks a promise.
+    /// Bookings that the service ran twice. Breaks a guarantee.
     pub ran_twice: u64,
-    /// Requests told not run that a server ran. Breaks a promise.
+    /// Requests reported as not run that a server ran. Breaks a guarantee.
     pub told_not_run_but_ran: u64,
-    /// Requests that a graceful shutdown cut off. Breaks a promise.
+    /// Requests that a graceful shutdown cut off. Breaks a guarantee.
     pub cut_by_shutdown: u64,
-    /// Requests that agents still waited for when all else was over.
+    /// Requests that agents still waited for when everything else had finished.
     pub stuck: u64,
-    /// Graceful shutdowns that did not end with success.
+    /// Graceful shutdowns that did not exit successfully.
     pub unclean_exits: u64,
-    /// The longest time from an agent's notice to new work at its server.
+    /// Longest time from an agent's shutdown notice to new work at its server.
     pub last_new_work_ms: Option<u64>,
-    /// Faults that began while requests were in flight, and keys sent through two routers.
+    /// Number of faults that began while requests were in flight, plus keys sent through two
+    /// routers.
     pub interleavings: u64,
-    /// Seconds that it took.
+    /// Duration of the scenario in seconds.
     pub seconds: f64,
-    /// The requests that broke a promise, for people.
+    /// Descriptions of the requests that broke a guarantee, for human readers.
     #[serde(skip)]
     pub suspects: Vec<String>,
 }
 
 impl PromiseTally {
-    /// Counts all records against the truth.
+    /// Compares all records with the actual runs and counts the results.
     pub fn count(records: &[RequestRecord], faults: &[FaultRecord], truth: &RunTruth) -> Self {
         let mut tally =
             Self { requests: records.len() as u64, stuck: truth.stuck, ..Self::default() };
@@ -107,7 +108,7 @@
         tally
     }
 
-    /// Requests that broke a promise.
+    /// Returns the number of broken guarantees.
     pub fn broken_promises(&self) -> u64 {
         self.mixed + self.short + self.ran_twice + self.told_not_run_but_ran + self.cut_by_shutdown
     }
@@ -172,15 +173,17 @@
     seen.len() - keys.len()
 }
 
-/// Whether a graceful shutdown cut a request off: the process that ended had it in flight, it
-/// broke before the shutdown was over, and no other fault that may explain it met it.
+/// Returns whether a graceful shutdown cut a request off: the process that exited had it in flight,
+/// it broke before the shutdown was over, and no other fault that may explain the break affected
+/// it.
 fn was_cut_off(record: &RequestRecord, faults: &[FaultRecord]) -> bool {
     let is_open = record.learned == LearnedOutcome::Unknown;
     let mut met = faults.iter().filter(|fault| concerns(fault, record)).peekable();
     is_open && met.peek().is_some() && met.all(|fault| fault.kind.is_graceful())
 }
 
-/// Whether a fault met the request's router or server, and the request ended under its effect.
+/// Returns whether a fault affected the request's router or server and the request ended while the
+/// fault could still have an effect.
 fn concerns(fault: &FaultRecord, record: &RequestRecord) -> bool {
     let effect = if fault.kind.is_graceful() { AFTER_SHUTDOWN } else { AFTER_FAULT };
     let in_time = record.ended >= fault.from && record.ended <= fault.to + effect;
--- a/crates/papayamux-measure/src/promises/truth.rs
+++ b/crates/papayamux-measure/src/promises/truth.rs
@@ -1,28 +1,28 @@
-//! What really ran, as the stand-ins counted it.
+//! The actual runs, as counted by the stand-ins.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use papayamux_testbed::{wait_until, AgentStatus, Fleet, TestbedError};
 
-/// How long the fleet may take to finish what is in flight after the faults.
+/// Time for the fleet to finish the requests in flight after the faults.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Nothing may happen for this long before the counts are read.
+/// The run counts must stay unchanged for this long before they are final.
 const QUIET_FOR: Duration = Duration::from_millis(300);
 
 /// Run counts over all servers.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RunTruth {
-    /// By tag, one for each request.
+    /// Runs by tag; each tag belongs to one request.
     pub by_tag: HashMap<String, u64>,
-    /// By idempotency key.
+    /// Runs by idempotency key.
     pub by_key: HashMap<String, u64>,
-    /// Requests that agents still waited for when all else was over.
+    /// Number of requests that agents still waited for when everything else had finished.
     pub stuck: u64,
 }
 
 impl RunTruth {
-    /// Lifts all faults, waits until nothing happens any more, and reads the counts.
+    /// Lifts all faults, waits until the counts no longer change, and returns them.
     pub async fn settle(fleet: &Fleet) -> Result<Self, TestbedError> {
         for router in 0..fleet.routers.len() {
             for server in 0..fleet.servers.len() {
--- a/crates/papayamux-measure/src/promises/workload.rs
+++ b/crates/papayamux-measure/src/promises/workload.rs
@@ -1,4 +1,4 @@
-//! The callers: chats and bookings, drawn from the seed, on a thread of their own.
+//! The callers: chats and bookings sampled from the seed, on a thread of their own.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -26,35 +26,35 @@
 use super::fault_stage::SharedState;
 use super::request_record::{learned_of, AnswerFlaws, LearnedOutcome, RequestRecord, RequestWork};
 
-/// Callers at work at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 24;
-/// How long a caller waits for an answer.
+/// Time that a caller waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Milliseconds between two requests of a caller.
+/// Pause between two requests of a caller, in milliseconds.
 const THINK_MS: std::ops::Range<u64> = 0..60;
-/// How often a caller goes on with one answer elsewhere.
+/// Maximum number of times that a caller resumes one answer at another router.
 const MAX_RESUMES: u32 = 3;
-/// Tokens of an answer.
+/// Number of tokens of an answer.
 const ANSWER_TOKENS: std::ops::Range<u32> = 5..80;
-/// Of 100 requests, how many are chats.
+/// Percentage of requests that are chats.
 const CHATS_IN_100: u32 = 55;
-/// Of 100 bookings, how many have a key.
+/// Percentage of bookings with an idempotency key.
 const KEYED_IN_100: u32 = 75;
-/// Of 100 bookings with a key, how many are sent twice at the same time.
+/// Percentage of bookings with a key that are sent twice at the same time.
 const CONCURRENT_DUPLICATES_IN_100: u32 = 25;
-/// Of 100 bookings with a key that were answered, how many are repeated all the same.
+/// Percentage of answered bookings with a key that are retried nevertheless.
 const REPEATED_IN_100: u32 = 50;
 
-/// What the callers do.
+/// Parameters of the workload.
 #[derive(Debug, Clone)]
 pub struct WorkloadPlan {
-    /// Draws everything.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Requests after which the callers stop; repeats count.
+    /// Number of requests, including retries, after which the callers stop.
     pub requests: usize,
-    /// Where the routers listen.
+    /// Addresses of the routers.
     pub routers: Vec<SocketAddr>,
-    /// What is shared with the injectors.
+    /// State shared with the injectors.
     pub shared: Arc<SharedState>,
 }
 
@@ -73,7 +73,7 @@
     body: String,
 }
 
-/// Runs the callers to their end.
+/// Runs the callers until all have finished.
 pub fn run_workload(plan: WorkloadPlan) -> std::io::Result<Vec<RequestRecord>> {
     let shared = plan.shared.clone();
     let records = runtime::run(async {
@@ -186,7 +186,7 @@
         learned
     }
 
-    /// Waits for an outcome as long as a caller does.
+    /// Awaits a call's outcome for at most [`CALL_TIMEOUT`]; returns `None` on timeout.
     async fn with_timeout<A>(
         &self,
         call: impl std::future::Future<Output = CallerOutcome<A>>,
@@ -197,7 +197,7 @@
         outcome
     }
 
-    /// Any router that the balancer sends callers to.
+    /// Returns a random router that the load balancer sends callers to.
     fn pick_router(&self, random: &mut StdRng) -> usize {
         let drawn = random.random_range(0..self.plan.routers.len());
         self.ready_from(drawn)
@@ -207,7 +207,8 @@
         self.ready_from(router + 1)
     }
 
-    /// The first router, from a place on, that the balancer sends callers to.
+    /// Returns the first router, counting from `first`, that the load balancer sends callers to;
+    /// `first` itself if there is none.
     fn ready_from(&self, first: usize) -> usize {
         let count = self.plan.routers.len();
         let first = first % count;
@@ -220,7 +221,8 @@
     }
 }
 
-/// What every record says of an outcome; `None` is a caller that gave up.
+/// Returns the record fields common to all requests; an outcome of `None` is a caller that timed
+/// out.
 fn record_of<A>(
     outcome: &Option<CallerOutcome<A>>,
     work: RequestWork,
@@ -247,7 +249,7 @@
     }
 }
 
-/// What came of an answer that may go on elsewhere.
+/// Returns the partial answer if the caller may resume it at another router.
 fn resumable(outcome: &Option<CallerOutcome<CallerAnswer>>) -> Option<CallerAnswer> {
     let Some(CallerOutcome::Broken(error)) = outcome else { return None };
     let is_cut = matches!(error, CallerError::Partial { .. } | CallerError::Told { .. });
--- a/crates/papayamux-measure/src/soak/checks.rs
+++ b/crates/papayamux-measure/src/soak/checks.rs
@@ -1,6 +1,7 @@
-//! What must hold of a history.
+//! Invariants that a recorded history must satisfy.
 //!
-//! Bounds of time hold for routers that nothing disturbed; those on runs and keys hold for all.
+//! Time bounds apply only to routers that were not disturbed; the rules on runs and keys apply to
+//! all.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,67 +10,68 @@
 use super::history::{CallRecord, RunRecord, SoakHistory, Subject, Told};
 use super::servers::FOREIGN_SERVICE;
 
-/// The routers' bounds, as their settings state them.
+/// Bounds written into the routers' settings.
 pub(super) const REVOKE_WITHIN: Duration = Duration::from_secs(5);
 pub(super) const APPLY_WITHIN: Duration = Duration::from_secs(2);
 pub(super) const DRAIN_WITHIN: Duration = Duration::from_secs(2);
 pub(super) const RETRY_RATIO: f64 = 0.1;
 pub(super) const RETRY_SLACK: f64 = 16.0;
 pub(super) const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// The time that callers give a request.
+/// Deadline that callers set on a request.
 pub(super) const DEADLINE: Duration = Duration::from_secs(3);
 
-/// How late something may be seen on a busy machine.
+/// Tolerance for scheduling delays on a busy machine.
 const MACHINE_SLACK: Duration = Duration::from_millis(500);
-/// How long before a moment nothing may have been disturbed for a bound of time to hold.
+/// A time bound is checked only if nothing was disturbed for this long beforehand.
 const UNDISTURBED_BEFORE: Duration = Duration::from_secs(4);
-/// How long before a router was given up nothing else may have held its end up: its grace of 4 s, the
-/// wait for its end, and the usual span before.
+/// A router that fails to exit counts as stuck only if no other fault was active for this long
+/// before it was killed: its grace period of 4 s, the wait for its exit, and the usual undisturbed
+/// span.
 const UNDISTURBED_BEFORE_KILL: Duration = Duration::from_secs(14);
-/// Time after the third server has ended under a request in which routers may still learn of it, and how
-/// often it may reach servers after that.
+/// After the third server has crashed under a request, routers have this long to learn of it; the
+/// request may then reach servers at most `MAX_LATE_RUNS` more times.
 const CRASH_REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_LATE_RUNS: usize = 3;
-/// Time after the last disturbance from which every request must be served.
+/// Every request must be served from this long after the last disturbance.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A promise of the routers.
+/// A guarantee that routers give.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Promise {
-    /// A caller gets its own whole answer, or sees that it isn't.
+    /// A caller receives the complete answer to its own request, or can tell that it did not.
     OwnWholeAnswer,
-    /// What was said not to have run never runs.
+    /// A request reported as not run never runs.
     NotRunIsTrue,
-    /// No request runs more often than it may.
+    /// No request runs more often than its kind allows.
     RunsAtMost,
-    /// Repeats stay within the fleet's budget.
+    /// Retries stay within the fleet's retry budget.
     RetryBudget,
-    /// Keys that were taken away end within their bound.
+    /// Revoked keys stop working within their bound.
     KeysEnd,
-    /// A draining server gets nothing more after its bound.
+    /// A draining server receives no new request after its bound.
     DrainsKept,
-    /// A new configuration is in force within its bound.
+    /// A new configuration takes effect within its bound.
     ConfigurationApplies,
-    /// A router never goes back to an older configuration.
+    /// A router never returns to an older configuration.
     ConfigurationRises,
-    /// A graceful shutdown cuts nothing off.
+    /// A graceful shutdown truncates no answer.
     GracefulShutdown,
-    /// Every request gets its end within its deadline.
+    /// Every request completes within its deadline.
     DeadlineKept,
-    /// After the disturbances all is served again.
+    /// Every request is served again once the disturbances are over.
     Recovery,
-    /// A request under which servers end is kept from the others.
+    /// A request that crashes servers is kept away from the remaining ones.
     CrashesEnd,
-    /// What others write into the list of servers leads nowhere.
+    /// Entries that other writers put into the server list receive no requests.
     ForeignUnused,
 }
 
-/// A promise that was broken.
+/// A broken guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which promise.
+    /// The guarantee that was broken.
     pub promise: Promise,
-    /// What was seen.
+    /// Description of the observed fault.
     pub seen: String,
 }
 
@@ -79,14 +81,14 @@
     }
 }
 
-/// A history with its runs by request.
+/// A history with its runs and calls indexed by request identifier.
 struct CheckedHistory<'a> {
     history: &'a SoakHistory,
     runs: HashMap<&'a str, Vec<&'a RunRecord>>,
     calls: HashMap<&'a str, &'a CallRecord>,
 }
 
-/// All promises that a history breaks.
+/// Returns all violations found in a history.
 pub fn check_history(history: &SoakHistory) -> Vec<Violation> {
     let mut runs: HashMap<_, Vec<_>> = HashMap::new();
     for run in &history.runs {
@@ -150,7 +152,8 @@
         broken(Promise::RunsAtMost, format!("{:?} {} ran {runs} times", call.kind, call.id))
     }
 
-    /// The end of a request in time, and in a graceful shutdown with its answer.
+    /// Checks that a request completed on time and that a graceful shutdown did not truncate its
+    /// answer.
     fn check_end(&self, call: &CallRecord) -> Option<Violation> {
         let router = Subject::Router(call.router);
         let before = call.sent.saturating_sub(UNDISTURBED_BEFORE);
@@ -193,7 +196,7 @@
         broken(Promise::KeysEnd, seen)
     }
 
-    /// When the operator took a key away for good.
+    /// Returns the time when the operator revoked a key for good.
     fn key_ended(&self, key: &str) -> Option<Duration> {
         let holds = |keys: &[String]| keys.iter().any(|known| known == key);
         let mut ended = None;
@@ -246,7 +249,7 @@
         broken(Promise::ConfigurationApplies, seen)
     }
 
-    /// Each router's runs must fit versions that only rise.
+    /// Checks that the runs of each router fit a sequence of rising configuration versions.
     fn check_rising(&self) -> Vec<Violation> {
         let mut plain: Vec<_> = self
             .history
@@ -264,7 +267,7 @@
             let incarnation = self.incarnation(call);
             let (least, seen) =
                 reached.get(&(call.router, incarnation)).copied().unwrap_or_default();
-            // What was sent before the newer one was seen may still have been under way.
+            // Requests sent before the newer version was observed may still have been in flight.
             if call.sent < seen + MACHINE_SLACK {
                 continue;
             }
@@ -284,13 +287,15 @@
         violations
     }
 
-    /// Which start of its router served a request.
+    /// Returns the number of restarts of the call's router before the call, which identifies the
+    /// incarnation that served it.
     fn incarnation(&self, call: &CallRecord) -> usize {
         let starts = self.history.starts.iter();
         starts.filter(|(router, at)| *router == call.router && *at <= call.sent).count()
     }
 
-    /// Calls with the fatal request that ran though they were said not to.
+    /// Returns a violation for each call of the fatal request that was reported as not run but did
+    /// run.
     fn check_fatal_answers(&self) -> Vec<Violation> {
         let told = self.history.fatal_calls.iter().filter(|call| call.told == Told::NotRun);
         let ran = |id: &str| self.history.fatal_runs.iter().any(|run| run.id == id);
@@ -300,7 +305,8 @@
         false_ones.collect()
     }
 
-    /// Runs of the fatal request after its third server had ended, from routers that could know.
+    /// Checks how often the fatal request ran after its third server had crashed, at routers that
+    /// could know of the crashes.
     fn check_fatal_runs(&self) -> Option<Violation> {
         let third = self.history.fatal_runs.get(2)?.at;
         let known = third + CRASH_REPORT_TIMEOUT + MACHINE_SLACK;
@@ -319,7 +325,8 @@
         broken(Promise::CrashesEnd, format!("{late} runs after the third server had ended"))
     }
 
-    /// Routers that did not end in their grace, though nothing else held them up.
+    /// Checks for routers that did not exit within their grace period although no other fault
+    /// delayed them.
     fn check_stuck(&self) -> Vec<Violation> {
         let stuck = self.history.stuck_ends.iter().filter(|(router, at)| {
             let from = at.saturating_sub(UNDISTURBED_BEFORE_KILL);
@@ -345,7 +352,8 @@
         for (index, begun) in repeats.iter().enumerate() {
             let until = *begun + RETRY_WINDOW;
             let count = repeats[index..].iter().take_while(|at| **at < until).count();
-            // Requests of the window, or of the one that began half a window before.
+            // The budget may count the requests of this window or of the one that began half a
+            // window earlier.
             let early = begun.saturating_sub(RETRY_WINDOW / 2);
             let sent = |from: Duration| {
                 let inside = |call: &&CallRecord| (from..from + RETRY_WINDOW).contains(&call.sent);
--- a/crates/papayamux-measure/src/soak/fatal_requests.rs
+++ b/crates/papayamux-measure/src/soak/fatal_requests.rs
@@ -1,4 +1,4 @@
-//! A request under which every engine ends, repeated at any router.
+//! A client that keeps sending a request which crashes every engine, to any router.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use super::servers::FATAL_BODY;
 use super::workload::CallerBoard;
 
-/// The pause between two repetitions, in milliseconds.
+/// Pause between two attempts, in milliseconds.
 const PAUSE_MILLIS: std::ops::Range<u64> = 50..600;
-/// What the draws of this caller differ by from those of faults.
+/// Separates this client's random sequence from that of the faults.
 const SERIES: u64 = 0x6661_7461_6c00;
 
-/// Repeats the request until the board says that faults are over.
+/// Sends the request again and again until fault injection is over.
 pub(super) fn run_fatal_caller(board: &CallerBoard, seed: u64) -> Vec<CallRecord> {
     let mut random = StdRng::seed_from_u64(seed ^ SERIES);
     let mut calls = Vec::new();
--- a/crates/papayamux-measure/src/soak/fault_kind.rs
+++ b/crates/papayamux-measure/src/soak/fault_kind.rs
@@ -1,55 +1,56 @@
-//! What is done to the fleet, and when.
+//! The faults that a soak injects and their schedule.
 
 use std::time::Duration;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// A fault.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FaultKind {
-    /// A router is killed, and started again when the fault ends.
+    /// Kills a router and restarts it when the fault ends.
     KillRouter,
-    /// A router stands still.
+    /// Pauses a router's process.
     PauseRouter,
-    /// A router is asked to end, and started again.
+    /// Shuts a router down gracefully and restarts it.
     EndRouter,
-    /// A router is asked to read its settings again.
+    /// Makes a router reload its settings.
     ReloadRouter,
-    /// A router's open connections to the store go silent; new ones work.
+    /// Silences a router's open connections to the store; new connections work.
     SilenceStoreLink,
-    /// A router gets nothing from the store any more.
+    /// Blocks everything that the store sends to a router.
     MuteStoreLink,
-    /// A router can't connect to the store.
+    /// Refuses a router's connections to the store.
     RefuseStoreLink,
-    /// The store answers nobody.
+    /// Makes the store answer nobody.
     SilenceStore,
-    /// The store refuses everybody.
+    /// Makes the store refuse all clients.
     RefuseStore,
-    /// The store has dropped its history.
+    /// Makes the store drop its history by compaction.
     CompactStore,
-    /// Everything to and from a server is late.
+    /// Delays all traffic to and from a server.
     DelayServerLink,
-    /// A server's connections are reset.
+    /// Resets a server's connections.
     CutServerLink,
-    /// What a server gets is kept and delivered late.
+    /// Holds back everything sent to a server and delivers it late.
     HoldServerLink,
-    /// A server's answers are lost.
+    /// Drops a server's answers.
     MuteServerLink,
-    /// A server says that it drains, leaves, and another one comes.
+    /// Drains a server, removes it and adds a replacement.
     DrainServer,
-    /// The operator moves the plain requests to the other service.
+    /// Routes plain requests to the other service.
     ChangeConfiguration,
-    /// The operator replaces the older key.
+    /// Replaces the older key.
     ReplaceKey,
-    /// A server starts again under its name.
+    /// Restarts a server under the same name.
     RestartServer,
-    /// Another writer leaves entries that name no server, one of them in a server's place.
+    /// Writes entries that describe no valid server, one of them over a server's own entry.
     WriteEntries,
 }
 
 impl FaultKind {
-    /// The kinds that every soak draws from. Seeds of before the others came draw what they did.
+    /// The kinds that every soak samples from. [`FaultKind::OF_ENTRIES`] is kept apart so that
+    /// seeds from before those kinds existed still give the same faults.
     pub const ALL: [FaultKind; 17] = [
         FaultKind::KillRouter,
         FaultKind::PauseRouter,
@@ -70,10 +71,10 @@
         FaultKind::ReplaceKey,
     ];
 
-    /// The kinds that concern entries of servers, drawn beside the others where that is asked for.
+    /// Faults of server entries, scheduled in addition to the others on request.
     pub const OF_ENTRIES: [FaultKind; 2] = [FaultKind::RestartServer, FaultKind::WriteEntries];
 
-    /// Whether it is planned work, which takes no time of its own.
+    /// Returns whether the fault is planned work by the operator, which has no duration.
     pub fn is_order(self) -> bool {
         matches!(
             self,
@@ -85,39 +86,40 @@
     }
 }
 
-/// A fault with its time and its target.
+/// A scheduled fault and its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// What.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// From when.
+    /// Start time, relative to the start of fault injection.
     pub at: Duration,
-    /// For how long.
+    /// Duration; zero for planned work.
     pub length: Duration,
-    /// Which router or server, modulo their number.
+    /// Index of the router or server, modulo their number.
     pub target: usize,
 }
 
-/// When the first fault begins: callers have connected by then.
+/// Start of the first fault; callers have connected by then.
 const FIRST_FAULT: Duration = Duration::from_secs(1);
-/// The shortest and the longest fault, in milliseconds: from less than a connection's timeout to
-/// more than the bound on keys.
+/// Duration of a fault, in milliseconds: from less than a connection timeout to more than the bound
+/// on revoked keys.
 const FAULT_MILLIS: std::ops::Range<u64> = 100..7_000;
-/// The pause between the beginnings of two faults, in milliseconds: mostly they overlap, and a part
-/// of them stands alone.
+/// Pause between the starts of two faults, in milliseconds. Most faults overlap and some stand
+/// alone.
 const PAUSE_MILLIS: std::ops::Range<u64> = 100..2_500;
-/// A series of faults at the same target comes this often.
+/// Probability that a fault repeats the kind and target of the previous one.
 const SERIES_CHANCE: f64 = 0.25;
 
-/// The faults of a soak, by its seed.
+/// Returns the faults of a soak for its seed.
 pub fn draw_faults(seed: u64, length: Duration) -> Vec<PlannedFault> {
     draw_series(seed, length, &FaultKind::ALL)
 }
 
-/// What the draws of a soak's second series of faults differ by from the first.
+/// Separates the random sequence of entry faults from that of the other faults.
 const ENTRY_SERIES: u64 = 0x656e_7472_6965_7300;
 
-/// The same with faults of entries between them.
+/// Returns the faults of [`draw_faults`] together with faults of server entries, ordered by start
+/// time.
 pub fn draw_with_entries(seed: u64, length: Duration) -> Vec<PlannedFault> {
     let mut faults = draw_faults(seed, length);
     faults.extend(draw_series(seed ^ ENTRY_SERIES, length, &FaultKind::OF_ENTRIES));
--- a/crates/papayamux-measure/src/soak/fleet.rs
+++ b/crates/papayamux-measure/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The soak's processes: routers, and proxies on their links.
+//! The processes of a soak: routers, and fault proxies on their links.
 
 use std::io::Write;
 use std::net::UdpSocket;
@@ -25,18 +25,19 @@
     settings: tempfile::NamedTempFile,
 }
 
-/// A server and the link that leads to it.
+/// A server and the link through which routers reach it.
 pub(super) struct SoakServer {
     pub(super) server: ServerStandIn,
     pub(super) link: LinkControl,
-    /// How often it has started.
+    /// Number of starts, the first included.
     pub(super) starts: u64,
-    /// Whether routers reach it without the link.
+    /// `true` if routers connect to the server directly instead of through the link.
     is_direct: bool,
 }
 
 impl SoakServer {
-    /// Starts a server and writes it into the store, at its link's address.
+    /// Starts a server and writes its entry into the store with the address of its link, or with
+    /// its own address if it may crash.
     pub(super) fn start(
         store: &StoreStandIn,
         run_log: &RunLog,
@@ -63,7 +64,7 @@
         Ok(())
     }
 
-    /// Ends its connections and lists it as started again.
+    /// Cuts the server's connections and lists it as restarted.
     pub(super) async fn restart(&mut self, store: &StoreStandIn) -> Result<(), TestbedError> {
         self.link.cut().await?;
         self.starts += 1;
@@ -71,19 +72,19 @@
     }
 }
 
-/// All of it.
+/// All processes and shared state of a soak.
 pub(super) struct SoakFleet {
     pub(super) store: StoreStandIn,
     pub(super) run_log: RunLog,
     pub(super) board: Arc<CallerBoard>,
     pub(super) routers: Vec<SoakRouter>,
     pub(super) servers: Vec<SoakServer>,
-    /// What entries of other writers would lead to.
+    /// Server that the entries of other writers point to.
     pub(super) foreign: ServerStandIn,
 }
 
 impl SoakFleet {
-    /// Writes entries that name no server, the last in place of a server's own.
+    /// Writes entries that describe no valid server; the last replaces the entry of `server`.
     pub(super) fn write_foreign_entries(&self, server: usize) {
         let proper = self.foreign.entry("ready");
         let changed = [
@@ -101,7 +102,7 @@
         self.store.put_bytes(&self.servers[server].server.key(), b"\xff\x00");
     }
 
-    /// Starts routers, each on a loopback address of its own, before a store with a configuration.
+    /// Starts the routers, each with its own loopback address and its own link to the store.
     pub(super) fn start_routers(&mut self, count: usize) -> Result<(), TestbedError> {
         let peers_port = UdpSocket::bind("127.0.0.1:0")?.local_addr()?.port();
         for index in 0..count {
@@ -127,7 +128,7 @@
     }
 }
 
-/// The bounds that the checks judge by.
+/// Returns the settings section with the bounds that the checks use.
 fn bounds() -> String {
     format!(
         "[bounds]\ngrace = 4s\nrevoke_within = {}ms\napply_within = {}ms\ndrain_within = {}ms\n\
--- a/crates/papayamux-measure/src/soak/history.rs
+++ b/crates/papayamux-measure/src/soak/history.rs
@@ -1,26 +1,26 @@
-//! What callers, servers and the operator saw, on one clock.
+//! Observations of callers, servers and the operator on one shared clock.
 
 use std::time::Duration;
 
-/// What may be repeated of a request, and what its answer looks like.
+/// How often a request may run and the form of its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CallKind {
     /// May run on two servers.
     Idempotent,
     /// May run once.
     Once,
-    /// A stream that may be resumed, on three servers in all.
+    /// A stream that may be resumed and may run on three servers in all.
     ResumableStream,
     /// A stream that may run once.
     OnceStream,
 }
 
 impl CallKind {
-    /// All kinds.
+    /// Every kind.
     pub const ALL: [CallKind; 4] =
         [CallKind::Idempotent, CallKind::Once, CallKind::ResumableStream, CallKind::OnceStream];
 
-    /// Servers that may run one request.
+    /// Returns the maximum number of servers that may run one request.
     pub fn max_runs(self) -> usize {
         match self {
             CallKind::Idempotent => 2,
@@ -29,123 +29,124 @@
         }
     }
 
-    /// Whether the answer is a stream.
+    /// Returns whether the answer is a stream.
     pub fn is_stream(self) -> bool {
         matches!(self, CallKind::ResumableStream | CallKind::OnceStream)
     }
 }
 
-/// What a caller was told.
+/// The result that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Told {
-    /// A whole answer, as it should be.
+    /// The complete and correct answer.
     Served,
-    /// An answer that looks whole and is not the request's own.
+    /// An answer that looks complete but isn't the one to this request.
     Wrong(String),
-    /// That the request has not run and will not.
+    /// A refusal that guarantees that the request has not run and will not run.
     NotRun,
-    /// Any other refusal or failure, with its status.
+    /// Any other refusal or failure, with its HTTP status.
     Failed(u16),
-    /// An answer that ended early, or none.
+    /// A truncated answer, or none.
     Nothing,
 }
 
 /// One request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallRecord {
-    /// The request.
+    /// Identifier of the request.
     pub id: String,
-    /// Its kind.
+    /// Kind of the request.
     pub kind: CallKind,
-    /// The router that it was sent to.
+    /// Index of the router that received it.
     pub router: usize,
     /// The key that it carried.
     pub key: String,
-    /// When it was sent.
+    /// Time when it was sent.
     pub sent: Duration,
-    /// When its answer ended.
+    /// Time when its answer ended.
     pub ended: Duration,
-    /// What the caller was told.
+    /// The result that the caller received.
     pub told: Told,
 }
 
 /// One run of a request at a server.
 #[derive(Debug, Clone)]
 pub struct RunRecord {
-    /// The request.
+    /// Identifier of the request.
     pub id: String,
-    /// The server.
+    /// Identifier of the server.
     pub server: String,
     /// The server's service.
     pub service: String,
-    /// When the request had arrived.
+    /// Time when the request had arrived at the server.
     pub at: Duration,
 }
 
 /// A configuration that the operator wrote.
 #[derive(Debug, Clone)]
 pub struct ConfigurationRecord {
-    /// When the store had taken it.
+    /// Time when the store had accepted it.
     pub at: Duration,
-    /// The service that plain requests go to.
+    /// Service that plain requests are routed to.
     pub service: String,
-    /// The keys that are good.
+    /// The valid keys.
     pub keys: Vec<String>,
 }
 
-/// What a disturbance concerns.
+/// The part of the fleet that a disturbance affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Subject {
-    /// One router, its processes or its links.
+    /// One router: its process or its links.
     Router(usize),
-    /// The store, and so every router's knowledge.
+    /// The store, and thereby every router's view of it.
     Store,
     /// Servers or the links to them.
     Servers,
-    /// Nothing: an order of the operator.
+    /// No part: planned work by the operator.
     Order,
 }
 
-/// A span in which something was disturbed.
+/// A time span in which part of the fleet was disturbed.
 #[derive(Debug, Clone, Copy)]
 pub struct DisturbanceRecord {
-    /// What.
+    /// The affected part.
     pub subject: Subject,
-    /// From when.
+    /// Start of the span.
     pub from: Duration,
-    /// Until when.
+    /// End of the span.
     pub until: Duration,
-    /// Whether it is a graceful shutdown.
+    /// `true` for a graceful shutdown.
     pub graceful: bool,
 }
 
-/// All that was seen in a soak.
+/// Everything recorded during a soak.
 #[derive(Debug, Default)]
 pub struct SoakHistory {
-    /// The requests.
+    /// Requests sent by callers.
     pub calls: Vec<CallRecord>,
-    /// The runs.
+    /// Runs at the servers.
     pub runs: Vec<RunRecord>,
-    /// The configurations, in order.
+    /// Configurations, in the order written.
     pub configurations: Vec<ConfigurationRecord>,
-    /// When servers said that they drain, by their identifiers.
+    /// Identifiers of drained servers and the times when they were listed as draining.
     pub drains: Vec<(String, Duration)>,
-    /// What was disturbed.
+    /// Disturbances.
     pub disturbances: Vec<DisturbanceRecord>,
-    /// Routers that were asked to end and did not within their grace, and when they were given up.
+    /// Routers that did not exit within their grace period after a shutdown request, and the times
+    /// when they were killed.
     pub stuck_ends: Vec<(usize, Duration)>,
-    /// Starts of each router's processes.
+    /// Restarts of routers and their times.
     pub starts: Vec<(usize, Duration)>,
-    /// Calls with the request under which engines end.
+    /// Calls with the request that crashes engines.
     pub fatal_calls: Vec<CallRecord>,
-    /// Its runs, each of which ended an engine.
+    /// Runs of that request, each of which crashed an engine.
     pub fatal_runs: Vec<RunRecord>,
-    /// When the last disturbance was over.
+    /// Time when the last disturbance was over.
     pub calm_from: Duration,
 }
 
 impl SoakHistory {
-    /// Whether `subject` was undisturbed from `from` to `until`.
+    /// Returns whether `subject` was undisturbed from `from` to `until`.
     pub fn is_calm(&self, subject: Subject, from: Duration, until: Duration) -> bool {
         let mut concerned = self.disturbances.iter().filter(|one| one.subject == subject);
         !concerned.any(|one| one.from <= until && one.until >= from)
--- a/crates/papayamux-measure/src/soak/injector.rs
+++ b/crates/papayamux-measure/src/soak/injector.rs
@@ -1,4 +1,4 @@
-//! Applies the drawn faults, and notes what each disturbs.
+//! Applies the scheduled faults and records what each of them disturbs.
 
 use std::time::Duration;
 
@@ -10,25 +10,27 @@
 use super::fleet::{SoakFleet, SoakServer};
 use super::history::{ConfigurationRecord, DisturbanceRecord, SoakHistory, Subject};
 
-/// By how much a slow link is late: more than a retransmission, less than a silence is borne.
+/// Delay of a slow link: longer than a retransmission, shorter than the silence that connections
+/// tolerate.
 const LINK_DELAY_MS: u64 = 120;
-/// How long a router that is asked to end may take, beyond its grace of 4 s.
+/// Time that a router may take to exit after a shutdown request; it exceeds the router's grace
+/// period of 4 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
-/// Keys that are good at once.
+/// Maximum number of keys valid at once.
 const MAX_ACTIVE_KEYS: usize = 2;
-/// How long a leaving server is listed as draining.
+/// Time for which a removed server stays listed as draining.
 const DRAINING_ENTRY_DURATION: Duration = Duration::from_secs(3);
 
-/// A fault that is under way.
+/// A fault in progress.
 struct OpenFault {
     planned: PlannedFault,
     until: Duration,
     disturbance: usize,
-    /// The router's process that it struck.
+    /// Process identifier of the affected router when the fault began.
     process: Option<u32>,
 }
 
-/// Plays faults against a fleet.
+/// Injects faults into a fleet.
 pub(super) struct FaultInjector {
     pub(super) fleet: SoakFleet,
     pub(super) history: SoakHistory,
@@ -39,7 +41,7 @@
 }
 
 impl FaultInjector {
-    /// Begins with a configuration in the store.
+    /// Creates an injector and writes the first configuration into the store.
     pub(super) fn new(fleet: SoakFleet, draft: ConfigurationDraft) -> Self {
         let history = SoakHistory::default();
         let mut injector =
@@ -48,7 +50,7 @@
         injector
     }
 
-    /// Begins a fault.
+    /// Starts a fault.
     pub(super) async fn begin(&mut self, planned: PlannedFault) -> Result<(), TestbedError> {
         let now = self.fleet.board.now();
         self.history.disturbances.push(DisturbanceRecord {
@@ -64,7 +66,7 @@
         Ok(())
     }
 
-    /// Ends the faults whose time is over.
+    /// Ends the faults whose duration is over.
     pub(super) async fn end_due(&mut self) -> Result<(), TestbedError> {
         let now = self.fleet.board.now();
         let (due, open) = std::mem::take(&mut self.open)
@@ -78,7 +80,7 @@
         Ok(())
     }
 
-    /// Ends everything that is still under way.
+    /// Ends all faults in progress.
     pub(super) async fn end_all(&mut self) -> Result<(), TestbedError> {
         for fault in std::mem::take(&mut self.open) {
             self.end(fault).await?;
@@ -105,7 +107,7 @@
             | FaultKind::MuteServerLink
             | FaultKind::RestartServer
             | FaultKind::WriteEntries => Subject::Servers,
-            // Planned work disturbs nothing: the routers' bounds hold beside it.
+            // Planned work disturbs nothing: the routers' bounds hold during it.
             FaultKind::DrainServer | FaultKind::ChangeConfiguration | FaultKind::ReplaceKey => {
                 Subject::Order
             }
@@ -171,7 +173,7 @@
             FaultKind::KillRouter => self.restart(router)?,
             FaultKind::EndRouter => {
                 self.fleet.board.set_router(router, None);
-                // Another fault's end may have put a new process in its place.
+                // The end of another fault may have started a new process in the meantime.
                 if self.process_id(router) == fault.process {
                     self.wait_for_end(router)?;
                 }
@@ -205,7 +207,7 @@
         Ok(())
     }
 
-    /// Sends a signal, unless the process has been ended by another fault.
+    /// Sends a signal to a router unless another fault has already ended its process.
     fn signal_router(
         &mut self,
         router: usize,
@@ -230,7 +232,7 @@
         self.fleet.routers[router].process.as_ref().map(papayamux_testbed::ProcessHandle::id)
     }
 
-    /// Waits for a router that was asked to end; one that does not is killed.
+    /// Waits for a router to exit after a shutdown request; kills and records one that does not.
     fn wait_for_end(&mut self, router: usize) -> Result<(), TestbedError> {
         let Some(process) = &mut self.fleet.routers[router].process else { return Ok(()) };
         if process.wait_exit(SHUTDOWN_TIMEOUT).is_err() {
@@ -240,7 +242,7 @@
         Ok(())
     }
 
-    /// Starts a router again, unless another fault's end has done so.
+    /// Restarts a router unless the end of another fault has already done so.
     fn restart(&mut self, router: usize) -> Result<(), TestbedError> {
         let ended = match &mut self.fleet.routers[router].process {
             Some(process) => process.try_exit()?.is_some(),
@@ -266,7 +268,7 @@
         Ok(())
     }
 
-    /// Takes servers that have drained off the list; they go on serving what they have.
+    /// Removes drained servers from the list; they go on serving their requests in flight.
     fn remove_drained(&mut self, now: Duration) {
         for (server, until) in &mut self.leaving {
             if *until <= now {
@@ -285,7 +287,7 @@
         self.write_configuration();
     }
 
-    /// Adds a key and takes the one before the last away.
+    /// Adds a key and revokes the oldest one once there are too many.
     fn replace_key(&mut self) {
         let key = format!("key-{}", self.draft.version);
         for organisation in &mut self.draft.organisations {
--- a/crates/papayamux-measure/src/soak/mod.rs
+++ b/crates/papayamux-measure/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! A randomized soak: real routers, faults from outside, and checks of what they promise.
+//! Randomized soak test: runs real routers under injected faults and checks their guarantees.
 
 mod checks;
 mod fatal_requests;
--- a/crates/papayamux-measure/src/soak/options.rs
+++ b/crates/papayamux-measure/src/soak/options.rs
@@ -1,31 +1,32 @@
-//! How a soak is run.
+//! Options of a soak.
 
 use std::time::Duration;
 
 use bon::Builder;
 
-/// The settings of one soak.
+/// Options of one soak.
 #[derive(Debug, Clone, Builder)]
 pub struct SoakOptions {
-    /// Draws the faults and the requests.
+    /// Seed of the faults and the requests.
     #[builder(default = 1)]
     pub seed: u64,
-    /// How long faults are injected.
+    /// Duration of fault injection.
     #[builder(default = Duration::from_secs(30))]
     pub length: Duration,
-    /// Routers, each a process.
+    /// Number of routers, each a process of its own.
     #[builder(default = 3)]
     pub routers: usize,
-    /// Servers of each service.
+    /// Number of servers of each service.
     #[builder(default = 3)]
     pub servers: usize,
-    /// Whether servers start again under their names and others write entries, beside other faults.
+    /// `true` to also restart servers under their names and to write entries as another writer
+    /// would.
     #[builder(default)]
     pub entries: bool,
-    /// Whether a request is repeated all the while under which every engine ends.
+    /// `true` to keep sending a request that crashes every engine.
     #[builder(default)]
     pub fatal: bool,
-    /// Callers, each with one request at a time.
+    /// Number of callers, each with one request at a time.
     #[builder(default = 12)]
     pub callers: usize,
 }
--- a/crates/papayamux-measure/src/soak/run.rs
+++ b/crates/papayamux-measure/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Runs a soak and reports.
+//! Runs a soak and prints its report.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,16 +17,19 @@
 use super::workload::{run_caller, CallerBoard};
 use crate::tasks::TaskError;
 
-/// How often faults are looked at.
+/// Interval at which due faults are checked for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long all is left alone at the end: recovery, and some seconds in which all must be served.
+/// Undisturbed time at the end: the recovery, and some seconds in which every request must be
+/// served.
 const CALM: Duration = Duration::from_secs(12);
-/// How long the fleet has before callers come.
+/// Time for the fleet to start up before callers connect.
 const SETTLE: Duration = Duration::from_secs(2);
-/// The services and whether they are engines'.
+/// The services; `llm` is the one of engines.
 const SERVICES: [&str; 3] = ["plain", "other", "llm"];
 
-/// Runs a soak; fails where a promise was broken.
+/// Runs a soak and prints its report.
+///
+/// Returns an error if a guarantee was broken.
 pub fn run_soak(options: &SoakOptions) -> Result<(), TaskError> {
     let history = runtime::run(simulate(options))??;
     let violations = check_history(&history);
@@ -72,7 +75,8 @@
     }
     injector.fleet.board.end_faults();
     if let Some(fatal) = fatal {
-        injector.history.fatal_calls = fatal.join().map_err(|_| "the fatal caller panicked")?;
+        injector.history.fatal_calls =
+            fatal.join().map_err(|_| "the caller of the fatal request panicked")?;
     }
     injector.end_all().await?;
     let calm_until = injector.fleet.board.now() + CALM;
--- a/crates/papayamux-measure/src/soak/servers.rs
+++ b/crates/papayamux-measure/src/soak/servers.rs
@@ -1,4 +1,4 @@
-//! The soak's backend servers, which remember what they ran.
+//! The backend servers of a soak, which record the requests that they run.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -10,25 +10,25 @@
 
 use super::history::RunRecord;
 
-/// Events of a stream.
+/// Number of events of a stream.
 pub(super) const EVENTS: u64 = 12;
 /// Time between two events.
 const EVENT_EVERY: Duration = Duration::from_millis(15);
-/// How long a plain call takes.
+/// Service time of a plain request.
 const PLAIN_WORK: Duration = Duration::from_millis(10);
 
-/// The body of the request under which servers end.
+/// Body of the request that crashes servers.
 pub(super) const FATAL_BODY: &str = "fatal";
-/// How long a server is away that has ended.
+/// Time that a crashed server stays down.
 const RESTART_DELAY: Duration = Duration::from_millis(1_500);
 
-/// The runs of all servers.
+/// Log of the runs at all servers.
 #[derive(Debug, Clone)]
 pub(super) struct RunLog {
     begun: Instant,
     runs: Arc<Mutex<Vec<RunRecord>>>,
     fatal_runs: Arc<Mutex<Vec<RunRecord>>>,
-    /// Whether a request is repeated under which engines end.
+    /// `true` if the soak sends the request that crashes engines.
     is_fatal: bool,
 }
 
@@ -37,8 +37,10 @@
         Self { begun, runs: Arc::default(), fatal_runs: Arc::default(), is_fatal }
     }
 
-    /// Whether the servers of a service may end under a request. A proxy before them would accept
-    /// connections all the same, so that they have none.
+    /// Returns whether the servers of a service may crash under a request.
+    ///
+    /// They run without a fault proxy, which would go on accepting connections while its server is
+    /// down.
     pub(super) fn may_crash(&self, service: &str) -> bool {
         self.is_fatal && service == "llm"
     }
@@ -53,7 +55,7 @@
         self.runs.lock().push(self.record(request, service));
     }
 
-    /// Notes a request if it is the one under which servers end, and returns whether it is.
+    /// Records the request if it is the one that crashes servers, and returns whether it is.
     fn record_if_fatal(&self, request: &ServerRequest, service: &str) -> bool {
         let is_fatal = request.message.body == FATAL_BODY.as_bytes();
         if is_fatal {
@@ -71,10 +73,10 @@
     }
 }
 
-/// The service in whose name the runs of a server are noted that nobody may ask.
+/// Service name for the runs at a server that routers must never use.
 pub(super) const FOREIGN_SERVICE: &str = "nobody's";
 
-/// Starts a server that only entries of other writers lead to.
+/// Starts the server that only the entries of other writers point to.
 pub(super) fn start_foreign_server(run_log: &RunLog) -> ServerStandIn {
     let run_log = run_log.clone();
     ServerStandIn::start("foreign", "plain", move |request, stream| {
@@ -107,7 +109,7 @@
     stream.write_all(request.answer(200, &plain_body(request.id())).as_bytes()).is_ok()
 }
 
-/// The body of a request's answer.
+/// Returns the answer body of a plain request.
 pub(super) fn plain_body(id: &str) -> String {
     format!("answer to {id}")
 }
@@ -126,7 +128,7 @@
     stream.write_all(LAST_CHUNK.as_bytes()).is_ok()
 }
 
-/// One event of a request's stream.
+/// Returns one event of a request's stream.
 pub(super) fn stream_event(id: &str, number: u64) -> String {
     format!("id: {number}\ndata: {id}\n\n")
 }
--- a/crates/papayamux-measure/src/soak/workload.rs
+++ b/crates/papayamux-measure/src/soak/workload.rs
@@ -1,4 +1,4 @@
-//! Callers: what they send, and what they make of the answers.
+//! Callers: the requests that they send and the checks of the answers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,25 +16,25 @@
 use super::history::{CallKind, CallRecord, Told};
 use super::servers::{plain_body, stream_event, EVENTS};
 
-/// How long a caller waits for more of an answer: longer than its deadline, so that a request that
-/// is never answered is seen.
+/// Time that a caller waits for more of an answer. It exceeds the request's deadline so that a
+/// request which is never answered is detected.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
-/// The pause between two requests of a caller, in milliseconds.
+/// Pause between two requests of a caller, in milliseconds.
 const PAUSE_MILLIS: std::ops::Range<u64> = 2..30;
-/// Callers that go on with the key that was replaced: one in this many requests.
+/// One in this many requests still carries the key that was replaced.
 const OLD_KEY_EVERY: u32 = 5;
-/// Requests of a caller on one connection.
+/// Maximum number of requests on one connection.
 const CALLS_PER_CONNECTION: u32 = 40;
 
-/// The prompt of every stream: a shared part and one of its own. Their sizes matter to no check.
+/// Prompt of every stream: a shared part and one of its own. No check depends on their sizes.
 const PROMPT_PARTS: [CallPart; 2] =
     [CallPart { id: 0x5c1e, tokens: 800 }, CallPart { id: 0x91bd, tokens: 660 }];
-/// The most tokens of a stream's answer.
+/// Maximum number of tokens in the answer of a stream.
 const ANSWER_TOKENS: u64 = 80;
-/// Spreads the callers' numbers over the seeds (the golden ratio in 64 bits).
+/// Derives a distinct seed for each caller (the golden ratio in 64 bits).
 const SEED_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What callers share with whoever changes the fleet.
+/// State shared between the callers and the fault injector.
 #[derive(Debug)]
 pub(super) struct CallerBoard {
     begun: Instant,
@@ -61,7 +61,7 @@
         self.begun.elapsed()
     }
 
-    /// Where a router is, once it is there.
+    /// Sets the address of a router, or `None` while the router is down.
     pub(super) fn set_router(&self, router: usize, address: Option<SocketAddr>) {
         self.routers.lock()[router] = address;
     }
@@ -71,17 +71,17 @@
         self.keys.lock().push(key.to_string());
     }
 
-    /// Where all routers are.
+    /// Returns the addresses of all routers.
     pub(super) fn routers(&self) -> Vec<Option<SocketAddr>> {
         self.routers.lock().clone()
     }
 
-    /// The key that was added last.
+    /// Returns the most recently added key.
     pub(super) fn newest_key(&self) -> String {
         self.keys.lock().last().cloned().unwrap_or_default()
     }
 
-    /// Notes that there are no more faults.
+    /// Records that fault injection is over.
     pub(super) fn end_faults(&self) {
         self.faults_over.store(true, Ordering::Relaxed);
     }
@@ -99,7 +99,7 @@
     }
 }
 
-/// One caller, until the board says that it is over.
+/// Runs one caller until the board reports the end of the soak.
 pub(super) fn run_caller(board: &CallerBoard, number: u64, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed ^ number.wrapping_mul(SEED_SPREAD));
     let mut kept: Option<KeptConnection> = None;
@@ -125,15 +125,15 @@
     }
 }
 
-/// A connection that is used for several requests.
+/// A connection reused for several requests.
 struct KeptConnection {
     router: usize,
     connection: CallerConnection,
     calls: u32,
 }
 
-/// A connection to a router that is there; a failure to connect is recorded as a request without an
-/// answer, so that a router which takes nobody is seen.
+/// Connects to a random router that is up. A failed connection is recorded as a request without an
+/// answer, so that a router which accepts no connections is detected.
 fn connect(board: &CallerBoard, random: &mut StdRng, id: String) -> Option<KeptConnection> {
     let routers = board.routers.lock().clone();
     let router = random.random_range(0..routers.len());
--- a/crates/papayamux-measure/src/surge/callers.rs
+++ b/crates/papayamux-measure/src/surge/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that come at drawn times, and come back once when they are told to.
+//! Callers that send requests at scheduled times and retry a refused request once.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,22 +10,22 @@
 use super::summary::CallOutcome;
 use crate::tasks::TaskError;
 
-/// The time that a caller has.
+/// Deadline of a request.
 const DEADLINE: Duration = Duration::from_secs(3);
 
-/// The longest time for which a caller waits as it is told: a third of its deadline.
+/// Maximum pause before a retry: a third of the deadline.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
-/// The most tokens of an answer: six for each of its eight events.
+/// Maximum number of tokens in an answer: six for each of its eight events.
 const ANSWER_TOKENS: u64 = 48;
-/// Names of callers' own parts begin here, above those of shared parts.
+/// First identifier of callers' own prompt parts, above those of shared parts.
 const OWN_PARTS_FROM: u64 = 0x10_000;
 
-/// The key of an organisation.
+/// Returns the key of an organisation.
 pub(super) fn key_of(organisation: usize) -> String {
     format!("key-{organisation}")
 }
 
-/// Sends all calls at their times, each from a thread of its own; returns their outcomes.
+/// Sends each call at its scheduled time from a thread of its own and returns the outcomes.
 pub(super) fn run_calls(
     calls: &[PlannedCall],
     routers: &[SocketAddr],
@@ -65,7 +65,7 @@
     CallOutcome { organisation: call.organisation, first_event, told }
 }
 
-/// How long a caller that was turned away is told to wait.
+/// Returns the pause that a refusal asks for, at most [`MAX_PAUSE`].
 fn pause_before_retry(answer: &Answer) -> Option<Duration> {
     let pause = answer.retry_after().filter(|_| answer.promises_not_run())?;
     Some(pause.min(MAX_PAUSE))
--- a/crates/papayamux-measure/src/surge/engine_kind.rs
+++ b/crates/papayamux-measure/src/surge/engine_kind.rs
@@ -1,4 +1,4 @@
-//! What the engines of a fleet are like.
+//! Kinds of engine fleets and the traits of their engines.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,32 +8,32 @@
 
 use super::load_pattern::PARTS;
 
-/// A fleet's engines: the usual ones, or others that differ in one trait.
+/// The engines of a fleet: the usual ones, or a variant that differs in one trait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineKind {
-    /// 8 slots, prompts of 170 ms cold, caches of a third of the shared parts.
+    /// 8 slots, 170 ms to prefill a cold prompt, caches that hold a third of the shared parts.
     Usual,
-    /// Eight times as slow at reading and at generating.
+    /// Prefill and generation eight times as slow.
     Slower,
-    /// Eight times as fast at both.
+    /// Prefill and generation eight times as fast.
     Faster,
     /// 4 slots.
     FewSlots,
     /// 128 slots.
     ManySlots,
-    /// Caches of a quarter of the usual.
+    /// Caches of a quarter of the usual size.
     SmallCache,
-    /// Caches of all shared parts.
+    /// Caches that hold all shared parts.
     WholeCache,
-    /// Copies take thirty times as long.
+    /// Copying a cached part between engines takes thirty times as long.
     ThinLinks,
-    /// One engine takes three times as long for everything.
+    /// One engine whose prefill and generation take three times as long.
     OneSlow,
-    /// All take four times as long from halfway on.
+    /// Prefill and generation take four times as long from halfway on.
     SlowerFromHalfway,
 }
 
-/// Every kind with its name.
+/// Every kind and its name.
 const NAMES: [(EngineKind, &str); 10] = [
     (EngineKind::Usual, "usual"),
     (EngineKind::Slower, "slower"),
@@ -54,9 +54,9 @@
     }
 }
 
-/// No kind of engines has this name.
+/// The error of parsing an unknown kind of engines.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{name:?} is no kind of engines; use {}", NAMES.map(|(_, name)| name).join(", "))]
+#[error("{name:?} is not a known kind of engines; expected one of {}", NAMES.map(|(_, name)| name).join(", "))]
 pub struct UnknownKind {
     name: String,
 }
@@ -73,17 +73,18 @@
 /// The traits of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct EngineTraits {
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub(super) slots: u32,
-    /// Shared parts that its cache holds.
+    /// Number of shared parts that the cache holds.
     pub(super) cached_parts: usize,
-    /// Time to read a token of a prompt: of the usual, a cold prompt takes 170 ms, a cached one 8 ms.
+    /// Prefill time per token. With the usual traits a cold prompt takes 170 ms and a cached one 8
+    /// ms.
     pub(super) read_token: Duration,
-    /// Time to take a part over from another engine.
+    /// Time to copy a cached part from another engine.
     pub(super) take_over: Duration,
-    /// Time for each event of an answer.
+    /// Time between two events of an answer.
     pub(super) event_every: Duration,
-    /// How many times as long everything takes from halfway on.
+    /// Factor by which prefill and generation slow down from halfway on.
     pub(super) slower_from_halfway: u32,
 }
 
@@ -97,7 +98,7 @@
 };
 
 impl EngineTraits {
-    /// The traits of the engine with this number in a fleet of `kind`.
+    /// Returns the traits of engine `number` in a fleet of `kind`.
     pub(super) fn of(kind: EngineKind, number: usize) -> Self {
         match kind {
             EngineKind::Usual => USUAL,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The same engine when everything takes so many times as long.
+    /// Returns the same traits with prefill and generation `times` as slow.
     pub(super) fn slowed(self, times: u32) -> Self {
         let (read_token, event_every) = (self.read_token * times, self.event_every * times);
         Self { read_token, event_every, ..self }
--- a/crates/papayamux-measure/src/surge/engine_model.rs
+++ b/crates/papayamux-measure/src/surge/engine_model.rs
@@ -1,4 +1,4 @@
-//! An engine with slots, a cache of shared parts, and prompts that are read one after the other.
+//! Model of an engine with slots, a cache of shared parts and sequential prefill.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
@@ -13,10 +13,10 @@
 
 use super::engine_kind::EngineTraits;
 
-/// Tokens of a shared part, and of a request's own part.
+/// Number of tokens of a shared part, and of a request's own part.
 pub(super) const SHARED_TOKENS: u64 = 4_000;
 pub(super) const OWN_TOKENS: u64 = 200;
-/// Events of an answer.
+/// Number of events of an answer.
 const EVENTS: u64 = 8;
 
 #[derive(Debug, Default)]
@@ -32,18 +32,18 @@
     traits: Mutex<EngineTraits>,
     state: Mutex<EngineState>,
     freed: Condvar,
-    /// Held while a prompt is read: prompts are read one after the other.
+    /// Held during prefill: an engine prefills one prompt at a time.
     reading: Mutex<()>,
 }
 
-/// All engines, by their addresses.
+/// All engines by address.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineRegistry {
     engines: Arc<Mutex<HashMap<SocketAddr, Arc<Engine>>>>,
 }
 
 impl EngineRegistry {
-    /// Starts an engine.
+    /// Starts an engine and registers it.
     pub(super) fn start(&self, id: &str, traits: EngineTraits) -> ServerStandIn {
         let engine = Arc::new(Engine {
             traits: Mutex::new(traits),
@@ -59,13 +59,13 @@
         server
     }
 
-    /// Tokens of shared parts that engines read.
+    /// Returns the number of tokens of shared parts that engines had to prefill.
     pub(super) fn cold_tokens(&self) -> u64 {
         let engines = self.engines.lock();
         engines.values().map(|engine| engine.state.lock().cold_tokens).sum()
     }
 
-    /// Lets each engine take as many times as long as its traits say for the second half.
+    /// Slows each engine down by its `slower_from_halfway` factor.
     pub(super) fn slow_down(&self) {
         for engine in self.engines.lock().values() {
             let mut traits = engine.traits.lock();
@@ -88,7 +88,8 @@
         answered.is_ok()
     }
 
-    /// Reads what the cache lacks of a prompt; whether its shared part was there.
+    /// Prefills the tokens of a prompt that aren't cached. Returns whether the shared part was in
+    /// the engine's own cache or copied from another engine.
     fn read_prompt(&self, engine: &Engine, request: &ServerRequest) -> bool {
         let _reading = engine.reading.lock();
         let part = request.first_part().to_string();
@@ -116,7 +117,7 @@
         self.cache.iter().any(|known| known == part)
     }
 
-    /// Keeps a part; the one that was used longest ago gives way.
+    /// Caches a part and evicts the least recently used one if there are more than `most`.
     fn keep(&mut self, part: String, most: usize) {
         self.cache.retain(|known| *known != part);
         self.cache.push_back(part);
--- a/crates/papayamux-measure/src/surge/footprint.rs
+++ b/crates/papayamux-measure/src/surge/footprint.rs
@@ -1,26 +1,26 @@
-//! What routers take of the machine.
+//! Memory and processor use of routers.
 
 use std::time::Duration;
 
 use papayamux_state::quantities::ByteCount;
 use papayamux_testbed::ProcessUsage;
 
-/// Memory and processor time of routers in one play.
+/// Memory and processor time of the routers in one run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RouterFootprint {
-    /// The program and its libraries, which processes of one instance share, at the start; the most
-    /// of all routers.
+    /// Memory of the program and its libraries at the start, which processes on one instance share;
+    /// the maximum over all routers.
     pub program: ByteCount,
-    /// Other memory at the start, the most of all routers.
+    /// Other memory at the start; the maximum over all routers.
     pub rest: ByteCount,
-    /// The most resident memory of a router.
+    /// Peak resident memory; the maximum over all routers.
     pub peak: ByteCount,
-    /// Processor time of all routers for each request.
+    /// Processor time of all routers per request.
     pub cpu_a_request: Duration,
 }
 
 impl RouterFootprint {
-    /// What routers took between two readings, for so many requests.
+    /// Returns the footprint between two readings in which `requests` requests were sent.
     pub fn between(before: &[ProcessUsage], after: &[ProcessUsage], requests: usize) -> Self {
         let most = |bytes: fn(&ProcessUsage) -> u64, usages: &[ProcessUsage]| {
             ByteCount::new(usages.iter().map(bytes).max().unwrap_or_default())
--- a/crates/papayamux-measure/src/surge/load_pattern.rs
+++ b/crates/papayamux-measure/src/surge/load_pattern.rs
@@ -1,4 +1,4 @@
-//! Which requests come when.
+//! Load patterns and the schedule of their requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,22 +8,21 @@
 use rand::{RngExt, SeedableRng};
 use thiserror::Error;
 
-/// A way in which load comes.
+/// A load pattern.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadPattern {
-    /// What the engines serve with ease.
+    /// A load well below the capacity of the engines.
     Calm,
-    /// Ten times as much from everybody, for a third of the time.
+    /// Ten times the usual load from every organisation during the middle third.
     SurgeOfAll,
-    /// One organisation sends twenty times its usual, for a third of the time.
+    /// One organisation sends twenty times its usual load during the middle third.
     SurgeOfOne,
-    /// One shared part is in a quarter of the requests.
+    /// A quarter of the requests share one prompt part.
     HotPart,
-    /// A third of the engines leave halfway.
+    /// A third of the engines drain halfway through.
     EnginesGone,
 }
 
-/// All patterns.
 const PATTERNS: [LoadPattern; 5] = [
     LoadPattern::Calm,
     LoadPattern::SurgeOfAll,
@@ -44,9 +43,11 @@
     }
 }
 
-/// No pattern has this name.
+/// The error of parsing an unknown load pattern.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{0:?} is no pattern; use calm, surge-of-all, surge-of-one, hot-part or engines-gone")]
+#[error(
+    "unknown load pattern {0:?}; use calm, surge-of-all, surge-of-one, hot-part or engines-gone"
+)]
 pub struct UnknownPattern(String);
 
 impl FromStr for LoadPattern {
@@ -58,31 +59,31 @@
     }
 }
 
-/// Organisations that send.
+/// Number of organisations that send requests.
 pub(super) const ORGANISATIONS: usize = 6;
-/// Shared parts of prompts.
+/// Number of shared prompt parts.
 pub(super) const PARTS: u64 = 24;
-/// Requests a second in calm: a fifth of what six engines serve.
+/// Usual number of requests per second: a fifth of what six engines can serve.
 const USUAL_RATE: f64 = 50.0;
-/// How many times as much comes in a surge of all.
+/// Factor of the load in a surge of all organisations.
 const SURGE: f64 = 10.0;
-/// How many times its usual the surging organisation sends.
+/// Factor of the surging organisation's load.
 const SURGE_OF_ONE: f64 = 20.0;
-/// The part of requests with the hot part.
+/// Fraction of the requests that use the hot part.
 const HOT_PART: f64 = 0.25;
 
-/// A request to come.
+/// A scheduled request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedCall {
-    /// When.
+    /// Time at which it is sent, relative to the start.
     pub at: Duration,
-    /// The organisation's number; 0 is the one that surges.
+    /// Index of the organisation; 0 is the one that surges.
     pub organisation: usize,
-    /// The shared part of its prompt.
+    /// Index of the shared part of its prompt.
     pub part: u64,
 }
 
-/// The requests of a pattern, by its seed.
+/// Returns the requests of a pattern for a seed, in the order in which they are sent.
 pub fn draw_calls(pattern: LoadPattern, seed: u64, length: Duration) -> Vec<PlannedCall> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut calls = Vec::new();
@@ -98,7 +99,7 @@
             }
             _ => (USUAL_RATE, None),
         };
-        // Exponential pauses: callers don't know of one another.
+        // Exponential gaps: callers are independent of one another.
         at += -random.random_range(f64::EPSILON..1.0).ln() / rate;
         let organisation = match from_one {
             Some(part) if random.random_bool(part) => 0,
--- a/crates/papayamux-measure/src/surge/mod.rs
+++ b/crates/papayamux-measure/src/surge/mod.rs
@@ -1,4 +1,4 @@
-//! Load patterns against real routers on loopback, by placement policy.
+//! Runs load patterns against real routers on loopback and compares placement policies.
 
 mod callers;
 mod engine_kind;
--- a/crates/papayamux-measure/src/surge/options.rs
+++ b/crates/papayamux-measure/src/surge/options.rs
@@ -1,4 +1,4 @@
-//! How the load is played.
+//! Options of the load measurement.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 
 use super::{EngineKind, LoadPattern};
 
-/// The settings of one measurement.
+/// Options of one measurement.
 #[derive(Debug, Clone, Builder)]
 pub struct SurgeOptions {
-    /// Draws the requests.
+    /// Seed of the requests.
     #[builder(default = 1)]
     pub seed: u64,
-    /// How long requests come.
+    /// Duration of the load.
     #[builder(default = Duration::from_secs(8))]
     pub length: Duration,
-    /// The policies to compare.
+    /// Policies to compare.
     pub policies: Vec<PlacementPolicy>,
-    /// The patterns to play.
+    /// Load patterns to run.
     pub patterns: Vec<LoadPattern>,
-    /// The kinds of engines to play them on.
+    /// Kinds of engines to run them on.
     pub kinds: Vec<EngineKind>,
-    /// Routers, each a process.
+    /// Number of routers, each a process of its own.
     #[builder(default = 3)]
     pub routers: usize,
-    /// Engines.
+    /// Number of engines.
     #[builder(default = 6)]
     pub engines: usize,
 }
--- a/crates/papayamux-measure/src/surge/run.rs
+++ b/crates/papayamux-measure/src/surge/run.rs
@@ -1,4 +1,4 @@
-//! Plays each pattern with each policy, and prints a table.
+//! Runs each pattern with each policy and prints a table.
 
 use std::io::Write;
 use std::net::UdpSocket;
@@ -21,12 +21,12 @@
 use crate::front_settings::FrontSettings;
 use crate::tasks::TaskError;
 
-/// Time for routers to read the store and to find one another.
+/// Time for routers to read the store and to discover each other.
 const SETTLE: Duration = Duration::from_millis(1_500);
-/// Engines that leave under [`LoadPattern::EnginesGone`]: one of so many.
+/// Fraction of engines that drain under [`LoadPattern::EnginesGone`]: one in this many.
 const LEAVING: usize = 3;
 
-/// Measures and prints.
+/// Runs all cases and prints a row for each.
 pub fn run_surge(options: &SurgeOptions) -> Result<(), TaskError> {
     println!(
         "| engines | pattern | policy | on time | other organisations on time | late | not served | \
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// One row of the table.
+/// The case that one row of the table shows.
 #[derive(Debug, Clone, Copy)]
 struct SurgeCase {
     kind: EngineKind,
@@ -54,10 +54,10 @@
     policy: PlacementPolicy,
 }
 
-/// What came out with one policy under one pattern.
+/// Result of one policy under one pattern.
 struct PatternResult {
     summary: SurgeSummary,
-    /// Tokens of shared parts that engines read.
+    /// Number of tokens of shared parts that engines had to prefill.
     cold_tokens: u64,
     footprint: RouterFootprint,
 }
@@ -151,7 +151,7 @@
     }
 }
 
-/// A router with its settings file, which must outlive it.
+/// A router process and its settings file, which must outlive it.
 type StartedRouter = (ProcessHandle, tempfile::NamedTempFile);
 
 fn start_routers(
--- a/crates/papayamux-measure/src/surge/summary.rs
+++ b/crates/papayamux-measure/src/surge/summary.rs
@@ -1,50 +1,52 @@
-//! What became of the requests.
+//! Outcomes of requests and their summary.
 
 use std::time::Duration;
 
 use hdrhistogram::{CreationError, Histogram};
 
-/// One request's end.
+/// Outcome of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The organisation's number.
+    /// Index of the organisation.
     pub organisation: usize,
-    /// From the first try to the first event; nothing where there was none.
+    /// Time from the first attempt to the first event; `None` if the request was not served.
     pub first_event: Option<Duration>,
-    /// Whether it was told that it did not run.
+    /// `true` if the caller received a refusal that guarantees that the request did not run.
     pub told: bool,
 }
 
-/// The time to the first event within which an answer is on time: that of the configuration.
+/// Objective for the time to the first event, as in the configuration; an answer within it is on
+/// time.
 pub(super) const OBJECTIVE: Duration = Duration::from_millis(200);
 
-/// Decimal digits of times that are kept.
+/// Decimal digits of precision of recorded times.
 const TIME_DIGITS: u8 = 3;
 
-/// Figures of one policy under one pattern.
+/// Results of one policy under one pattern.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SurgeSummary {
-    /// Part of the requests that were on time.
+    /// Fraction of the requests that were on time.
     pub on_time: f64,
-    /// The same for organisations that don't surge.
+    /// Fraction on time among the organisations that don't surge.
     pub others_on_time: f64,
-    /// Part that was late.
+    /// Fraction that was late.
     pub late: f64,
-    /// Part that was not served.
+    /// Fraction that was not served.
     pub unserved: f64,
-    /// The part of these that was told so, instead of dying at its deadline.
+    /// Of the requests not served, the fraction that was refused explicitly instead of running into
+    /// its deadline.
     pub told: f64,
-    /// Time to the first event, in milliseconds, of those that were served.
+    /// Median time to the first event of served requests, in milliseconds.
     pub median_ms: u64,
-    /// The 99th percentile of the same.
+    /// 99th percentile of the time to the first event of served requests, in milliseconds.
     pub high_ms: u64,
 }
 
-/// Sums outcomes up.
+/// Summarizes outcomes.
 ///
 /// # Errors
 ///
-/// Where no histogram can be made, which its fixed precision rules out.
+/// Returns an error if the histogram can't be created, which its fixed precision rules out.
 pub fn summarize(outcomes: &[CallOutcome]) -> Result<SurgeSummary, CreationError> {
     let on_time = |outcome: &CallOutcome| outcome.first_event.is_some_and(|took| took <= OBJECTIVE);
     let part = |count: usize, all: usize| count as f64 / all.max(1) as f64;
--- a/crates/papayamux-measure/tests/promise_counts.rs
+++ b/crates/papayamux-measure/tests/promise_counts.rs
@@ -1,4 +1,4 @@
-//! The measurement sees each broken promise, and none where there is none.
+//! Tests that the measurement counts each broken guarantee, and none in a correct run.
 
 use std::time::{Duration, Instant};
 
--- a/crates/papayamux-measure/tests/soak_checks.rs
+++ b/crates/papayamux-measure/tests/soak_checks.rs
@@ -1,4 +1,4 @@
-//! Each check of the soak can fail: a planted fault for each, beside a history without one.
+//! Tests that each check of the soak detects its violation and accepts a correct history.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::Duration;
@@ -42,7 +42,7 @@
     DisturbanceRecord { subject, from: at(from), until: at(until), graceful: false }
 }
 
-/// A request of each kind, served as it should be.
+/// A history with one correctly served request of each kind.
 fn sound() -> SoakHistory {
     let calls = CallKind::ALL
         .iter()
@@ -219,7 +219,7 @@
     assert!(broken(&history).contains(&Promise::ForeignUnused));
 }
 
-/// Calls and runs of the fatal request, one a second from the first second on; each run ends a server.
+/// Calls and runs of the fatal request, one per second, starting at 1 s; each run crashes a server.
 fn fatal_history(runs: u64) -> SoakHistory {
     let id = |number: u64| format!("fatal-{number}");
     let kind = CallKind::ResumableStream;
--- a/crates/papayamux-measure/tests/soak_short.rs
+++ b/crates/papayamux-measure/tests/soak_short.rs
@@ -1,4 +1,4 @@
-//! A short soak on real processes, with the verdict of its seed.
+//! Short soaks on real processes, each with a fixed seed.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::Duration;
--- a/crates/papayamux-measure/tests/surge_patterns.rs
+++ b/crates/papayamux-measure/tests/surge_patterns.rs
@@ -1,4 +1,4 @@
-//! The load patterns and the figures made of them.
+//! Tests of the load patterns and of the summaries of outcomes.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::time::Duration;
