--- a/crates/papayamux-measure/src/soak/checks.rs
+++ b/crates/papayamux-measure/src/soak/checks.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use super::history::{CallRecord, RunRecord, SoakHistory, Subject, Told};
+use super::history::{CallRecord, CallResult, RunRecord, SoakHistory, Subject};
 use super::servers::FOREIGN_SERVICE;
 
 /// Bounds written into the routers' settings.
@@ -132,11 +132,11 @@
 
 impl CheckedHistory<'_> {
     fn check_answer(&self, call: &CallRecord) -> Option<Violation> {
-        match &call.told {
-            Told::Wrong(seen) => {
+        match &call.result {
+            CallResult::Wrong(seen) => {
                 broken(Promise::OwnWholeAnswer, format!("request {} got {seen}", call.id))
             }
-            Told::NotRun if self.runs.contains_key(call.id.as_str()) => {
+            CallResult::NotRun if self.runs.contains_key(call.id.as_str()) => {
                 broken(Promise::NotRunIsTrue, format!("request {} ran all the same", call.id))
             }
             _ => None,
@@ -171,7 +171,7 @@
             .disturbances
             .iter()
             .all(|one| std::ptr::eq(one, shutdown) || !overlaps(one.from, one.until));
-        if !alone || !matches!(call.told, Told::Nothing) {
+        if !alone || !matches!(call.result, CallResult::Nothing) {
             return None;
         }
         let seen = format!("request {} was cut off by the end of router {}", call.id, call.router);
@@ -181,10 +181,10 @@
     fn check_recovery(&self, call: &CallRecord) -> Option<Violation> {
         let newest = self.history.configurations.last()?;
         let after = call.sent > self.history.calm_from + RECOVERY_TIMEOUT;
-        if !after || call.told == Told::Served || !newest.keys.contains(&call.key) {
+        if !after || call.result == CallResult::Served || !newest.keys.contains(&call.key) {
             return None;
         }
-        broken(Promise::Recovery, format!("request {} got {:?} in the calm", call.id, call.told))
+        broken(Promise::Recovery, format!("request {} got {:?} in the calm", call.id, call.result))
     }
 
     fn check_key(&self, call: &CallRecord, run: &RunRecord) -> Option<Violation> {
@@ -297,9 +297,10 @@
     /// Returns a violation for each call of the fatal request that was reported as not run but did
     /// run.
     fn check_fatal_answers(&self) -> Vec<Violation> {
-        let told = self.history.fatal_calls.iter().filter(|call| call.told == Told::NotRun);
+        let not_run =
+            self.history.fatal_calls.iter().filter(|call| call.result == CallResult::NotRun);
         let ran = |id: &str| self.history.fatal_runs.iter().any(|run| run.id == id);
-        let false_ones = told.filter(|call| ran(&call.id)).filter_map(|call| {
+        let false_ones = not_run.filter(|call| ran(&call.id)).filter_map(|call| {
             broken(Promise::NotRunIsTrue, format!("request {} ran all the same", call.id))
         });
         false_ones.collect()
--- a/crates/papayamux-measure/src/soak/fatal_requests.rs
+++ b/crates/papayamux-measure/src/soak/fatal_requests.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::checks::DEADLINE;
-use super::history::{CallKind, CallRecord, Told};
+use super::history::{CallKind, CallRecord, CallResult};
 use super::servers::FATAL_BODY;
 use super::workload::CallerBoard;
 
@@ -32,13 +32,13 @@
         let connection = CallerConnection::open(address, DEADLINE);
         let text = text(&id, &key);
         let answer = connection.and_then(|mut connection| connection.exchange(&text));
-        let told = match answer {
-            Some(answer) if answer.whole && answer.promises_not_run() => Told::NotRun,
-            Some(answer) if answer.whole => Told::Failed(answer.status),
-            _ => Told::Nothing,
+        let result = match answer {
+            Some(answer) if answer.whole && answer.promises_not_run() => CallResult::NotRun,
+            Some(answer) if answer.whole => CallResult::Failed(answer.status),
+            _ => CallResult::Nothing,
         };
         let kind = CallKind::ResumableStream;
-        calls.push(CallRecord { id, kind, router, key, sent, ended: board.now(), told });
+        calls.push(CallRecord { id, kind, router, key, sent, ended: board.now(), result });
     }
     calls
 }
--- a/crates/papayamux-measure/src/soak/history.rs
+++ b/crates/papayamux-measure/src/soak/history.rs
@@ -37,7 +37,7 @@
 
 /// The result that a caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum CallResult {
     /// The complete and correct answer.
     Served,
     /// An answer that looks complete but isn't the one to this request.
@@ -66,7 +66,7 @@
     /// Time when its answer ended.
     pub ended: Duration,
     /// The result that the caller received.
-    pub told: Told,
+    pub result: CallResult,
 }
 
 /// One run of a request at a server.
--- a/crates/papayamux-measure/src/soak/mod.rs
+++ b/crates/papayamux-measure/src/soak/mod.rs
@@ -14,8 +14,8 @@
 pub use checks::{check_history, Promise, Violation};
 pub use fault_kind::{draw_faults, draw_with_entries, FaultKind, PlannedFault};
 pub use history::{
-    CallKind, CallRecord, ConfigurationRecord, DisturbanceRecord, RunRecord, SoakHistory, Subject,
-    Told,
+    CallKind, CallRecord, CallResult, ConfigurationRecord, DisturbanceRecord, RunRecord,
+    SoakHistory, Subject,
 };
 pub use options::SoakOptions;
 pub use run::run_soak;
--- a/crates/papayamux-measure/src/soak/run.rs
+++ b/crates/papayamux-measure/src/soak/run.rs
@@ -10,7 +10,7 @@
 use super::fatal_requests::run_fatal_caller;
 use super::fault_kind::{draw_faults, draw_with_entries};
 use super::fleet::{SoakFleet, SoakServer};
-use super::history::{SoakHistory, Told};
+use super::history::{CallResult, SoakHistory};
 use super::injector::FaultInjector;
 use super::options::SoakOptions;
 use super::servers::{start_foreign_server, RunLog};
@@ -114,23 +114,24 @@
 }
 
 fn print_report(options: &SoakOptions, history: &SoakHistory, violations: &[Violation]) {
-    let mut told: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for call in &history.calls {
-        let name = match call.told {
-            Told::Served => "served",
-            Told::Wrong(_) => "wrong",
-            Told::NotRun => "not run",
-            Told::Failed(_) => "failed",
-            Told::Nothing => "cut off",
+        let name = match call.result {
+            CallResult::Served => "served",
+            CallResult::Wrong(_) => "wrong",
+            CallResult::NotRun => "not run",
+            CallResult::Failed(_) => "failed",
+            CallResult::Nothing => "cut off",
         };
-        *told.entry(name).or_default() += 1;
+        *counts.entry(name).or_default() += 1;
     }
-    let told: Vec<_> = told.into_iter().map(|(name, count)| format!("{name} {count}")).collect();
+    let counts: Vec<_> =
+        counts.into_iter().map(|(name, count)| format!("{name} {count}")).collect();
     println!(
         "seed {}: {} requests ({}), {} runs, {} faults, {} configurations, {} broken",
         options.seed,
         history.calls.len(),
-        told.join(", "),
+        counts.join(", "),
         history.runs.len(),
         history.disturbances.len(),
         history.configurations.len(),
--- a/crates/papayamux-measure/src/soak/workload.rs
+++ b/crates/papayamux-measure/src/soak/workload.rs
@@ -13,7 +13,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::checks::DEADLINE;
-use super::history::{CallKind, CallRecord, Told};
+use super::history::{CallKind, CallRecord, CallResult};
 use super::servers::{plain_body, stream_event, EVENTS};
 
 /// Time that a caller waits for more of an answer. It exceeds the request's deadline so that a
@@ -186,7 +186,7 @@
     }
 
     fn record(self, sent: Duration, ended: Duration, answer: Option<&Answer>) -> CallRecord {
-        let told = answer.map_or(Told::Nothing, |answer| self.told(answer));
+        let result = answer.map_or(CallResult::Nothing, |answer| self.result(answer));
         CallRecord {
             id: self.id,
             kind: self.kind,
@@ -194,29 +194,29 @@
             key: self.key,
             sent,
             ended,
-            told,
+            result,
         }
     }
 
-    fn told(&self, answer: &Answer) -> Told {
+    fn result(&self, answer: &Answer) -> CallResult {
         if !answer.whole {
-            return Told::Nothing;
+            return CallResult::Nothing;
         }
         match answer.status {
             200 => self.whole_answer(answer),
-            _ if answer.promises_not_run() => Told::NotRun,
-            status => Told::Failed(status),
+            _ if answer.promises_not_run() => CallResult::NotRun,
+            status => CallResult::Failed(status),
         }
     }
 
-    fn whole_answer(&self, answer: &Answer) -> Told {
+    fn whole_answer(&self, answer: &Answer) -> CallResult {
         let expected = match self.kind.is_stream() {
             true => (1..=EVENTS).map(|number| stream_event(&self.id, number)).collect(),
             false => plain_body(&self.id),
         };
         match answer.text() == expected && answer.is_signed() {
-            true => Told::Served,
-            false => Told::Wrong(format!("{:?}", answer.text())),
+            true => CallResult::Served,
+            false => CallResult::Wrong(format!("{:?}", answer.text())),
         }
     }
 }
--- a/crates/papayamux-measure/tests/promise_counts.rs
+++ b/crates/papayamux-measure/tests/promise_counts.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn runs_are_held_against_what_callers_were_told() {
+fn runs_are_compared_with_the_reported_outcomes() {
     let keyed = RequestRecord {
         key: Some("key".to_string()),
         ..booking("keyed", LearnedOutcome::Answered)
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_shutdown_is_blamed_for_what_no_other_fault_explains() {
+fn a_shutdown_counts_only_for_breaks_that_no_other_fault_explains() {
     let (shutdown, silence) = (fault(FaultKind::RouterTerminated), fault(FaultKind::LinkSilent));
     let lost = [booking("lost", LearnedOutcome::Unknown)];
     let refused = FailureBody::new(FailureCode::KeyInUse, FailureOutcome::Unknown, "in use");
--- a/crates/papayamux-measure/tests/soak_checks.rs
+++ b/crates/papayamux-measure/tests/soak_checks.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 use papayamux_measure::soak::{
-    check_history, draw_faults, draw_with_entries, CallKind, CallRecord, ConfigurationRecord,
-    DisturbanceRecord, Promise, RunRecord, SoakHistory, Subject, Told,
+    check_history, draw_faults, draw_with_entries, CallKind, CallRecord, CallResult,
+    ConfigurationRecord, DisturbanceRecord, Promise, RunRecord, SoakHistory, Subject,
 };
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn call(id: &str, kind: CallKind, sent: u64, told: Told) -> CallRecord {
+fn call(id: &str, kind: CallKind, sent: u64, result: CallResult) -> CallRecord {
     CallRecord {
         id: id.to_string(),
         kind,
@@ -20,7 +20,7 @@
         key: "good".to_string(),
         sent: at(sent),
         ended: at(sent + 30),
-        told,
+        result,
     }
 }
 
@@ -43,11 +43,11 @@
 }
 
 /// A history with one correctly served request of each kind.
-fn sound() -> SoakHistory {
+fn correct_history() -> SoakHistory {
     let calls = CallKind::ALL
         .iter()
         .enumerate()
-        .map(|(number, kind)| call(&format!("c{number}"), *kind, 10_000, Told::Served));
+        .map(|(number, kind)| call(&format!("c{number}"), *kind, 10_000, CallResult::Served));
     let runs = CallKind::ALL.iter().enumerate().map(|(number, kind)| {
         run(&format!("c{number}"), if kind.is_stream() { "llm" } else { "plain" }, 10_010)
     });
@@ -65,32 +65,32 @@
 }
 
 #[test]
-fn nothing_is_broken_in_a_sound_history() {
-    assert_eq!(broken(&sound()), []);
+fn nothing_is_broken_in_a_correct_history() {
+    assert_eq!(broken(&correct_history()), []);
 }
 
 #[test]
 fn answer_of_another_request_is_found() {
-    let mut history = sound();
-    history.calls[0].told = Told::Wrong("answer to c9".to_string());
+    let mut history = correct_history();
+    history.calls[0].result = CallResult::Wrong("answer to c9".to_string());
     assert_eq!(broken(&history), [Promise::OwnWholeAnswer]);
 }
 
 #[test]
-fn request_that_ran_though_it_was_said_not_to_is_found_also_later() {
-    let mut history = sound();
-    history.calls[1].told = Told::NotRun;
+fn run_after_a_not_run_report_is_found_even_if_late() {
+    let mut history = correct_history();
+    history.calls[1].result = CallResult::NotRun;
     assert_eq!(broken(&history), [Promise::NotRunIsTrue]);
     history.runs[1].at = at(25_000);
     assert!(broken(&history).contains(&Promise::NotRunIsTrue));
 }
 
 #[test]
-fn second_run_of_what_may_run_once_is_found() {
-    let mut history = sound();
+fn run_beyond_the_maximum_is_found() {
+    let mut history = correct_history();
     history.runs.push(run("c1", "plain", 10_020));
     assert_eq!(broken(&history), [Promise::RunsAtMost]);
-    let mut history = sound();
+    let mut history = correct_history();
     history.runs.push(run("c0", "plain", 10_020));
     assert_eq!(broken(&history), [], "an idempotent request may run twice");
     history.runs.push(run("c0", "plain", 10_025));
@@ -98,11 +98,11 @@
 }
 
 #[test]
-fn storm_of_repeats_is_found() {
-    let mut history = sound();
+fn retries_over_the_budget_are_found() {
+    let mut history = correct_history();
     for number in 0..30 {
         let id = format!("r{number}");
-        history.calls.push(call(&id, CallKind::Idempotent, 11_000, Told::Served));
+        history.calls.push(call(&id, CallKind::Idempotent, 11_000, CallResult::Served));
         history.runs.push(run(&id, "plain", 11_010));
         history.runs.push(run(&id, "plain", 11_020));
     }
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn key_that_works_after_its_end_is_found() {
-    let mut history = sound();
+fn use_of_a_revoked_key_is_found() {
+    let mut history = correct_history();
     history.configurations.push(configuration(4_000, "plain", &["other"]));
     assert_eq!(broken(&history), [Promise::KeysEnd; 4]);
     history.configurations[1].at = at(6_000);
@@ -119,8 +119,8 @@
 }
 
 #[test]
-fn work_for_a_server_that_drains_is_found_where_nothing_excuses_it() {
-    let mut history = sound();
+fn work_at_a_draining_server_is_found_unless_its_router_was_disturbed() {
+    let mut history = correct_history();
     history.drains.push(("llm-0".to_string(), at(7_000)));
     assert_eq!(broken(&history), [Promise::DrainsKept; 2]);
     history.disturbances.push(disturbance(Subject::Router(0), 8_000, 8_500));
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn run_by_a_service_that_was_left_is_found() {
-    let mut history = sound();
+fn run_under_a_replaced_configuration_is_found() {
+    let mut history = correct_history();
     history.configurations.push(configuration(5_000, "other", &["good"]));
     assert_eq!(broken(&history), [Promise::ConfigurationApplies; 2]);
     history.disturbances.push(disturbance(Subject::Store, 5_000, 6_000));
@@ -137,12 +137,12 @@
 }
 
 #[test]
-fn router_that_goes_back_to_an_older_configuration_is_found() {
-    let mut history = sound();
+fn router_that_returns_to_an_older_configuration_is_found() {
+    let mut history = correct_history();
     history.configurations.push(configuration(10_200, "other", &["good"]));
-    history.calls.push(call("n1", CallKind::Once, 10_300, Told::Served));
+    history.calls.push(call("n1", CallKind::Once, 10_300, CallResult::Served));
     history.runs.push(run("n1", "other", 10_310));
-    history.calls.push(call("n2", CallKind::Once, 11_000, Told::Served));
+    history.calls.push(call("n2", CallKind::Once, 11_000, CallResult::Served));
     history.runs.push(run("n2", "plain", 11_010));
     assert_eq!(broken(&history), [Promise::ConfigurationRises]);
     history.starts.push((0, at(10_900)));
@@ -150,9 +150,9 @@
 }
 
 #[test]
-fn answer_that_a_graceful_shutdown_cuts_off_is_found() {
-    let mut history = sound();
-    history.calls[3].told = Told::Nothing;
+fn answer_truncated_by_a_graceful_shutdown_is_found() {
+    let mut history = correct_history();
+    history.calls[3].result = CallResult::Nothing;
     let graceful =
         DisturbanceRecord { graceful: true, ..disturbance(Subject::Router(0), 10_010, 14_000) };
     history.disturbances.push(graceful);
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn router_that_does_not_end_is_found() {
-    let mut history = sound();
+fn router_that_does_not_exit_is_found() {
+    let mut history = correct_history();
     history.stuck_ends.push((1, at(30_000)));
     assert_eq!(broken(&history), [Promise::GracefulShutdown]);
     history.disturbances.push(disturbance(Subject::Router(1), 25_000, 29_000));
@@ -171,8 +171,8 @@
 }
 
 #[test]
-fn request_without_an_end_in_time_is_found() {
-    let mut history = sound();
+fn request_past_its_deadline_is_found() {
+    let mut history = correct_history();
     history.calls[0].ended = at(14_000);
     assert_eq!(broken(&history), [Promise::DeadlineKept]);
     history.disturbances.push(disturbance(Subject::Router(0), 10_500, 13_000));
@@ -180,14 +180,14 @@
 }
 
 #[test]
-fn failure_in_the_calm_after_the_faults_is_found() {
-    let mut history = sound();
+fn failure_after_the_recovery_time_is_found() {
+    let mut history = correct_history();
     history.calm_from = at(1_000);
     assert_eq!(broken(&history), []);
-    history.calls[0].told = Told::NotRun;
+    history.calls[0].result = CallResult::NotRun;
     history.runs.retain(|run| run.id != "c0");
     assert_eq!(broken(&history), [Promise::Recovery]);
-    history.calls[0].told = Told::Nothing;
+    history.calls[0].result = CallResult::Nothing;
     assert_eq!(broken(&history), [Promise::Recovery], "a router that takes no connection");
 }
 
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_seed_draws_what_it_did_beside_the_faults_of_entries() {
+fn entry_faults_leave_the_other_faults_of_a_seed_unchanged() {
     let length = Duration::from_secs(60);
     let (drawn, further) =
         draw_with_entries(7, length).into_iter().partition::<Vec<_>, _>(|fault| {
@@ -213,8 +213,8 @@
 }
 
 #[test]
-fn request_at_a_server_of_another_writers_entry_is_found() {
-    let mut history = sound();
+fn request_at_a_server_of_a_foreign_entry_is_found() {
+    let mut history = correct_history();
     history.runs[1].service = "nobody's".to_string();
     assert!(broken(&history).contains(&Promise::ForeignUnused));
 }
@@ -224,14 +224,16 @@
     let id = |number: u64| format!("fatal-{number}");
     let kind = CallKind::ResumableStream;
     SoakHistory {
-        fatal_calls: (1..=runs).map(|n| call(&id(n), kind, n * 1_000, Told::Nothing)).collect(),
+        fatal_calls: (1..=runs)
+            .map(|n| call(&id(n), kind, n * 1_000, CallResult::Nothing))
+            .collect(),
         fatal_runs: (1..=runs).map(|n| run(&id(n), "llm", n * 1_000 + 5)).collect(),
-        ..sound()
+        ..correct_history()
     }
 }
 
 #[test]
-fn request_that_goes_on_ending_servers_is_found() {
+fn request_that_keeps_crashing_servers_is_found() {
     assert_eq!(broken(&fatal_history(9)), [], "three of them may come after routers could know");
     assert_eq!(broken(&fatal_history(10)), [Promise::CrashesEnd]);
     let mut excused = fatal_history(10);
@@ -240,8 +242,8 @@
 }
 
 #[test]
-fn fatal_request_that_ran_though_it_was_said_not_to_is_found() {
+fn run_of_a_fatal_request_after_a_not_run_report_is_found() {
     let mut history = fatal_history(3);
-    history.fatal_calls[2].told = Told::NotRun;
+    history.fatal_calls[2].result = CallResult::NotRun;
     assert_eq!(broken(&history), [Promise::NotRunIsTrue]);
 }
--- a/crates/papayamux-measure/tests/soak_short.rs
+++ b/crates/papayamux-measure/tests/soak_short.rs
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn no_promise_is_broken_while_servers_start_again_and_others_write_entries() {
+fn no_promise_is_broken_while_servers_restart_and_foreign_entries_appear() {
     let length = Duration::from_secs(10);
     let options = SoakOptions::builder().seed(5).length(length).entries(true).build();
     run_soak(&options).unwrap();
 }
 
 #[test]
-fn no_promise_is_broken_while_a_request_ends_engines() {
+fn no_promise_is_broken_while_a_request_crashes_engines() {
     let length = Duration::from_secs(10);
     let options = SoakOptions::builder().seed(6).length(length).fatal(true).build();
     run_soak(&options).unwrap();
--- a/crates/papayamux-measure/tests/surge_patterns.rs
+++ b/crates/papayamux-measure/tests/surge_patterns.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_surge_of_one_is_that_organisations_alone() {
+fn a_surge_of_one_comes_from_one_organisation() {
     let calls = draw_calls(LoadPattern::SurgeOfOne, 1, LENGTH);
     let middle: Vec<_> =
         calls.iter().filter(|call| (3..6).contains(&call.at.as_secs())).copied().collect();
