--- a/crates/papayamux-measure/src/promises/truth.rs
+++ b/crates/papayamux-measure/src/promises/actual_runs.rs
@@ -8,11 +8,11 @@
 /// Time for the fleet to finish the requests in flight after the faults.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// The run counts must stay unchanged for this long before they are final.
-const QUIET_FOR: Duration = Duration::from_millis(300);
+const QUIET_DURATION: Duration = Duration::from_millis(300);
 
 /// Run counts over all servers.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct RunTruth {
+pub struct ActualRuns {
     /// Runs by tag; each tag belongs to one request.
     pub by_tag: HashMap<String, u64>,
     /// Runs by idempotency key.
@@ -21,7 +21,7 @@
     pub stuck: u64,
 }
 
-impl RunTruth {
+impl ActualRuns {
     /// Lifts all faults, waits until the counts no longer change, and returns them.
     pub async fn settle(fleet: &Fleet) -> Result<Self, TestbedError> {
         for router in 0..fleet.routers.len() {
@@ -46,26 +46,26 @@
             Err(TestbedError::NotReached { .. }) => running().await?,
             outcome => outcome?,
         };
-        let mut truth = Self::read(fleet).await?;
+        let mut actual_runs = Self::read(fleet).await?;
         loop {
-            monoio::time::sleep(QUIET_FOR).await;
+            monoio::time::sleep(QUIET_DURATION).await;
             let later = Self::read(fleet).await?;
-            if later == truth {
-                return Ok(Self { stuck, ..truth });
+            if later == actual_runs {
+                return Ok(Self { stuck, ..actual_runs });
             }
-            truth = later;
+            actual_runs = later;
         }
     }
 
     async fn read(fleet: &Fleet) -> Result<Self, TestbedError> {
-        let mut truth = Self::default();
+        let mut actual_runs = Self::default();
         for server in &fleet.servers {
-            add_all(&mut truth.by_tag, server.tag_runs().await?);
+            add_all(&mut actual_runs.by_tag, server.tag_runs().await?);
             if server.name.starts_with("service") {
-                add_all(&mut truth.by_key, server.service_runs().await?.by_key);
+                add_all(&mut actual_runs.by_key, server.service_runs().await?.by_key);
             }
         }
-        Ok(truth)
+        Ok(actual_runs)
     }
 }
 
--- a/crates/papayamux-measure/src/promises/fault_stage.rs
+++ b/crates/papayamux-measure/src/promises/fault_stage.rs
@@ -9,7 +9,7 @@
 use papayamux_testbed::{Fleet, LinkControl, TestbedError};
 
 use super::fault_kind::FaultKind;
-use super::link_board::{LinkBoard, LinkPlace};
+use super::link_fault_table::{LinkFaultTable, LinkPlace};
 
 /// State shared between the callers' thread and the injectors.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
 
 /// A process that an injector shuts down and replaces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StagePart {
+pub enum FleetMember {
     /// A router, by index.
     Router(usize),
     /// An agent, by the index of its server.
@@ -53,7 +53,7 @@
     /// The fleet; never borrowed across an await.
     pub fleet: RefCell<Fleet>,
     /// Active faults of its links.
-    pub board: LinkBoard,
+    pub link_faults: LinkFaultTable,
     /// State shared with the callers.
     pub shared: Arc<SharedState>,
     /// Faults injected so far.
@@ -62,18 +62,18 @@
     pub last_new_work: Cell<Option<Duration>>,
     /// Number of graceful shutdowns that did not exit successfully.
     pub unclean_exits: Cell<u64>,
-    busy: RefCell<BTreeSet<StagePart>>,
+    busy: RefCell<BTreeSet<FleetMember>>,
 }
 
 /// Reserves a process for one injector until dropped.
-pub struct PartGuard<'a> {
+pub struct MemberGuard<'a> {
     stage: &'a FaultStage,
-    part: StagePart,
+    member: FleetMember,
 }
 
-impl Drop for PartGuard<'_> {
+impl Drop for MemberGuard<'_> {
     fn drop(&mut self) {
-        self.stage.busy.borrow_mut().remove(&self.part);
+        self.stage.busy.borrow_mut().remove(&self.member);
     }
 }
 
@@ -82,7 +82,7 @@
     pub fn new(fleet: Fleet, shared: Arc<SharedState>) -> Self {
         Self {
             fleet: RefCell::new(fleet),
-            board: LinkBoard::default(),
+            link_faults: LinkFaultTable::default(),
             shared,
             records: RefCell::default(),
             last_new_work: Cell::default(),
@@ -92,8 +92,8 @@
     }
 
     /// Reserves a process for one injector; returns `None` while another holds it.
-    pub fn take_part(&self, part: StagePart) -> Option<PartGuard<'_>> {
-        self.busy.borrow_mut().insert(part).then_some(PartGuard { stage: self, part })
+    pub fn reserve_member(&self, member: FleetMember) -> Option<MemberGuard<'_>> {
+        self.busy.borrow_mut().insert(member).then_some(MemberGuard { stage: self, member })
     }
 
     /// Returns whether all callers have finished.
--- a/crates/papayamux-measure/src/promises/server_leave.rs
+++ b/crates/papayamux-measure/src/promises/graceful_shutdown.rs
@@ -6,7 +6,7 @@
 
 use papayamux_testbed::TestbedError;
 
-use super::fault_stage::{FaultStage, StagePart};
+use super::fault_stage::{FaultStage, FleetMember};
 
 /// Interval at which an exiting process is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -18,7 +18,7 @@
     pub async fn terminate_router(&self, router: usize) -> Result<(), TestbedError> {
         self.fleet.borrow().routers[router].terminate()?;
         self.shared.ready[router].store(false, Ordering::Relaxed);
-        self.wait_exit(StagePart::Router(router)).await?;
+        self.wait_exit(FleetMember::Router(router)).await?;
         self.fleet.borrow_mut().replace_router(router)?;
         self.shared.ready[router].store(true, Ordering::Relaxed);
         Ok(())
@@ -40,7 +40,7 @@
         mut runs: u64,
     ) -> Result<(), TestbedError> {
         self.record_new_work(Duration::ZERO);
-        while self.exit_of(StagePart::Agent(server), notice)?.is_none() {
+        while self.exit_of(FleetMember::Agent(server), notice)?.is_none() {
             let runs_now = self.runs_of(server).await?;
             if runs_now > runs {
                 self.record_new_work(notice.elapsed());
@@ -56,9 +56,9 @@
         reader.all_runs().await
     }
 
-    async fn wait_exit(&self, part: StagePart) -> Result<(), TestbedError> {
+    async fn wait_exit(&self, member: FleetMember) -> Result<(), TestbedError> {
         let notice = Instant::now();
-        while self.exit_of(part, notice)?.is_none() {
+        while self.exit_of(member, notice)?.is_none() {
             monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
@@ -68,13 +68,13 @@
     /// [`EXIT_TIMEOUT`], and counts every unsuccessful exit.
     fn exit_of(
         &self,
-        part: StagePart,
+        member: FleetMember,
         notice: Instant,
     ) -> Result<Option<ExitStatus>, TestbedError> {
         let mut fleet = self.fleet.borrow_mut();
-        let process = match part {
-            StagePart::Router(router) => &mut fleet.routers[router],
-            StagePart::Agent(server) => &mut fleet.servers[server].agent,
+        let process = match member {
+            FleetMember::Router(router) => &mut fleet.routers[router],
+            FleetMember::Agent(server) => &mut fleet.servers[server].agent,
         };
         if notice.elapsed() > EXIT_TIMEOUT {
             process.kill()?;
--- a/crates/papayamux-measure/src/promises/injector.rs
+++ b/crates/papayamux-measure/src/promises/injector.rs
@@ -9,26 +9,26 @@
 use rand::RngExt;
 
 use super::fault_kind::FaultKind;
-use super::fault_stage::{FaultRecord, FaultStage, StagePart};
-use super::link_board::LinkPlace;
+use super::fault_stage::{FaultRecord, FaultStage, FleetMember};
+use super::link_fault_table::LinkPlace;
 
 /// Milliseconds between two faults of a kind.
 const GAP_MS: std::ops::Range<u64> = 50..400;
 /// Milliseconds between two silenced links; each silence lasts until it is detected.
 const SILENT_GAP_MS: std::ops::Range<u64> = 500..2_000;
 /// Delay of a slow link's bytes, in milliseconds.
-const LATE_MS: std::ops::Range<u64> = 20..300;
+const DELAY_MS: std::ops::Range<u64> = 20..300;
 /// Duration of a delay fault, in milliseconds.
-const DELAYED_FOR_MS: std::ops::Range<u64> = 300..1_500;
+const DELAY_DURATION_MS: std::ops::Range<u64> = 300..1_500;
 /// Number of answer bytes after which a link is cut.
 const CUT_AFTER_BYTES: std::ops::Range<u64> = 0..12_000;
 /// Duration of a cut fault, in milliseconds.
-const CUT_FOR_MS: std::ops::Range<u64> = 200..800;
+const CUT_DURATION_MS: std::ops::Range<u64> = 200..800;
 /// Duration for which a link is held or an agent paused, in milliseconds; the longest exceed the
 /// heartbeat timeout.
-const HELD_FOR_MS: std::ops::Range<u64> = 200..6_000;
+const HOLD_DURATION_MS: std::ops::Range<u64> = 200..6_000;
 /// Downtime of a killed agent, in milliseconds.
-const AWAY_FOR_MS: std::ops::Range<u64> = 0..400;
+const DOWNTIME_MS: std::ops::Range<u64> = 0..400;
 
 /// Injector of one kind of fault.
 pub struct FaultInjector<'a> {
@@ -88,39 +88,41 @@
             FaultKind::LinkDelayed => self.delay(place, &link).await?,
             FaultKind::LinkCut | FaultKind::ServerLinkCut => self.cut(place, &link).await?,
             FaultKind::LinkHeld => self.hold(place, &link).await?,
-            _ => stage.board.silence(place, &link).await?,
+            _ => stage.link_faults.silence(place, &link).await?,
         }
         Ok(place)
     }
 
     async fn delay(&mut self, place: LinkPlace, link: &LinkControl) -> Result<(), TestbedError> {
-        let late = self.random.random_range(LATE_MS);
-        self.stage.board.change(place, link, |faults| faults.delay_ms = late).await?;
-        self.sleep(DELAYED_FOR_MS).await;
-        self.stage.board.change(place, link, |faults| faults.delay_ms = 0).await
+        let late = self.random.random_range(DELAY_MS);
+        self.stage.link_faults.change(place, link, |faults| faults.delay_ms = late).await?;
+        self.sleep(DELAY_DURATION_MS).await;
+        self.stage.link_faults.change(place, link, |faults| faults.delay_ms = 0).await
     }
 
     async fn cut(&mut self, place: LinkPlace, link: &LinkControl) -> Result<(), TestbedError> {
         let after = Some(self.random.random_range(CUT_AFTER_BYTES));
-        self.stage.board.change(place, link, |faults| faults.cut_after_bytes = after).await?;
-        self.sleep(CUT_FOR_MS).await;
-        self.stage.board.change(place, link, |faults| faults.cut_after_bytes = None).await
+        self.stage.link_faults.change(place, link, |faults| faults.cut_after_bytes = after).await?;
+        self.sleep(CUT_DURATION_MS).await;
+        self.stage.link_faults.change(place, link, |faults| faults.cut_after_bytes = None).await
     }
 
     async fn hold(&mut self, place: LinkPlace, link: &LinkControl) -> Result<(), TestbedError> {
         let ways = [FaultyWays::ToTarget, FaultyWays::ToClient, FaultyWays::Both];
         let ways = ways[self.random.random_range(0..ways.len())];
-        self.stage.board.change(place, link, |faults| faults.hold = ways).await?;
-        self.sleep(HELD_FOR_MS).await;
+        self.stage.link_faults.change(place, link, |faults| faults.hold = ways).await?;
+        self.sleep(HOLD_DURATION_MS).await;
         let none = FaultyWays::None;
-        self.stage.board.change(place, link, |faults| faults.hold = none).await
+        self.stage.link_faults.change(place, link, |faults| faults.hold = none).await
     }
 
     async fn end_router(&mut self) -> Result<Option<usize>, TestbedError> {
         let stage = self.stage;
         let routers = stage.fleet.borrow().routers.len();
         let router = self.random.random_range(0..routers);
-        let Some(_guard) = stage.take_part(StagePart::Router(router)) else { return Ok(None) };
+        let Some(_guard) = stage.reserve_member(FleetMember::Router(router)) else {
+            return Ok(None);
+        };
         stage.terminate_router(router).await?;
         Ok(Some(router))
     }
@@ -132,12 +134,14 @@
         if self.kind == FaultKind::AgentPaused {
             return self.pause_agent(server).await.map(Some);
         }
-        let Some(_guard) = stage.take_part(StagePart::Agent(server)) else { return Ok(None) };
+        let Some(_guard) = stage.reserve_member(FleetMember::Agent(server)) else {
+            return Ok(None);
+        };
         match self.kind {
             FaultKind::AgentTerminated => stage.terminate_agent(server).await?,
             _ => {
                 stage.fleet.borrow_mut().servers[server].agent.kill()?;
-                self.sleep(AWAY_FOR_MS).await;
+                self.sleep(DOWNTIME_MS).await;
                 stage.fleet.borrow_mut().replace_agent(server)?;
             }
         }
@@ -149,7 +153,7 @@
     async fn pause_agent(&mut self, server: usize) -> Result<usize, TestbedError> {
         let paused = self.stage.fleet.borrow().servers[server].agent.id();
         self.stage.fleet.borrow().servers[server].agent.pause()?;
-        self.sleep(HELD_FOR_MS).await;
+        self.sleep(HOLD_DURATION_MS).await;
         let fleet = self.stage.fleet.borrow();
         let agent = &fleet.servers[server].agent;
         if agent.id() == paused {
--- a/crates/papayamux-measure/src/promises/link_board.rs
+++ b/crates/papayamux-measure/src/promises/link_fault_table.rs
@@ -39,11 +39,11 @@
 
 /// Lasting faults of every link.
 #[derive(Default)]
-pub struct LinkBoard {
+pub struct LinkFaultTable {
     faults: RefCell<BTreeMap<LinkPlace, LinkFaults>>,
 }
 
-impl LinkBoard {
+impl LinkFaultTable {
     /// Changes some of a link's faults and keeps the others.
     pub async fn change(
         &self,
@@ -52,8 +52,8 @@
         change: impl FnOnce(&mut LinkFaults),
     ) -> Result<(), TestbedError> {
         let faults = {
-            let mut board = self.faults.borrow_mut();
-            let faults = board.entry(place).or_default();
+            let mut link_faults = self.faults.borrow_mut();
+            let faults = link_faults.entry(place).or_default();
             change(faults);
             *faults
         };
--- a/crates/papayamux-measure/src/promises/run.rs
+++ b/crates/papayamux-measure/src/promises/run.rs
@@ -11,11 +11,11 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
+use super::actual_runs::ActualRuns;
 use super::fault_stage::{FaultStage, SharedState};
 use super::injector::FaultInjector;
 use super::scenario::FaultScenario;
 use super::tally::PromiseTally;
-use super::truth::RunTruth;
 use super::workload::{run_workload, WorkloadPlan};
 
 /// Servers known to each router where the lists differ, of three engines and two services.
@@ -99,14 +99,14 @@
     let last_new_work = stage.last_new_work.get();
     let unclean_exits = stage.unclean_exits.get();
     let fleet = stage.fleet.into_inner();
-    let truth = runtime::run(RunTruth::settle(&fleet))??;
+    let actual_runs = runtime::run(ActualRuns::settle(&fleet))??;
     Ok(PromiseTally {
         scenario: scenario.to_string(),
         seed: options.seed,
         unclean_exits,
         last_new_work_ms: last_new_work.map(|after| after.as_millis() as u64),
         seconds: (started.elapsed().as_secs_f64() * 10.0).round() / 10.0,
-        ..PromiseTally::count(&records, &faults, &truth)
+        ..PromiseTally::count(&records, &faults, &actual_runs)
     })
 }
 
--- a/crates/papayamux-measure/src/promises/tally.rs
+++ b/crates/papayamux-measure/src/promises/tally.rs
@@ -5,9 +5,9 @@
 
 use serde::Serialize;
 
+use super::actual_runs::ActualRuns;
 use super::fault_stage::FaultRecord;
 use super::request_record::{LearnedOutcome, RequestRecord, RequestWork};
-use super::truth::RunTruth;
 
 /// A request that broke within this time after the end of a shutdown may have been cut off by it.
 const AFTER_SHUTDOWN: Duration = Duration::from_millis(500);
@@ -77,13 +77,17 @@
 
 impl PromiseTally {
     /// Compares all records with the actual runs and counts the results.
-    pub fn count(records: &[RequestRecord], faults: &[FaultRecord], truth: &RunTruth) -> Self {
+    pub fn count(
+        records: &[RequestRecord],
+        faults: &[FaultRecord],
+        actual_runs: &ActualRuns,
+    ) -> Self {
         let mut tally =
-            Self { requests: records.len() as u64, stuck: truth.stuck, ..Self::default() };
+            Self { requests: records.len() as u64, stuck: actual_runs.stuck, ..Self::default() };
         for record in records {
             tally.add_outcome(record);
             tally.add_flaws(record);
-            let runs = truth.by_tag.get(&record.tag).copied().unwrap_or_default();
+            let runs = actual_runs.by_tag.get(&record.tag).copied().unwrap_or_default();
             let claims_not_run =
                 matches!(record.learned, LearnedOutcome::NotRun | LearnedOutcome::Unsent);
             tally.told_not_run_but_ran += u64::from(claims_not_run && runs > 0);
@@ -100,9 +104,9 @@
                 tally.suspects.push(format!("runs {runs}: {record:?}"));
             }
         }
-        let twice = truth.by_key.iter().filter(|(_, runs)| **runs > 1);
+        let twice = actual_runs.by_key.iter().filter(|(_, runs)| **runs > 1);
         tally.suspects.extend(twice.map(|(key, runs)| format!("runs {runs}: key {key}")));
-        tally.ran_twice += truth.by_key.values().filter(|runs| **runs > 1).count() as u64;
+        tally.ran_twice += actual_runs.by_key.values().filter(|runs| **runs > 1).count() as u64;
         let met = faults.iter().filter(|fault| fault.met_requests).count();
         tally.interleavings = (met + keys_of_two_routers(records)) as u64;
         tally
--- a/crates/papayamux-measure/src/soak/fatal_requests.rs
+++ b/crates/papayamux-measure/src/soak/fatal_requests.rs
@@ -11,7 +11,7 @@
 use super::checks::DEADLINE;
 use super::history::{CallKind, CallRecord, CallResult};
 use super::servers::FATAL_BODY;
-use super::workload::CallerBoard;
+use super::workload::CallerState;
 
 /// Pause between two attempts, in milliseconds.
 const PAUSE_MILLIS: std::ops::Range<u64> = 50..600;
@@ -19,16 +19,16 @@
 const SERIES: u64 = 0x6661_7461_6c00;
 
 /// Sends the request again and again until fault injection is over.
-pub(super) fn run_fatal_caller(board: &CallerBoard, seed: u64) -> Vec<CallRecord> {
+pub(super) fn run_fatal_caller(caller_state: &CallerState, seed: u64) -> Vec<CallRecord> {
     let mut random = StdRng::seed_from_u64(seed ^ SERIES);
     let mut calls = Vec::new();
-    while !board.faults_are_over() {
+    while !caller_state.faults_are_over() {
         std::thread::sleep(Duration::from_millis(random.random_range(PAUSE_MILLIS)));
-        let routers = board.routers();
+        let routers = caller_state.routers();
         let router = random.random_range(0..routers.len());
         let Some(address) = routers[router] else { continue };
-        let (id, key) = (format!("fatal-{:x}", calls.len()), board.newest_key());
-        let sent = board.now();
+        let (id, key) = (format!("fatal-{:x}", calls.len()), caller_state.newest_key());
+        let sent = caller_state.now();
         let connection = CallerConnection::open(address, DEADLINE);
         let text = text(&id, &key);
         let answer = connection.and_then(|mut connection| connection.exchange(&text));
@@ -38,7 +38,7 @@
             _ => CallResult::Nothing,
         };
         let kind = CallKind::ResumableStream;
-        calls.push(CallRecord { id, kind, router, key, sent, ended: board.now(), result });
+        calls.push(CallRecord { id, kind, router, key, sent, ended: caller_state.now(), result });
     }
     calls
 }
--- a/crates/papayamux-measure/src/soak/fleet.rs
+++ b/crates/papayamux-measure/src/soak/fleet.rs
@@ -12,7 +12,7 @@
     APPLY_WITHIN, DRAIN_WITHIN, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW, REVOKE_WITHIN,
 };
 use super::servers::{start_server, RunLog};
-use super::workload::CallerBoard;
+use super::workload::CallerState;
 use crate::front_settings::FrontSettings;
 
 /// The program under test.
@@ -76,7 +76,7 @@
 pub(super) struct SoakFleet {
     pub(super) store: StoreStandIn,
     pub(super) run_log: RunLog,
-    pub(super) board: Arc<CallerBoard>,
+    pub(super) caller_state: Arc<CallerState>,
     pub(super) routers: Vec<SoakRouter>,
     pub(super) servers: Vec<SoakServer>,
     /// Server that the entries of other writers point to.
@@ -122,7 +122,7 @@
         let router = &mut self.routers[index];
         let file = router.settings.path().to_string_lossy().into_owned();
         let process = ProcessHandle::start(ROUTER, &[file])?;
-        self.board.set_router(index, Some(process.listen()?));
+        self.caller_state.set_router(index, Some(process.listen()?));
         router.process = Some(process);
         Ok(())
     }
--- a/crates/papayamux-measure/src/soak/injector.rs
+++ b/crates/papayamux-measure/src/soak/injector.rs
@@ -36,7 +36,7 @@
     pub(super) history: SoakHistory,
     draft: ConfigurationDraft,
     open: Vec<OpenFault>,
-    leaving: Vec<(SoakServer, Duration)>,
+    draining_servers: Vec<(SoakServer, Duration)>,
     replaced: u32,
 }
 
@@ -44,15 +44,21 @@
     /// Creates an injector and writes the first configuration into the store.
     pub(super) fn new(fleet: SoakFleet, draft: ConfigurationDraft) -> Self {
         let history = SoakHistory::default();
-        let mut injector =
-            Self { fleet, history, draft, open: Vec::new(), leaving: Vec::new(), replaced: 0 };
+        let mut injector = Self {
+            fleet,
+            history,
+            draft,
+            open: Vec::new(),
+            draining_servers: Vec::new(),
+            replaced: 0,
+        };
         injector.write_configuration();
         injector
     }
 
     /// Starts a fault.
     pub(super) async fn begin(&mut self, planned: PlannedFault) -> Result<(), TestbedError> {
-        let now = self.fleet.board.now();
+        let now = self.fleet.caller_state.now();
         self.history.disturbances.push(DisturbanceRecord {
             subject: self.subject(planned),
             from: now,
@@ -68,7 +74,7 @@
 
     /// Ends the faults whose duration is over.
     pub(super) async fn end_due(&mut self) -> Result<(), TestbedError> {
-        let now = self.fleet.board.now();
+        let now = self.fleet.caller_state.now();
         let (due, open) = std::mem::take(&mut self.open)
             .into_iter()
             .partition::<Vec<_>, _>(|fault| fault.until <= now);
@@ -85,7 +91,7 @@
         for fault in std::mem::take(&mut self.open) {
             self.end(fault).await?;
         }
-        self.history.calm_from = self.fleet.board.now();
+        self.history.calm_from = self.fleet.caller_state.now();
         Ok(())
     }
 
@@ -172,7 +178,7 @@
         match planned.kind {
             FaultKind::KillRouter => self.restart(router)?,
             FaultKind::EndRouter => {
-                self.fleet.board.set_router(router, None);
+                self.fleet.caller_state.set_router(router, None);
                 // The end of another fault may have started a new process in the meantime.
                 if self.process_id(router) == fault.process {
                     self.wait_for_end(router)?;
@@ -203,7 +209,7 @@
             | FaultKind::ChangeConfiguration
             | FaultKind::ReplaceKey => {}
         }
-        self.history.disturbances[fault.disturbance].until = self.fleet.board.now();
+        self.history.disturbances[fault.disturbance].until = self.fleet.caller_state.now();
         Ok(())
     }
 
@@ -221,7 +227,7 @@
     }
 
     fn kill(&mut self, router: usize) -> Result<(), TestbedError> {
-        self.fleet.board.set_router(router, None);
+        self.fleet.caller_state.set_router(router, None);
         if let Some(mut process) = self.fleet.routers[router].process.take() {
             process.kill()?;
         }
@@ -237,7 +243,7 @@
         let Some(process) = &mut self.fleet.routers[router].process else { return Ok(()) };
         if process.wait_exit(SHUTDOWN_TIMEOUT).is_err() {
             process.kill()?;
-            self.history.stuck_ends.push((router, self.fleet.board.now()));
+            self.history.stuck_ends.push((router, self.fleet.caller_state.now()));
         }
         Ok(())
     }
@@ -250,7 +256,7 @@
         };
         if ended {
             self.fleet.start_router(router)?;
-            self.history.starts.push((router, self.fleet.board.now()));
+            self.history.starts.push((router, self.fleet.caller_state.now()));
         }
         Ok(())
     }
@@ -260,17 +266,17 @@
         let old = self.fleet.servers[index].server.clone();
         let id = format!("s-{}", self.replaced);
         let fresh = SoakServer::start(&self.fleet.store, &self.fleet.run_log, old.service(), &id)?;
-        let leaving = std::mem::replace(&mut self.fleet.servers[index], fresh);
-        leaving.list(&self.fleet.store, true)?;
-        let now = self.fleet.board.now();
-        self.history.drains.push((leaving.server.id.clone(), now));
-        self.leaving.push((leaving, now + DRAINING_ENTRY_DURATION));
+        let draining = std::mem::replace(&mut self.fleet.servers[index], fresh);
+        draining.list(&self.fleet.store, true)?;
+        let now = self.fleet.caller_state.now();
+        self.history.drains.push((draining.server.id.clone(), now));
+        self.draining_servers.push((draining, now + DRAINING_ENTRY_DURATION));
         Ok(())
     }
 
     /// Removes drained servers from the list; they go on serving their requests in flight.
     fn remove_drained(&mut self, now: Duration) {
-        for (server, until) in &mut self.leaving {
+        for (server, until) in &mut self.draining_servers {
             if *until <= now {
                 server.server.unlist(&self.fleet.store);
                 *until = Duration::MAX;
@@ -297,14 +303,14 @@
             }
         }
         self.write_configuration();
-        self.fleet.board.add_key(&key);
+        self.fleet.caller_state.add_key(&key);
     }
 
     fn write_configuration(&mut self) {
         self.draft.version += 2;
         self.fleet.store.put_configuration(&self.draft);
         let record = ConfigurationRecord {
-            at: self.fleet.board.now(),
+            at: self.fleet.caller_state.now(),
             service: self.draft.plain_service.clone(),
             keys: self.draft.organisations.iter().flat_map(|one| one.keys.clone()).collect(),
         };
--- a/crates/papayamux-measure/src/soak/run.rs
+++ b/crates/papayamux-measure/src/soak/run.rs
@@ -14,16 +14,16 @@
 use super::injector::FaultInjector;
 use super::options::SoakOptions;
 use super::servers::{start_foreign_server, RunLog};
-use super::workload::{run_caller, CallerBoard};
+use super::workload::{run_caller, CallerState};
 use crate::tasks::TaskError;
 
 /// Interval at which due faults are checked for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Undisturbed time at the end: the recovery, and some seconds in which every request must be
 /// served.
-const CALM: Duration = Duration::from_secs(12);
+const RECOVERY_DURATION: Duration = Duration::from_secs(12);
 /// Time for the fleet to start up before callers connect.
-const SETTLE: Duration = Duration::from_secs(2);
+const STARTUP_DURATION: Duration = Duration::from_secs(2);
 /// The services; `llm` is the one of engines.
 const SERVICES: [&str; 3] = ["plain", "other", "llm"];
 
@@ -43,18 +43,18 @@
 async fn simulate(options: &SoakOptions) -> Result<SoakHistory, TaskError> {
     let begun = Instant::now();
     let mut injector = start(options, begun)?;
-    monoio::time::sleep(SETTLE).await;
+    monoio::time::sleep(STARTUP_DURATION).await;
     let callers: Vec<_> = (0..options.callers as u64)
         .map(|number| {
-            let (board, seed) = (injector.fleet.board.clone(), options.seed);
-            std::thread::spawn(move || run_caller(&board, number, seed))
+            let (caller_state, seed) = (injector.fleet.caller_state.clone(), options.seed);
+            std::thread::spawn(move || run_caller(&caller_state, number, seed))
         })
         .collect();
     let fatal = options.fatal.then(|| {
-        let (board, seed) = (injector.fleet.board.clone(), options.seed);
-        std::thread::spawn(move || run_fatal_caller(&board, seed))
+        let (caller_state, seed) = (injector.fleet.caller_state.clone(), options.seed);
+        std::thread::spawn(move || run_fatal_caller(&caller_state, seed))
     });
-    let offset = injector.fleet.board.now();
+    let offset = injector.fleet.caller_state.now();
     let faults = match options.entries {
         true => draw_with_entries(options.seed, options.length),
         false => draw_faults(options.seed, options.length),
@@ -67,29 +67,29 @@
             fault.length.as_secs_f64(),
             fault.target
         );
-        while injector.fleet.board.now() < offset + fault.at {
+        while injector.fleet.caller_state.now() < offset + fault.at {
             monoio::time::sleep(POLL_INTERVAL).await;
             injector.end_due().await?;
         }
         injector.begin(fault).await?;
     }
-    injector.fleet.board.end_faults();
+    injector.fleet.caller_state.end_faults();
     if let Some(fatal) = fatal {
         injector.history.fatal_calls =
             fatal.join().map_err(|_| "the caller of the fatal request panicked")?;
     }
     injector.end_all().await?;
-    let calm_until = injector.fleet.board.now() + CALM;
-    while injector.fleet.board.now() < calm_until {
+    let calm_until = injector.fleet.caller_state.now() + RECOVERY_DURATION;
+    while injector.fleet.caller_state.now() < calm_until {
         monoio::time::sleep(POLL_INTERVAL).await;
         injector.end_due().await?;
     }
-    injector.fleet.board.end();
+    injector.fleet.caller_state.end();
     for caller in callers {
         caller.join().map_err(|_| "a caller panicked")?;
     }
     let mut history = injector.history;
-    history.calls = injector.fleet.board.take_calls();
+    history.calls = injector.fleet.caller_state.take_calls();
     history.runs = injector.fleet.run_log.take();
     history.fatal_runs = injector.fleet.run_log.take_fatal();
     Ok(history)
@@ -98,7 +98,7 @@
 fn start(options: &SoakOptions, begun: Instant) -> Result<FaultInjector, TaskError> {
     let store = StoreStandIn::start();
     let run_log = RunLog::new(begun, options.fatal);
-    let board = CallerBoard::new(begun, options.routers, KEY);
+    let caller_state = CallerState::new(begun, options.routers, KEY);
     let mut servers = Vec::new();
     for service in SERVICES {
         for number in 0..options.servers {
@@ -107,7 +107,7 @@
         }
     }
     let foreign = start_foreign_server(&run_log);
-    let fleet = SoakFleet { store, run_log, board, routers: Vec::new(), servers, foreign };
+    let fleet = SoakFleet { store, run_log, caller_state, routers: Vec::new(), servers, foreign };
     let mut injector = FaultInjector::new(fleet, ConfigurationDraft::default());
     injector.fleet.start_routers(options.routers)?;
     Ok(injector)
--- a/crates/papayamux-measure/src/soak/workload.rs
+++ b/crates/papayamux-measure/src/soak/workload.rs
@@ -36,7 +36,7 @@
 
 /// State shared between the callers and the fault injector.
 #[derive(Debug)]
-pub(super) struct CallerBoard {
+pub(super) struct CallerState {
     begun: Instant,
     routers: Mutex<Vec<Option<SocketAddr>>>,
     keys: Mutex<Vec<String>>,
@@ -45,7 +45,7 @@
     ended: AtomicBool,
 }
 
-impl CallerBoard {
+impl CallerState {
     pub(super) fn new(begun: Instant, routers: usize, key: &str) -> Arc<Self> {
         Arc::new(Self {
             begun,
@@ -100,25 +100,25 @@
 }
 
 /// Runs one caller until the board reports the end of the soak.
-pub(super) fn run_caller(board: &CallerBoard, number: u64, seed: u64) {
+pub(super) fn run_caller(caller_state: &CallerState, number: u64, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed ^ number.wrapping_mul(SEED_SPREAD));
     let mut kept: Option<KeptConnection> = None;
     let mut count = 0u64;
-    while !board.ended.load(Ordering::Relaxed) {
+    while !caller_state.ended.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(random.random_range(PAUSE_MILLIS)));
         count += 1;
         let id = format!("{number:x}-{count:x}");
         if kept.as_ref().is_none_or(|kept| kept.calls >= CALLS_PER_CONNECTION) {
-            kept = connect(board, &mut random, id.clone());
+            kept = connect(caller_state, &mut random, id.clone());
         }
         let Some(connection) = &mut kept else { continue };
-        let call = DraftCall::draw(board, &mut random, id, connection.router);
-        let sent = board.now();
+        let call = DraftCall::draw(caller_state, &mut random, id, connection.router);
+        let sent = caller_state.now();
         connection.calls += 1;
         let answer = connection.connection.exchange(&call.text());
         let ends = answer.as_ref().is_none_or(Answer::ends_connection);
-        let record = call.record(sent, board.now(), answer.as_ref());
-        board.calls.lock().push(record);
+        let record = call.record(sent, caller_state.now(), answer.as_ref());
+        caller_state.calls.lock().push(record);
         if ends {
             kept = None;
         }
@@ -134,16 +134,16 @@
 
 /// Connects to a random router that is up. A failed connection is recorded as a request without an
 /// answer, so that a router which accepts no connections is detected.
-fn connect(board: &CallerBoard, random: &mut StdRng, id: String) -> Option<KeptConnection> {
-    let routers = board.routers.lock().clone();
+fn connect(caller_state: &CallerState, random: &mut StdRng, id: String) -> Option<KeptConnection> {
+    let routers = caller_state.routers.lock().clone();
     let router = random.random_range(0..routers.len());
     let address = routers[router]?;
-    let sent = board.now();
+    let sent = caller_state.now();
     if let Some(connection) = CallerConnection::open(address, ANSWER_TIMEOUT) {
         return Some(KeptConnection { router, connection, calls: 0 });
     }
-    let call = DraftCall::draw(board, random, id, router);
-    board.calls.lock().push(call.record(sent, board.now(), None));
+    let call = DraftCall::draw(caller_state, random, id, router);
+    caller_state.calls.lock().push(call.record(sent, caller_state.now(), None));
     None
 }
 
@@ -155,8 +155,8 @@
 }
 
 impl DraftCall {
-    fn draw(board: &CallerBoard, random: &mut StdRng, id: String, router: usize) -> Self {
-        let keys = board.keys.lock();
+    fn draw(caller_state: &CallerState, random: &mut StdRng, id: String, router: usize) -> Self {
+        let keys = caller_state.keys.lock();
         let newest = keys.len() - 1;
         let old = random.random_ratio(1, OLD_KEY_EVERY);
         let key = keys[newest.saturating_sub(usize::from(old))].clone();
--- a/crates/papayamux-measure/src/surge/run.rs
+++ b/crates/papayamux-measure/src/surge/run.rs
@@ -22,7 +22,7 @@
 use crate::tasks::TaskError;
 
 /// Time for routers to read the store and to discover each other.
-const SETTLE: Duration = Duration::from_millis(1_500);
+const STARTUP_DURATION: Duration = Duration::from_millis(1_500);
 /// Fraction of engines that drain under [`LoadPattern::EnginesGone`]: one in this many.
 const LEAVING: usize = 3;
 
@@ -100,7 +100,7 @@
         engine.list(&store, listing);
     }
     let routers = start_routers(options, policy, &store)?;
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(STARTUP_DURATION);
     let addresses =
         routers.iter().map(|router| router.0.listen()).collect::<Result<Vec<_>, _>>()?;
     let before = usages(&routers)?;
--- a/crates/papayamux-measure/tests/promise_counts.rs
+++ b/crates/papayamux-measure/tests/promise_counts.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use papayamux_measure::promises::{
-    check_booking, check_chat, AnswerFlaws, FaultKind, FaultRecord, LearnedOutcome, PromiseTally,
-    RequestRecord, RequestWork, RunTruth,
+    check_booking, check_chat, ActualRuns, AnswerFlaws, FaultKind, FaultRecord, LearnedOutcome,
+    PromiseTally, RequestRecord, RequestWork,
 };
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
 use papayamux_standins::service::ServiceAnswer;
@@ -96,9 +96,9 @@
         counts.iter().map(|(name, count)| (name.to_string(), *count)).collect()
     };
     let tags = [("refused-but-ran", 1), ("unsent-but-ran", 1), ("twice", 2), ("unknown", 1)];
-    let truth =
-        RunTruth { by_tag: counts(&tags), by_key: counts(&[("key", 2), ("other", 1)]), stuck: 0 };
-    let tally = PromiseTally::count(&records, &[], &truth);
+    let actual_runs =
+        ActualRuns { by_tag: counts(&tags), by_key: counts(&[("key", 2), ("other", 1)]), stuck: 0 };
+    let tally = PromiseTally::count(&records, &[], &actual_runs);
     assert_eq!((tally.told_not_run_but_ran, tally.ran_twice, tally.unknown), (2, 2, 1));
     assert_eq!((tally.requests, tally.interleavings, tally.broken_promises()), (7, 1, 4));
 }
@@ -109,11 +109,11 @@
     let lost = [booking("lost", LearnedOutcome::Unknown)];
     let refused = FailureBody::new(FailureCode::KeyInUse, FailureOutcome::Unknown, "in use");
     let repeat = [RequestRecord { told: Some(refused), ..lost[0].clone() }];
-    let truth = RunTruth::default();
-    let tally = PromiseTally::count(&repeat, std::slice::from_ref(&shutdown), &truth);
+    let actual_runs = ActualRuns::default();
+    let tally = PromiseTally::count(&repeat, std::slice::from_ref(&shutdown), &actual_runs);
     assert_eq!((tally.cut_by_shutdown, tally.key_unknown), (0, 1));
     let cut_by = |faults: &[FaultRecord]| {
-        PromiseTally::count(&lost, faults, &RunTruth::default()).cut_by_shutdown
+        PromiseTally::count(&lost, faults, &ActualRuns::default()).cut_by_shutdown
     };
     assert_eq!(cut_by(&[]), 0);
     assert_eq!(cut_by(std::slice::from_ref(&shutdown)), 1);
