--- a/crates/papayamux-measure/src/soak/workload.rs
+++ b/crates/papayamux-measure/src/soak/workload.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Runs one caller until the board reports the end of the soak.
+/// Runs one caller until the shared state reports the end of the soak.
 pub(super) fn run_caller(caller_state: &CallerState, number: u64, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed ^ number.wrapping_mul(SEED_SPREAD));
     let mut kept: Option<KeptConnection> = None;
--- a/crates/papayamux-measure/tests/soak_checks.rs
+++ b/crates/papayamux-measure/tests/soak_checks.rs
@@ -146,7 +146,11 @@
     history.runs.push(run("n2", "plain", 11_010));
     assert_eq!(broken(&history), [Promise::ConfigurationRises]);
     history.starts.push((0, at(10_900)));
-    assert_eq!(broken(&history), [], "a new life may begin with what it reads first");
+    assert_eq!(
+        broken(&history),
+        [],
+        "a new incarnation may start with the first version that it reads"
+    );
 }
 
 #[test]
@@ -176,7 +180,7 @@
     history.calls[0].ended = at(14_000);
     assert_eq!(broken(&history), [Promise::DeadlineKept]);
     history.disturbances.push(disturbance(Subject::Router(0), 10_500, 13_000));
-    assert_eq!(broken(&history), [], "the router stood still");
+    assert_eq!(broken(&history), [], "the router was paused");
 }
 
 #[test]
@@ -234,7 +238,7 @@
 
 #[test]
 fn request_that_keeps_crashing_servers_is_found() {
-    assert_eq!(broken(&fatal_history(9)), [], "three of them may come after routers could know");
+    assert_eq!(broken(&fatal_history(9)), [], "three runs are allowed after routers could know");
     assert_eq!(broken(&fatal_history(10)), [Promise::CrashesEnd]);
     let mut excused = fatal_history(10);
     excused.disturbances.push(disturbance(Subject::Router(0), 0, 10_500));
