--- a/crates/papayamux-measure/src/promises/truth.rs
+++ b/crates/papayamux-measure/src/promises/actual_runs.rs
@@ -1,28 +1,28 @@
-//! What really ran, as the stand-ins counted it.
+//! The actual runs, as counted by the stand-ins.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use papayamux_testbed::{wait_until, AgentStatus, Fleet, TestbedError};
 
-/// How long the fleet may take to finish what is in flight after the faults.
-const SETTLE_WITHIN: Duration = Duration::from_secs(20);
-/// Nothing may happen for this long before the counts are read.
-const QUIET_FOR: Duration = Duration::from_millis(300);
+/// Time for the fleet to finish the requests in flight after the faults.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The run counts must stay unchanged for this long before they are final.
+const QUIET_DURATION: Duration = Duration::from_millis(300);
 
 /// Run counts over all servers.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct RunTruth {
-    /// By tag, one for each request.
+pub struct ActualRuns {
+    /// Runs by tag; each tag belongs to one request.
     pub by_tag: HashMap<String, u64>,
-    /// By idempotency key.
+    /// Runs by idempotency key.
     pub by_key: HashMap<String, u64>,
-    /// Requests that agents still waited for when all else was over.
+    /// Number of requests that agents still waited for when everything else had finished.
     pub stuck: u64,
 }
 
-impl RunTruth {
-    /// Lifts all faults, waits until nothing happens any more, and reads the counts.
+impl ActualRuns {
+    /// Lifts all faults, waits until the counts no longer change, and returns them.
     pub async fn settle(fleet: &Fleet) -> Result<Self, TestbedError> {
         for router in 0..fleet.routers.len() {
             for server in 0..fleet.servers.len() {
@@ -42,30 +42,30 @@
             }
             Ok(running)
         };
-        let stuck = match wait_until(SETTLE_WITHIN, running, |running| *running == 0).await {
+        let stuck = match wait_until(SETTLE_TIMEOUT, running, |running| *running == 0).await {
             Err(TestbedError::NotReached { .. }) => running().await?,
             outcome => outcome?,
         };
-        let mut truth = Self::read(fleet).await?;
+        let mut actual_runs = Self::read(fleet).await?;
         loop {
-            monoio::time::sleep(QUIET_FOR).await;
+            monoio::time::sleep(QUIET_DURATION).await;
             let later = Self::read(fleet).await?;
-            if later == truth {
-                return Ok(Self { stuck, ..truth });
+            if later == actual_runs {
+                return Ok(Self { stuck, ..actual_runs });
             }
-            truth = later;
+            actual_runs = later;
         }
     }
 
     async fn read(fleet: &Fleet) -> Result<Self, TestbedError> {
-        let mut truth = Self::default();
+        let mut actual_runs = Self::default();
         for server in &fleet.servers {
-            add_all(&mut truth.by_tag, server.tag_runs().await?);
+            add_all(&mut actual_runs.by_tag, server.tag_runs().await?);
             if server.name.starts_with("service") {
-                add_all(&mut truth.by_key, server.service_runs().await?.by_key);
+                add_all(&mut actual_runs.by_key, server.service_runs().await?.by_key);
             }
         }
-        Ok(truth)
+        Ok(actual_runs)
     }
 }
 
--- a/crates/papayamux-measure/src/promises/server_leave.rs
+++ b/crates/papayamux-measure/src/promises/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdowns: their end, and the last new work at a server that leaves.
+//! Graceful shutdowns: waits for the exit and measures the last new work at a draining server.
 
 use std::process::ExitStatus;
 use std::sync::atomic::Ordering;
@@ -6,25 +6,25 @@
 
 use papayamux_testbed::TestbedError;
 
-use super::fault_stage::{FaultStage, StagePart};
+use super::fault_stage::{FaultStage, FleetMember};
 
-/// How often a process that ends is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// How long a process may take to end.
-const EXIT_WITHIN: Duration = Duration::from_secs(90);
+/// Interval at which an exiting process is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after which a process that has not exited is killed.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(90);
 
 impl FaultStage {
-    /// Ends a router gracefully and replaces it.
+    /// Shuts a router down gracefully and replaces it.
     pub async fn terminate_router(&self, router: usize) -> Result<(), TestbedError> {
         self.fleet.borrow().routers[router].terminate()?;
         self.shared.ready[router].store(false, Ordering::Relaxed);
-        self.wait_exit(StagePart::Router(router)).await?;
+        self.wait_exit(FleetMember::Router(router)).await?;
         self.fleet.borrow_mut().replace_router(router)?;
         self.shared.ready[router].store(true, Ordering::Relaxed);
         Ok(())
     }
 
-    /// Ends an agent gracefully, watches for new work at its server, and replaces it.
+    /// Shuts an agent down gracefully, watches for new work at its server, and replaces it.
     pub async fn terminate_agent(&self, server: usize) -> Result<(), TestbedError> {
         let notice = Instant::now();
         self.fleet.borrow().servers[server].agent.terminate()?;
@@ -39,14 +39,14 @@
         notice: Instant,
         mut runs: u64,
     ) -> Result<(), TestbedError> {
-        self.note_new_work(Duration::ZERO);
-        while self.exit_of(StagePart::Agent(server), notice)?.is_none() {
+        self.record_new_work(Duration::ZERO);
+        while self.exit_of(FleetMember::Agent(server), notice)?.is_none() {
             let runs_now = self.runs_of(server).await?;
             if runs_now > runs {
-                self.note_new_work(notice.elapsed());
+                self.record_new_work(notice.elapsed());
             }
             runs = runs_now;
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -56,26 +56,27 @@
         reader.all_runs().await
     }
 
-    async fn wait_exit(&self, part: StagePart) -> Result<(), TestbedError> {
+    async fn wait_exit(&self, member: FleetMember) -> Result<(), TestbedError> {
         let notice = Instant::now();
-        while self.exit_of(part, notice)?.is_none() {
-            monoio::time::sleep(LOOK_EVERY).await;
+        while self.exit_of(member, notice)?.is_none() {
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// How a part ended, if it has; one that does not end at all is killed, and counted.
+    /// Returns the exit status of a process that has exited. Kills one that exceeds
+    /// [`EXIT_TIMEOUT`], and counts every unsuccessful exit.
     fn exit_of(
         &self,
-        part: StagePart,
+        member: FleetMember,
         notice: Instant,
     ) -> Result<Option<ExitStatus>, TestbedError> {
         let mut fleet = self.fleet.borrow_mut();
-        let process = match part {
-            StagePart::Router(router) => &mut fleet.routers[router],
-            StagePart::Agent(server) => &mut fleet.servers[server].agent,
+        let process = match member {
+            FleetMember::Router(router) => &mut fleet.routers[router],
+            FleetMember::Agent(server) => &mut fleet.servers[server].agent,
         };
-        if notice.elapsed() > EXIT_WITHIN {
+        if notice.elapsed() > EXIT_TIMEOUT {
             process.kill()?;
         }
         let exit = process.try_exit()?;
--- a/crates/papayamux-measure/src/promises/workload.rs
+++ b/crates/papayamux-measure/src/promises/workload.rs
@@ -1,4 +1,4 @@
-//! The callers: chats and bookings, drawn from the seed, on a thread of their own.
+//! The callers: chats and bookings sampled from the seed, on a thread of their own.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -26,40 +26,40 @@
 use super::fault_stage::SharedState;
 use super::request_record::{learned_of, AnswerFlaws, LearnedOutcome, RequestRecord, RequestWork};
 
-/// Callers at work at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 24;
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Milliseconds between two requests of a caller.
+/// Time that a caller waits for an answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause between two requests of a caller, in milliseconds.
 const THINK_MS: std::ops::Range<u64> = 0..60;
-/// How often a caller goes on with one answer elsewhere.
-const MOST_RESUMES: u32 = 3;
-/// Tokens of an answer.
+/// Maximum number of times that a caller resumes one answer at another router.
+const MAX_RESUMES: u32 = 3;
+/// Number of tokens of an answer.
 const ANSWER_TOKENS: std::ops::Range<u32> = 5..80;
-/// Of 100 requests, how many are chats.
+/// Percentage of requests that are chats.
 const CHATS_IN_100: u32 = 55;
-/// Of 100 bookings, how many have a key.
+/// Percentage of bookings with an idempotency key.
 const KEYED_IN_100: u32 = 75;
-/// Of 100 bookings with a key, how many are sent twice at the same time.
-const TWINS_IN_100: u32 = 25;
-/// Of 100 bookings with a key that were answered, how many are repeated all the same.
+/// Percentage of bookings with a key that are sent twice at the same time.
+const CONCURRENT_DUPLICATES_IN_100: u32 = 25;
+/// Percentage of answered bookings with a key that are retried nevertheless.
 const REPEATED_IN_100: u32 = 50;
 
-/// What the callers do.
+/// Parameters of the workload.
 #[derive(Debug, Clone)]
 pub struct WorkloadPlan {
-    /// Draws everything.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Requests after which the callers stop; repeats count.
+    /// Number of requests, including retries, after which the callers stop.
     pub requests: usize,
-    /// Where the routers listen.
+    /// Addresses of the routers.
     pub routers: Vec<SocketAddr>,
-    /// What is shared with the injectors.
+    /// State shared with the injectors.
     pub shared: Arc<SharedState>,
 }
 
 /// All callers of one run.
-struct CallerCrowd {
+struct ClientPool {
     plan: WorkloadPlan,
     drawn: Cell<u64>,
     records: RefCell<Vec<RequestRecord>>,
@@ -73,21 +73,21 @@
     body: String,
 }
 
-/// Runs the callers to their end.
+/// Runs the callers until all have finished.
 pub fn run_workload(plan: WorkloadPlan) -> std::io::Result<Vec<RequestRecord>> {
     let shared = plan.shared.clone();
     let records = runtime::run(async {
-        let crowd =
-            Rc::new(CallerCrowd { plan, drawn: Cell::default(), records: RefCell::default() });
-        let callers = (0..CALLERS).map(|_| monoio::spawn(crowd.clone().send_until_enough()));
+        let pool =
+            Rc::new(ClientPool { plan, drawn: Cell::default(), records: RefCell::default() });
+        let callers = (0..CALLERS).map(|_| monoio::spawn(pool.clone().send_until_enough()));
         futures_util::future::join_all(callers.collect::<Vec<_>>()).await;
-        crowd.records.take()
+        pool.records.take()
     });
     shared.finished.store(true, Ordering::Relaxed);
     records
 }
 
-impl CallerCrowd {
+impl ClientPool {
     async fn send_until_enough(self: Rc<Self>) {
         while self.records.borrow().len() < self.plan.requests {
             let number = self.drawn.replace(self.drawn.get() + 1);
@@ -113,13 +113,13 @@
         let caller = Caller::new(self.plan.routers[router], "yanchang-desk");
         let headers = [(TAG_HEADER, tag.as_str())];
         let sent = Instant::now();
-        let mut outcome = self.patiently(caller.chat_once(&request, &headers)).await;
+        let mut outcome = self.with_timeout(caller.chat_once(&request, &headers)).await;
         let mut resumes = 0;
-        while let (Some(partial), true) = (resumable(&outcome), resumes < MOST_RESUMES) {
+        while let (Some(partial), true) = (resumable(&outcome), resumes < MAX_RESUMES) {
             resumes += 1;
             let next = self.ready_from(router + resumes as usize);
             let caller = Caller::new(self.plan.routers[next], "yanchang-desk");
-            let resumed = self.patiently(caller.resume_once(&request, partial)).await;
+            let resumed = self.with_timeout(caller.resume_once(&request, partial)).await;
             if !matches!(resumed, Some(CallerOutcome::Answered(_) | CallerOutcome::Broken(_))) {
                 break;
             }
@@ -129,7 +129,7 @@
             outcome.as_ref().map_or_else(AnswerFlaws::default, |o| check_chat(o, &expected));
         let server = outcome.as_ref().and_then(chat_server);
         let record = record_of(&outcome, RequestWork::Chat, router, sent);
-        self.note(RequestRecord { tag: tag.clone(), server, flaws, resumes, ..record });
+        self.add_record(RequestRecord { tag: tag.clone(), server, flaws, resumes, ..record });
     }
 
     async fn send_bookings(&self, number: u64, random: &mut StdRng) {
@@ -140,7 +140,7 @@
         let order = BookingOrder { tag: format!("booking-{number}"), key, path, body };
         let router = self.pick_router(random);
         let other = self.other_router(router);
-        if keyed && random.random_range(0..100) < TWINS_IN_100 {
+        if keyed && random.random_range(0..100) < CONCURRENT_DUPLICATES_IN_100 {
             let first = self.send_booking(&order, router, 0);
             futures_util::future::join(first, self.send_booking(&order, other, 1)).await;
         } else {
@@ -165,7 +165,7 @@
         let body = Bytes::from(order.body.clone());
         let sent = Instant::now();
         let call = caller.call_once(Method::POST, &order.path, &headers, body);
-        let outcome = self.patiently(call).await;
+        let outcome = self.with_timeout(call).await;
         let answer = match &outcome {
             Some(CallerOutcome::Answered(body)) => Some(serde_json::from_slice(body).ok()),
             _ => None,
@@ -176,7 +176,7 @@
         let server = answer.flatten().map(|answer: ServiceAnswer| answer.service);
         let record = record_of(&outcome, RequestWork::Booking, router, sent);
         let learned = record.learned;
-        self.note(RequestRecord {
+        self.add_record(RequestRecord {
             tag: tag.clone(),
             key: order.key.clone(),
             server,
@@ -186,18 +186,18 @@
         learned
     }
 
-    /// Waits for an outcome as long as a caller does.
-    async fn patiently<A>(
+    /// Awaits a call's outcome for at most [`CALL_TIMEOUT`]; returns `None` on timeout.
+    async fn with_timeout<A>(
         &self,
         call: impl std::future::Future<Output = CallerOutcome<A>>,
     ) -> Option<CallerOutcome<A>> {
         self.plan.shared.in_flight.fetch_add(1, Ordering::Relaxed);
-        let outcome = monoio::time::timeout(PATIENCE, call).await.ok();
+        let outcome = monoio::time::timeout(CALL_TIMEOUT, call).await.ok();
         self.plan.shared.in_flight.fetch_sub(1, Ordering::Relaxed);
         outcome
     }
 
-    /// Any router that the balancer sends callers to.
+    /// Returns a random router that the load balancer sends callers to.
     fn pick_router(&self, random: &mut StdRng) -> usize {
         let drawn = random.random_range(0..self.plan.routers.len());
         self.ready_from(drawn)
@@ -207,7 +207,8 @@
         self.ready_from(router + 1)
     }
 
-    /// The first router, from a place on, that the balancer sends callers to.
+    /// Returns the first router, counting from `first`, that the load balancer sends callers to;
+    /// `first` itself if there is none.
     fn ready_from(&self, first: usize) -> usize {
         let count = self.plan.routers.len();
         let first = first % count;
@@ -215,12 +216,13 @@
         (0..count).map(|step| (first + step) % count).find(is_ready).unwrap_or(first)
     }
 
-    fn note(&self, record: RequestRecord) {
+    fn add_record(&self, record: RequestRecord) {
         self.records.borrow_mut().push(record);
     }
 }
 
-/// What every record says of an outcome; `None` is a caller that gave up.
+/// Returns the record fields common to all requests; an outcome of `None` is a caller that timed
+/// out.
 fn record_of<A>(
     outcome: &Option<CallerOutcome<A>>,
     work: RequestWork,
@@ -247,7 +249,7 @@
     }
 }
 
-/// What came of an answer that may go on elsewhere.
+/// Returns the partial answer if the caller may resume it at another router.
 fn resumable(outcome: &Option<CallerOutcome<CallerAnswer>>) -> Option<CallerAnswer> {
     let Some(CallerOutcome::Broken(error)) = outcome else { return None };
     let is_cut = matches!(error, CallerError::Partial { .. } | CallerError::Told { .. });
--- a/crates/papayamux-measure/src/soak/fatal_requests.rs
+++ b/crates/papayamux-measure/src/soak/fatal_requests.rs
@@ -1,4 +1,4 @@
-//! A request under which every engine ends, repeated at any router.
+//! A client that keeps sending a request which crashes every engine, to any router.
 
 use std::time::Duration;
 
@@ -9,36 +9,36 @@
 use rand::{RngExt, SeedableRng};
 
 use super::checks::DEADLINE;
-use super::history::{CallKind, CallRecord, Told};
+use super::history::{CallKind, CallRecord, CallResult};
 use super::servers::FATAL_BODY;
-use super::workload::CallerBoard;
+use super::workload::CallerState;
 
-/// The pause between two repetitions, in milliseconds.
+/// Pause between two attempts, in milliseconds.
 const PAUSE_MILLIS: std::ops::Range<u64> = 50..600;
-/// What the draws of this caller differ by from those of faults.
+/// Separates this client's random sequence from that of the faults.
 const SERIES: u64 = 0x6661_7461_6c00;
 
-/// Repeats the request until the board says that faults are over.
-pub(super) fn run_fatal_caller(board: &CallerBoard, seed: u64) -> Vec<CallRecord> {
+/// Sends the request again and again until fault injection is over.
+pub(super) fn run_fatal_caller(caller_state: &CallerState, seed: u64) -> Vec<CallRecord> {
     let mut random = StdRng::seed_from_u64(seed ^ SERIES);
     let mut calls = Vec::new();
-    while !board.faults_are_over() {
+    while !caller_state.faults_are_over() {
         std::thread::sleep(Duration::from_millis(random.random_range(PAUSE_MILLIS)));
-        let routers = board.routers();
+        let routers = caller_state.routers();
         let router = random.random_range(0..routers.len());
         let Some(address) = routers[router] else { continue };
-        let (id, key) = (format!("fatal-{:x}", calls.len()), board.newest_key());
-        let sent = board.now();
+        let (id, key) = (format!("fatal-{:x}", calls.len()), caller_state.newest_key());
+        let sent = caller_state.now();
         let connection = CallerConnection::open(address, DEADLINE);
         let text = text(&id, &key);
         let answer = connection.and_then(|mut connection| connection.exchange(&text));
-        let told = match answer {
-            Some(answer) if answer.whole && answer.promises_not_run() => Told::NotRun,
-            Some(answer) if answer.whole => Told::Failed(answer.status),
-            _ => Told::Nothing,
+        let result = match answer {
+            Some(answer) if answer.whole && answer.promises_not_run() => CallResult::NotRun,
+            Some(answer) if answer.whole => CallResult::Failed(answer.status),
+            _ => CallResult::Nothing,
         };
         let kind = CallKind::ResumableStream;
-        calls.push(CallRecord { id, kind, router, key, sent, ended: board.now(), told });
+        calls.push(CallRecord { id, kind, router, key, sent, ended: caller_state.now(), result });
     }
     calls
 }
--- a/crates/papayamux-measure/src/soak/fleet.rs
+++ b/crates/papayamux-measure/src/soak/fleet.rs
@@ -1,4 +1,4 @@
-//! The soak's processes: routers, and proxies on their links.
+//! The processes of a soak: routers, and fault proxies on their links.
 
 use std::io::Write;
 use std::net::UdpSocket;
@@ -11,8 +11,8 @@
 use super::checks::{
     APPLY_WITHIN, DRAIN_WITHIN, RETRY_RATIO, RETRY_SLACK, RETRY_WINDOW, REVOKE_WITHIN,
 };
-use super::servers::{start_server, RunBook};
-use super::workload::CallerBoard;
+use super::servers::{start_server, RunLog};
+use super::workload::CallerState;
 use crate::front_settings::FrontSettings;
 
 /// The program under test.
@@ -25,27 +25,28 @@
     settings: tempfile::NamedTempFile,
 }
 
-/// A server and the link that leads to it.
+/// A server and the link through which routers reach it.
 pub(super) struct SoakServer {
     pub(super) server: ServerStandIn,
     pub(super) link: LinkControl,
-    /// How often it has started.
+    /// Number of starts, the first included.
     pub(super) starts: u64,
-    /// Whether routers reach it without the link.
+    /// `true` if routers connect to the server directly instead of through the link.
     is_direct: bool,
 }
 
 impl SoakServer {
-    /// Starts a server and writes it into the store, at its link's address.
+    /// Starts a server and writes its entry into the store with the address of its link, or with
+    /// its own address if it may crash.
     pub(super) fn start(
         store: &StoreStandIn,
-        book: &RunBook,
+        run_log: &RunLog,
         service: &str,
         id: &str,
     ) -> Result<Self, TestbedError> {
-        let server = start_server(id, service, book);
+        let server = start_server(id, service, run_log);
         let link = LinkControl::start(server.address)?;
-        let started = Self { server, link, starts: 1, is_direct: book.may_end(service) };
+        let started = Self { server, link, starts: 1, is_direct: run_log.may_crash(service) };
         started.list(store, false)?;
         Ok(started)
     }
@@ -63,7 +64,7 @@
         Ok(())
     }
 
-    /// Ends its connections and lists it as started again.
+    /// Cuts the server's connections and lists it as restarted.
     pub(super) async fn restart(&mut self, store: &StoreStandIn) -> Result<(), TestbedError> {
         self.link.cut().await?;
         self.starts += 1;
@@ -71,19 +72,19 @@
     }
 }
 
-/// All of it.
+/// All processes and shared state of a soak.
 pub(super) struct SoakFleet {
     pub(super) store: StoreStandIn,
-    pub(super) book: RunBook,
-    pub(super) board: Arc<CallerBoard>,
+    pub(super) run_log: RunLog,
+    pub(super) caller_state: Arc<CallerState>,
     pub(super) routers: Vec<SoakRouter>,
     pub(super) servers: Vec<SoakServer>,
-    /// What entries of other writers would lead to.
+    /// Server that the entries of other writers point to.
     pub(super) foreign: ServerStandIn,
 }
 
 impl SoakFleet {
-    /// Writes entries that name no server, the last in place of a server's own.
+    /// Writes entries that describe no valid server; the last replaces the entry of `server`.
     pub(super) fn write_foreign_entries(&self, server: usize) {
         let proper = self.foreign.entry("ready");
         let changed = [
@@ -101,7 +102,7 @@
         self.store.put_bytes(&self.servers[server].server.key(), b"\xff\x00");
     }
 
-    /// Starts routers, each on a loopback address of its own, before a store with a configuration.
+    /// Starts the routers, each with its own loopback address and its own link to the store.
     pub(super) fn start_routers(&mut self, count: usize) -> Result<(), TestbedError> {
         let peers_port = UdpSocket::bind("127.0.0.1:0")?.local_addr()?.port();
         for index in 0..count {
@@ -121,13 +122,13 @@
         let router = &mut self.routers[index];
         let file = router.settings.path().to_string_lossy().into_owned();
         let process = ProcessHandle::start(ROUTER, &[file])?;
-        self.board.set_router(index, Some(process.listen()?));
+        self.caller_state.set_router(index, Some(process.listen()?));
         router.process = Some(process);
         Ok(())
     }
 }
 
-/// The bounds that the checks judge by.
+/// Returns the settings section with the bounds that the checks use.
 fn bounds() -> String {
     format!(
         "[bounds]\ngrace = 4s\nrevoke_within = {}ms\napply_within = {}ms\ndrain_within = {}ms\n\
--- a/crates/papayamux-measure/src/soak/injector.rs
+++ b/crates/papayamux-measure/src/soak/injector.rs
@@ -1,4 +1,4 @@
-//! Applies the drawn faults, and notes what each disturbs.
+//! Applies the scheduled faults and records what each of them disturbs.
 
 use std::time::Duration;
 
@@ -10,47 +10,55 @@
 use super::fleet::{SoakFleet, SoakServer};
 use super::history::{ConfigurationRecord, DisturbanceRecord, SoakHistory, Subject};
 
-/// By how much a slow link is late: more than a retransmission, less than a silence is borne.
+/// Delay of a slow link: longer than a retransmission, shorter than the silence that connections
+/// tolerate.
 const LINK_DELAY_MS: u64 = 120;
-/// How long a router that is asked to end may take, beyond its grace of 4 s.
-const END_WITHIN: Duration = Duration::from_secs(6);
-/// Keys that are good at once.
-const MOST_KEYS: usize = 2;
-/// How long a leaving server is listed as draining.
-const LISTED_DRAINING: Duration = Duration::from_secs(3);
+/// Time that a router may take to exit after a shutdown request; it exceeds the router's grace
+/// period of 4 s.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(6);
+/// Maximum number of keys valid at once.
+const MAX_ACTIVE_KEYS: usize = 2;
+/// Time for which a removed server stays listed as draining.
+const DRAINING_ENTRY_DURATION: Duration = Duration::from_secs(3);
 
-/// A fault that is under way.
+/// A fault in progress.
 struct OpenFault {
     planned: PlannedFault,
     until: Duration,
     disturbance: usize,
-    /// The router's process that it struck.
+    /// Process identifier of the affected router when the fault began.
     process: Option<u32>,
 }
 
-/// Plays faults against a fleet.
+/// Injects faults into a fleet.
 pub(super) struct FaultInjector {
     pub(super) fleet: SoakFleet,
     pub(super) history: SoakHistory,
     draft: ConfigurationDraft,
     open: Vec<OpenFault>,
-    leaving: Vec<(SoakServer, Duration)>,
+    draining_servers: Vec<(SoakServer, Duration)>,
     replaced: u32,
 }
 
 impl FaultInjector {
-    /// Begins with a configuration in the store.
+    /// Creates an injector and writes the first configuration into the store.
     pub(super) fn new(fleet: SoakFleet, draft: ConfigurationDraft) -> Self {
         let history = SoakHistory::default();
-        let mut injector =
-            Self { fleet, history, draft, open: Vec::new(), leaving: Vec::new(), replaced: 0 };
+        let mut injector = Self {
+            fleet,
+            history,
+            draft,
+            open: Vec::new(),
+            draining_servers: Vec::new(),
+            replaced: 0,
+        };
         injector.write_configuration();
         injector
     }
 
-    /// Begins a fault.
+    /// Starts a fault.
     pub(super) async fn begin(&mut self, planned: PlannedFault) -> Result<(), TestbedError> {
-        let now = self.fleet.board.now();
+        let now = self.fleet.caller_state.now();
         self.history.disturbances.push(DisturbanceRecord {
             subject: self.subject(planned),
             from: now,
@@ -64,9 +72,9 @@
         Ok(())
     }
 
-    /// Ends the faults whose time is over.
+    /// Ends the faults whose duration is over.
     pub(super) async fn end_due(&mut self) -> Result<(), TestbedError> {
-        let now = self.fleet.board.now();
+        let now = self.fleet.caller_state.now();
         let (due, open) = std::mem::take(&mut self.open)
             .into_iter()
             .partition::<Vec<_>, _>(|fault| fault.until <= now);
@@ -74,16 +82,16 @@
         for fault in due {
             self.end(fault).await?;
         }
-        self.remove_left(now);
+        self.remove_drained(now);
         Ok(())
     }
 
-    /// Ends everything that is still under way.
+    /// Ends all faults in progress.
     pub(super) async fn end_all(&mut self) -> Result<(), TestbedError> {
         for fault in std::mem::take(&mut self.open) {
             self.end(fault).await?;
         }
-        self.history.calm_from = self.fleet.board.now();
+        self.history.calm_from = self.fleet.caller_state.now();
         Ok(())
     }
 
@@ -105,7 +113,7 @@
             | FaultKind::MuteServerLink
             | FaultKind::RestartServer
             | FaultKind::WriteEntries => Subject::Servers,
-            // Planned work disturbs nothing: the routers' bounds hold beside it.
+            // Planned work disturbs nothing: the routers' bounds hold during it.
             FaultKind::DrainServer | FaultKind::ChangeConfiguration | FaultKind::ReplaceKey => {
                 Subject::Order
             }
@@ -170,8 +178,8 @@
         match planned.kind {
             FaultKind::KillRouter => self.restart(router)?,
             FaultKind::EndRouter => {
-                self.fleet.board.set_router(router, None);
-                // Another fault's end may have put a new process in its place.
+                self.fleet.caller_state.set_router(router, None);
+                // The end of another fault may have started a new process in the meantime.
                 if self.process_id(router) == fault.process {
                     self.wait_for_end(router)?;
                 }
@@ -201,11 +209,11 @@
             | FaultKind::ChangeConfiguration
             | FaultKind::ReplaceKey => {}
         }
-        self.history.disturbances[fault.disturbance].until = self.fleet.board.now();
+        self.history.disturbances[fault.disturbance].until = self.fleet.caller_state.now();
         Ok(())
     }
 
-    /// Sends a signal, unless the process has been ended by another fault.
+    /// Sends a signal to a router unless another fault has already ended its process.
     fn signal_router(
         &mut self,
         router: usize,
@@ -219,7 +227,7 @@
     }
 
     fn kill(&mut self, router: usize) -> Result<(), TestbedError> {
-        self.fleet.board.set_router(router, None);
+        self.fleet.caller_state.set_router(router, None);
         if let Some(mut process) = self.fleet.routers[router].process.take() {
             process.kill()?;
         }
@@ -230,17 +238,17 @@
         self.fleet.routers[router].process.as_ref().map(papayamux_testbed::ProcessHandle::id)
     }
 
-    /// Waits for a router that was asked to end; one that does not is killed.
+    /// Waits for a router to exit after a shutdown request; kills and records one that does not.
     fn wait_for_end(&mut self, router: usize) -> Result<(), TestbedError> {
         let Some(process) = &mut self.fleet.routers[router].process else { return Ok(()) };
-        if process.wait_exit(END_WITHIN).is_err() {
+        if process.wait_exit(SHUTDOWN_TIMEOUT).is_err() {
             process.kill()?;
-            self.history.stuck_ends.push((router, self.fleet.board.now()));
+            self.history.stuck_ends.push((router, self.fleet.caller_state.now()));
         }
         Ok(())
     }
 
-    /// Starts a router again, unless another fault's end has done so.
+    /// Restarts a router unless the end of another fault has already done so.
     fn restart(&mut self, router: usize) -> Result<(), TestbedError> {
         let ended = match &mut self.fleet.routers[router].process {
             Some(process) => process.try_exit()?.is_some(),
@@ -248,7 +256,7 @@
         };
         if ended {
             self.fleet.start_router(router)?;
-            self.history.starts.push((router, self.fleet.board.now()));
+            self.history.starts.push((router, self.fleet.caller_state.now()));
         }
         Ok(())
     }
@@ -257,18 +265,18 @@
         self.replaced += 1;
         let old = self.fleet.servers[index].server.clone();
         let id = format!("s-{}", self.replaced);
-        let fresh = SoakServer::start(&self.fleet.store, &self.fleet.book, old.service(), &id)?;
-        let leaving = std::mem::replace(&mut self.fleet.servers[index], fresh);
-        leaving.list(&self.fleet.store, true)?;
-        let now = self.fleet.board.now();
-        self.history.drains.push((leaving.server.id.clone(), now));
-        self.leaving.push((leaving, now + LISTED_DRAINING));
+        let fresh = SoakServer::start(&self.fleet.store, &self.fleet.run_log, old.service(), &id)?;
+        let draining = std::mem::replace(&mut self.fleet.servers[index], fresh);
+        draining.list(&self.fleet.store, true)?;
+        let now = self.fleet.caller_state.now();
+        self.history.drains.push((draining.server.id.clone(), now));
+        self.draining_servers.push((draining, now + DRAINING_ENTRY_DURATION));
         Ok(())
     }
 
-    /// Takes servers that have drained off the list; they go on serving what they have.
-    fn remove_left(&mut self, now: Duration) {
-        for (server, until) in &mut self.leaving {
+    /// Removes drained servers from the list; they go on serving their requests in flight.
+    fn remove_drained(&mut self, now: Duration) {
+        for (server, until) in &mut self.draining_servers {
             if *until <= now {
                 server.server.unlist(&self.fleet.store);
                 *until = Duration::MAX;
@@ -285,24 +293,24 @@
         self.write_configuration();
     }
 
-    /// Adds a key and takes the one before the last away.
+    /// Adds a key and revokes the oldest one once there are too many.
     fn replace_key(&mut self) {
         let key = format!("key-{}", self.draft.version);
         for organisation in &mut self.draft.organisations {
             organisation.keys.push(key.clone());
-            if organisation.keys.len() > MOST_KEYS {
+            if organisation.keys.len() > MAX_ACTIVE_KEYS {
                 organisation.keys.remove(0);
             }
         }
         self.write_configuration();
-        self.fleet.board.add_key(&key);
+        self.fleet.caller_state.add_key(&key);
     }
 
     fn write_configuration(&mut self) {
         self.draft.version += 2;
         self.fleet.store.put_configuration(&self.draft);
         let record = ConfigurationRecord {
-            at: self.fleet.board.now(),
+            at: self.fleet.caller_state.now(),
             service: self.draft.plain_service.clone(),
             keys: self.draft.organisations.iter().flat_map(|one| one.keys.clone()).collect(),
         };
--- a/crates/papayamux-measure/src/soak/run.rs
+++ b/crates/papayamux-measure/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! Runs a soak and reports.
+//! Runs a soak and prints its report.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,25 +10,28 @@
 use super::fatal_requests::run_fatal_caller;
 use super::fault_kind::{draw_faults, draw_with_entries};
 use super::fleet::{SoakFleet, SoakServer};
-use super::history::{SoakHistory, Told};
+use super::history::{CallResult, SoakHistory};
 use super::injector::FaultInjector;
 use super::options::SoakOptions;
-use super::servers::{start_foreign_server, RunBook};
-use super::workload::{run_caller, CallerBoard};
+use super::servers::{start_foreign_server, RunLog};
+use super::workload::{run_caller, CallerState};
 use crate::tasks::TaskError;
 
-/// How often faults are looked at.
-const TICK: Duration = Duration::from_millis(20);
-/// How long all is left alone at the end: recovery, and some seconds in which all must be served.
-const CALM: Duration = Duration::from_secs(12);
-/// How long the fleet has before callers come.
-const SETTLE: Duration = Duration::from_secs(2);
-/// The services and whether they are engines'.
+/// Interval at which due faults are checked for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Undisturbed time at the end: the recovery, and some seconds in which every request must be
+/// served.
+const RECOVERY_DURATION: Duration = Duration::from_secs(12);
+/// Time for the fleet to start up before callers connect.
+const STARTUP_DURATION: Duration = Duration::from_secs(2);
+/// The services; `llm` is the one of engines.
 const SERVICES: [&str; 3] = ["plain", "other", "llm"];
 
-/// Runs a soak; fails where a promise was broken.
+/// Runs a soak and prints its report.
+///
+/// Returns an error if a guarantee was broken.
 pub fn run_soak(options: &SoakOptions) -> Result<(), TaskError> {
-    let history = runtime::run(play(options))??;
+    let history = runtime::run(simulate(options))??;
     let violations = check_history(&history);
     print_report(options, &history, &violations);
     match violations.is_empty() {
@@ -37,21 +40,21 @@
     }
 }
 
-async fn play(options: &SoakOptions) -> Result<SoakHistory, TaskError> {
+async fn simulate(options: &SoakOptions) -> Result<SoakHistory, TaskError> {
     let begun = Instant::now();
     let mut injector = start(options, begun)?;
-    monoio::time::sleep(SETTLE).await;
+    monoio::time::sleep(STARTUP_DURATION).await;
     let callers: Vec<_> = (0..options.callers as u64)
         .map(|number| {
-            let (board, seed) = (injector.fleet.board.clone(), options.seed);
-            std::thread::spawn(move || run_caller(&board, number, seed))
+            let (caller_state, seed) = (injector.fleet.caller_state.clone(), options.seed);
+            std::thread::spawn(move || run_caller(&caller_state, number, seed))
         })
         .collect();
     let fatal = options.fatal.then(|| {
-        let (board, seed) = (injector.fleet.board.clone(), options.seed);
-        std::thread::spawn(move || run_fatal_caller(&board, seed))
+        let (caller_state, seed) = (injector.fleet.caller_state.clone(), options.seed);
+        std::thread::spawn(move || run_fatal_caller(&caller_state, seed))
     });
-    let offset = injector.fleet.board.now();
+    let offset = injector.fleet.caller_state.now();
     let faults = match options.entries {
         true => draw_with_entries(options.seed, options.length),
         false => draw_faults(options.seed, options.length),
@@ -64,69 +67,71 @@
             fault.length.as_secs_f64(),
             fault.target
         );
-        while injector.fleet.board.now() < offset + fault.at {
-            monoio::time::sleep(TICK).await;
+        while injector.fleet.caller_state.now() < offset + fault.at {
+            monoio::time::sleep(POLL_INTERVAL).await;
             injector.end_due().await?;
         }
         injector.begin(fault).await?;
     }
-    injector.fleet.board.end_faults();
+    injector.fleet.caller_state.end_faults();
     if let Some(fatal) = fatal {
-        injector.history.fatal_calls = fatal.join().map_err(|_| "the fatal caller panicked")?;
+        injector.history.fatal_calls =
+            fatal.join().map_err(|_| "the caller of the fatal request panicked")?;
     }
     injector.end_all().await?;
-    let calm_until = injector.fleet.board.now() + CALM;
-    while injector.fleet.board.now() < calm_until {
-        monoio::time::sleep(TICK).await;
+    let calm_until = injector.fleet.caller_state.now() + RECOVERY_DURATION;
+    while injector.fleet.caller_state.now() < calm_until {
+        monoio::time::sleep(POLL_INTERVAL).await;
         injector.end_due().await?;
     }
-    injector.fleet.board.end();
+    injector.fleet.caller_state.end();
     for caller in callers {
         caller.join().map_err(|_| "a caller panicked")?;
     }
     let mut history = injector.history;
-    history.calls = injector.fleet.board.take_calls();
-    history.runs = injector.fleet.book.take();
-    history.fatal_runs = injector.fleet.book.take_fatal();
+    history.calls = injector.fleet.caller_state.take_calls();
+    history.runs = injector.fleet.run_log.take();
+    history.fatal_runs = injector.fleet.run_log.take_fatal();
     Ok(history)
 }
 
 fn start(options: &SoakOptions, begun: Instant) -> Result<FaultInjector, TaskError> {
     let store = StoreStandIn::start();
-    let book = RunBook::new(begun, options.fatal);
-    let board = CallerBoard::new(begun, options.routers, KEY);
+    let run_log = RunLog::new(begun, options.fatal);
+    let caller_state = CallerState::new(begun, options.routers, KEY);
     let mut servers = Vec::new();
     for service in SERVICES {
         for number in 0..options.servers {
             let id = format!("{service}-{number}");
-            servers.push(SoakServer::start(&store, &book, service, &id)?);
+            servers.push(SoakServer::start(&store, &run_log, service, &id)?);
         }
     }
-    let foreign = start_foreign_server(&book);
-    let fleet = SoakFleet { store, book, board, routers: Vec::new(), servers, foreign };
+    let foreign = start_foreign_server(&run_log);
+    let fleet = SoakFleet { store, run_log, caller_state, routers: Vec::new(), servers, foreign };
     let mut injector = FaultInjector::new(fleet, ConfigurationDraft::default());
     injector.fleet.start_routers(options.routers)?;
     Ok(injector)
 }
 
 fn print_report(options: &SoakOptions, history: &SoakHistory, violations: &[Violation]) {
-    let mut told: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for call in &history.calls {
-        let name = match call.told {
-            Told::Served => "served",
-            Told::Wrong(_) => "wrong",
-            Told::NotRun => "not run",
-            Told::Failed(_) => "failed",
-            Told::Nothing => "cut off",
+        let name = match call.result {
+            CallResult::Served => "served",
+            CallResult::Wrong(_) => "wrong",
+            CallResult::NotRun => "not run",
+            CallResult::Failed(_) => "failed",
+            CallResult::Nothing => "cut off",
         };
-        *told.entry(name).or_default() += 1;
+        *counts.entry(name).or_default() += 1;
     }
-    let told: Vec<_> = told.into_iter().map(|(name, count)| format!("{name} {count}")).collect();
+    let counts: Vec<_> =
+        counts.into_iter().map(|(name, count)| format!("{name} {count}")).collect();
     println!(
         "seed {}: {} requests ({}), {} runs, {} faults, {} configurations, {} broken",
         options.seed,
         history.calls.len(),
-        told.join(", "),
+        counts.join(", "),
         history.runs.len(),
         history.disturbances.len(),
         history.configurations.len(),
--- a/crates/papayamux-measure/src/soak/workload.rs
+++ b/crates/papayamux-measure/src/soak/workload.rs
@@ -1,4 +1,4 @@
-//! Callers: what they send, and what they make of the answers.
+//! Callers: the requests that they send and the checks of the answers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,30 +13,30 @@
 use rand::{RngExt, SeedableRng};
 
 use super::checks::DEADLINE;
-use super::history::{CallKind, CallRecord, Told};
+use super::history::{CallKind, CallRecord, CallResult};
 use super::servers::{plain_body, stream_event, EVENTS};
 
-/// How long a caller waits for more of an answer: longer than its deadline, so that a request that
-/// is never answered is seen.
-const WAIT_WITHIN: Duration = Duration::from_secs(6);
-/// The pause between two requests of a caller, in milliseconds.
+/// Time that a caller waits for more of an answer. It exceeds the request's deadline so that a
+/// request which is never answered is detected.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+/// Pause between two requests of a caller, in milliseconds.
 const PAUSE_MILLIS: std::ops::Range<u64> = 2..30;
-/// Callers that go on with the key that was replaced: one in this many requests.
+/// One in this many requests still carries the key that was replaced.
 const OLD_KEY_EVERY: u32 = 5;
-/// Requests of a caller on one connection.
+/// Maximum number of requests on one connection.
 const CALLS_PER_CONNECTION: u32 = 40;
 
-/// The prompt of every stream: a shared part and one of its own. Their sizes matter to no check.
+/// Prompt of every stream: a shared part and one of its own. No check depends on their sizes.
 const PROMPT_PARTS: [CallPart; 2] =
     [CallPart { id: 0x5c1e, tokens: 800 }, CallPart { id: 0x91bd, tokens: 660 }];
-/// The most tokens of a stream's answer.
+/// Maximum number of tokens in the answer of a stream.
 const ANSWER_TOKENS: u64 = 80;
-/// Spreads the callers' numbers over the seeds (the golden ratio in 64 bits).
+/// Derives a distinct seed for each caller (the golden ratio in 64 bits).
 const SEED_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What callers share with whoever changes the fleet.
+/// State shared between the callers and the fault injector.
 #[derive(Debug)]
-pub(super) struct CallerBoard {
+pub(super) struct CallerState {
     begun: Instant,
     routers: Mutex<Vec<Option<SocketAddr>>>,
     keys: Mutex<Vec<String>>,
@@ -45,7 +45,7 @@
     ended: AtomicBool,
 }
 
-impl CallerBoard {
+impl CallerState {
     pub(super) fn new(begun: Instant, routers: usize, key: &str) -> Arc<Self> {
         Arc::new(Self {
             begun,
@@ -61,7 +61,7 @@
         self.begun.elapsed()
     }
 
-    /// Where a router is, once it is there.
+    /// Sets the address of a router, or `None` while the router is down.
     pub(super) fn set_router(&self, router: usize, address: Option<SocketAddr>) {
         self.routers.lock()[router] = address;
     }
@@ -71,17 +71,17 @@
         self.keys.lock().push(key.to_string());
     }
 
-    /// Where all routers are.
+    /// Returns the addresses of all routers.
     pub(super) fn routers(&self) -> Vec<Option<SocketAddr>> {
         self.routers.lock().clone()
     }
 
-    /// The key that was added last.
+    /// Returns the most recently added key.
     pub(super) fn newest_key(&self) -> String {
         self.keys.lock().last().cloned().unwrap_or_default()
     }
 
-    /// Notes that there are no more faults.
+    /// Records that fault injection is over.
     pub(super) fn end_faults(&self) {
         self.faults_over.store(true, Ordering::Relaxed);
     }
@@ -99,51 +99,51 @@
     }
 }
 
-/// One caller, until the board says that it is over.
-pub(super) fn run_caller(board: &CallerBoard, number: u64, seed: u64) {
+/// Runs one caller until the shared state reports the end of the soak.
+pub(super) fn run_caller(caller_state: &CallerState, number: u64, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed ^ number.wrapping_mul(SEED_SPREAD));
     let mut kept: Option<KeptConnection> = None;
     let mut count = 0u64;
-    while !board.ended.load(Ordering::Relaxed) {
+    while !caller_state.ended.load(Ordering::Relaxed) {
         std::thread::sleep(Duration::from_millis(random.random_range(PAUSE_MILLIS)));
         count += 1;
         let id = format!("{number:x}-{count:x}");
         if kept.as_ref().is_none_or(|kept| kept.calls >= CALLS_PER_CONNECTION) {
-            kept = connect(board, &mut random, id.clone());
+            kept = connect(caller_state, &mut random, id.clone());
         }
         let Some(connection) = &mut kept else { continue };
-        let call = DraftCall::draw(board, &mut random, id, connection.router);
-        let sent = board.now();
+        let call = DraftCall::draw(caller_state, &mut random, id, connection.router);
+        let sent = caller_state.now();
         connection.calls += 1;
         let answer = connection.connection.exchange(&call.text());
         let ends = answer.as_ref().is_none_or(Answer::ends_connection);
-        let record = call.record(sent, board.now(), answer.as_ref());
-        board.calls.lock().push(record);
+        let record = call.record(sent, caller_state.now(), answer.as_ref());
+        caller_state.calls.lock().push(record);
         if ends {
             kept = None;
         }
     }
 }
 
-/// A connection that is used for several requests.
+/// A connection reused for several requests.
 struct KeptConnection {
     router: usize,
     connection: CallerConnection,
     calls: u32,
 }
 
-/// A connection to a router that is there; a failure to connect is recorded as a request without an
-/// answer, so that a router which takes nobody is seen.
-fn connect(board: &CallerBoard, random: &mut StdRng, id: String) -> Option<KeptConnection> {
-    let routers = board.routers.lock().clone();
+/// Connects to a random router that is up. A failed connection is recorded as a request without an
+/// answer, so that a router which accepts no connections is detected.
+fn connect(caller_state: &CallerState, random: &mut StdRng, id: String) -> Option<KeptConnection> {
+    let routers = caller_state.routers.lock().clone();
     let router = random.random_range(0..routers.len());
     let address = routers[router]?;
-    let sent = board.now();
-    if let Some(connection) = CallerConnection::open(address, WAIT_WITHIN) {
+    let sent = caller_state.now();
+    if let Some(connection) = CallerConnection::open(address, ANSWER_TIMEOUT) {
         return Some(KeptConnection { router, connection, calls: 0 });
     }
-    let call = DraftCall::draw(board, random, id, router);
-    board.calls.lock().push(call.record(sent, board.now(), None));
+    let call = DraftCall::draw(caller_state, random, id, router);
+    caller_state.calls.lock().push(call.record(sent, caller_state.now(), None));
     None
 }
 
@@ -155,8 +155,8 @@
 }
 
 impl DraftCall {
-    fn draw(board: &CallerBoard, random: &mut StdRng, id: String, router: usize) -> Self {
-        let keys = board.keys.lock();
+    fn draw(caller_state: &CallerState, random: &mut StdRng, id: String, router: usize) -> Self {
+        let keys = caller_state.keys.lock();
         let newest = keys.len() - 1;
         let old = random.random_ratio(1, OLD_KEY_EVERY);
         let key = keys[newest.saturating_sub(usize::from(old))].clone();
@@ -186,7 +186,7 @@
     }
 
     fn record(self, sent: Duration, ended: Duration, answer: Option<&Answer>) -> CallRecord {
-        let told = answer.map_or(Told::Nothing, |answer| self.told(answer));
+        let result = answer.map_or(CallResult::Nothing, |answer| self.result(answer));
         CallRecord {
             id: self.id,
             kind: self.kind,
@@ -194,29 +194,29 @@
             key: self.key,
             sent,
             ended,
-            told,
+            result,
         }
     }
 
-    fn told(&self, answer: &Answer) -> Told {
+    fn result(&self, answer: &Answer) -> CallResult {
         if !answer.whole {
-            return Told::Nothing;
+            return CallResult::Nothing;
         }
         match answer.status {
             200 => self.whole_answer(answer),
-            _ if answer.promises_not_run() => Told::NotRun,
-            status => Told::Failed(status),
+            _ if answer.promises_not_run() => CallResult::NotRun,
+            status => CallResult::Failed(status),
         }
     }
 
-    fn whole_answer(&self, answer: &Answer) -> Told {
+    fn whole_answer(&self, answer: &Answer) -> CallResult {
         let expected = match self.kind.is_stream() {
             true => (1..=EVENTS).map(|number| stream_event(&self.id, number)).collect(),
             false => plain_body(&self.id),
         };
         match answer.text() == expected && answer.is_signed() {
-            true => Told::Served,
-            false => Told::Wrong(format!("{:?}", answer.text())),
+            true => CallResult::Served,
+            false => CallResult::Wrong(format!("{:?}", answer.text())),
         }
     }
 }
--- a/crates/papayamux-measure/src/surge/run.rs
+++ b/crates/papayamux-measure/src/surge/run.rs
@@ -1,4 +1,4 @@
-//! Plays each pattern with each policy, and prints a table.
+//! Runs each pattern with each policy and prints a table.
 
 use std::io::Write;
 use std::net::UdpSocket;
@@ -11,9 +11,9 @@
 use papayamux_state::quantities::ByteCount;
 use papayamux_testbed::{ProcessHandle, ProcessUsage};
 
-use super::callers::{key_of, play_calls};
+use super::callers::{key_of, run_calls};
 use super::engine_kind::{EngineKind, EngineTraits};
-use super::engine_model::{EngineRoom, OWN_TOKENS, SHARED_TOKENS};
+use super::engine_model::{EngineRegistry, OWN_TOKENS, SHARED_TOKENS};
 use super::footprint::RouterFootprint;
 use super::load_pattern::{draw_calls, LoadPattern, ORGANISATIONS};
 use super::options::SurgeOptions;
@@ -21,12 +21,12 @@
 use crate::front_settings::FrontSettings;
 use crate::tasks::TaskError;
 
-/// Time for routers to read the store and to find one another.
-const SETTLE: Duration = Duration::from_millis(1_500);
-/// Engines that leave under [`LoadPattern::EnginesGone`]: one of so many.
+/// Time for routers to read the store and to discover each other.
+const STARTUP_DURATION: Duration = Duration::from_millis(1_500);
+/// Fraction of engines that drain under [`LoadPattern::EnginesGone`]: one in this many.
 const LEAVING: usize = 3;
 
-/// Measures and prints.
+/// Runs all cases and prints a row for each.
 pub fn run_surge(options: &SurgeOptions) -> Result<(), TaskError> {
     println!(
         "| engines | pattern | policy | on time | other organisations on time | late | not served | \
@@ -39,14 +39,14 @@
         for pattern in &options.patterns {
             for policy in &options.policies {
                 let case = SurgeCase { kind: *kind, pattern: *pattern, policy: *policy };
-                print_row(case, &play(options, case)?);
+                print_row(case, &measure_case(options, case)?);
             }
         }
     }
     Ok(())
 }
 
-/// One row of the table.
+/// The case that one row of the table shows.
 #[derive(Debug, Clone, Copy)]
 struct SurgeCase {
     kind: EngineKind,
@@ -54,17 +54,17 @@
     policy: PlacementPolicy,
 }
 
-/// What came out with one policy under one pattern.
-struct PlayedPattern {
+/// Result of one policy under one pattern.
+struct PatternResult {
     summary: SurgeSummary,
-    /// Tokens of shared parts that engines read.
+    /// Number of tokens of shared parts that engines had to prefill.
     cold_tokens: u64,
     footprint: RouterFootprint,
 }
 
-fn print_row(case: SurgeCase, played: &PlayedPattern) {
+fn print_row(case: SurgeCase, result: &PatternResult) {
     let SurgeCase { kind, pattern, policy } = case;
-    let PlayedPattern { summary, cold_tokens, footprint } = played;
+    let PatternResult { summary, cold_tokens, footprint } = result;
     println!(
         "| {kind} | {pattern} | {policy} | {:.3} | {:.3} | {:.3} | {:.3} | {:.3} | {} | {} | \
          {cold_tokens} | {:.1}, {:.1} | {:.1} | {:.2} |",
@@ -86,37 +86,38 @@
     bytes.get() as f64 / 1_000_000.0
 }
 
-fn play(options: &SurgeOptions, case: SurgeCase) -> Result<PlayedPattern, TaskError> {
+fn measure_case(options: &SurgeOptions, case: SurgeCase) -> Result<PatternResult, TaskError> {
     let SurgeCase { kind, pattern, policy } = case;
     let usual = EngineTraits::of(kind, usize::MAX);
     let store = StoreStandIn::start();
     store.put_configuration(&configuration(usual));
-    let room = EngineRoom::default();
-    let start = |number| room.start(&format!("engine-{number}"), EngineTraits::of(kind, number));
+    let registry = EngineRegistry::default();
+    let start =
+        |number| registry.start(&format!("engine-{number}"), EngineTraits::of(kind, number));
     let engines: Vec<_> = (0..options.engines).map(start).collect();
     let listing = ServerListing { address: None, slots: usual.slots, draining: false, born: None };
     for engine in &engines {
         engine.list(&store, listing);
     }
     let routers = start_routers(options, policy, &store)?;
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(STARTUP_DURATION);
     let addresses =
         routers.iter().map(|router| router.0.listen()).collect::<Result<Vec<_>, _>>()?;
     let before = usages(&routers)?;
     let calls = draw_calls(pattern, options.seed, options.length);
     let outcomes = std::thread::scope(|scope| {
         if pattern == LoadPattern::EnginesGone {
-            scope.spawn(|| leave_halfway(&store, &engines, listing, options.length));
+            scope.spawn(|| drain_halfway(&store, &engines, listing, options.length));
         }
         scope.spawn(|| {
             std::thread::sleep(options.length / 2);
-            room.slow_down();
+            registry.slow_down();
         });
-        play_calls(&calls, &addresses)
+        run_calls(&calls, &addresses)
     })?;
-    Ok(PlayedPattern {
+    Ok(PatternResult {
         summary: summarize(&outcomes)?,
-        cold_tokens: room.cold_tokens(),
+        cold_tokens: registry.cold_tokens(),
         footprint: RouterFootprint::between(&before, &usages(&routers)?, outcomes.len()),
     })
 }
@@ -138,7 +139,7 @@
     }
 }
 
-fn leave_halfway(
+fn drain_halfway(
     store: &StoreStandIn,
     engines: &[ServerStandIn],
     listing: ServerListing,
@@ -150,7 +151,7 @@
     }
 }
 
-/// A router with its settings file, which must outlive it.
+/// A router process and its settings file, which must outlive it.
 type StartedRouter = (ProcessHandle, tempfile::NamedTempFile);
 
 fn start_routers(
--- a/crates/papayamux-measure/tests/promise_counts.rs
+++ b/crates/papayamux-measure/tests/promise_counts.rs
@@ -1,10 +1,10 @@
-//! The measurement sees each broken promise, and none where there is none.
+//! Tests that the measurement counts each broken guarantee, and none in a correct run.
 
 use std::time::{Duration, Instant};
 
 use papayamux_measure::promises::{
-    check_booking, check_chat, AnswerFlaws, FaultKind, FaultRecord, LearnedOutcome, PromiseTally,
-    RequestRecord, RequestWork, RunTruth,
+    check_booking, check_chat, ActualRuns, AnswerFlaws, FaultKind, FaultRecord, LearnedOutcome,
+    PromiseTally, RequestRecord, RequestWork,
 };
 use papayamux_protocol::failure::{FailureBody, FailureCode, FailureOutcome};
 use papayamux_standins::service::ServiceAnswer;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn runs_are_held_against_what_callers_were_told() {
+fn runs_are_compared_with_the_reported_outcomes() {
     let keyed = RequestRecord {
         key: Some("key".to_string()),
         ..booking("keyed", LearnedOutcome::Answered)
@@ -96,24 +96,24 @@
         counts.iter().map(|(name, count)| (name.to_string(), *count)).collect()
     };
     let tags = [("refused-but-ran", 1), ("unsent-but-ran", 1), ("twice", 2), ("unknown", 1)];
-    let truth =
-        RunTruth { by_tag: counts(&tags), by_key: counts(&[("key", 2), ("other", 1)]), stuck: 0 };
-    let tally = PromiseTally::count(&records, &[], &truth);
+    let actual_runs =
+        ActualRuns { by_tag: counts(&tags), by_key: counts(&[("key", 2), ("other", 1)]), stuck: 0 };
+    let tally = PromiseTally::count(&records, &[], &actual_runs);
     assert_eq!((tally.told_not_run_but_ran, tally.ran_twice, tally.unknown), (2, 2, 1));
     assert_eq!((tally.requests, tally.interleavings, tally.broken_promises()), (7, 1, 4));
 }
 
 #[test]
-fn a_shutdown_is_blamed_for_what_no_other_fault_explains() {
+fn a_shutdown_counts_only_for_breaks_that_no_other_fault_explains() {
     let (shutdown, silence) = (fault(FaultKind::RouterTerminated), fault(FaultKind::LinkSilent));
     let lost = [booking("lost", LearnedOutcome::Unknown)];
     let refused = FailureBody::new(FailureCode::KeyInUse, FailureOutcome::Unknown, "in use");
     let repeat = [RequestRecord { told: Some(refused), ..lost[0].clone() }];
-    let truth = RunTruth::default();
-    let tally = PromiseTally::count(&repeat, std::slice::from_ref(&shutdown), &truth);
+    let actual_runs = ActualRuns::default();
+    let tally = PromiseTally::count(&repeat, std::slice::from_ref(&shutdown), &actual_runs);
     assert_eq!((tally.cut_by_shutdown, tally.key_unknown), (0, 1));
     let cut_by = |faults: &[FaultRecord]| {
-        PromiseTally::count(&lost, faults, &RunTruth::default()).cut_by_shutdown
+        PromiseTally::count(&lost, faults, &ActualRuns::default()).cut_by_shutdown
     };
     assert_eq!(cut_by(&[]), 0);
     assert_eq!(cut_by(std::slice::from_ref(&shutdown)), 1);
