--- a/crates/papayamux-measure/src/command_line.rs
+++ b/crates/papayamux-measure/src/command_line.rs
@@ -10,7 +10,7 @@
 const EXIT_CODES: &str = "Exit codes: 0 the task was run to its end; 1 it was not, or the command \
                           line is wrong.";
 
-/// Runs the task that the command line names.
+/// Runs the task named on the command line.
 pub fn measure_main() -> ExitCode {
     match run_named(std::env::args().skip(1)) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/papayamux-measure/src/config/mod.rs
+++ b/crates/papayamux-measure/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! How fast a change of the configuration is in force everywhere, and what its spread costs.
+//! Measures the time until a configuration change is in force everywhere, and the cost of its
+//! propagation.
 
 mod options;
 mod report;
@@ -12,7 +13,7 @@
 
 use std::error::Error;
 
-/// Runs the scenarios, each on a fleet of its own, and prints a line of JSON for each.
+/// Runs the scenarios, each on its own fleet, and prints one JSON line per scenario.
 pub fn measure_config(options: &ConfigOptions) -> Result<(), Box<dyn Error>> {
     for scenario in &options.scenarios {
         let report = scenarios::run_scenario(*scenario, options)?;
--- a/crates/papayamux-measure/src/config/options.rs
+++ b/crates/papayamux-measure/src/config/options.rs
@@ -1,13 +1,13 @@
-//! What a measurement of the configuration's spread runs.
+//! Options of the configuration propagation measurement.
 
 use super::scenario::ConfigScenario;
 
 /// Options of the measurement.
 #[derive(Debug, Clone)]
 pub struct ConfigOptions {
-    /// Seed of what is changed.
+    /// The seed of the changes.
     pub seed: u64,
-    /// Routers in each fleet.
+    /// The number of routers in each fleet.
     pub processes: usize,
     /// The scenarios to run.
     pub scenarios: Vec<ConfigScenario>,
--- a/crates/papayamux-measure/src/config/report.rs
+++ b/crates/papayamux-measure/src/config/report.rs
@@ -1,46 +1,47 @@
-//! What a scenario gave.
+//! Report of a scenario.
 
 use serde::Serialize;
 
 use super::scenario::ConfigScenario;
 
-/// One line of JSON.
+/// The figures of a scenario, printed as one JSON line.
 #[derive(Debug, Clone, Serialize)]
 pub struct ConfigReport {
     /// The scenario.
     pub scenario: ConfigScenario,
     /// The seed.
     pub seed: u64,
-    /// Processes at the end.
+    /// The number of processes at the end.
     pub processes: usize,
-    /// Times that were measured: changes times processes.
+    /// The number of measured delays: one per change and process.
     pub measured: usize,
-    /// Times that were still missing at the bound.
+    /// The number of delays still missing at the timeout.
     pub missing: usize,
-    /// Milliseconds until a change was in force at a process: the median.
+    /// The median delay until a change was in force at a process, in milliseconds.
     pub in_force_ms_p50: f64,
-    /// The same: the longest.
+    /// The maximum delay until a change was in force at a process, in milliseconds.
     pub in_force_ms_max: f64,
-    /// Steps of any process to an older configuration.
+    /// The number of steps of any process to an older configuration.
     pub stepped_down: usize,
-    /// Processes that in the end held something else than the most common.
+    /// The number of processes whose final state differs from the most common one.
     pub diverged: usize,
-    /// The most calls that the service got in any one second.
+    /// The maximum number of calls that the service received in one second.
     pub service_reads_per_s_max: u64,
-    /// Calls that the service refused because of its rate.
+    /// The number of calls that the service refused because of its rate limit.
     pub service_reads_refused: u64,
-    /// The most bytes exchanged with peers by any process in any one second.
+    /// The maximum rate at which any process exchanged bytes with peers, in bytes per second.
     pub control_bytes_per_s_max: f64,
-    /// Bytes exchanged with peers a second by a process, over the whole run: the mean of all.
+    /// The mean rate at which a process exchanged bytes with peers over its whole run, in bytes per
+    /// second.
     pub control_bytes_per_s_mean: f64,
-    /// The most bytes read from the service by any process in the whole run.
+    /// The maximum number of bytes that any process read from the service in the whole run.
     pub service_bytes_max: u64,
-    /// Resident memory of the largest process, in bytes.
+    /// The maximum resident memory of any process, in bytes.
     pub resident_bytes_max: u64,
-    /// Share of a core used by a process from its start to the end: the mean of all.
+    /// The mean share of a core that a process used from its start to the end.
     pub cpu_share_mean: f64,
-    /// The same: the highest.
+    /// The maximum share of a core that any process used from its start to the end.
     pub cpu_share_max: f64,
-    /// Watchers of the service at the end.
+    /// The number of processes watching the service at the end.
     pub watchers: usize,
 }
--- a/crates/papayamux-measure/src/config/sampler.rs
+++ b/crates/papayamux-measure/src/config/sampler.rs
@@ -1,4 +1,4 @@
-//! Samples of all processes while a scenario runs.
+//! Samples all processes while a scenario runs.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -9,20 +9,21 @@
 use super::report::ConfigReport;
 use super::scenario::ConfigScenario;
 
-/// How often processes are asked for their bytes.
+/// Interval between queries of the processes' byte counts.
 const SAMPLE_EVERY: Duration = Duration::from_secs(1);
-/// How often logs are looked at.
+/// Interval between checks of the processes' logs.
 const LOOK_EVERY: Duration = Duration::from_millis(25);
-/// The line that a process logs when something has come into force.
+/// The message that a process logs when a configuration has come into force.
 const IN_FORCE: &str = "configuration in force";
 
-/// Milliseconds since the epoch, as logs have them.
+/// Returns the current time in milliseconds since the Unix epoch, as in logs.
 pub(super) fn now_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since_epoch.as_millis() as u64
 }
 
-/// When the process had a revision in force and was settled.
+/// Returns the time at which the process first had at least `revision` in force and was settled,
+/// in milliseconds since the Unix epoch.
 pub(super) fn in_force_at(process: &ProcessHandle, revision: u64) -> Option<u64> {
     let lines = process.lines_with(IN_FORCE);
     let line = lines.iter().find(|line| {
@@ -43,7 +44,7 @@
     generations.windows(2).filter(|pair| pair[1] < pair[0]).count()
 }
 
-/// What a scenario has given so far.
+/// The measurements of a scenario so far.
 #[derive(Default)]
 pub(super) struct ConfigSampler {
     times_ms: Vec<f64>,
@@ -55,8 +56,8 @@
 }
 
 impl ConfigSampler {
-    /// Waits until `revision` is in force at each process, and notes how long after `since_ms`
-    /// that was.
+    /// Waits until `revision` is in force at each process, and records each process's delay after
+    /// `since_ms`. Processes that exceed the timeout `within` are counted as missing.
     pub(super) async fn note_in_force(
         &mut self,
         fleet: &SpreadFleet,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Samples for a while.
+    /// Samples the processes for the duration `time`.
     pub(super) async fn pass(
         &mut self,
         fleet: &SpreadFleet,
@@ -97,7 +98,7 @@
         Ok(())
     }
 
-    /// Notes a time that was measured otherwise.
+    /// Records a delay measured by the caller; `None` counts as missing.
     pub(super) fn note_time(&mut self, millis: Option<f64>) {
         match millis {
             Some(millis) => self.times_ms.push(millis),
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Counts the steps down of processes that are about to end.
+    /// Counts the processes' steps to an older configuration, as found in their logs. Call it before
+    /// the processes end, because their logs end with them.
     pub(super) fn note_steps(&mut self, fleet: &SpreadFleet) {
         let steps = fleet.processes.iter().map(|process| steps_down(&process.handle));
         self.stepped_down += steps.sum::<usize>();
@@ -131,7 +133,7 @@
         }
     }
 
-    /// The report of the scenario.
+    /// Returns the report of the scenario.
     pub(super) async fn finish(
         mut self,
         scenario: ConfigScenario,
--- a/crates/papayamux-measure/src/config/scenario.rs
+++ b/crates/papayamux-measure/src/config/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios by name.
+//! Scenarios of the configuration propagation measurement.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,29 +6,29 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// What happens to the fleet and to the service.
+/// A scenario: the events at the fleet and at the configuration service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConfigScenario {
-    /// Changes of small files, one after the other.
+    /// Sequential changes of small files.
     Healthy,
-    /// Changes of small files at sixty a minute.
+    /// Sequential changes of small files, about 60 per minute at most.
     Busy,
-    /// The service is down, then back with changes.
+    /// The service is down, then returns with changes.
     ServiceDown,
-    /// The service shows an old state, then the present one.
+    /// The service serves an old state, then the current one.
     Stale,
-    /// The service goes back to an older state, then on.
+    /// The service rolls back to an older state, then returns to the current one.
     RolledBack,
-    /// All processes start again at once.
+    /// All processes restart at once.
     RestartAll,
-    /// All processes start again at once while the service is down; then it is back.
+    /// All processes restart at once while the service is down; then the service returns.
     RestartAllServiceBack,
-    /// Two halves with services of their own meet.
+    /// Two halves of the fleet, each with its own service, become connected.
     PartitionHeal,
     /// Processes start while the service is down.
     Newcomer,
-    /// A file of a megabyte comes whole, and then one line of it changes.
+    /// A file of 1 MB is added, and then one line of it changes.
     LargeFile,
 }
 
@@ -47,7 +47,7 @@
 ];
 
 impl ConfigScenario {
-    /// The scenario's name.
+    /// Returns the scenario's name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             ConfigScenario::Healthy => "healthy",
@@ -64,7 +64,7 @@
     }
 }
 
-/// Why a text names no scenario.
+/// The error of parsing a scenario's name.
 #[derive(Debug, Error)]
 #[error("unknown scenario {0:?}")]
 pub struct ScenarioError(String);
--- a/crates/papayamux-measure/src/config/scenarios.rs
+++ b/crates/papayamux-measure/src/config/scenarios.rs
@@ -1,4 +1,4 @@
-//! What happens in each scenario.
+//! Implements the scenarios.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -17,25 +17,26 @@
 
 type ScenarioResult = Result<ConfigReport, Box<dyn Error>>;
 
-/// Seeds that each process is told of: one for so many processes, and no fewer than these.
+/// Processes per seed: each process gets one seed for this many processes in the fleet, but at
+/// least `FEWEST_SEEDS`.
 const PROCESSES_PER_SEED: usize = 16;
 const FEWEST_SEEDS: usize = 3;
-/// Teams, each with a file.
+/// The number of teams, each with one file.
 const TEAMS: usize = 12;
-/// Models that a team declares.
+/// The number of models that a team declares.
 const MODELS: usize = 20;
-/// Changes of the scenarios that measure changes.
+/// The number of changes in the scenarios that measure sequential changes.
 const CHANGES: usize = 10;
-/// How long the service is not as it should be.
+/// The duration of a fault of the service.
 const OUTAGE: Duration = Duration::from_secs(40);
-/// How long a change is waited for at most.
+/// Maximum wait until a change is in force at all processes.
 const WITHIN: Duration = Duration::from_secs(150);
-/// The time for connections and watchers to settle before anything is measured.
+/// Wait for connections and watchers to settle before the measurement.
 const WARM_UP: Duration = Duration::from_secs(15);
-/// Bytes of the large file.
+/// The minimum size of the large file in bytes.
 const LARGE_FILE: usize = 1_000_000;
 
-/// A fleet with a seeded choice of changes.
+/// A running fleet, its sampler and the seeded generator of changes.
 struct Trial {
     fleet: SpreadFleet,
     random: StdRng,
@@ -54,8 +55,8 @@
     text
 }
 
-/// Text that compresses as declarations of many organisations do: names that differ, keys that
-/// repeat.
+/// Generates a text that compresses like the declarations of many organisations: the names
+/// differ and the keys repeat.
 fn large_text(random: &mut StdRng, version: u64) -> String {
     let mut text =
         format!("[team]\nname = large\n\n[model large]\nversion = {version}\nweights = w\n");
@@ -83,7 +84,7 @@
             revision = trial.put(team).await?;
         }
         let settled = trial.fleet.wait_equal(revision, WITHIN).await?;
-        settled.ok_or("the fleet did not settle")?;
+        settled.ok_or("the fleet did not converge before the timeout")?;
         trial.sampler.pass(&trial.fleet, WARM_UP).await?;
         Ok(trial)
     }
@@ -107,7 +108,7 @@
         self.sampler.pass(&self.fleet, time).await
     }
 
-    /// Puts and measures one change.
+    /// Makes one change and measures its propagation.
     async fn change(&mut self) -> Result<(), Box<dyn Error>> {
         let since = now_ms();
         let revision = self.put_any().await?;
@@ -115,7 +116,7 @@
     }
 }
 
-/// Runs one scenario on a fleet of its own.
+/// Runs one scenario on its own fleet.
 pub(super) fn run_scenario(scenario: ConfigScenario, options: &ConfigOptions) -> ScenarioResult {
     runtime::run(async {
         let (seed, processes) = (options.seed, options.processes);
@@ -160,7 +161,8 @@
     Ok(())
 }
 
-/// The service is not as it should be for a while, during which files change.
+/// Applies `faults` to the service, changes files meanwhile, and measures the time from the end
+/// of the faults until the last change is in force.
 async fn run_outage(trial: &mut Trial, faults: ConfigFaults) -> Result<(), Box<dyn Error>> {
     trial.fleet.set_faults(faults).await?;
     trial.pass(OUTAGE).await?;
@@ -217,7 +219,7 @@
     trial.note(revision, since).await
 }
 
-/// Two halves, each with a service that shows another state, meet through one process.
+/// Connects two halves, whose services have different states, through one additional process.
 async fn run_partition_heal(options: &ConfigOptions) -> ScenarioResult {
     let half = options.processes / 2;
     let mut left = Trial::start(options, half).await?;
@@ -226,17 +228,28 @@
     for _ in 0..5 {
         highest = left.put_any().await?;
     }
-    left.fleet.wait_equal(highest, WITHIN).await?.ok_or("left did not settle")?;
+    left.fleet
+        .wait_equal(highest, WITHIN)
+        .await?
+        .ok_or("the left half did not converge before the timeout")?;
     for _ in 0..9 {
         highest = right.put_any().await?;
     }
-    right.fleet.wait_equal(highest, WITHIN).await?.ok_or("right did not settle")?;
+    right
+        .fleet
+        .wait_equal(highest, WITHIN)
+        .await?
+        .ok_or("the right half did not converge before the timeout")?;
     let since = now_ms();
     let seeds = [left.fleet.processes[0].peers, right.fleet.processes[0].peers];
     let service = right.fleet.service.listen()?;
     right.fleet.add_with(service, &seeds)?;
     left.note(highest, since).await?;
-    right.fleet.wait_equal(highest, WITHIN).await?.ok_or("right did not settle again")?;
+    right
+        .fleet
+        .wait_equal(highest, WITHIN)
+        .await?
+        .ok_or("the right half did not converge after the connection")?;
     let Trial { fleet: right, sampler, .. } = right;
     drop(sampler);
     left.pass(Duration::from_secs(5)).await?;
--- a/crates/papayamux-measure/src/conflicts/experiment.rs
+++ b/crates/papayamux-measure/src/conflicts/experiment.rs
@@ -1,4 +1,5 @@
-//! Runs each rule over the same histories and prints one JSON line a rule and share of names.
+//! Runs each rule over the same histories and prints one JSON line per rule and share of shared
+//! names.
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -15,9 +16,10 @@
 
 const HISTORIES: u64 = 100;
 const PROCESSES: usize = 4;
-/// Submissions missed, in percent, and places that the others come late at most.
+/// Percentage of submissions missed, and maximum number of positions by which the others are
+/// late.
 const HEARING: (u32, usize) = (20, 6);
-/// How often a new thing takes a name that any team may take, in percent.
+/// Percentages of new items whose name any team may use.
 const SHARED_NAMES: [u32; 3] = [0, 20, 60];
 
 #[derive(Debug, Default)]
@@ -30,7 +32,7 @@
     diverged: u64,
 }
 
-/// Compares all rules; the same seed gives the same figures.
+/// Compares all rules and prints the results; the same seed gives the same figures.
 pub fn measure_conflicts(seed: u64) -> Result<(), Box<dyn Error>> {
     for shared_names in SHARED_NAMES {
         for rule in ConflictRule::ALL {
@@ -73,8 +75,8 @@
     tally.diverged += u64::from(ends.len() > 1);
 }
 
-/// Lets a process hear the newest valid revision of each file, as it does from its peers, and
-/// tells what it has in force.
+/// Delivers the newest valid revision of each file to a process, as its peers do, and returns the
+/// digest of the configuration then in force.
 fn settle(process: &mut RuleProcess, history: &[DeclarationFile]) -> u64 {
     let mut all = FileSet::default();
     for file in history {
@@ -110,7 +112,7 @@
 
 type Place<'a> = (&'a FileName, FileRevision, usize);
 
-/// The places of all that is in force with full effect.
+/// Returns the locations of all items in force that are not blocked by a conflict.
 fn effective_places(in_force: &ConfigurationInForce) -> BTreeSet<Place<'_>> {
     let blocked = in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict());
     let blocked: BTreeSet<_> = blocked.map(|blocked| &blocked.origin).collect();
@@ -126,7 +128,7 @@
         .collect()
 }
 
-/// Things that lost their effect though their own file was not submitted.
+/// Counts the items that lost their effect although the submission was of another file.
 fn count_displaced(
     previous: &ConfigurationInForce,
     current: &ConfigurationInForce,
@@ -139,7 +141,7 @@
     lost.count() as u64
 }
 
-/// Things in the newest valid revisions, and how many of them have full effect.
+/// Counts the items in the newest valid revisions, and those of them with full effect.
 fn count_items(heard: &FileSet, in_force: &ConfigurationInForce) -> (u64, u64) {
     let places = effective_places(in_force);
     let (mut declared, mut effective) = (0, 0);
--- a/crates/papayamux-measure/src/conflicts/history.rs
+++ b/crates/papayamux-measure/src/conflicts/history.rs
@@ -1,4 +1,5 @@
-//! A random history: teams that don't talk edit their files, and processes hear of it in part.
+//! Random histories: teams edit their files without coordination, and processes receive a part
+//! of the submissions.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +8,21 @@
 use rand::seq::IndexedRandom;
 use rand::RngExt;
 
-/// Things that a file starts with.
+/// The number of items in the first submission of a file.
 const FIRST_ITEMS: usize = 6;
-/// Edits that one submission makes.
+/// Maximum number of edits in one submission.
 const MOST_EDITS: usize = 3;
 
-/// How a history is drawn.
+/// The parameters of a random history.
 #[derive(Debug, Clone, Copy)]
 pub struct HistoryPlan {
-    /// Teams, each with its file.
+    /// The number of teams, each with one file.
     pub teams: usize,
-    /// Submissions after the first ones.
+    /// The number of submissions after the first one of each team.
     pub submissions: usize,
-    /// How often a new thing takes a name that any team may take, in percent.
+    /// The percentage of new items whose name any team may use.
     pub shared_names: u32,
-    /// How often a submission is invalid by itself, in percent.
+    /// The percentage of submissions that are invalid by themselves.
     pub invalid: u32,
 }
 
@@ -31,7 +32,7 @@
     revision: u64,
 }
 
-/// All submissions in their order.
+/// Generates a history and returns its submissions in order.
 pub fn draw_history(plan: HistoryPlan, random: &mut StdRng) -> Vec<DeclarationFile> {
     let mut files = vec![TeamFile::default(); plan.teams];
     let mut history = Vec::new();
@@ -87,7 +88,8 @@
     files[team].sections.insert(title, body);
 }
 
-/// A model that some file declares now: what a team sees when it writes a reference.
+/// Samples a model that some file currently declares, as a team sees it when it writes a
+/// reference.
 fn some_model(files: &[TeamFile], random: &mut StdRng) -> Option<String> {
     let titles = files.iter().flat_map(|file| file.sections.keys());
     let models: Vec<_> = titles.filter_map(|title| title.strip_prefix("model ")).collect();
@@ -107,8 +109,9 @@
     Some(DeclarationFile::new(name, file.revision.into(), text))
 }
 
-/// What one process hears of `history`: with `gap` percent of the submissions missed, and the
-/// others up to `lag` places late, as reads are stale and peers pass on what they have.
+/// Returns the submissions of `history` in the order in which one process receives them. `gap`
+/// percent are missed and the others arrive up to `lag` positions late, because reads are stale
+/// and peers relay what they have.
 pub fn hear(
     history: &[DeclarationFile],
     (gap, lag): (u32, usize),
--- a/crates/papayamux-measure/src/conflicts/mod.rs
+++ b/crates/papayamux-measure/src/conflicts/mod.rs
@@ -1,4 +1,4 @@
-//! Compares rules for clashes between declaration files over random histories.
+//! Compares rules for conflicts between declaration files over random histories.
 
 mod experiment;
 mod history;
--- a/crates/papayamux-measure/src/conflicts/rules.rs
+++ b/crates/papayamux-measure/src/conflicts/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that are compared. Each tells which revision of each file is in force.
+//! The conflict rules under comparison. Each rule decides which revision of each file is in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,25 +6,25 @@
     ConfigurationInForce, DeclarationFile, FileName, FileRevision, FileSet, RevisionOutcome,
 };
 
-/// A rule for clashes between files.
+/// A rule for conflicts between files.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConflictRule {
-    /// A revision that clashes with what the process has in force is refused whole.
+    /// Refuses the whole revision if it conflicts with the configuration in force at the process.
     WholeByArrival,
-    /// Of files that clash, the last by name is out whole.
+    /// Of conflicting files, excludes the whole file with the last name.
     WholeByName,
-    /// The same, but the file's newest older revision that does not clash stands in.
+    /// Like `WholeByName`, but uses the newest older revision of that file without a conflict.
     WholeWithFallback,
-    /// The part of a file that clashes has no effect: what the library computes.
+    /// Blocks only the conflicting part of a file. This is the rule of the declarations library.
     BlockedPart,
 }
 
 impl ConflictRule {
-    /// Every rule.
+    /// All rules.
     pub const ALL: [Self; 4] =
         [Self::WholeByArrival, Self::WholeByName, Self::WholeWithFallback, Self::BlockedPart];
 
-    /// The word in the results.
+    /// Returns the rule's name in the results.
     pub const fn label(self) -> &'static str {
         match self {
             Self::WholeByArrival => "whole_by_arrival",
@@ -35,7 +35,7 @@
     }
 }
 
-/// One valid revision, as a set of its own so that it is parsed once.
+/// One valid revision, kept as a separate file set so that it is parsed only once.
 #[derive(Debug, Clone)]
 struct ValidRevision {
     name: FileName,
@@ -43,10 +43,10 @@
     set: FileSet,
 }
 
-/// The valid revisions of each file, the newest first.
+/// The valid revisions of each file, newest first.
 type Revisions = BTreeMap<FileName, Vec<ValidRevision>>;
 
-/// One process under one rule.
+/// A process that applies one rule.
 #[derive(Debug)]
 pub struct RuleProcess {
     rule: ConflictRule,
@@ -56,18 +56,18 @@
 }
 
 impl RuleProcess {
-    /// A process that has heard nothing.
+    /// Creates a process that has received no revision.
     pub fn new(rule: ConflictRule) -> Self {
         let heard = FileSet::default();
         Self { rule, heard, valid: Revisions::new(), accepted: BTreeMap::new() }
     }
 
-    /// All that the process has heard.
+    /// Returns all revisions that the process has received.
     pub fn heard(&self) -> &FileSet {
         &self.heard
     }
 
-    /// Hears one revision; gives what is in force after it.
+    /// Receives one revision and returns the configuration in force after it.
     pub fn hear(&mut self, file: &DeclarationFile) -> ConfigurationInForce {
         self.heard.offer(file.clone());
         let mut set = FileSet::default();
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Accepts newest revisions as long as one adds no clash to what is in force.
+    /// Accepts newest revisions for as long as one of them adds no conflict to the configuration in
+    /// force.
     fn accept_arrivals(&mut self) -> ConfigurationInForce {
         let mut in_force = combine(self.accepted.values());
         loop {
@@ -118,8 +119,8 @@
     in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict()).count()
 }
 
-/// Steps the last file by name that clashes back to an older of its `depth` newest revisions, or
-/// out, until nothing clashes.
+/// Resolves conflicts: while any remain, steps the conflicting file with the last name back to
+/// the next older one of its `depth` newest revisions, or excludes it after the last of them.
 fn without_clashes(valid: &Revisions, depth: usize) -> ConfigurationInForce {
     let mut back: BTreeMap<&FileName, usize> = valid.keys().map(|name| (name, 0)).collect();
     loop {
--- a/crates/papayamux-measure/src/control/agent_end.rs
+++ b/crates/papayamux-measure/src/control/agent_end.rs
@@ -1,4 +1,4 @@
-//! The measuring process as an agent whose server is always full.
+//! The measuring process in the role of an agent whose server is always at capacity.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 use papayamux_transport::link::start_link;
 use papayamux_transport::listen::listen;
 
-/// When a refused router may ask again.
+/// The delay that a refusal asks for before the router's next attempt.
 const RETRY_AFTER_MS: u32 = 500;
 
-/// Starts an agent of `server` and gives its address.
+/// Starts an agent of `server` and returns its address.
 pub fn start_agent_end(server: &ServerId) -> Result<SocketAddr, Box<dyn Error>> {
     let listener = listen("127.0.0.1:0".parse()?)?;
     let address = listener.local_addr()?;
--- a/crates/papayamux-measure/src/control/chats.rs
+++ b/crates/papayamux-measure/src/control/chats.rs
@@ -1,4 +1,4 @@
-//! Memory of chats that were served elsewhere.
+//! Measures the memory that an agent uses for chats served elsewhere.
 
 use std::error::Error;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use super::router_end::open_router_end;
 use super::slope::{CostPoint, CostReading, CostSeries};
 
-/// Chats that the agent is told of; it remembers no more than the last.
+/// The numbers of chats announced to the agent. The last one is the most that it remembers.
 const CHATS: [u64; 3] = [0, 8_000, 16_000];
-/// How long the agent may take to read them.
+/// Wait for the agent to process the announcements.
 const SETTLE: Duration = Duration::from_secs(2);
 
-/// An agent that is told of more and more chats.
+/// Measures an agent that receives announcements of increasing numbers of moved chats.
 pub async fn measure_moved_chats() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(1).services(0).build())?;
     let agent = &fleet.servers[0].agent;
--- a/crates/papayamux-measure/src/control/links.rs
+++ b/crates/papayamux-measure/src/control/links.rs
@@ -1,4 +1,4 @@
-//! Connections that are open and idle.
+//! Measures the cost of idle connections.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -14,16 +14,16 @@
 use super::router_end::open_router_end;
 use super::slope::{CostPoint, CostSeries};
 
-/// Routers at an agent.
+/// The numbers of routers connected to an agent.
 const ROUTERS: [usize; 4] = [0, 105, 210, 420];
-/// Agents at a router.
+/// The numbers of agents connected to a router.
 const AGENTS: [usize; 4] = [0, 150, 300, 600];
-/// How long connections may take to settle.
+/// Wait for connections to settle.
 const SETTLE: Duration = Duration::from_secs(2);
-/// How long each count is metered.
+/// The metering period of each count.
 const METER_FOR: Duration = Duration::from_secs(4);
 
-/// An agent with the connections of many routers.
+/// Measures an agent with connections from many routers.
 pub async fn measure_agent_links() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(0).services(1).build())?;
     let agent = &fleet.servers[0].agent;
@@ -39,7 +39,7 @@
     Ok(vec![CostSeries { role: MeteredRole::Agent.name(), points }])
 }
 
-/// A router with connections to many agents, each of which has refused one call.
+/// Measures a router with connections to many agents, each of which has refused one call.
 pub async fn measure_router_links() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let most = AGENTS.iter().copied().max().unwrap_or_default();
     let folder = TempDir::new()?;
@@ -63,7 +63,7 @@
     format!("/agent-{agent}")
 }
 
-/// A router that knows `agents` servers, each by a path of its own.
+/// Starts a router with `agents` declared servers, each with its own path.
 fn start_router(folder: &TempDir, agents: usize) -> Result<ProcessHandle, Box<dyn Error>> {
     let mut text = "[router]\nlisten = 127.0.0.1:0\noperations = 127.0.0.1:0\n\
                     failure_domain = a\n"
--- a/crates/papayamux-measure/src/control/meter.rs
+++ b/crates/papayamux-measure/src/control/meter.rs
@@ -1,4 +1,4 @@
-//! What a process spends in a span of time.
+//! Meters the resources that a process uses in an interval.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -7,14 +7,14 @@
 
 use super::slope::CostReading;
 
-/// What a process has spent since its start.
+/// The resources that a process has used since its start.
 struct Spent {
     bytes_in: f64,
     bytes_out: f64,
     usage: ProcessUsage,
 }
 
-/// The role of a process, as its metrics are named.
+/// The role of a process, which is part of its metric names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MeteredRole {
     /// A router.
@@ -24,7 +24,7 @@
 }
 
 impl MeteredRole {
-    /// The name.
+    /// Returns the role's name in metrics.
     pub const fn name(self) -> &'static str {
         match self {
             MeteredRole::Router => "router",
@@ -42,7 +42,8 @@
     Ok(Spent { bytes_in: sum("in"), bytes_out: sum("out"), usage })
 }
 
-/// Meters `process` for `time`. Reading its metrics is outside of the span.
+/// Meters `process` for the duration `time`. Its metrics are read before and after that interval,
+/// so that the CPU time doesn't include the reading.
 pub async fn meter_for(
     role: MeteredRole,
     process: &ProcessHandle,
--- a/crates/papayamux-measure/src/control/mod.rs
+++ b/crates/papayamux-measure/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! What control costs a process, as slopes against what grows with the fleet.
+//! Measures the cost of control traffic for a process, as slopes against quantities that grow
+//! with the fleet.
 
 mod agent_end;
 mod chats;
--- a/crates/papayamux-measure/src/control/options.rs
+++ b/crates/papayamux-measure/src/control/options.rs
@@ -1,4 +1,4 @@
-//! What is measured of the control cost.
+//! Options of the control cost measurement.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,17 +12,17 @@
     AgentLinks,
     /// Idle connections to agents at a router.
     RouterLinks,
-    /// Probes a second at an agent.
+    /// Probes per second at an agent.
     Probes,
-    /// Chats a second through one router, with the product's policy and with a random choice.
+    /// Chats per second through one router, with the product's policy and with a random choice.
     Requests,
-    /// Declared servers of other models at a router, at a fixed rate of chats.
+    /// Declared servers of other models at a router, with a fixed rate of chats.
     DeclaredServers,
     /// Chats at an agent that were served elsewhere.
     MovedChats,
 }
 
-/// All parts, in the order in which they are measured.
+/// All parts, in the order of measurement.
 pub const ALL_PARTS: [ControlPart; 6] = [
     ControlPart::AgentLinks,
     ControlPart::RouterLinks,
@@ -32,7 +32,7 @@
     ControlPart::MovedChats,
 ];
 
-/// The name is no part's.
+/// The error of parsing a part's name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("unknown part {0:?}; parts: agent-links router-links probes requests declared-servers moved-chats")]
 pub struct UnknownPart(String);
@@ -59,11 +59,11 @@
     }
 }
 
-/// What is measured, and how often.
+/// Options of the control cost measurement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlOptions {
-    /// The parts.
+    /// The parts to measure.
     pub parts: Vec<ControlPart>,
-    /// How often each part is measured, each time on fresh processes.
+    /// The number of measurements of each part, each on new processes.
     pub repetitions: usize,
 }
--- a/crates/papayamux-measure/src/control/requests.rs
+++ b/crates/papayamux-measure/src/control/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and probes at fixed rates.
+//! Measures the cost of requests and probes at fixed rates.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -17,26 +17,27 @@
 use super::router_end::{open_router_end, RouterEnd};
 use super::slope::{CostPoint, CostReading, CostSeries};
 
-/// Chats a second through the router.
+/// Chats per second through the router.
 const CHAT_RATES: [u32; 4] = [0, 50, 100, 200];
-/// Probes a second at the agent.
+/// Probes per second at the agent.
 const PROBE_RATES: [u32; 4] = [0, 100, 200, 400];
-/// How long each rate is metered.
+/// The metering period of each rate.
 const METER_FOR: Duration = Duration::from_secs(4);
-/// Time at a rate before it is metered.
+/// The time at each rate before metering begins.
 const SETTLE: Duration = Duration::from_secs(1);
-/// Engines behind the router.
+/// The number of engines behind the router.
 const ENGINES: usize = 2;
-/// Declared servers that serve other models.
+/// The numbers of declared servers of other models.
 const DECLARED_SERVERS: [usize; 3] = [0, 300, 600];
-/// Models of those servers.
+/// The number of different models of those servers.
 const OTHER_MODELS: usize = 26;
-/// Chats a second while declared servers are counted.
+/// Chats per second while the number of declared servers varies.
 const DECLARED_RATE: u32 = 50;
-/// Checkpoints of a prompt in a probe.
+/// The number of prompt checkpoints in a probe.
 const CHECKPOINTS: u32 = 6;
 
-/// Does `act` so many times a second, for as long as a rate is metered, and lets the last end.
+/// Calls `act` `per_second` times a second for the metering period with a margin before and
+/// after it, then waits for the last requests to complete.
 async fn at_rate(per_second: u32, mut act: impl FnMut(u32)) {
     if per_second == 0 {
         return;
@@ -59,7 +60,7 @@
     meter_for(role, process, METER_FOR).await
 }
 
-/// Probes at one agent, as routers send them at a decision.
+/// Measures probes at one agent, as routers send them for a placement decision.
 pub async fn measure_probes() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(1).services(0).build())?;
     let agent = &fleet.servers[0].agent;
@@ -93,7 +94,8 @@
     Fleet::start(plan.router_lines(router_lines).build())
 }
 
-/// The same rate of chats through routers that know more and more servers of other models.
+/// Measures a fixed rate of chats through routers with increasing numbers of declared servers of
+/// other models.
 pub async fn measure_declared_servers() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let mut points = Vec::new();
     for count in DECLARED_SERVERS {
@@ -112,7 +114,7 @@
     Ok(vec![CostSeries { role: MeteredRole::Router.name(), points }])
 }
 
-/// New chats of one short turn through one router, under `policy`.
+/// Measures new chats with one short turn each through one router under `policy`.
 pub async fn measure_chat_rates(
     policy: &str,
     roles: [&'static str; 2],
--- a/crates/papayamux-measure/src/control/router_end.rs
+++ b/crates/papayamux-measure/src/control/router_end.rs
@@ -1,4 +1,4 @@
-//! The measuring process as a router before an agent.
+//! The measuring process in the role of a router connected to an agent.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use papayamux_state::ids::Incarnation;
 use papayamux_transport::link::{connect, start_link, LinkSender};
 
-/// A welcomed connection; it stays open for as long as the sender lives.
+/// A connection that the agent has accepted. It stays open until the sender is dropped.
 pub type RouterEnd = LinkSender<RouterMessage>;
 
-/// Opens a connection as a router does, and reads it from then on.
+/// Opens a connection as a router does, and keeps reading and discarding the agent's messages.
 pub async fn open_router_end(agent: SocketAddr) -> Result<RouterEnd, Box<dyn Error>> {
     let stream = connect(agent).await?;
     let (sender, mut receiver) = start_link::<RouterFrame, AgentFrame, RouterMessage>(stream)?;
@@ -20,7 +20,7 @@
     sender.send(0, RouterMessage::Hello(hello));
     let first = receiver.receive().await.ok_or("the agent closed the connection")??;
     if !matches!(first.message, AgentMessage::Welcome(_)) {
-        return Err("the agent sent no welcome".into());
+        return Err("the agent's first message was not a welcome".into());
     }
     monoio::spawn(async move { while let Some(Ok(_)) = receiver.receive().await {} });
     Ok(sender)
--- a/crates/papayamux-measure/src/control/run.rs
+++ b/crates/papayamux-measure/src/control/run.rs
@@ -1,4 +1,4 @@
-//! Measures the parts, each several times on fresh processes.
+//! Measures the parts, each several times on new processes.
 
 use std::error::Error;
 
@@ -12,7 +12,7 @@
 
 type SeriesResult = Result<Vec<CostSeries>, Box<dyn Error>>;
 
-/// Measures and prints a line a slope.
+/// Measures the parts and prints one JSON line per part and role.
 pub fn measure_control(options: &ControlOptions) -> Result<(), Box<dyn Error>> {
     for part in &options.parts {
         let mut repetitions = Vec::new();
@@ -37,7 +37,8 @@
     }
 }
 
-/// The product's policy and a random choice: what they differ by is the cost of deciding.
+/// Measures the product's policy and a random choice. The difference is the cost of the placement
+/// decision.
 async fn measure_requests() -> SeriesResult {
     let mut series = measure_chat_rates("papayamux", ["router", "agent"]).await?;
     let random = ["router, random choice", "agent, random choice"];
--- a/crates/papayamux-measure/src/control/slope.rs
+++ b/crates/papayamux-measure/src/control/slope.rs
@@ -1,59 +1,59 @@
-//! Slopes of readings against counts, and their spread over repetitions.
+//! Slopes of costs against counts, and their spread over repetitions.
 
 use papayamux_testbed::ProcessUsage;
 use serde::Serialize;
 
-/// What a process spends at one count.
+/// The resources that a process uses at one count.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct CostReading {
-    /// Control bytes received a second.
+    /// Control bytes received per second.
     pub bytes_in_per_s: f64,
-    /// Control bytes sent a second.
+    /// Control bytes sent per second.
     pub bytes_out_per_s: f64,
-    /// Microseconds of a core spent in a second.
+    /// Core time used per second, in microseconds.
     pub cpu_us_per_s: f64,
     /// Resident memory, in bytes.
     pub resident_bytes: f64,
 }
 
 impl CostReading {
-    /// The memory of `usage`, without rates.
+    /// Creates a reading with the memory of `usage` and zero rates.
     pub fn of_memory(usage: ProcessUsage) -> Self {
         Self { resident_bytes: usage.resident.get() as f64, ..Self::default() }
     }
 }
 
-/// A count with what it costs.
+/// A count and the cost at that count.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct CostPoint {
-    /// The count: connections, requests a second, chats.
+    /// The count: connections, requests per second, or chats.
     pub count: f64,
-    /// The cost.
+    /// The cost at this count.
     pub cost: CostReading,
 }
 
 /// The points of one role in one repetition.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct CostSeries {
-    /// The process that was measured.
+    /// The role of the measured process.
     pub role: &'static str,
-    /// The points, the lowest count first.
+    /// The points, by ascending count.
     pub points: Vec<CostPoint>,
 }
 
-/// Lowest, middle and highest value over the repetitions.
+/// The lowest, median and highest value over the repetitions.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Spread {
-    /// The lowest.
+    /// The lowest value.
     pub low: f64,
-    /// The middle.
+    /// The median.
     pub median: f64,
-    /// The highest.
+    /// The highest value.
     pub high: f64,
 }
 
 impl Spread {
-    /// The spread of `values`; zeros where there are none.
+    /// Returns the spread of `values`, or zeros if there are none.
     pub fn over(mut values: Vec<f64>) -> Self {
         values.sort_by(f64::total_cmp);
         let at = |index: usize| values.get(index).copied().unwrap_or_default();
@@ -61,7 +61,7 @@
     }
 }
 
-/// The slope of least squares through (count, value); 0 where all counts are the same.
+/// Returns the least-squares slope of the (count, value) points, or 0 if all counts are equal.
 pub fn fit_slope(points: &[(f64, f64)]) -> f64 {
     let number = points.len().max(1) as f64;
     let mean_count = points.iter().map(|(count, _)| count).sum::<f64>() / number;
@@ -76,27 +76,27 @@
     }
 }
 
-/// The slopes of one role over all repetitions: one line of the output.
+/// The slopes of one role over all repetitions, printed as one line.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SlopeReport {
-    /// The part.
+    /// The measured part.
     pub part: String,
-    /// The process that was measured.
+    /// The role of the measured process.
     pub role: &'static str,
-    /// Bytes received a second for each of what is counted.
+    /// Bytes received per second, per counted unit.
     pub bytes_in_per_s: Spread,
-    /// Bytes sent a second for each.
+    /// Bytes sent per second, per counted unit.
     pub bytes_out_per_s: Spread,
-    /// Microseconds of a core a second for each.
+    /// Core time in microseconds per second, per counted unit.
     pub cpu_us_per_s: Spread,
-    /// Resident bytes for each.
+    /// Resident memory in bytes, per counted unit.
     pub resident_bytes: Spread,
-    /// All points, by repetition.
+    /// The points of each repetition.
     pub repetitions: Vec<Vec<CostPoint>>,
 }
 
 impl SlopeReport {
-    /// The slopes of `role` in all `repetitions`.
+    /// Computes the slopes of `role` over all `repetitions`.
     pub fn new(part: String, role: &'static str, repetitions: Vec<Vec<CostPoint>>) -> Self {
         let slopes = |value: fn(&CostReading) -> f64| {
             let pairs = |points: &Vec<CostPoint>| {
--- a/crates/papayamux-measure/src/demo.rs
+++ b/crates/papayamux-measure/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a small fleet, and a conversation whose turns come back to a warm engine.
+//! The demo: a small fleet and a conversation whose later turns reuse an engine's warm cache.
 
 use std::error::Error;
 
@@ -24,10 +24,10 @@
     ChatMessage { role: role.to_string(), content }
 }
 
-/// The organisation that calls.
+/// The organisation that sends the demo's requests.
 const ORGANISATION: &str = "yanchang-desk";
 
-/// Starts the fleet and holds the conversation; with `keep`, keeps the fleet up until Ctrl-C.
+/// Starts the fleet and runs the conversation; with `keep`, keeps the fleet running until Ctrl-C.
 pub fn run_demo(keep: bool) -> Result<(), Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().build())?;
     println!(
@@ -44,7 +44,7 @@
     })?
 }
 
-/// Tells how to call the fleet, and waits for Ctrl-C.
+/// Prints how to call the fleet and waits for Ctrl-C.
 async fn wait_for_end(fleet: &Fleet) -> Result<(), Box<dyn Error>> {
     let mut signals = catch_termination_signals()?;
     for router in &fleet.routers {
--- a/crates/papayamux-measure/src/front_settings.rs
+++ b/crates/papayamux-measure/src/front_settings.rs
@@ -1,27 +1,27 @@
-//! The settings file of a router on the platform, for fleets on loopback.
+//! Settings file of a platform router in a fleet on loopback.
 
 use std::net::SocketAddr;
 
-/// A router among others.
+/// The settings of one router of a fleet.
 #[derive(Debug, Clone)]
 pub(crate) struct FrontSettings {
-    /// Its number, from 0.
+    /// The index of the router, from 0.
     pub index: usize,
-    /// How many there are.
+    /// The number of routers in the fleet.
     pub count: usize,
-    /// The port at which all hear one another, each on a loopback address of its own.
+    /// The port for messages between routers, the same for all; each has its own loopback address.
     pub peers_port: u16,
-    /// Where it reads the store.
+    /// The address of the store that the router reads.
     pub store: SocketAddr,
-    /// Further sections and bounds, as lines.
+    /// Additional sections and limits, as lines.
     pub further: String,
 }
 
-/// Routers to begin with.
+/// Maximum number of routers listed as seeds.
 const MOST_SEEDS: usize = 3;
 
 impl FrontSettings {
-    /// The file's text.
+    /// Returns the text of the settings file.
     pub(crate) fn text(&self) -> String {
         let host = |index: usize| format!("127.0.0.{}", index + 1);
         let seeds = (0..self.count.min(MOST_SEEDS))
--- a/crates/papayamux-measure/src/lib.rs
+++ b/crates/papayamux-measure/src/lib.rs
@@ -1,4 +1,4 @@
-//! Measurements and the demo, on real processes.
+//! Measurements and a demo that run on real processes.
 
 pub mod command_line;
 pub mod config;
--- a/crates/papayamux-measure/src/orders/experiment.rs
+++ b/crates/papayamux-measure/src/orders/experiment.rs
@@ -1,4 +1,4 @@
-//! One run for each scenario.
+//! Runs the scenarios of the order measurement.
 
 use std::error::Error;
 
@@ -15,18 +15,18 @@
 const OLD_MODELS: [&str; 2] = ["itinerary@1", "refunds@1"];
 const NEW_MODELS: [&str; 2] = ["itinerary@2", "refunds@2"];
 
-/// What to measure.
+/// Options of the order measurement.
 #[derive(Debug, Clone)]
 pub struct OrderOptions {
-    /// Draws which engines fail.
+    /// The seed that selects the affected engines.
     pub seed: u64,
-    /// The scenarios; all where it is empty.
+    /// The scenarios to run; all if empty.
     pub scenarios: Vec<OrderScenario>,
-    /// Engines of the fleet.
+    /// The number of engines in the fleet.
     pub engines: usize,
 }
 
-/// Runs the scenarios and prints a JSON line for each.
+/// Runs the scenarios and prints one JSON line per scenario.
 pub fn measure_orders(options: &OrderOptions) -> Result<(), Box<dyn Error>> {
     let scenarios = match options.scenarios.is_empty() {
         true => OrderScenario::ALL.to_vec(),
@@ -96,8 +96,8 @@
     }))
 }
 
-/// The old agents are paused, new ones take over, an order of each old one arrives late, and then
-/// the old ones wake.
+/// Pauses the old agents, lets new ones take over, delivers a late order of each old agent, and
+/// then resumes the old agents.
 async fn late_predecessors(
     trial: &mut TrialFleet,
     wanted: &WantedModels,
--- a/crates/papayamux-measure/src/orders/mod.rs
+++ b/crates/papayamux-measure/src/orders/mod.rs
@@ -1,4 +1,5 @@
-//! The measurement `orders`: engines end as declared, within the weight store's rate.
+//! The measurement `orders`: engines converge to the declared models within the weight store's
+//! rate.
 
 mod experiment;
 mod scenario;
--- a/crates/papayamux-measure/src/orders/scenario.rs
+++ b/crates/papayamux-measure/src/orders/scenario.rs
@@ -1,25 +1,25 @@
-//! What happens to the fleet of one run.
+//! Scenarios of the order measurement.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// What happens to the engines or their agents.
+/// A scenario: the events at the engines or their agents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderScenario {
     /// All engines start with nothing loaded.
     EmptyFleet,
     /// All models get a new version.
     NewVersion,
-    /// A third of the engines restarts empty at once.
+    /// A third of the engines restart empty at once.
     EnginesRestart,
-    /// Engines ignore fencing numbers; each has a paused agent whose order comes late, and which
-    /// then wakes.
+    /// Engines ignore fencing numbers; each has a paused agent whose order arrives late and which
+    /// is then resumed.
     LatePredecessors,
-    /// The weight store answers fewer loads than is declared.
+    /// The weight store answers fewer loads per second than declared.
     SlowStore,
-    /// Half of the engines is to unload a model that the others keep.
+    /// Half of the engines have to unload a model that the others keep.
     ModelMoves,
 }
 
@@ -34,7 +34,7 @@
         Self::ModelMoves,
     ];
 
-    /// The name on the command line.
+    /// Returns the scenario's name on the command line.
     pub const fn label(self) -> &'static str {
         match self {
             Self::EmptyFleet => "empty_fleet",
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Loads a second that the weight store answers.
+    /// Returns the number of loads per second that the weight store answers.
     pub const fn store_rate(self) -> u64 {
         match self {
             Self::SlowStore => DECLARED_RATE / 3,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What the engines have loaded before any agent starts.
+    /// Returns the models that the engines have loaded before any agent starts.
     pub const fn loaded(self) -> &'static str {
         match self {
             Self::EmptyFleet | Self::SlowStore => "",
@@ -63,12 +63,12 @@
     }
 }
 
-/// Loads a second that agents are told of.
+/// The weight store's rate as declared to the agents, in loads per second.
 pub const DECLARED_RATE: u64 = 10;
 
-/// No scenario is called so.
+/// The error of parsing a scenario's name.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("there is no scenario {0:?}")]
+#[error("unknown scenario {0:?}")]
 pub struct ScenarioError(String);
 
 impl FromStr for OrderScenario {
--- a/crates/papayamux-measure/src/orders/trial_fleet.rs
+++ b/crates/papayamux-measure/src/orders/trial_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of engines with their agents, and how far it is from what is declared.
+//! A fleet of engines with their agents, compared with the declared models.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -8,27 +8,27 @@
 
 use super::scenario::{OrderScenario, DECLARED_RATE};
 
-/// How long a fleet may take.
+/// Maximum time for a fleet to converge.
 const CONVERGE_WITHIN: Duration = Duration::from_secs(120);
-/// How long a fleet that has converged is watched for going astray again.
+/// Time for which a converged fleet is watched for deviations.
 const WATCH_FOR: Duration = Duration::from_secs(3);
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
-/// Models as `NAME@VERSION`, by engine.
+/// The wanted models of each engine, as `NAME@VERSION`.
 pub type WantedModels = Vec<Vec<&'static str>>;
 
-/// A running fleet.
+/// A running fleet under measurement.
 pub struct TrialFleet {
-    /// Engines and weight store.
+    /// The engines and the weight store.
     pub fleet: OrderFleet,
-    /// All agents that were started.
+    /// All agents started so far.
     pub agents: Vec<ProcessHandle>,
-    /// The fewest engines that had a model loaded at any look.
+    /// The minimum number of engines with a given model loaded, over all models and observations.
     pub least_serving: usize,
 }
 
 impl TrialFleet {
-    /// Starts engines and store, and no agent yet.
+    /// Starts the engines and the weight store, without agents.
     pub fn start(scenario: OrderScenario, engines: usize) -> Result<Self, Box<dyn Error>> {
         let mut arguments = vec!["--load-ms".to_string(), "100".to_string()];
         if scenario == OrderScenario::LatePredecessors {
@@ -43,7 +43,7 @@
         Ok(Self { fleet: OrderFleet::start(plan)?, agents: Vec::new(), least_serving: engines })
     }
 
-    /// Starts an agent for each engine that is to be brought to `wanted`.
+    /// Starts an agent for each engine, with `wanted` as the declared models.
     pub fn start_agents(
         &mut self,
         revision: u64,
@@ -66,8 +66,8 @@
         Ok(())
     }
 
-    /// Waits until all engines are as wanted and stay so; gives how long it took until then, and
-    /// how many are not.
+    /// Waits until all engines have the wanted models for longer than `WATCH_FOR`, or the timeout
+    /// expires. Returns the time to convergence and the number of engines in a wrong state.
     pub async fn converge(
         &mut self,
         wanted: &WantedModels,
@@ -103,7 +103,7 @@
         Ok(pairs.filter(|(state, models)| !has_models(state, models)).count())
     }
 
-    /// The sum of a metric over all agents.
+    /// Returns the sum of a metric over all agents.
     pub async fn sum(&self, name: &str, label: &str) -> Result<f64, Box<dyn Error>> {
         let mut sum = 0.0;
         for agent in &self.agents {
--- a/crates/papayamux-measure/src/path/latency.rs
+++ b/crates/papayamux-measure/src/path/latency.rs
@@ -1,4 +1,5 @@
-//! Added latency: the same calls straight to the stand-in and through router and agent, in turn.
+//! Measures added latency by alternating the same calls directly to the stand-in and through
+//! router and agent.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -10,16 +11,16 @@
 use papayamux_testbed::{chat_request, Caller, Fleet, FLEET_MODEL, FLEET_PATH};
 use serde_json::json;
 
-/// Calls before any is timed.
+/// The number of untimed calls on each path before the measurement.
 const WARM_UP: usize = 500;
-/// Calls that are timed each way.
+/// The number of timed calls on each path.
 const CALLS: usize = 5_000;
-/// Chats that are timed each way.
+/// The number of timed chats on each path.
 const CHATS: usize = 500;
-/// The longest time that a histogram holds, in microseconds.
+/// The highest value of a histogram, in microseconds; longer times are recorded as this value.
 const LONGEST_MICROS: u64 = 60_000_000;
 
-/// Times of one way, in microseconds.
+/// The latencies of one path, in microseconds.
 struct TimeTable(Histogram<u64>);
 
 impl TimeTable {
@@ -50,15 +51,16 @@
     })
 }
 
-/// The server of the given kind, as a caller that goes straight to it, and a caller at the router.
+/// Returns a caller that calls the server of the given kind directly, and one that calls the
+/// router.
 fn both_ways(fleet: &Fleet, kind: &str) -> Result<(Caller, Caller), Box<dyn Error>> {
     let server = fleet.servers.iter().find(|server| server.name.starts_with(kind));
-    let direct = server.ok_or("the fleet lacks a server")?.standin.listen()?;
+    let direct = server.ok_or("the fleet has no server of this kind")?.standin.listen()?;
     let routed = fleet.routers[0].listen()?;
     Ok((Caller::new(direct, "measure"), Caller::new(routed, "measure")))
 }
 
-/// Times plain calls.
+/// Measures the latency of plain calls.
 pub async fn measure_calls(fleet: &Fleet) -> Result<serde_json::Value, Box<dyn Error>> {
     let (direct, routed) = both_ways(fleet, "service")?;
     let (mut direct_times, mut routed_times) = (TimeTable::new()?, TimeTable::new()?);
@@ -74,7 +76,7 @@
     Ok(report("added_latency_call", &direct_times, &routed_times))
 }
 
-/// Times the first token of streamed chats.
+/// Measures the time to first token of streamed chats.
 pub async fn measure_first_tokens(fleet: &Fleet) -> Result<serde_json::Value, Box<dyn Error>> {
     let (direct, routed) = both_ways(fleet, "engine")?;
     let (mut direct_times, mut routed_times) = (TimeTable::new()?, TimeTable::new()?);
--- a/crates/papayamux-measure/src/path/mod.rs
+++ b/crates/papayamux-measure/src/path/mod.rs
@@ -1,4 +1,5 @@
-//! `papayamux-measure path`: what router and agent add to a call of a backend server.
+//! `papayamux-measure path`: measures the overhead of router and agent on a call to a backend
+//! server.
 
 mod latency;
 mod run;
--- a/crates/papayamux-measure/src/path/run.rs
+++ b/crates/papayamux-measure/src/path/run.rs
@@ -1,4 +1,4 @@
-//! The measurements of the path, one JSON line each.
+//! Runs the measurements of the request path and prints one JSON line each.
 
 use std::error::Error;
 
@@ -9,9 +9,10 @@
 use super::streams::measure_streams;
 use super::throughput::measure_throughput;
 
-/// An engine's step where events are counted, in microseconds.
+/// The engine's step in the measurements other than first-token latency, in microseconds.
 const FAST_STEP: &str = "1000";
-/// An engine's step where latency is timed: a timer's resolution of 1 ms would hide it.
+/// The engine's step in the first-token latency measurement. A step would hide the latency,
+/// because timers have a resolution of 1 ms.
 const NO_STEP: &str = "0";
 
 fn plan(step: &str) -> FleetPlan {
@@ -26,7 +27,7 @@
         .build()
 }
 
-/// Runs all measurements of the path on fresh fleets.
+/// Runs all measurements of the request path, each on a new fleet.
 pub fn run_path() -> Result<(), Box<dyn Error>> {
     for line in [
         measure_on_fleet(FAST_STEP, async |fleet| measure_calls(fleet).await)?,
--- a/crates/papayamux-measure/src/path/streams.rs
+++ b/crates/papayamux-measure/src/path/streams.rs
@@ -1,4 +1,4 @@
-//! Events relayed a second for each core, and memory for each open stream.
+//! Measures events relayed per second per core, and memory per open stream.
 
 use std::cell::Cell;
 use std::error::Error;
@@ -13,18 +13,18 @@
 
 use super::throughput::CpuMeter;
 
-/// Streams open while events are counted.
+/// The number of open streams while events are counted.
 const STREAMS: usize = 200;
-/// Streams open while memory is read.
+/// The number of open streams at the second memory reading.
 const MANY_STREAMS: usize = 1_000;
-/// Tokens of each answer: more than can come while it is measured.
+/// The number of tokens in each answer, too many to complete during the measurement.
 const TOKENS: u32 = 1_000_000;
-/// How long events are counted.
+/// The period in which events are counted.
 const COUNT_FOR: Duration = Duration::from_secs(4);
-/// How long streams may take to settle.
+/// Wait for streams to settle.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// Events that all streams have received.
+/// The number of events received by all streams.
 type EventCount = Rc<Cell<u64>>;
 
 async fn read_stream(caller: Caller, number: usize, events: EventCount) -> Option<()> {
@@ -50,10 +50,10 @@
     Ok(process.usage()?.resident.get() as f64 / 1_024.0)
 }
 
-/// Measures streams that go on for as long as the measurement lasts.
+/// Measures streams that stay open for the whole measurement.
 pub async fn measure_streams(fleet: &Fleet) -> Result<serde_json::Value, Box<dyn Error>> {
     let engine = fleet.servers.iter().find(|server| server.name.starts_with("engine"));
-    let agent = &engine.ok_or("the fleet lacks an engine")?.agent;
+    let agent = &engine.ok_or("the fleet has no engine")?.agent;
     let router = &fleet.routers[0];
     let caller = Caller::new(router.listen()?, "measure");
     let events: EventCount = Rc::default();
--- a/crates/papayamux-measure/src/path/throughput.rs
+++ b/crates/papayamux-measure/src/path/throughput.rs
@@ -1,4 +1,4 @@
-//! Requests a second for each core that router and agent spend.
+//! Measures requests per second per core of router and agent.
 
 use std::cell::Cell;
 use std::error::Error;
@@ -10,28 +10,28 @@
 use papayamux_testbed::{Caller, Fleet, ProcessHandle, FLEET_PATH};
 use serde_json::json;
 
-/// Callers that each have one request in flight.
+/// The number of callers, each with one request in flight.
 const CALLERS: usize = 64;
-/// How long they go on.
+/// The duration of the measurement.
 const RUN_FOR: Duration = Duration::from_secs(4);
 
-/// Processor time of two processes since a start.
+/// Meters the CPU time of two processes from a starting point.
 pub struct CpuMeter<'a> {
     processes: [&'a ProcessHandle; 2],
     before: [Duration; 2],
     started: Instant,
 }
 
-/// Processor time spent in a span of time.
+/// The CPU time used in an interval.
 pub struct CpuReading {
-    /// The span in seconds.
+    /// The length of the interval in seconds.
     pub seconds: f64,
-    /// Seconds of a core spent by each of the two processes.
+    /// The core seconds used by each of the two processes.
     pub cores: [f64; 2],
 }
 
 impl<'a> CpuMeter<'a> {
-    /// Starts to meter the router and the agent.
+    /// Starts metering the router and the agent.
     pub fn start(
         router: &'a ProcessHandle,
         agent: &'a ProcessHandle,
@@ -40,7 +40,7 @@
         Ok(Self { processes: [router, agent], before, started: Instant::now() })
     }
 
-    /// What was spent since the start.
+    /// Returns the CPU time used since the start.
     pub fn read(&self) -> Result<CpuReading, Box<dyn Error>> {
         let spent = |index: usize| -> Result<f64, Box<dyn Error>> {
             Ok((self.processes[index].usage()?.cpu - self.before[index]).as_secs_f64())
@@ -50,10 +50,10 @@
     }
 }
 
-/// Measures plain calls from many callers at once.
+/// Measures the throughput of plain calls from many concurrent callers.
 pub async fn measure_throughput(fleet: &Fleet) -> Result<serde_json::Value, Box<dyn Error>> {
     let service = fleet.servers.iter().find(|server| server.name.starts_with("service"));
-    let agent = &service.ok_or("the fleet lacks a service")?.agent;
+    let agent = &service.ok_or("the fleet has no service")?.agent;
     let router = &fleet.routers[0];
     let caller = Caller::new(router.listen()?, "measure");
     let answered = Rc::new(Cell::new(0_u64));
--- a/crates/papayamux-measure/src/routing/best_possible.rs
+++ b/crates/papayamux-measure/src/routing/best_possible.rs
@@ -1,20 +1,20 @@
-//! The best cache reuse that any placement could have had for the same prompts.
+//! Upper bound on the cache reuse of any placement for the same prompts.
 
 use std::collections::HashMap;
 
-/// Knows every prompt block that was ever computed, and at which engines it may lie.
+/// Tracks every prompt block computed so far and the engines that may hold it.
 ///
-/// Each chat has a home engine, chosen evenly, that never forgets anything, and a turn may use the
-/// longest prefix that any single engine holds, at no cost in load. What lay on a replaced engine
-/// is lost. Evictions are left out, so the result is an upper bound: no policy has to reach it,
-/// and only luck with the engines that are replaced can lead above it.
+/// Each chat has a home engine, assigned evenly, that never evicts a block. A turn may use the
+/// longest prefix that any single engine holds, at no cost in load. Blocks on a replaced engine
+/// are lost. Because evictions are ignored, the result is an upper bound: no policy has to reach
+/// it, and a policy can exceed it only by chance, depending on which engines are replaced.
 #[derive(Debug, Default)]
 pub struct PrefixOracle {
     engines_by_block: HashMap<u64, u64>,
 }
 
 impl PrefixOracle {
-    /// Leading blocks of `blocks` that one engine could have held.
+    /// Returns the number of leading blocks of `blocks` that a single engine could hold.
     pub fn best_blocks(&self, blocks: &[u64]) -> usize {
         let mut holders = u64::MAX;
         for (count, block) in blocks.iter().enumerate() {
@@ -26,21 +26,21 @@
         blocks.len()
     }
 
-    /// Notes that the engine with number `engine` (below 64) holds `blocks` from now on.
+    /// Records that the engine with the index `engine` (below 64) holds `blocks`.
     pub fn store(&mut self, engine: usize, blocks: &[u64]) {
         for block in blocks {
             *self.engines_by_block.entry(*block).or_default() |= 1 << engine;
         }
     }
 
-    /// Notes that the engines in the bit mask `engines` lost what they held.
+    /// Records that the engines in the bit mask `engines` lost all their blocks.
     pub fn forget(&mut self, engines: u64) {
         if engines != 0 {
             self.engines_by_block.values_mut().for_each(|holders| *holders &= !engines);
         }
     }
 
-    /// Distinct blocks seen so far.
+    /// Returns the number of distinct blocks recorded so far.
     pub fn blocks(&self) -> usize {
         self.engines_by_block.len()
     }
--- a/crates/papayamux-measure/src/routing/control_traffic.rs
+++ b/crates/papayamux-measure/src/routing/control_traffic.rs
@@ -1,4 +1,4 @@
-//! Control traffic, as the processes themselves count it.
+//! Reads the control traffic counters from the processes' metrics.
 
 use std::net::SocketAddr;
 
@@ -7,11 +7,11 @@
 
 use super::load_sampler::fetch;
 
-/// What the names of the metrics that count control traffic have in common.
+/// Common part of the names of the metrics that count control traffic.
 const CONTROL_METRIC: &str = "control_bytes";
 
-/// The control bytes in a metrics page, all directions and kinds together; `None` where the
-/// process does not count them.
+/// Returns the sum of the control bytes in a metrics page over all directions and kinds, or
+/// `None` if the process does not count them.
 pub fn control_bytes(metrics: &str) -> Option<f64> {
     let lines = metrics.lines().filter(|line| !line.starts_with('#'));
     let mut counted = None;
@@ -22,7 +22,7 @@
     counted
 }
 
-/// The counts of several processes at one moment.
+/// Reads the current control bytes of several processes.
 pub async fn read_counts(operations: &[SocketAddr]) -> Vec<Option<f64>> {
     let pages = operations.iter().map(|address| async {
         let body = fetch(&HttpClient::new(*address), "/metrics").await?;
@@ -31,7 +31,7 @@
     join_all(pages).await
 }
 
-/// The mean rate of the processes that were there at both moments, in bytes per second.
+/// Returns the mean rate in bytes per second over the processes that have both readings.
 pub fn mean_rate(before: &[Option<f64>], after: &[Option<f64>], seconds: f64) -> Option<f64> {
     let rates: Vec<f64> = before
         .iter()
--- a/crates/papayamux-measure/src/routing/disturbance.rs
+++ b/crates/papayamux-measure/src/routing/disturbance.rs
@@ -1,4 +1,4 @@
-//! What a scenario does to the processes during a run, on a thread of its own.
+//! Applies a scenario's faults to the processes during a run, on a separate thread.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -7,29 +7,30 @@
 
 use super::scenario::Scenario;
 
-/// When replacements begin and end, as shares of the run.
+/// Start and end of the replacements or pauses, as shares of the run.
 const CHURN_SHARES: (f64, f64) = (0.3, 0.85);
 const FLAP_PAUSE: Duration = Duration::from_millis(800);
 const FLAP_PERIOD: Duration = Duration::from_millis(2_000);
 const FLAPPING_ENGINE: usize = 0;
 
-/// A run's time and what it tells the best placement.
+/// The faults of one run: their scenario and timing, and the mask that reports replaced engines
+/// to the prefix oracle.
 #[derive(Debug, Clone, Copy)]
 pub struct DisturbancePlan<'a> {
-    /// The scenario.
+    /// The scenario that determines the faults.
     pub scenario: Scenario,
-    /// Engines of the site.
+    /// The number of engines at the site.
     pub engines: usize,
-    /// When the run began.
+    /// The start of the run.
     pub begun: Instant,
-    /// How long it goes on.
+    /// The duration of the run.
     pub length: Duration,
-    /// Engines that have been replaced, as a bit mask.
+    /// Bit mask of the engines replaced and not yet processed by the prefix oracle.
     pub replaced: &'a AtomicU64,
 }
 
 impl DisturbancePlan<'_> {
-    /// Disturbs the fleet until the scenario has nothing left to do.
+    /// Applies all faults of the scenario to `fleet` and blocks until the last one.
     pub fn carry_out(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
         match self.scenario {
             Scenario::Churn10 | Scenario::Churn30 => self.replace_engines(fleet),
--- a/crates/papayamux-measure/src/routing/experiment.rs
+++ b/crates/papayamux-measure/src/routing/experiment.rs
@@ -1,4 +1,4 @@
-//! Running the policies one after the other, each on a fleet of its own.
+//! Runs the policies sequentially, each on its own fleet.
 
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -24,15 +24,15 @@
 use super::tally::RunTally;
 use super::workload::{organisation_name, Workload, ORGANISATIONS};
 
-/// Servers that each list lacks where lists differ.
+/// The number of servers missing from each router's list in the scenario `lists-differ`.
 const LISTS_LACK: usize = 2;
-/// The part of a run that does not count.
+/// The share of a run that is warm-up and excluded from the figures.
 const WARM_UP_SHARE: f64 = 0.25;
-/// How long requests may take after the run's end.
+/// Maximum wait for requests in flight after the end of a run.
 const FINISH_WITHIN: Duration = Duration::from_secs(10);
 const FINISH_LOOK: Duration = Duration::from_millis(20);
 
-/// Runs the measurement and prints one JSON line for each policy and scenario.
+/// Runs the measurement and prints one JSON line per policy and scenario.
 pub fn measure_routing(options: &RoutingOptions) -> Result<(), Box<dyn Error>> {
     let mut site = SiteProfile::of(options.site);
     site.chats_per_second *= options.load;
@@ -94,7 +94,8 @@
     named.into_iter().flat_map(|(name, value)| [name.to_string(), value]).collect()
 }
 
-/// The servers on each router's list: in one scenario each list lacks two that others have.
+/// Returns the servers on each router's list. The result is empty unless the lists differ; then
+/// each list lacks two servers that the others have.
 fn known_servers(site: &SiteProfile, scenario: Scenario) -> Vec<Vec<usize>> {
     if scenario != Scenario::ListsDiffer {
         return Vec::new();
@@ -136,7 +137,7 @@
             in_flight: Cell::new(0),
         });
         let mut run = runtime::run(drive(desk, addresses))?;
-        let disturbed = disturber.join().map_err(|_| "the disturbing thread panicked")?;
+        let disturbed = disturber.join().map_err(|_| "the disturbance thread panicked")?;
         run.disturbance_error = disturbed.err().map(|error| error.to_string());
         Ok(run)
     })
@@ -176,7 +177,7 @@
     }
 }
 
-/// The machine's load average over the last minute, where the system tells it.
+/// Returns the machine's load average over the last minute, if the system provides it.
 fn load_average() -> Option<f64> {
     std::fs::read_to_string("/proc/loadavg").ok()?.split(' ').next()?.parse().ok()
 }
@@ -192,7 +193,7 @@
     routers.iter().map(of_router).collect()
 }
 
-/// Where the processes of a fleet listen.
+/// The listening addresses of a fleet's processes.
 struct FleetAddresses {
     routers: Vec<SocketAddr>,
     engines: Vec<SocketAddr>,
@@ -201,7 +202,7 @@
 }
 
 impl FleetAddresses {
-    /// The engines with their agents, which come first among the agents.
+    /// Pairs the engines with their agents, which are the first in the list of agents.
     fn sampled(&self) -> Vec<SampledServer> {
         let pairs = self.engines.iter().zip(&self.agent_operations);
         pairs.map(|(engine, agent)| SampledServer::new(*engine, *agent)).collect()
--- a/crates/papayamux-measure/src/routing/load_sampler.rs
+++ b/crates/papayamux-measure/src/routing/load_sampler.rs
@@ -1,4 +1,4 @@
-//! The engines' true load over time.
+//! Samples the engines' true load over time.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,38 +15,38 @@
 
 /// Time between two samples.
 const SAMPLE_EVERY: Duration = Duration::from_millis(75);
-/// How long an engine may take to tell its load; one that takes longer is left out.
+/// Timeout of one engine's load query; a sample omits the engines that exceed it.
 const ANSWER_WITHIN: Duration = Duration::from_millis(60);
-/// Samples with a smaller mean load are left out of the skew: a single request more or less would
-/// decide it.
+/// Minimum mean load of a sample that counts towards the skew. Below it, a single request would
+/// dominate the ratio.
 pub const SMALLEST_MEAN: f64 = 2.0;
 const STATUS_PATH: &str = "/status";
 const LONGEST_ANSWER: u64 = 64 * 1024;
 
-/// The loads of all engines at one moment.
+/// The loads of all engines at one point in time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadSample {
-    /// When, since the run began.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Requests running and waiting at each engine that answered.
+    /// The number of running and waiting requests at each engine that answered.
     pub loads: Vec<u64>,
-    /// The same engines' loads and what waits for them at their agents.
+    /// The loads of the same engines plus the requests queued at their agents.
     pub demands: Vec<u64>,
 }
 
 impl LoadSample {
-    /// The sample with the demands in the place of the loads.
+    /// Returns a copy of the sample whose loads are the demands.
     pub fn of_demands(&self) -> Self {
         Self { loads: self.demands.clone(), ..self.clone() }
     }
 
-    /// The mean load.
+    /// Returns the mean load of an engine.
     pub fn mean(&self) -> f64 {
         self.loads.iter().sum::<u64>() as f64 / self.loads.len().max(1) as f64
     }
 
-    /// Whether an engine has more than `c` times the mean, rounded up to whole requests, with the
-    /// factor that agents keep where their settings name none.
+    /// Returns `true` if an engine exceeds `c` times the mean load, rounded up to whole requests.
+    /// `c` is the default load factor of agents.
     fn is_over_bound(&self) -> bool {
         self.highest() as f64 > (LoadFactor::DEFAULT.get() * self.mean()).ceil()
     }
@@ -56,29 +56,29 @@
     }
 }
 
-/// Highest load over mean load, summed up over a run.
+/// Distribution over a run of the load skew: the highest load divided by the mean load.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SkewSummary {
-    /// The median.
+    /// The median skew.
     pub p50: f64,
-    /// At the 95th percentile.
+    /// The 95th percentile of the skew.
     pub p95: f64,
-    /// The highest.
+    /// The highest skew.
     pub max: f64,
-    /// Share of the samples in which an engine had more than `c` times the mean, rounded up.
+    /// The share of samples in which an engine exceeded `c` times the mean, rounded up.
     pub over_bound: f64,
-    /// The most requests above the mean at any engine.
+    /// The maximum number of requests above the mean at any engine.
     pub most_above_mean: f64,
     /// The mean load of an engine.
     pub mean_load: f64,
-    /// Samples that count.
+    /// The number of samples that count.
     pub samples: usize,
-    /// Samples left out because their mean load was too small.
+    /// The number of samples left out because their mean load was too small.
     pub left_out: usize,
 }
 
 impl SkewSummary {
-    /// Sums up the samples taken after `warm_up` and before `end`.
+    /// Summarizes the samples taken from `warm_up` until before `end`.
     pub fn of(samples: &[LoadSample], warm_up: Duration, end: Duration) -> Self {
         let timely = samples.iter().filter(|sample| sample.at >= warm_up && sample.at < end);
         let timely: Vec<_> = timely.filter(|sample| !sample.loads.is_empty()).collect();
@@ -107,19 +107,19 @@
     }
 }
 
-/// An engine and the operators' port of its agent.
+/// An engine and the operations port of its agent.
 pub struct SampledServer {
     engine: HttpClient,
     agent: HttpClient,
 }
 
 impl SampledServer {
-    /// The engine and the agent at these addresses.
+    /// Creates a server from the address of the engine and the operations address of its agent.
     pub fn new(engine: SocketAddr, agent_operations: SocketAddr) -> Self {
         Self { engine: HttpClient::new(engine), agent: HttpClient::new(agent_operations) }
     }
 
-    /// Requests at the engine, and those together with what waits at the agent.
+    /// Returns the engine's load, and that load plus the requests queued at the agent.
     async fn sample(&self) -> Option<(u64, u64)> {
         let (engine, agent) =
             join(fetch(&self.engine, TRUE_LOAD_PATH), fetch(&self.agent, STATUS_PATH)).await;
@@ -131,7 +131,7 @@
     }
 }
 
-/// Samples `servers` for as long as it is polled.
+/// Samples `servers` periodically; the future never completes.
 pub async fn sample_loads(
     servers: Vec<SampledServer>,
     begun: Instant,
@@ -148,7 +148,7 @@
     }
 }
 
-/// The body at a path, where it can be had.
+/// Fetches the body at `path`, or `None` if the request fails or the status is not 200.
 pub async fn fetch(client: &HttpClient, path: &str) -> Option<bytes::Bytes> {
     let request = Request::builder()
         .method(Method::GET)
--- a/crates/papayamux-measure/src/routing/options.rs
+++ b/crates/papayamux-measure/src/routing/options.rs
@@ -1,14 +1,14 @@
-//! What the command line asks of the measurement.
+//! Options of the routing measurement.
 
 use bon::Builder;
 
 use super::scenario::Scenario;
 use super::site::SiteName;
 
-/// The policies that are compared, in the order in which they run.
+/// The policies to compare, in the order in which they run.
 pub const POLICIES: [&str; 5] =
     ["random", "two-choices", "consistent-hash", "bounded-hash", "papayamux"];
-/// Stands for routers that are told no policy.
+/// The name for running routers without a policy setting.
 pub const UNSET_POLICY: &str = "unset";
 
 /// Options of the measurement.
@@ -16,25 +16,25 @@
 pub struct RoutingOptions {
     /// The seed of the workload.
     pub seed: u64,
-    /// The site.
+    /// The site to simulate.
     #[builder(default = SiteName::Yanchang)]
     pub site: SiteName,
-    /// The policies, each on the same workload.
+    /// The policies to run, each on the same workload.
     #[builder(default = POLICIES.map(str::to_string).to_vec())]
     pub policies: Vec<String>,
-    /// The scenarios.
+    /// The scenarios to run.
     #[builder(default = Scenario::ALL.to_vec())]
     pub scenarios: Vec<Scenario>,
-    /// Seconds of one run, its warm-up included.
+    /// The duration of one run in seconds, including its warm-up.
     #[builder(default = 16.0)]
     pub seconds: f64,
-    /// Factor on the chats that begin in a second.
+    /// The factor applied to the rate of new chats.
     #[builder(default = 1.0)]
     pub load: f64,
-    /// Further lines for the routers' `[router]` section.
+    /// Additional lines for the routers' `[router]` section.
     #[builder(default)]
     pub router_lines: String,
-    /// Further lines for the agents' `[server]` section.
+    /// Additional lines for the agents' `[server]` section.
     #[builder(default)]
     pub agent_lines: String,
 }
--- a/crates/papayamux-measure/src/routing/report.rs
+++ b/crates/papayamux-measure/src/routing/report.rs
@@ -1,4 +1,4 @@
-//! The measurement's result: one JSON line for each policy and scenario.
+//! The report of the routing measurement: one JSON line per policy and scenario.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 use super::tally::{RunTally, TurnOutcome, TurnRecord};
 use super::workload::SURGING_ORGANISATION;
 
-/// All that a run yielded.
+/// The raw results of a run.
 #[derive(Debug, Clone, Default)]
 pub struct RunYield {
-    /// What callers saw.
+    /// The results observed by callers.
     pub tally: RunTally,
-    /// The engines' loads.
+    /// The load samples of the engines.
     pub samples: Vec<LoadSample>,
-    /// Control bytes a second of a router.
+    /// Mean control bytes per second of a router.
     pub control_router: Option<f64>,
-    /// Control bytes a second of an agent.
+    /// Mean control bytes per second of an agent.
     pub control_agent: Option<f64>,
-    /// Distinct prompt blocks of the whole run.
+    /// The number of distinct prompt blocks in the whole run.
     pub distinct_blocks: usize,
-    /// Requests that had no answer long after the run's end.
+    /// The number of requests still without an answer when the wait after the run's end expired.
     pub unfinished: usize,
     /// The machine's load average over the last minute.
     pub load_average: Option<f64>,
-    /// Replacements of engines that failed, as text.
+    /// The error that stopped the scenario's faults, if any.
     pub disturbance_error: Option<String>,
 }
 
-/// Which run it was.
+/// The parameters that identify a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunLabel {
     /// The policy.
@@ -43,99 +43,100 @@
     pub site: String,
     /// The seed.
     pub seed: u64,
-    /// Factor on the chats that began in a second.
+    /// The factor applied to the rate of new chats.
     pub load: f64,
-    /// Seconds of the run, warm-up included.
+    /// The duration of the run in seconds, including warm-up.
     pub seconds: f64,
-    /// Seconds at its start that do not count.
+    /// The duration of the warm-up in seconds, which is excluded from the figures.
     pub warm_up_seconds: f64,
 }
 
-/// The figures of one run; times in milliseconds, shares between 0 and 1.
+/// The figures of one run. Times are in milliseconds, shares between 0 and 1.
 #[derive(Debug, Clone, Serialize)]
 pub struct RoutingReport {
-    /// Which run it was.
+    /// The parameters that identify the run.
     #[serde(flatten)]
     pub label: RunLabel,
-    /// Turns that were sent.
+    /// The number of turns sent.
     pub requests: u64,
-    /// Answered turns that come back to a chat.
+    /// The number of answered turns that continue a chat.
     pub returning: u64,
-    /// Of these, the share that found all that the chat's previous turn had left.
+    /// The share of `returning` turns that found their chat's whole history in the cache.
     pub warm: f64,
-    /// Share of the answered turns' prompt tokens that came from a cache.
+    /// The share of the answered turns' prompt tokens that came from a cache.
     pub warm_prompt_token_share: f64,
-    /// The share that the best placement could have had.
+    /// The upper bound of that share under the best placement.
     pub best_possible_share: f64,
-    /// The first of the two shares over the second.
+    /// `warm_prompt_token_share` divided by `best_possible_share`.
     pub share_of_best: f64,
-    /// Median over time of highest load over mean load.
+    /// The median over time of the load skew: the highest load divided by the mean load.
     pub skew_p50: f64,
-    /// The same at the 95th percentile.
+    /// The 95th percentile of the load skew.
     pub skew_p95: f64,
-    /// The same at its highest.
+    /// The highest load skew.
     pub skew_max: f64,
-    /// Share of the load samples in which an engine had more than `c` times the mean,
+    /// The share of load samples in which an engine exceeded `c` times the mean,
     /// rounded up to whole requests.
     pub over_bound: f64,
-    /// The most requests that any engine had above the mean.
+    /// The maximum number of requests above the mean at any engine.
     pub most_above_mean: f64,
-    /// Median of highest over mean where what waits at the agents counts as load too.
+    /// The median load skew with the requests queued at the agents included in the load.
     pub demand_skew_p50: f64,
-    /// The same at its highest.
+    /// The highest load skew with the requests queued at the agents included in the load.
     pub demand_skew_max: f64,
-    /// Load samples that count.
+    /// The number of load samples that count.
     pub load_samples: usize,
-    /// Load samples left out because the mean was below two requests.
+    /// The number of load samples left out because the mean was below two requests.
     pub load_samples_left_out: usize,
-    /// Mean requests at an engine, running and waiting.
+    /// The mean number of running and waiting requests at an engine.
     pub mean_load: f64,
-    /// Median time to the first token.
+    /// The median time to first token.
     pub ttft_p50_ms: f64,
-    /// 95th percentile of the time to the first token.
+    /// The 95th percentile of the time to first token.
     pub ttft_p95_ms: f64,
-    /// The same over the organisations that do not surge.
+    /// The 95th percentile of the time to first token, without the organisation that surges.
     pub ttft_p95_others_ms: f64,
-    /// 99th percentile of the plain calls' latency.
+    /// The 99th percentile of the latency of plain calls.
     pub turnstile_p99_ms: f64,
-    /// Plain calls sent.
+    /// The number of plain calls sent.
     pub turnstile_calls: u64,
-    /// Plain calls that were not answered.
+    /// The number of plain calls not answered successfully.
     pub turnstile_failed: u64,
-    /// Turns refused, with the word that they were not run.
+    /// The number of turns refused with the outcome "not run".
     pub refused: u64,
-    /// Of these, those of organisations that do not surge.
+    /// The number of refused turns of organisations that do not surge.
     pub refused_others: u64,
-    /// Turns that failed in any other way.
+    /// The number of turns that failed in any other way.
     pub failed: u64,
-    /// Answers that ended too early, of which callers were told or could see it.
+    /// The number of answers that were truncated in a way visible to callers.
     pub cut: u64,
-    /// Answers that ended too early, as if they were whole.
+    /// The number of answers that ended early but were presented as complete.
     pub short: u64,
-    /// Answers with bytes of another answer.
+    /// The number of answers with bytes that are not part of the expected answer.
     pub mixed: u64,
-    /// Requests without an answer long after the end.
+    /// The number of requests still without an answer when the wait after the run's end expired.
     pub unfinished: usize,
-    /// Median time between two tokens of an answer: an engine's step as it truly was.
+    /// The median time between two tokens of an answer, which is the actual duration of an engine
+    /// step.
     pub token_gap_p50_ms: f64,
-    /// Steps that the turns occupy a place for under the best placement, over those that all
-    /// places had, at the step as it truly was.
+    /// Batch slot steps occupied by the turns under the best placement, divided by the slot steps
+    /// available at the actual step duration.
     pub offered_load: f64,
-    /// Prompt tokens that had to be computed, over those that could be computed.
+    /// Prompt tokens that had to be prefilled, divided by the prefill capacity.
     pub computed_prefill: f64,
-    /// Distinct blocks of all prompts, over the blocks that all caches hold.
+    /// Distinct blocks of all prompts, divided by the capacity of all caches in blocks.
     pub blocks_over_cache: f64,
-    /// Control bytes a second of a router, if it counts them.
+    /// Mean control bytes per second of a router, if it counts them.
     pub control_bytes_per_s_router: Option<f64>,
-    /// Control bytes a second of an agent, if it counts them.
+    /// Mean control bytes per second of an agent, if it counts them.
     pub control_bytes_per_s_agent: Option<f64>,
-    /// Control bytes of a router for each turn or call.
+    /// Control bytes of a router per turn or call.
     pub control_bytes_per_request: Option<f64>,
     /// The machine's load average over the last minute, at the end of the run.
     pub load_average: Option<f64>,
-    /// Failures that routers told over the whole run, by code and reason.
+    /// The number of failures reported by routers over the whole run, by code and reason.
     pub told: BTreeMap<String, u64>,
-    /// Why the scenario could not be carried out, if so.
+    /// The error that stopped the scenario's faults, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub disturbance_error: Option<String>,
 }
@@ -146,7 +147,7 @@
 }
 
 impl RoutingReport {
-    /// Sums up a run.
+    /// Computes the figures of a run.
     pub fn new(label: RunLabel, site: &SiteProfile, run: &RunYield) -> Self {
         let warm_up = Duration::from_secs_f64(label.warm_up_seconds);
         let end = Duration::from_secs_f64(label.seconds);
@@ -217,11 +218,11 @@
     }
 }
 
-/// Work that the turns bring, as shares of what the engines can do.
+/// The work offered by the turns, as shares of the engines' capacity.
 struct OfferedLoad {
-    /// Places in the batches.
+    /// The share of the batch slots.
     places: f64,
-    /// All prompt tokens, as if nothing were cached.
+    /// The share of the prefill capacity that all prompt tokens need if nothing is cached.
     prefill: f64,
 }
 
--- a/crates/papayamux-measure/src/routing/scenario.rs
+++ b/crates/papayamux-measure/src/routing/scenario.rs
@@ -1,17 +1,17 @@
-//! What happens during a run.
+//! Scenarios of the routing measurement.
 
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// How late and how completely engines tell of themselves.
+/// The delay and completeness of the engines' load reports and cache events.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineReports {
-    /// Age of the state that load reports show.
+    /// The age of the state in load reports.
     pub load_lag: Duration,
-    /// Time until a cache event is visible.
+    /// The time until a cache event is visible.
     pub event_lateness: Duration,
-    /// Share of the cache events that are lost.
+    /// The share of cache events that are lost.
     pub event_gap_share: f64,
 }
 
@@ -29,21 +29,22 @@
 /// A scenario of the measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing happens.
+    /// No faults and a steady load.
     Steady,
-    /// A quarter of all chats open alike and name no conversation, so that they share one key.
+    /// A quarter of all chats have the same opening and no conversation id, so that they share one
+    /// key.
     Hot,
-    /// One organisation sends eight times its turns for a third of the run.
+    /// One organisation sends eight times its usual turns for a third of the run.
     Surge,
-    /// A tenth of the engines is replaced, one after the other.
+    /// A tenth of the engines is replaced, one at a time.
     Churn10,
-    /// Three tenths of the engines are replaced, one after the other.
+    /// Three tenths of the engines are replaced, one at a time.
     Churn30,
-    /// One engine's agent pauses and continues over and over.
+    /// One engine's agent is paused and resumed repeatedly.
     Flap,
-    /// Each router's list lacks two engines, not the same two.
+    /// Each router's list lacks two engines, different ones for each router.
     ListsDiffer,
-    /// Cache events come late and with gaps, load reports with a lag.
+    /// Cache events are late and incomplete, and load reports lag.
     LateEvents,
 }
 
@@ -60,7 +61,7 @@
         Scenario::LateEvents,
     ];
 
-    /// The scenario's name on the command line.
+    /// Returns the scenario's name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::Steady => "steady",
@@ -74,7 +75,7 @@
         }
     }
 
-    /// How the engines report.
+    /// Returns the delay and completeness of the engines' reports.
     pub fn engine_reports(self) -> EngineReports {
         match self {
             Scenario::LateEvents => LATE_REPORTS,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Engines out of `engines` that are replaced during the run.
+    /// Returns the number of engines, out of `engines`, that are replaced during the run.
     pub fn replaced(self, engines: usize) -> usize {
         match self {
             Scenario::Churn10 => engines.div_ceil(10),
--- a/crates/papayamux-measure/src/routing/session.rs
+++ b/crates/papayamux-measure/src/routing/session.rs
@@ -1,4 +1,4 @@
-//! One chat as its caller holds it.
+//! Runs chats and plain calls from the caller's side.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,29 +18,29 @@
 use super::tally::{AnsweredTurn, RunTally, TurnOutcome, TurnRecord};
 use super::workload::{CallScript, ChatScript, TurnScript, Workload};
 
-/// What all sessions of a run share.
+/// State shared by all sessions of a run.
 pub struct SessionDesk {
-    /// When the run began.
+    /// The start of the run.
     pub begun: Instant,
-    /// No turn is sent after this time.
+    /// The time after which no turn is sent, since the start of the run.
     pub end: Duration,
-    /// Callers, by router and organisation.
+    /// The callers, by router and organisation.
     pub callers: Vec<Vec<Caller>>,
-    /// The documents that open chats.
+    /// The workload to send.
     pub workload: Rc<Workload>,
-    /// Engines, for the homes of the best placement.
+    /// The number of engines, from which the oracle's home engines are assigned.
     pub engines: usize,
-    /// Engines replaced since somebody last looked, as a bit mask.
+    /// Bit mask of the engines replaced since the oracle was last updated.
     pub replaced: Arc<AtomicU64>,
-    /// The best placement so far.
+    /// The oracle that computes the best possible reuse.
     pub oracle: RefCell<PrefixOracle>,
-    /// What happened so far.
+    /// The results recorded so far.
     pub tally: RefCell<RunTally>,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: Cell<usize>,
 }
 
-/// The blocks of a prompt.
+/// Returns the block hashes of a prompt.
 fn prompt_blocks(prompt: &str) -> Vec<u64> {
     block_hashes(root_hash(FLEET_MODEL, None), prompt)
 }
@@ -54,7 +54,7 @@
         monoio::time::sleep(at.saturating_sub(self.begun.elapsed())).await;
     }
 
-    /// Holds chat number `index` of the workload.
+    /// Runs the chat with the index `index` in the workload.
     pub async fn hold_chat(self: Rc<Self>, index: usize) {
         let workload = self.workload.clone();
         let chat = &workload.chats[index];
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The record of a turn that is about to be sent.
+    /// Creates the record of a turn about to be sent, with the best possible reuse.
     fn best_case(
         &self,
         chat: usize,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Makes a call to a plain service.
+    /// Sends a call to a plain service at its arrival time and records its latency.
     pub async fn make_call(self: Rc<Self>, call: CallScript) {
         self.wait_until(call.arrival).await;
         let caller = &self.callers[call.router][call.organisation];
--- a/crates/papayamux-measure/src/routing/site.rs
+++ b/crates/papayamux-measure/src/routing/site.rs
@@ -1,16 +1,16 @@
-//! The two users' sites of today, scaled so that a run takes seconds.
+//! Profiles of the two users' current sites, scaled so that a run takes seconds.
 
 use std::fmt;
 use std::ops::Range;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Which user's site is measured.
+/// The site to simulate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SiteName {
-    /// Twelve model runners and three ticket runners; chats and many gate scans.
+    /// 12 engines and 3 ticket services; chats and many gate scans.
     Yanchang,
-    /// Twenty model runners and four portal runners; long rulebooks that chats share.
+    /// 20 engines and 4 portal services; chats that share long rulebooks.
     Kitakaze,
 }
 
@@ -38,40 +38,40 @@
 /// The size of a site and the shape of its traffic.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteProfile {
-    /// Model engines.
+    /// The number of model engines.
     pub engines: usize,
-    /// Plain services.
+    /// The number of plain services.
     pub services: usize,
-    /// Routers; each request goes to one of them at random.
+    /// The number of routers; each request goes to one of them at random.
     pub routers: usize,
-    /// Time of one engine step.
+    /// The duration of one engine step.
     pub step: Duration,
-    /// Places in an engine's batch.
+    /// The number of slots in an engine's batch.
     pub batch: u64,
-    /// Prompt tokens that an engine computes in one step.
+    /// The number of prompt tokens that an engine prefills in one step.
     pub prefill: u64,
-    /// Blocks in an engine's prefix cache.
+    /// The number of blocks in an engine's prefix cache.
     pub cache_blocks: usize,
-    /// Chats that begin in a second, over all organisations.
+    /// New chats per second, over all organisations.
     pub chats_per_second: f64,
-    /// Opening documents (rulebooks, house rules) of one organisation.
+    /// The number of opening documents (rulebooks, house rules) per organisation.
     pub documents: usize,
-    /// Tokens of an opening document.
+    /// The number of tokens in an opening document.
     pub document_tokens: usize,
-    /// Turns of a chat.
+    /// The number of turns in a chat.
     pub turns: Range<usize>,
-    /// Tokens of what a user says in one turn.
+    /// The number of tokens in a user message.
     pub user_tokens: Range<usize>,
-    /// Tokens of an answer.
+    /// The number of tokens in an answer.
     pub answer_tokens: Range<u32>,
-    /// Mean pause between an answer and the next turn.
+    /// The mean pause between an answer and the next turn.
     pub pause: Duration,
-    /// Calls to plain services in a second.
+    /// Calls to plain services per second.
     pub calls_per_second: f64,
 }
 
 impl SiteProfile {
-    /// The profile of a site.
+    /// Returns the profile of a site.
     pub fn of(site: SiteName) -> Self {
         match site {
             SiteName::Yanchang => Self {
--- a/crates/papayamux-measure/src/routing/table.rs
+++ b/crates/papayamux-measure/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! A table of many runs: each figure's median over the seeds, with its spread.
+//! Formats many runs as tables with the median and range of each figure over the seeds.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 
-/// A column: its heading, the report's field, and the digits after the point.
+/// The columns: heading, field of the report and number of decimals.
 const COLUMNS: [(&str, &str, usize); 18] = [
     ("warm", "warm", 3),
     ("token share", "warm_prompt_token_share", 3),
@@ -28,7 +28,7 @@
     ("load average", "load_average", 0),
 ];
 
-/// Runs of one site, scenario and policy, in the order in which they were first met.
+/// Runs grouped by site, scenario and policy, in the order of first occurrence.
 #[derive(Debug, Default)]
 struct RunGroups {
     order: Vec<[String; 3]>,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads reports, one JSON line each, and gives one Markdown table for each site and scenario.
+/// Reads reports, one JSON line each, and returns a Markdown table per site and scenario.
 pub fn tabulate(lines: impl BufRead) -> Result<String, Box<dyn std::error::Error>> {
     let mut groups = RunGroups::default();
     for line in lines.lines() {
@@ -81,7 +81,7 @@
     let _ = writeln!(text, "\n|---|{}", "---|".repeat(COLUMNS.len() + 1));
 }
 
-/// `median (lowest–highest)`, or a dash where no run has the figure.
+/// Formats a cell as `median (lowest–highest)`, or as a dash if no run has the figure.
 fn cell(runs: &[Value], field: &str, digits: usize) -> String {
     let mut values: Vec<f64> = runs.iter().filter_map(|run| run[field].as_f64()).collect();
     values.sort_by(f64::total_cmp);
--- a/crates/papayamux-measure/src/routing/tally.rs
+++ b/crates/papayamux-measure/src/routing/tally.rs
@@ -1,4 +1,4 @@
-//! What became of the turns and calls of a run.
+//! Records the outcomes of the turns and calls of a run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,70 +7,70 @@
 use papayamux_protocol::engine::TOKENS_PER_BLOCK;
 use papayamux_protocol::failure::FailureEnvelope;
 
-/// The longest time that a histogram tells apart, in microseconds.
+/// The highest value of a histogram, in microseconds; longer times are recorded as this value.
 const LONGEST_MICROS: u64 = 120_000_000;
 const DIGITS: u8 = 3;
 
-/// An answer that came whole and to the byte.
+/// A complete answer whose bytes are all as expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnsweredTurn {
-    /// Prompt tokens that the engine took from its cache.
+    /// The number of prompt tokens that the engine read from its cache.
     pub cached_tokens: u64,
-    /// Time from sending to the first token.
+    /// The time from sending the turn to its first token.
     pub first_token: Duration,
-    /// Mean time between two tokens.
+    /// The mean time between two tokens.
     pub token_gap: Duration,
 }
 
-/// What became of a turn.
+/// The outcome of a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TurnOutcome {
-    /// Answered.
+    /// The answer is complete and correct.
     Answered(AnsweredTurn),
-    /// Answered with bytes that belong to no answer to this prompt.
+    /// The answer contains bytes that are not part of the expected answer.
     Mixed,
-    /// The answer ended too early, as if it were whole.
+    /// The answer ended early but was presented as complete.
     Short,
-    /// The answer ended too early, and the caller was told or saw the connection break.
+    /// The answer was truncated, and the caller received a failure or saw the connection break.
     Cut,
-    /// Refused, with the word that it was not run.
+    /// The turn was refused with the outcome "not run".
     Refused,
-    /// Failed in any other way.
+    /// The turn failed in any other way.
     Failed,
 }
 
-/// One turn of a chat.
+/// The record of one turn of a chat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TurnRecord {
-    /// When it was sent, since the run began.
+    /// The time at which the turn was sent, since the start of the run.
     pub sent: Duration,
-    /// The organisation.
+    /// The organisation, as its rank by size from 0.
     pub organisation: usize,
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens asked for.
+    /// The number of tokens requested.
     pub answer_tokens: u64,
-    /// Blocks that the chat's previous turn left behind; zero for a first turn.
+    /// The number of blocks in the history after the chat's previous turn; zero for a first turn.
     pub history_blocks: usize,
-    /// Blocks that the best placement would have found warm.
+    /// The number of leading blocks that the best placement would have found in a cache.
     pub best_blocks: usize,
-    /// What became of it.
+    /// The outcome.
     pub outcome: TurnOutcome,
 }
 
 impl TurnRecord {
-    /// Whether the turn comes back to a chat.
+    /// Returns `true` if the turn continues a chat.
     pub fn is_returning(&self) -> bool {
         self.history_blocks > 0
     }
 
-    /// Whether an answered turn found all that its chat's previous turn had left.
+    /// Returns `true` if the turn was answered and found its chat's whole history in the cache.
     pub fn is_warm(&self) -> bool {
         let history = (self.history_blocks * TOKENS_PER_BLOCK) as u64;
         self.answered().is_some_and(|turn| turn.cached_tokens >= history)
     }
 
-    /// The answer, where there is a good one.
+    /// Returns the answer if it is complete and correct.
     pub fn answered(&self) -> Option<AnsweredTurn> {
         match self.outcome {
             TurnOutcome::Answered(turn) => Some(turn),
@@ -79,19 +79,19 @@
     }
 }
 
-/// All that callers saw during a run.
+/// All results that callers observed during a run.
 #[derive(Debug, Clone, Default)]
 pub struct RunTally {
-    /// The turns.
+    /// The turns sent.
     pub turns: Vec<TurnRecord>,
-    /// Each call's time of sending, and its latency where it was answered.
+    /// The sending time of each call, and its latency if it was answered.
     pub calls: Vec<(Duration, Option<Duration>)>,
-    /// Failures that routers told over the whole run, by code and reason.
+    /// The number of failures reported by routers over the whole run, by code and reason.
     pub told: BTreeMap<String, u64>,
 }
 
 impl RunTally {
-    /// Counts a failure by the body that a router sent.
+    /// Counts a failure reported by a router, given its response body.
     pub fn count_told(&mut self, body: &[u8]) {
         let label = match serde_json::from_slice::<FailureEnvelope>(body) {
             Ok(FailureEnvelope { error }) => {
@@ -104,7 +104,8 @@
         *self.told.entry(label).or_default() += 1;
     }
 
-    /// Only what was sent after `warm_up`.
+    /// Returns the tally without the turns and calls sent before `warm_up`. The counts of reported
+    /// failures still cover the whole run.
     pub fn after(&self, warm_up: Duration) -> Self {
         let turns = self.turns.iter().filter(|turn| turn.sent >= warm_up);
         let calls = self.calls.iter().filter(|(sent, _)| *sent >= warm_up);
@@ -115,12 +116,12 @@
         }
     }
 
-    /// Turns with an outcome.
+    /// Returns the number of turns with the outcome `wanted`.
     pub fn count(&self, wanted: TurnOutcome) -> u64 {
         self.turns.iter().filter(|turn| turn.outcome == wanted).count() as u64
     }
 
-    /// The share of all answered turns' prompt tokens that `tokens` gives for a turn.
+    /// Returns the sum of `tokens` over all answered turns as a share of their prompt tokens.
     pub fn token_share(&self, tokens: impl Fn(&TurnRecord, AnsweredTurn) -> u64) -> f64 {
         let answered = || self.turns.iter().filter_map(|turn| Some((turn, turn.answered()?)));
         let part: u64 = answered().map(|(turn, answer)| tokens(turn, answer)).sum();
@@ -128,19 +129,19 @@
         part as f64 / whole.max(1) as f64
     }
 
-    /// The time to the first token at a quantile, over the turns that are `wanted`.
+    /// Returns a quantile of the time to first token, over the turns for which `wanted` is true.
     pub fn first_token_ms(&self, quantile: f64, wanted: impl Fn(&TurnRecord) -> bool) -> f64 {
         let turns = self.turns.iter().filter(|turn| wanted(turn));
         quantile_ms(turns.filter_map(|turn| Some(turn.answered()?.first_token)), quantile)
     }
 
-    /// The median time between two tokens of an answer.
+    /// Returns the median time between two tokens of an answer.
     pub fn token_gap_ms(&self) -> f64 {
         let answers = self.turns.iter().filter_map(TurnRecord::answered);
         quantile_ms(answers.map(|answer| answer.token_gap), 0.5)
     }
 
-    /// The latency of answered calls at a quantile.
+    /// Returns a quantile of the latency of answered calls.
     pub fn call_ms(&self, quantile: f64) -> f64 {
         quantile_ms(self.calls.iter().filter_map(|(_, latency)| *latency), quantile)
     }
--- a/crates/papayamux-measure/src/routing/workload.rs
+++ b/crates/papayamux-measure/src/routing/workload.rs
@@ -1,4 +1,5 @@
-//! The callers' script: a function of seed, site and scenario alone, the same for every policy.
+//! The generated workload. It depends only on seed, site, scenario and run length, so that every
+//! policy gets the same one.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -9,22 +10,23 @@
 use super::scenario::Scenario;
 use super::site::SiteProfile;
 
-/// Organisations of a site.
+/// The number of organisations at a site.
 pub const ORGANISATIONS: usize = 10;
-/// The organisation that surges.
+/// The organisation that sends the surge.
 pub const SURGING_ORGANISATION: usize = 3;
 const SURGE_FACTOR: f64 = 8.0;
-/// When the surge begins and ends, as shares of the run.
+/// Start and end of the surge, as shares of the run.
 const SURGE_SHARES: (f64, f64) = (0.4, 0.73);
-/// Turns of a chat that belongs to a surge.
+/// The number of turns of a surge chat.
 const SURGE_TURNS: Range<usize> = 1..3;
-/// Seconds at a run's start in which the chats begin that would have been there already.
+/// Period at the start of a run, in seconds, in which additional chats begin. They stand for the
+/// chats that would already be in progress.
 const FILL_SECONDS: f64 = 2.0;
-/// About the time from the sending of a turn to the end of its answer.
+/// Approximate time in seconds from sending a turn to the end of its answer.
 const ANSWER_SECONDS: f64 = 0.25;
-/// Share of the chats that open alike in the scenario `hot`.
+/// The share of chats with the same opening in the scenario `hot`.
 const HOT_SHARE: f64 = 0.25;
-/// Share of the chats whose callers name the conversation.
+/// The share of chats whose callers send a conversation id.
 const NAMED_SHARE: f64 = 0.5;
 const BYTES_PER_TOKEN: usize = 4;
 
@@ -33,69 +35,69 @@
     "clerk", "window", "salary", "member", "notice", "transfer",
 ];
 
-/// One turn of a chat.
+/// One generated turn of a chat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TurnScript {
-    /// What the user says.
+    /// The text of the user message.
     pub text: String,
-    /// Tokens of the answer.
+    /// The number of tokens in the answer.
     pub answer_tokens: u32,
-    /// The router that gets the turn.
+    /// The index of the router that receives the turn.
     pub router: usize,
-    /// The pause after the answer.
+    /// The pause between the answer and the next turn.
     pub pause: Duration,
 }
 
-/// A chat.
+/// One generated chat.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChatScript {
-    /// When its first turn is sent.
+    /// The time at which the first turn is sent, since the start of the run.
     pub arrival: Duration,
-    /// The organisation, by rank of size.
+    /// The organisation, as its rank by size from 0.
     pub organisation: usize,
-    /// Which of the organisation's documents opens it.
+    /// The index of the organisation's document that opens the chat.
     pub document: usize,
-    /// The conversation that the caller names, if it does.
+    /// The conversation id, if the caller sends one.
     pub conversation: Option<String>,
-    /// The turns.
+    /// The turns, in order.
     pub turns: Vec<TurnScript>,
 }
 
-/// A call to a plain service.
+/// One generated call to a plain service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallScript {
-    /// When it is sent.
+    /// The time at which the call is sent, since the start of the run.
     pub arrival: Duration,
-    /// The organisation.
+    /// The organisation, as its rank by size from 0.
     pub organisation: usize,
-    /// The router that gets it.
+    /// The index of the router that receives the call.
     pub router: usize,
 }
 
-/// All that the callers are going to do.
+/// All requests that callers send during a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workload {
-    /// The organisations' opening documents.
+    /// The opening documents of each organisation.
     pub documents: Vec<Vec<String>>,
-    /// Chats by arrival.
+    /// The chats, ordered by arrival.
     pub chats: Vec<ChatScript>,
-    /// Calls by arrival.
+    /// The calls, ordered by arrival.
     pub calls: Vec<CallScript>,
 }
 
-/// The name of an organisation.
+/// Returns the name of an organisation.
 pub fn organisation_name(organisation: usize) -> String {
     format!("organisation-{organisation}")
 }
 
-/// The share of the chats that an organisation has: Zipf's law with exponent one.
+/// Returns an organisation's share of all chats, which follows Zipf's law with exponent 1.
 fn organisation_share(organisation: usize) -> f64 {
     let total: f64 = (1..=ORGANISATIONS).map(|rank| 1.0 / rank as f64).sum();
     1.0 / (organisation + 1) as f64 / total
 }
 
 impl Workload {
-    /// The script for `seconds` of a scenario.
+    /// Generates the workload for a run of `seconds`.
     pub fn generate(seed: u64, site: &SiteProfile, scenario: Scenario, seconds: f64) -> Self {
         let mut writer = ScriptWriter { random: StdRng::seed_from_u64(seed), site };
         let documents = (0..ORGANISATIONS)
@@ -148,7 +150,7 @@
         chats
     }
 
-    /// The mean time in seconds from a chat's first turn to its last.
+    /// Returns the mean duration of a chat in seconds.
     fn mean_life(&self) -> f64 {
         mean(&self.site.turns) * (self.site.pause.as_secs_f64() + ANSWER_SECONDS)
     }
@@ -173,7 +175,7 @@
         arrivals.into_iter().map(call).collect()
     }
 
-    /// Arrivals of a Poisson process between two times in seconds.
+    /// Samples the arrivals of a Poisson process between two times in seconds.
     fn arrivals(&mut self, rate: f64, from: f64, until: f64) -> Vec<Duration> {
         let mut arrivals = Vec::new();
         let mut at = from + self.exponential(1.0 / rate);
--- a/crates/papayamux-measure/src/tasks/config.rs
+++ b/crates/papayamux-measure/src/tasks/config.rs
@@ -12,7 +12,7 @@
     run: |matches| measure_config(&config_options(matches)?),
 };
 
-/// Routers in a fleet where nothing else is said: about today's size.
+/// Default number of routers in a fleet, about the size of current deployments.
 const PROCESSES: usize = 30;
 
 fn declare(options: &mut Options) {
--- a/crates/papayamux-measure/src/tasks/control.rs
+++ b/crates/papayamux-measure/src/tasks/control.rs
@@ -12,7 +12,7 @@
     run: |matches| measure_control(&control_options(matches)?),
 };
 
-/// Repetitions where nothing else is said.
+/// Default number of repetitions.
 const REPETITIONS: usize = 3;
 
 fn declare(options: &mut Options) {
--- a/crates/papayamux-measure/src/tasks/measure_task.rs
+++ b/crates/papayamux-measure/src/tasks/measure_task.rs
@@ -1,4 +1,4 @@
-//! What the command line has to know of a task, and the list of all tasks.
+//! The description of a task for the command line, and the list of all tasks.
 
 use std::error::Error;
 
@@ -8,16 +8,16 @@
     config, conflicts, control, demo, orders, path, promises, routing, soak, surge, table,
 };
 
-/// Why a task can't be run to its end.
+/// The error that stops a task.
 pub type TaskError = Box<dyn Error>;
 
-/// One task of the program.
+/// A task of the program.
 pub struct MeasureTask {
-    /// Its name on the command line.
+    /// The task's name on the command line.
     pub name: &'static str,
-    /// One line on what it does.
+    /// A one-line description.
     pub purpose: &'static str,
-    /// Adds the task's own options.
+    /// Declares the task's own options.
     pub declare: fn(&mut Options),
     /// Runs the task.
     pub run: fn(&Matches) -> Result<(), TaskError>,
@@ -38,7 +38,7 @@
     surge::TASK,
 ];
 
-/// The task of that name.
+/// Returns the task with the given name.
 pub fn find_task(name: &str) -> Option<&'static MeasureTask> {
     TASKS.iter().find(|task| task.name == name)
 }
--- a/crates/papayamux-measure/src/tasks/mod.rs
+++ b/crates/papayamux-measure/src/tasks/mod.rs
@@ -1,4 +1,4 @@
-//! The tasks of the command line, one file a task: its options, and how it is run.
+//! The tasks of the command line, with one file per task for its options and its entry point.
 
 mod config;
 mod conflicts;
--- a/crates/papayamux-measure/src/tasks/surge.rs
+++ b/crates/papayamux-measure/src/tasks/surge.rs
@@ -9,7 +9,7 @@
 use super::{MeasureTask, TaskError};
 use crate::surge::{run_surge, EngineKind, LoadPattern, SurgeOptions};
 
-/// The policies that are compared where none is named.
+/// The policies compared by default.
 const POLICIES: [PlacementPolicy; 5] = [
     PlacementPolicy::Warm,
     PlacementPolicy::BoundedHash,
@@ -18,7 +18,7 @@
     PlacementPolicy::Random,
 ];
 
-/// The patterns that are played where none is named.
+/// The load patterns simulated by default.
 const PATTERNS: [LoadPattern; 5] = [
     LoadPattern::Calm,
     LoadPattern::SurgeOfAll,
@@ -60,7 +60,7 @@
         .build())
 }
 
-/// The values of an option that may be given more than once.
+/// Parses all values of a repeatable option.
 fn named<T>(matches: &Matches, option: &str) -> Result<Vec<T>, TaskError>
 where
     T: FromStr<Err: std::error::Error + 'static>,
--- a/crates/papayamux-measure/tests/control_slopes.rs
+++ b/crates/papayamux-measure/tests/control_slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes and their spread.
+//! Tests of slope fitting, spreads and the names of the parts.
 
 use papayamux_measure::control::{fit_slope, ControlPart, Spread, ALL_PARTS};
 
--- a/crates/papayamux-measure/tests/demo_keep.rs
+++ b/crates/papayamux-measure/tests/demo_keep.rs
@@ -1,4 +1,4 @@
-//! The demo that stays up for clients.
+//! Test of `demo --keep`, which keeps the fleet running for clients.
 #![allow(clippy::unwrap_used, clippy::panic, reason = "helpers of tests, which may panic")]
 
 use std::io::{BufRead, BufReader};
--- a/crates/papayamux-measure/tests/routing_parts.rs
+++ b/crates/papayamux-measure/tests/routing_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the routing measurement that decide what its figures mean.
+//! Tests of the parts of the routing measurement that determine the meaning of its figures.
 
 use std::time::Duration;
 
