--- a/crates/papayamux-measure/src/config/sampler.rs
+++ b/crates/papayamux-measure/src/config/sampler.rs
@@ -106,8 +106,7 @@
         }
     }
 
-    /// Counts the processes' steps to an older configuration, as found in their logs. Call it before
-    /// the processes end, because their logs end with them.
+    /// Counts the steps to an older configuration in the logs of processes that are about to end.
     pub(super) fn note_steps(&mut self, fleet: &SpreadFleet) {
         let steps = fleet.processes.iter().map(|process| steps_down(&process.handle));
         self.stepped_down += steps.sum::<usize>();
