--- a/crates/papayamux-measure/src/config/sampler.rs
+++ b/crates/papayamux-measure/src/config/sampler.rs
@@ -10,11 +10,11 @@
 use super::scenario::ConfigScenario;
 
 /// Interval between queries of the processes' byte counts.
-const SAMPLE_EVERY: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval between checks of the processes' logs.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// The message that a process logs when a configuration has come into force.
-const IN_FORCE: &str = "configuration in force";
+const IN_FORCE_MESSAGE: &str = "configuration in force";
 
 /// Returns the current time in milliseconds since the Unix epoch, as in logs.
 pub(super) fn now_ms() -> u64 {
@@ -25,7 +25,7 @@
 /// Returns the time at which the process first had at least `revision` in force and was settled,
 /// in milliseconds since the Unix epoch.
 pub(super) fn in_force_at(process: &ProcessHandle, revision: u64) -> Option<u64> {
-    let lines = process.lines_with(IN_FORCE);
+    let lines = process.lines_with(IN_FORCE_MESSAGE);
     let line = lines.iter().find(|line| {
         line["settled"].as_bool() == Some(true)
             && line["revision"].as_u64().is_some_and(|held| held >= revision)
@@ -33,8 +33,8 @@
     line["time_ms"].as_u64()
 }
 
-fn steps_down(process: &ProcessHandle) -> usize {
-    let lines = process.lines_with(IN_FORCE);
+fn count_steps_down(process: &ProcessHandle) -> usize {
+    let lines = process.lines_with(IN_FORCE_MESSAGE);
     let generations: Vec<u64> = lines
         .iter()
         .filter_map(|line| {
@@ -57,15 +57,15 @@
 
 impl ConfigSampler {
     /// Waits until `revision` is in force at each process, and records each process's delay after
-    /// `since_ms`. Processes that exceed the timeout `within` are counted as missing.
-    pub(super) async fn note_in_force(
+    /// `since_ms`. Processes that exceed `timeout` are counted as missing.
+    pub(super) async fn record_in_force(
         &mut self,
         fleet: &SpreadFleet,
         revision: u64,
         since_ms: u64,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), Box<dyn Error>> {
-        let deadline = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         loop {
             self.sample(fleet).await?;
             let times: Vec<_> = fleet
@@ -80,12 +80,12 @@
                 self.missing += missing;
                 return Ok(());
             }
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Samples the processes for the duration `time`.
-    pub(super) async fn pass(
+    pub(super) async fn sample_for(
         &mut self,
         fleet: &SpreadFleet,
         time: Duration,
@@ -93,13 +93,13 @@
         let end = Instant::now() + time;
         while Instant::now() < end {
             self.sample(fleet).await?;
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     /// Records a delay measured by the caller; `None` counts as missing.
-    pub(super) fn note_time(&mut self, millis: Option<f64>) {
+    pub(super) fn record_delay(&mut self, millis: Option<f64>) {
         match millis {
             Some(millis) => self.times_ms.push(millis),
             None => self.missing += 1,
@@ -107,24 +107,24 @@
     }
 
     /// Counts the steps to an older configuration in the logs of processes that are about to end.
-    pub(super) fn note_steps(&mut self, fleet: &SpreadFleet) {
-        let steps = fleet.processes.iter().map(|process| steps_down(&process.handle));
+    pub(super) fn record_steps_down(&mut self, fleet: &SpreadFleet) {
+        let steps = fleet.processes.iter().map(|process| count_steps_down(&process.handle));
         self.stepped_down += steps.sum::<usize>();
     }
 
     async fn sample(&mut self, fleet: &SpreadFleet) -> Result<(), Box<dyn Error>> {
-        if self.last_sample.is_some_and(|last| last.elapsed() < SAMPLE_EVERY) {
+        if self.last_sample.is_some_and(|last| last.elapsed() < SAMPLE_INTERVAL) {
             return Ok(());
         }
         self.last_sample = Some(Instant::now());
         for (index, process) in fleet.processes.iter().enumerate() {
             let status = fleet.status(index).await?;
-            self.take_bytes(process.handle.id(), status.sent_bytes + status.received_bytes);
+            self.record_bytes(process.handle.id(), status.sent_bytes + status.received_bytes);
         }
         Ok(())
     }
 
-    fn take_bytes(&mut self, process: u32, bytes: u64) {
+    fn record_bytes(&mut self, process: u32, bytes: u64) {
         let now = Instant::now();
         if let Some((last, before)) = self.bytes.insert(process, (now, bytes)) {
             let rate = bytes.saturating_sub(before) as f64 / (now - last).as_secs_f64();
@@ -143,7 +143,7 @@
         let mut usages = Vec::new();
         let (mut reads, mut refused) = (0, 0);
         for fleet in fleets {
-            self.note_steps(fleet);
+            self.record_steps_down(fleet);
             statuses.extend(fleet.statuses().await?);
             let counters = fleet.counters().await?;
             reads += counters.highest_per_second;
--- a/crates/papayamux-measure/src/config/scenarios.rs
+++ b/crates/papayamux-measure/src/config/scenarios.rs
@@ -18,9 +18,9 @@
 type ScenarioResult = Result<ConfigReport, Box<dyn Error>>;
 
 /// Processes per seed: each process gets one seed for this many processes in the fleet, but at
-/// least `FEWEST_SEEDS`.
+/// least `MIN_SEEDS`.
 const PROCESSES_PER_SEED: usize = 16;
-const FEWEST_SEEDS: usize = 3;
+const MIN_SEEDS: usize = 3;
 /// The number of teams, each with one file.
 const TEAMS: usize = 12;
 /// The number of models that a team declares.
@@ -30,11 +30,11 @@
 /// The duration of a fault of the service.
 const OUTAGE: Duration = Duration::from_secs(40);
 /// Maximum wait until a change is in force at all processes.
-const WITHIN: Duration = Duration::from_secs(150);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(150);
 /// Wait for connections and watchers to settle before the measurement.
 const WARM_UP: Duration = Duration::from_secs(15);
 /// The minimum size of the large file in bytes.
-const LARGE_FILE: usize = 1_000_000;
+const LARGE_FILE_BYTES: usize = 1_000_000;
 
 /// A running fleet, its sampler and the seeded generator of changes.
 struct Trial {
@@ -61,7 +61,7 @@
     let mut text =
         format!("[team]\nname = large\n\n[model large]\nversion = {version}\nweights = w\n");
     let mut index = 0;
-    while text.len() < LARGE_FILE {
+    while text.len() < LARGE_FILE_BYTES {
         let (name, version): (u32, u16) = (random.random(), random.random());
         let _ = write!(
             text,
@@ -74,7 +74,7 @@
 
 impl Trial {
     async fn start(options: &ConfigOptions, processes: usize) -> Result<Self, Box<dyn Error>> {
-        let seeds = (processes / PROCESSES_PER_SEED).max(FEWEST_SEEDS);
+        let seeds = (processes / PROCESSES_PER_SEED).max(MIN_SEEDS);
         let plan = SpreadPlan::builder().processes(processes).seeds(seeds).build();
         let fleet = SpreadFleet::start(plan)?;
         let random = StdRng::seed_from_u64(options.seed);
@@ -83,9 +83,9 @@
         for team in 0..TEAMS {
             revision = trial.put(team).await?;
         }
-        let settled = trial.fleet.wait_equal(revision, WITHIN).await?;
+        let settled = trial.fleet.wait_equal(revision, IN_FORCE_TIMEOUT).await?;
         settled.ok_or("the fleet did not converge before the timeout")?;
-        trial.sampler.pass(&trial.fleet, WARM_UP).await?;
+        trial.sampler.sample_for(&trial.fleet, WARM_UP).await?;
         Ok(trial)
     }
 
@@ -100,19 +100,23 @@
         self.put(team).await
     }
 
-    async fn note(&mut self, revision: u64, since_ms: u64) -> Result<(), Box<dyn Error>> {
-        self.sampler.note_in_force(&self.fleet, revision, since_ms, WITHIN).await
+    async fn measure_propagation(
+        &mut self,
+        revision: u64,
+        since_ms: u64,
+    ) -> Result<(), Box<dyn Error>> {
+        self.sampler.record_in_force(&self.fleet, revision, since_ms, IN_FORCE_TIMEOUT).await
     }
 
-    async fn pass(&mut self, time: Duration) -> Result<(), Box<dyn Error>> {
-        self.sampler.pass(&self.fleet, time).await
+    async fn sample_for(&mut self, time: Duration) -> Result<(), Box<dyn Error>> {
+        self.sampler.sample_for(&self.fleet, time).await
     }
 
     /// Makes one change and measures its propagation.
     async fn change(&mut self) -> Result<(), Box<dyn Error>> {
         let since = now_ms();
         let revision = self.put_any().await?;
-        self.note(revision, since).await
+        self.measure_propagation(revision, since).await
     }
 }
 
@@ -147,7 +151,7 @@
             ConfigScenario::LargeFile => run_large_file(&mut trial).await?,
             ConfigScenario::PartitionHeal => {}
         }
-        trial.pass(Duration::from_secs(3)).await?;
+        trial.sample_for(Duration::from_secs(3)).await?;
         trial.sampler.finish(scenario, seed, &[&trial.fleet]).await
     })?
 }
@@ -156,7 +160,7 @@
     for _ in 0..CHANGES {
         trial.change().await?;
         let jitter = trial.random.random_range(0.5..1.5);
-        trial.pass(pause.mul_f64(jitter)).await?;
+        trial.sample_for(pause.mul_f64(jitter)).await?;
     }
     Ok(())
 }
@@ -165,19 +169,19 @@
 /// of the faults until the last change is in force.
 async fn run_outage(trial: &mut Trial, faults: ConfigFaults) -> Result<(), Box<dyn Error>> {
     trial.fleet.set_faults(faults).await?;
-    trial.pass(OUTAGE).await?;
+    trial.sample_for(OUTAGE).await?;
     let mut revision = 0;
     for _ in 0..3 {
         revision = trial.put_any().await?;
     }
-    trial.pass(OUTAGE / 4).await?;
+    trial.sample_for(OUTAGE / 4).await?;
     let since = now_ms();
     trial.fleet.set_faults(ConfigFaults::default()).await?;
-    trial.note(revision, since).await
+    trial.measure_propagation(revision, since).await
 }
 
 async fn run_restart(trial: &mut Trial, outage: Option<Duration>) -> Result<(), Box<dyn Error>> {
-    trial.sampler.note_steps(&trial.fleet);
+    trial.sampler.record_steps_down(&trial.fleet);
     let revision = trial.put_any().await?;
     if outage.is_some() {
         let faults = ConfigFaults { unavailable: true, ..ConfigFaults::default() };
@@ -186,24 +190,24 @@
     let mut since = now_ms();
     trial.fleet.restart_all()?;
     if let Some(outage) = outage {
-        trial.pass(outage).await?;
+        trial.sample_for(outage).await?;
         since = now_ms();
         trial.fleet.set_faults(ConfigFaults::default()).await?;
     }
-    trial.note(revision, since).await
+    trial.measure_propagation(revision, since).await
 }
 
 async fn run_newcomers(trial: &mut Trial) -> Result<(), Box<dyn Error>> {
     let revision = trial.put_any().await?;
-    trial.fleet.wait_equal(revision, WITHIN).await?;
+    trial.fleet.wait_equal(revision, IN_FORCE_TIMEOUT).await?;
     let faults = ConfigFaults { unavailable: true, ..ConfigFaults::default() };
     trial.fleet.set_faults(faults).await?;
     for _ in 0..5 {
         let since = now_ms();
         let index = trial.fleet.add()?;
-        trial.fleet.wait_equal(revision, WITHIN).await?;
+        trial.fleet.wait_equal(revision, IN_FORCE_TIMEOUT).await?;
         let at = in_force_at(&trial.fleet.processes[index].handle, revision);
-        trial.sampler.note_time(at.map(|at| at.saturating_sub(since) as f64));
+        trial.sampler.record_delay(at.map(|at| at.saturating_sub(since) as f64));
     }
     Ok(())
 }
@@ -212,11 +216,11 @@
     let text = large_text(&mut trial.random, 1);
     let since = now_ms();
     let revision = trial.fleet.put_file("large", &text).await?;
-    trial.note(revision, since).await?;
+    trial.measure_propagation(revision, since).await?;
     let edited = text.replacen("weights = w\n", "weights = v\n", 1);
     let since = now_ms();
     let revision = trial.fleet.put_file("large", &edited).await?;
-    trial.note(revision, since).await
+    trial.measure_propagation(revision, since).await
 }
 
 /// Connects two halves, whose services have different states, through one additional process.
@@ -229,7 +233,7 @@
         highest = left.put_any().await?;
     }
     left.fleet
-        .wait_equal(highest, WITHIN)
+        .wait_equal(highest, IN_FORCE_TIMEOUT)
         .await?
         .ok_or("the left half did not converge before the timeout")?;
     for _ in 0..9 {
@@ -237,21 +241,21 @@
     }
     right
         .fleet
-        .wait_equal(highest, WITHIN)
+        .wait_equal(highest, IN_FORCE_TIMEOUT)
         .await?
         .ok_or("the right half did not converge before the timeout")?;
     let since = now_ms();
     let seeds = [left.fleet.processes[0].peers, right.fleet.processes[0].peers];
     let service = right.fleet.service.listen()?;
     right.fleet.add_with(service, &seeds)?;
-    left.note(highest, since).await?;
+    left.measure_propagation(highest, since).await?;
     right
         .fleet
-        .wait_equal(highest, WITHIN)
+        .wait_equal(highest, IN_FORCE_TIMEOUT)
         .await?
         .ok_or("the right half did not converge after the connection")?;
     let Trial { fleet: right, sampler, .. } = right;
     drop(sampler);
-    left.pass(Duration::from_secs(5)).await?;
+    left.sample_for(Duration::from_secs(5)).await?;
     left.sampler.finish(ConfigScenario::PartitionHeal, options.seed, &[&left.fleet, &right]).await
 }
--- a/crates/papayamux-measure/src/conflicts/experiment.rs
+++ b/crates/papayamux-measure/src/conflicts/experiment.rs
@@ -11,14 +11,14 @@
 use rand::SeedableRng;
 use serde_json::json;
 
-use super::history::{draw_history, hear, HistoryPlan};
+use super::history::{generate_history, sample_received, HistoryPlan};
 use super::rules::{ConflictRule, RuleProcess};
 
 const HISTORIES: u64 = 100;
 const PROCESSES: usize = 4;
 /// Percentage of submissions missed, and maximum number of positions by which the others are
 /// late.
-const HEARING: (u32, usize) = (20, 6);
+const LOSS_AND_DELAY: (u32, usize) = (20, 6);
 /// Percentages of new items whose name any team may use.
 const SHARED_NAMES: [u32; 3] = [0, 20, 60];
 
@@ -26,7 +26,7 @@
 struct RuleTally {
     declared: u64,
     effective: u64,
-    heard: u64,
+    received: u64,
     stepped_down: u64,
     displaced: u64,
     diverged: u64,
@@ -50,7 +50,7 @@
                     "shared_names_percent": shared_names,
                     "histories": HISTORIES,
                     "processes": PROCESSES,
-                    "revisions_heard": tally.heard,
+                    "revisions_heard": tally.received,
                     "items_effective": (share * 10_000.0).round() / 10_000.0,
                     "stepped_down": tally.stepped_down,
                     "displaced_by_others": tally.displaced,
@@ -65,10 +65,10 @@
 fn run_history(rule: ConflictRule, shared_names: u32, seed: u64, tally: &mut RuleTally) {
     let mut random = StdRng::seed_from_u64(seed);
     let plan = HistoryPlan { teams: 8, submissions: 40, shared_names, invalid: 10 };
-    let history = draw_history(plan, &mut random);
+    let history = generate_history(plan, &mut random);
     let mut processes: Vec<_> = (0..PROCESSES).map(|_| RuleProcess::new(rule)).collect();
     for process in &mut processes {
-        run_process(process, &hear(&history, HEARING, &mut random), tally);
+        run_process(process, &sample_received(&history, LOSS_AND_DELAY, &mut random), tally);
     }
     let ends = processes.iter_mut().map(|process| settle(process, &history));
     let ends: BTreeSet<_> = ends.collect();
@@ -85,20 +85,20 @@
     let mut digest = 0;
     for (_, record) in all.records() {
         if let Some(file) = record.valid() {
-            digest = process.hear(file).digest().get();
+            digest = process.receive(file).digest().get();
         }
     }
     digest
 }
 
-fn run_process(process: &mut RuleProcess, heard: &[DeclarationFile], tally: &mut RuleTally) {
+fn run_process(process: &mut RuleProcess, received: &[DeclarationFile], tally: &mut RuleTally) {
     let mut previous = ConfigurationInForce::default();
-    for file in heard {
-        let current = process.hear(file);
-        tally.heard += 1;
+    for file in received {
+        let current = process.receive(file);
+        tally.received += 1;
         tally.stepped_down += count_steps_down(&previous, &current);
         tally.displaced += count_displaced(&previous, &current, &file.name);
-        let (declared, effective) = count_items(process.heard(), &current);
+        let (declared, effective) = count_items(process.received(), &current);
         tally.declared += declared;
         tally.effective += effective;
         previous = current;
@@ -110,10 +110,10 @@
     files.filter(|(name, revision)| current.files.get(*name) < Some(revision)).count() as u64
 }
 
-type Place<'a> = (&'a FileName, FileRevision, usize);
+type ItemLocation<'a> = (&'a FileName, FileRevision, usize);
 
 /// Returns the locations of all items in force that are not blocked by a conflict.
-fn effective_places(in_force: &ConfigurationInForce) -> BTreeSet<Place<'_>> {
+fn effective_locations(in_force: &ConfigurationInForce) -> BTreeSet<ItemLocation<'_>> {
     let blocked = in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict());
     let blocked: BTreeSet<_> = blocked.map(|blocked| &blocked.origin).collect();
     let organisations = in_force.organisations.values().map(|declared| &declared.origin);
@@ -134,21 +134,22 @@
     current: &ConfigurationInForce,
     submitted: &FileName,
 ) -> u64 {
-    let kept = effective_places(current);
-    let lost = effective_places(previous)
+    let kept = effective_locations(current);
+    let lost = effective_locations(previous)
         .into_iter()
-        .filter(|place| place.0 != submitted && !kept.contains(place));
+        .filter(|location| location.0 != submitted && !kept.contains(location));
     lost.count() as u64
 }
 
 /// Counts the items in the newest valid revisions, and those of them with full effect.
-fn count_items(heard: &FileSet, in_force: &ConfigurationInForce) -> (u64, u64) {
-    let places = effective_places(in_force);
+fn count_items(received: &FileSet, in_force: &ConfigurationInForce) -> (u64, u64) {
+    let locations = effective_locations(in_force);
     let (mut declared, mut effective) = (0, 0);
-    for (name, record) in heard.records() {
+    for (name, record) in received.records() {
         let Some((file, parsed)) = record.valid().zip(record.parsed()) else { continue };
         declared += parsed.item_count() as u64;
-        let newest = places.iter().filter(|place| (place.0, place.1) == (name, file.revision));
+        let newest =
+            locations.iter().filter(|location| (location.0, location.1) == (name, file.revision));
         effective += newest.count() as u64;
     }
     (declared, effective)
--- a/crates/papayamux-measure/src/conflicts/history.rs
+++ b/crates/papayamux-measure/src/conflicts/history.rs
@@ -9,9 +9,9 @@
 use rand::RngExt;
 
 /// The number of items in the first submission of a file.
-const FIRST_ITEMS: usize = 6;
+const INITIAL_ITEMS: usize = 6;
 /// Maximum number of edits in one submission.
-const MOST_EDITS: usize = 3;
+const MAX_EDITS: usize = 3;
 
 /// The parameters of a random history.
 #[derive(Debug, Clone, Copy)]
@@ -33,18 +33,18 @@
 }
 
 /// Generates a history and returns its submissions in order.
-pub fn draw_history(plan: HistoryPlan, random: &mut StdRng) -> Vec<DeclarationFile> {
+pub fn generate_history(plan: HistoryPlan, random: &mut StdRng) -> Vec<DeclarationFile> {
     let mut files = vec![TeamFile::default(); plan.teams];
     let mut history = Vec::new();
     for team in 0..plan.teams {
-        for _ in 0..FIRST_ITEMS {
+        for _ in 0..INITIAL_ITEMS {
             add_item(plan, team, &mut files, random);
         }
         history.extend(submit(team, &mut files[team], true));
     }
     for _ in 0..plan.submissions {
         let team = random.random_range(0..plan.teams);
-        for _ in 0..random.random_range(1..=MOST_EDITS) {
+        for _ in 0..random.random_range(1..=MAX_EDITS) {
             edit(plan, team, &mut files, random);
         }
         let valid = !random.random_ratio(plan.invalid, 100);
@@ -56,7 +56,7 @@
 fn edit(plan: HistoryPlan, team: usize, files: &mut [TeamFile], random: &mut StdRng) {
     let titles: Vec<_> = files[team].sections.keys().cloned().collect();
     match titles.choose(random) {
-        Some(title) if titles.len() >= FIRST_ITEMS => {
+        Some(title) if titles.len() >= INITIAL_ITEMS => {
             files[team].sections.remove(title);
         }
         _ => add_item(plan, team, files, random),
@@ -112,17 +112,17 @@
 /// Returns the submissions of `history` in the order in which one process receives them. `gap`
 /// percent are missed and the others arrive up to `lag` positions late, because reads are stale
 /// and peers relay what they have.
-pub fn hear(
+pub fn sample_received(
     history: &[DeclarationFile],
     (gap, lag): (u32, usize),
     random: &mut StdRng,
 ) -> Vec<DeclarationFile> {
-    let mut heard: Vec<(usize, &DeclarationFile)> = Vec::new();
+    let mut received: Vec<(usize, &DeclarationFile)> = Vec::new();
     for (index, file) in history.iter().enumerate() {
         if !random.random_ratio(gap, 100) {
-            heard.push((index + random.random_range(0..=lag), file));
+            received.push((index + random.random_range(0..=lag), file));
         }
     }
-    heard.sort_by_key(|(place, _)| *place);
-    heard.into_iter().map(|(_, file)| file.clone()).collect()
+    received.sort_by_key(|(position, _)| *position);
+    received.into_iter().map(|(_, file)| file.clone()).collect()
 }
--- a/crates/papayamux-measure/src/conflicts/rules.rs
+++ b/crates/papayamux-measure/src/conflicts/rules.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct RuleProcess {
     rule: ConflictRule,
-    heard: FileSet,
+    received: FileSet,
     valid: Revisions,
     accepted: BTreeMap<FileName, ValidRevision>,
 }
@@ -58,18 +58,18 @@
 impl RuleProcess {
     /// Creates a process that has received no revision.
     pub fn new(rule: ConflictRule) -> Self {
-        let heard = FileSet::default();
-        Self { rule, heard, valid: Revisions::new(), accepted: BTreeMap::new() }
+        let received = FileSet::default();
+        Self { rule, received, valid: Revisions::new(), accepted: BTreeMap::new() }
     }
 
     /// Returns all revisions that the process has received.
-    pub fn heard(&self) -> &FileSet {
-        &self.heard
+    pub fn received(&self) -> &FileSet {
+        &self.received
     }
 
     /// Receives one revision and returns the configuration in force after it.
-    pub fn hear(&mut self, file: &DeclarationFile) -> ConfigurationInForce {
-        self.heard.offer(file.clone());
+    pub fn receive(&mut self, file: &DeclarationFile) -> ConfigurationInForce {
+        self.received.offer(file.clone());
         let mut set = FileSet::default();
         if set.offer(file.clone()) == RevisionOutcome::Accepted {
             let revisions = self.valid.entry(file.name.clone()).or_default();
@@ -79,9 +79,9 @@
         }
         match self.rule {
             ConflictRule::WholeByArrival => self.accept_arrivals(),
-            ConflictRule::WholeByName => without_clashes(&self.valid, 1),
-            ConflictRule::WholeWithFallback => without_clashes(&self.valid, usize::MAX),
-            ConflictRule::BlockedPart => ConfigurationInForce::compute(&self.heard),
+            ConflictRule::WholeByName => resolve_conflicts(&self.valid, 1),
+            ConflictRule::WholeWithFallback => resolve_conflicts(&self.valid, usize::MAX),
+            ConflictRule::BlockedPart => ConfigurationInForce::compute(&self.received),
         }
     }
 
@@ -99,7 +99,8 @@
                 let mut accepted = self.accepted.clone();
                 accepted.insert(file.name.clone(), file);
                 let candidate = combine(accepted.values());
-                (clashes(&candidate) <= clashes(&in_force)).then_some((accepted, candidate))
+                (count_conflicts(&candidate) <= count_conflicts(&in_force))
+                    .then_some((accepted, candidate))
             });
             let Some((accepted, candidate)) = next else { return in_force };
             (self.accepted, in_force) = (accepted, candidate);
@@ -115,21 +116,21 @@
     ConfigurationInForce::compute(&set)
 }
 
-fn clashes(in_force: &ConfigurationInForce) -> usize {
+fn count_conflicts(in_force: &ConfigurationInForce) -> usize {
     in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict()).count()
 }
 
 /// Resolves conflicts: while any remain, steps the conflicting file with the last name back to
 /// the next older one of its `depth` newest revisions, or excludes it after the last of them.
-fn without_clashes(valid: &Revisions, depth: usize) -> ConfigurationInForce {
+fn resolve_conflicts(valid: &Revisions, depth: usize) -> ConfigurationInForce {
     let mut back: BTreeMap<&FileName, usize> = valid.keys().map(|name| (name, 0)).collect();
     loop {
         let chosen = back
             .iter()
             .filter_map(|(name, steps)| valid[*name].get(*steps).filter(|_| *steps < depth));
         let in_force = combine(chosen);
-        let clashing = in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict());
-        let files: BTreeSet<_> = clashing.map(|blocked| &blocked.origin.file).collect();
+        let conflicting = in_force.blocked.iter().filter(|blocked| blocked.reason.is_conflict());
+        let files: BTreeSet<_> = conflicting.map(|blocked| &blocked.origin.file).collect();
         match files.last().and_then(|name| back.get_mut(*name)) {
             None => return in_force,
             Some(steps) => *steps += 1,
--- a/crates/papayamux-measure/src/control/chats.rs
+++ b/crates/papayamux-measure/src/control/chats.rs
@@ -13,22 +13,22 @@
 /// The numbers of chats announced to the agent. The last one is the most that it remembers.
 const CHATS: [u64; 3] = [0, 8_000, 16_000];
 /// Wait for the agent to process the announcements.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Measures an agent that receives announcements of increasing numbers of moved chats.
 pub async fn measure_moved_chats() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(1).services(0).build())?;
     let agent = &fleet.servers[0].agent;
     let router = open_router_end(agent.listen()?).await?;
-    let (mut told, mut points) = (0_u64, Vec::new());
+    let (mut announced, mut points) = (0_u64, Vec::new());
     for count in CHATS {
-        while told < count {
-            let chat = told.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        while announced < count {
+            let chat = announced.wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let moved = MovedChat { chat, server: "engine-17".parse()? };
             router.send(0, RouterMessage::Moved(moved));
-            told += 1;
+            announced += 1;
         }
-        monoio::time::sleep(SETTLE).await;
+        monoio::time::sleep(SETTLE_TIME).await;
         let cost = CostReading::of_memory(agent.usage()?);
         points.push(CostPoint { count: count as f64, cost });
     }
--- a/crates/papayamux-measure/src/control/links.rs
+++ b/crates/papayamux-measure/src/control/links.rs
@@ -19,9 +19,9 @@
 /// The numbers of agents connected to a router.
 const AGENTS: [usize; 4] = [0, 150, 300, 600];
 /// Wait for connections to settle.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// The metering period of each count.
-const METER_FOR: Duration = Duration::from_secs(4);
+const METER_DURATION: Duration = Duration::from_secs(4);
 
 /// Measures an agent with connections from many routers.
 pub async fn measure_agent_links() -> Result<Vec<CostSeries>, Box<dyn Error>> {
@@ -32,8 +32,8 @@
         while ends.len() < count {
             ends.push(open_router_end(agent.listen()?).await?);
         }
-        monoio::time::sleep(SETTLE).await;
-        let cost = meter_for(MeteredRole::Agent, agent, METER_FOR).await?;
+        monoio::time::sleep(SETTLE_TIME).await;
+        let cost = meter_for(MeteredRole::Agent, agent, METER_DURATION).await?;
         points.push(CostPoint { count: count as f64, cost });
     }
     Ok(vec![CostSeries { role: MeteredRole::Agent.name(), points }])
@@ -41,9 +41,9 @@
 
 /// Measures a router with connections to many agents, each of which has refused one call.
 pub async fn measure_router_links() -> Result<Vec<CostSeries>, Box<dyn Error>> {
-    let most = AGENTS.iter().copied().max().unwrap_or_default();
+    let max_agents = AGENTS.iter().copied().max().unwrap_or_default();
     let folder = TempDir::new()?;
-    let router = start_router(&folder, most)?;
+    let router = start_router(&folder, max_agents)?;
     let caller = Caller::new(router.listen()?, "measure");
     let (mut open, mut points) = (0, Vec::new());
     for count in AGENTS {
@@ -52,8 +52,8 @@
             caller.call(Method::GET, &path, &[], Bytes::new()).await?;
             open += 1;
         }
-        monoio::time::sleep(SETTLE).await;
-        let cost = meter_for(MeteredRole::Router, &router, METER_FOR).await?;
+        monoio::time::sleep(SETTLE_TIME).await;
+        let cost = meter_for(MeteredRole::Router, &router, METER_DURATION).await?;
         points.push(CostPoint { count: count as f64, cost });
     }
     Ok(vec![CostSeries { role: MeteredRole::Router.name(), points }])
--- a/crates/papayamux-measure/src/control/requests.rs
+++ b/crates/papayamux-measure/src/control/requests.rs
@@ -22,9 +22,9 @@
 /// Probes per second at the agent.
 const PROBE_RATES: [u32; 4] = [0, 100, 200, 400];
 /// The metering period of each rate.
-const METER_FOR: Duration = Duration::from_secs(4);
+const METER_DURATION: Duration = Duration::from_secs(4);
 /// The time at each rate before metering begins.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// The number of engines behind the router.
 const ENGINES: usize = 2;
 /// The numbers of declared servers of other models.
@@ -44,20 +44,20 @@
     }
     let mut ticks = monoio::time::interval(Duration::from_secs(1) / per_second);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
-    let all = (METER_FOR + 2 * SETTLE).as_secs() as u32 * per_second;
+    let all = (METER_DURATION + 2 * SETTLE_TIME).as_secs() as u32 * per_second;
     for number in 0..all {
         ticks.tick().await;
         act(number);
     }
-    monoio::time::sleep(SETTLE).await;
+    monoio::time::sleep(SETTLE_TIME).await;
 }
 
 async fn meter_settled(
     role: MeteredRole,
     process: &ProcessHandle,
 ) -> Result<CostReading, Box<dyn Error>> {
-    monoio::time::sleep(SETTLE).await;
-    meter_for(role, process, METER_FOR).await
+    monoio::time::sleep(SETTLE_TIME).await;
+    meter_for(role, process, METER_DURATION).await
 }
 
 /// Measures probes at one agent, as routers send them for a placement decision.
--- a/crates/papayamux-measure/src/front_settings.rs
+++ b/crates/papayamux-measure/src/front_settings.rs
@@ -18,13 +18,13 @@
 }
 
 /// Maximum number of routers listed as seeds.
-const MOST_SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 
 impl FrontSettings {
     /// Returns the text of the settings file.
     pub(crate) fn text(&self) -> String {
         let host = |index: usize| format!("127.0.0.{}", index + 1);
-        let seeds = (0..self.count.min(MOST_SEEDS))
+        let seeds = (0..self.count.min(MAX_SEEDS))
             .map(|seed| format!("{}:{}", host(seed), self.peers_port));
         format!(
             "[instance]\nname = router-{}\nfailure_domain = here\n\
--- a/crates/papayamux-measure/src/orders/experiment.rs
+++ b/crates/papayamux-measure/src/orders/experiment.rs
@@ -61,7 +61,7 @@
             wanted
         }
     };
-    let (took, wrong) = match scenario {
+    let (elapsed, wrong) = match scenario {
         OrderScenario::EnginesRestart => {
             trial.start_agents(1, &wanted)?;
             trial.converge(&wanted).await?;
@@ -85,12 +85,12 @@
         "seed": options.seed,
         "engines": options.engines,
         "wrong_end_states": wrong,
-        "converge_ms": took.as_millis() as u64,
+        "converge_ms": elapsed.as_millis() as u64,
         "store_rate": scenario.store_rate(),
         "store_loads": store.calls.calls - store.calls.refused,
         "store_loads_per_s_max": store.calls.highest_per_second,
         "store_refused": store.calls.refused,
-        "least_serving": trial.least_serving,
+        "least_serving": trial.min_serving,
         "orders": trial.sum("papayamux_agent_order_outcomes_total", "obeyed").await?,
         "stepped_back": trial.sum("papayamux_agent_superseded", "").await?,
     }))
--- a/crates/papayamux-measure/src/orders/trial_fleet.rs
+++ b/crates/papayamux-measure/src/orders/trial_fleet.rs
@@ -9,10 +9,10 @@
 use super::scenario::{OrderScenario, DECLARED_RATE};
 
 /// Maximum time for a fleet to converge.
-const CONVERGE_WITHIN: Duration = Duration::from_secs(120);
+const CONVERGE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time for which a converged fleet is watched for deviations.
-const WATCH_FOR: Duration = Duration::from_secs(3);
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const WATCH_DURATION: Duration = Duration::from_secs(3);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The wanted models of each engine, as `NAME@VERSION`.
 pub type WantedModels = Vec<Vec<&'static str>>;
@@ -24,7 +24,7 @@
     /// All agents started so far.
     pub agents: Vec<ProcessHandle>,
     /// The minimum number of engines with a given model loaded, over all models and observations.
-    pub least_serving: usize,
+    pub min_serving: usize,
 }
 
 impl TrialFleet {
@@ -40,7 +40,7 @@
             .engine_arguments(arguments)
             .store_rate(scenario.store_rate())
             .build();
-        Ok(Self { fleet: OrderFleet::start(plan)?, agents: Vec::new(), least_serving: engines })
+        Ok(Self { fleet: OrderFleet::start(plan)?, agents: Vec::new(), min_serving: engines })
     }
 
     /// Starts an agent for each engine, with `wanted` as the declared models.
@@ -66,8 +66,9 @@
         Ok(())
     }
 
-    /// Waits until all engines have the wanted models for longer than `WATCH_FOR`, or the timeout
-    /// expires. Returns the time to convergence and the number of engines in a wrong state.
+    /// Waits until all engines have had the wanted models for longer than `WATCH_DURATION`, or
+    /// until the timeout. Returns the time to convergence and the number of engines in a wrong
+    /// state.
     pub async fn converge(
         &mut self,
         wanted: &WantedModels,
@@ -79,14 +80,16 @@
             let now = Instant::now();
             match (wrong, since) {
                 (0, None) => since = Some(now),
-                (0, Some(reached)) if now - reached > WATCH_FOR => return Ok((reached - start, 0)),
+                (0, Some(reached)) if now - reached > WATCH_DURATION => {
+                    return Ok((reached - start, 0))
+                }
                 (0, Some(_)) => {}
                 _ => since = None,
             }
-            if now - start > CONVERGE_WITHIN {
+            if now - start > CONVERGE_TIMEOUT {
                 return Ok((now - start, wrong));
             }
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -97,7 +100,7 @@
         }
         for model in ["itinerary", "refunds"] {
             let serves = |state: &&EngineState| state.models.iter().any(|item| item.name == model);
-            self.least_serving = self.least_serving.min(states.iter().filter(serves).count());
+            self.min_serving = self.min_serving.min(states.iter().filter(serves).count());
         }
         let pairs = states.iter().zip(wanted);
         Ok(pairs.filter(|(state, models)| !has_models(state, models)).count())
--- a/crates/papayamux-measure/src/path/latency.rs
+++ b/crates/papayamux-measure/src/path/latency.rs
@@ -18,17 +18,17 @@
 /// The number of timed chats on each path.
 const CHATS: usize = 500;
 /// The highest value of a histogram, in microseconds; longer times are recorded as this value.
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_MICROS: u64 = 60_000_000;
 
 /// The latencies of one path, in microseconds.
-struct TimeTable(Histogram<u64>);
+struct LatencyHistogram(Histogram<u64>);
 
-impl TimeTable {
+impl LatencyHistogram {
     fn new() -> Result<Self, Box<dyn Error>> {
-        Ok(Self(Histogram::new_with_max(LONGEST_MICROS, 3)?))
+        Ok(Self(Histogram::new_with_max(MAX_MICROS, 3)?))
     }
 
-    fn note(&mut self, time: Duration) {
+    fn record(&mut self, time: Duration) {
         self.0.saturating_record(time.as_micros() as u64);
     }
 
@@ -37,7 +37,11 @@
     }
 }
 
-fn report(measure: &str, direct: &TimeTable, routed: &TimeTable) -> serde_json::Value {
+fn report(
+    measure: &str,
+    direct: &LatencyHistogram,
+    routed: &LatencyHistogram,
+) -> serde_json::Value {
     let added = |quantile| routed.quantile_ms(quantile) - direct.quantile_ms(quantile);
     json!({
         "measure": measure,
@@ -53,7 +57,7 @@
 
 /// Returns a caller that calls the server of the given kind directly, and one that calls the
 /// router.
-fn both_ways(fleet: &Fleet, kind: &str) -> Result<(Caller, Caller), Box<dyn Error>> {
+fn direct_and_routed(fleet: &Fleet, kind: &str) -> Result<(Caller, Caller), Box<dyn Error>> {
     let server = fleet.servers.iter().find(|server| server.name.starts_with(kind));
     let direct = server.ok_or("the fleet has no server of this kind")?.standin.listen()?;
     let routed = fleet.routers[0].listen()?;
@@ -62,14 +66,14 @@
 
 /// Measures the latency of plain calls.
 pub async fn measure_calls(fleet: &Fleet) -> Result<serde_json::Value, Box<dyn Error>> {
-    let (direct, routed) = both_ways(fleet, "service")?;
-    let (mut direct_times, mut routed_times) = (TimeTable::new()?, TimeTable::new()?);
+    let (direct, routed) = direct_and_routed(fleet, "service")?;
+    let (mut direct_times, mut routed_times) = (LatencyHistogram::new()?, LatencyHistogram::new()?);
     for index in 0..WARM_UP + CALLS {
         for (caller, times) in [(&direct, &mut direct_times), (&routed, &mut routed_times)] {
             let sent = Instant::now();
             caller.call(Method::GET, FLEET_PATH, &[], Bytes::new()).await?;
             if index >= WARM_UP {
-                times.note(sent.elapsed());
+                times.record(sent.elapsed());
             }
         }
     }
@@ -78,14 +82,14 @@
 
 /// Measures the time to first token of streamed chats.
 pub async fn measure_first_tokens(fleet: &Fleet) -> Result<serde_json::Value, Box<dyn Error>> {
-    let (direct, routed) = both_ways(fleet, "engine")?;
-    let (mut direct_times, mut routed_times) = (TimeTable::new()?, TimeTable::new()?);
+    let (direct, routed) = direct_and_routed(fleet, "engine")?;
+    let (mut direct_times, mut routed_times) = (LatencyHistogram::new()?, LatencyHistogram::new()?);
     for index in 0..CHATS {
         let content = format!("question number {index}");
         let message = ChatMessage { role: "user".to_string(), content };
         let request = chat_request(FLEET_MODEL, vec![message], 2);
         for (caller, times) in [(&direct, &mut direct_times), (&routed, &mut routed_times)] {
-            times.note(caller.chat(&request).await?.first_token);
+            times.record(caller.chat(&request).await?.first_token);
         }
     }
     Ok(report("added_latency_first_token", &direct_times, &routed_times))
--- a/crates/papayamux-measure/src/path/streams.rs
+++ b/crates/papayamux-measure/src/path/streams.rs
@@ -20,9 +20,9 @@
 /// The number of tokens in each answer, too many to complete during the measurement.
 const TOKENS: u32 = 1_000_000;
 /// The period in which events are counted.
-const COUNT_FOR: Duration = Duration::from_secs(4);
+const COUNT_DURATION: Duration = Duration::from_secs(4);
 /// Wait for streams to settle.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// The number of events received by all streams.
 type EventCount = Rc<Cell<u64>>;
@@ -58,14 +58,14 @@
     let caller = Caller::new(router.listen()?, "measure");
     let events: EventCount = Rc::default();
     open_streams(&caller, 0..STREAMS, &events);
-    monoio::time::sleep(SETTLE).await;
+    monoio::time::sleep(SETTLE_TIME).await;
     let few = [resident_kib(router)?, resident_kib(agent)?];
     let (before, meter) = (events.get(), CpuMeter::start(router, agent)?);
-    monoio::time::sleep(COUNT_FOR).await;
+    monoio::time::sleep(COUNT_DURATION).await;
     let relayed = (events.get() - before) as f64;
     let reading = meter.read()?;
     open_streams(&caller, STREAMS..MANY_STREAMS, &events);
-    monoio::time::sleep(SETTLE + COUNT_FOR).await;
+    monoio::time::sleep(SETTLE_TIME + COUNT_DURATION).await;
     let many = [resident_kib(router)?, resident_kib(agent)?];
     let added = (MANY_STREAMS - STREAMS) as f64;
     let [router_cores, agent_cores] = reading.cores;
--- a/crates/papayamux-measure/src/path/throughput.rs
+++ b/crates/papayamux-measure/src/path/throughput.rs
@@ -13,7 +13,7 @@
 /// The number of callers, each with one request in flight.
 const CALLERS: usize = 64;
 /// The duration of the measurement.
-const RUN_FOR: Duration = Duration::from_secs(4);
+const RUN_DURATION: Duration = Duration::from_secs(4);
 
 /// Meters the CPU time of two processes from a starting point.
 pub struct CpuMeter<'a> {
@@ -57,13 +57,13 @@
     let router = &fleet.routers[0];
     let caller = Caller::new(router.listen()?, "measure");
     let answered = Rc::new(Cell::new(0_u64));
-    let until = Instant::now() + RUN_FOR;
+    let deadline = Instant::now() + RUN_DURATION;
     let meter = CpuMeter::start(router, agent)?;
     let mut tasks = Vec::new();
     for _ in 0..CALLERS {
         let (caller, answered) = (caller.clone(), answered.clone());
         tasks.push(monoio::spawn(async move {
-            while Instant::now() < until {
+            while Instant::now() < deadline {
                 let call = caller.call(Method::GET, FLEET_PATH, &[], Bytes::new());
                 if call.await.is_ok_and(|(status, _)| status.is_success()) {
                     answered.set(answered.get() + 1);
--- a/crates/papayamux-measure/src/routing/disturbance.rs
+++ b/crates/papayamux-measure/src/routing/disturbance.rs
@@ -22,7 +22,7 @@
     /// The number of engines at the site.
     pub engines: usize,
     /// The start of the run.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// The duration of the run.
     pub length: Duration,
     /// Bit mask of the engines replaced and not yet processed by the prefix oracle.
@@ -31,7 +31,7 @@
 
 impl DisturbancePlan<'_> {
     /// Applies all faults of the scenario to `fleet` and blocks until the last one.
-    pub fn carry_out(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
+    pub fn apply_faults(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
         match self.scenario {
             Scenario::Churn10 | Scenario::Churn30 => self.replace_engines(fleet),
             Scenario::Flap => self.flap(fleet),
@@ -41,7 +41,7 @@
 
     fn wait_until(&self, share: f64) {
         let at = self.length.mul_f64(share);
-        std::thread::sleep(at.saturating_sub(self.begun.elapsed()));
+        std::thread::sleep(at.saturating_sub(self.started_at.elapsed()));
     }
 
     fn replace_engines(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
@@ -58,7 +58,7 @@
 
     fn flap(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
         self.wait_until(CHURN_SHARES.0);
-        while self.begun.elapsed() < self.length.mul_f64(CHURN_SHARES.1) {
+        while self.started_at.elapsed() < self.length.mul_f64(CHURN_SHARES.1) {
             let agent = &fleet.servers[FLAPPING_ENGINE].agent;
             agent.pause()?;
             std::thread::sleep(FLAP_PAUSE);
--- a/crates/papayamux-measure/src/routing/experiment.rs
+++ b/crates/papayamux-measure/src/routing/experiment.rs
@@ -12,25 +12,25 @@
 use papayamux_testbed::{Caller, Fleet, FleetPlan, ProcessHandle, TestbedError};
 use papayamux_transport::runtime;
 
-use super::best_possible::PrefixOracle;
 use super::control_traffic::{mean_rate, read_counts};
 use super::disturbance::DisturbancePlan;
 use super::load_sampler::{sample_loads, SampledServer};
 use super::options::{RoutingOptions, UNSET_POLICY};
-use super::report::{RoutingReport, RunLabel, RunYield};
+use super::prefix_oracle::PrefixOracle;
+use super::report::{RoutingReport, RunLabel, RunResults};
 use super::scenario::Scenario;
-use super::session::SessionDesk;
+use super::session::SessionContext;
 use super::site::SiteProfile;
 use super::tally::RunTally;
 use super::workload::{organisation_name, Workload, ORGANISATIONS};
 
 /// The number of servers missing from each router's list in the scenario `lists-differ`.
-const LISTS_LACK: usize = 2;
+const MISSING_PER_LIST: usize = 2;
 /// The share of a run that is warm-up and excluded from the figures.
 const WARM_UP_SHARE: f64 = 0.25;
 /// Maximum wait for requests in flight after the end of a run.
-const FINISH_WITHIN: Duration = Duration::from_secs(10);
-const FINISH_LOOK: Duration = Duration::from_millis(20);
+const FINISH_TIMEOUT: Duration = Duration::from_secs(10);
+const FINISH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs the measurement and prints one JSON line per policy and scenario.
 pub fn measure_routing(options: &RoutingOptions) -> Result<(), Box<dyn Error>> {
@@ -102,7 +102,7 @@
     }
     let servers = site.engines + site.services;
     let list_of =
-        |router: usize| (0..servers).filter(|server| server / LISTS_LACK != router).collect();
+        |router: usize| (0..servers).filter(|server| server / MISSING_PER_LIST != router).collect();
     (0..site.routers).map(list_of).collect()
 }
 
@@ -112,21 +112,21 @@
     scenario: Scenario,
     workload: Rc<Workload>,
     seconds: f64,
-) -> Result<RunYield, Box<dyn Error>> {
+) -> Result<RunResults, Box<dyn Error>> {
     let mut fleet = Fleet::start(plan)?;
     let addresses = FleetAddresses::of(&fleet, site.engines)?;
     let replaced = Arc::new(AtomicU64::new(0));
-    let (begun, length) = (Instant::now(), Duration::from_secs_f64(seconds));
+    let (started_at, length) = (Instant::now(), Duration::from_secs_f64(seconds));
     let engines = site.engines;
     std::thread::scope(|scope| {
         let mask = replaced.clone();
         let fleet = &mut fleet;
         let disturber = scope.spawn(move || {
             let replaced = &*mask;
-            DisturbancePlan { scenario, engines, begun, length, replaced }.carry_out(fleet)
+            DisturbancePlan { scenario, engines, started_at, length, replaced }.apply_faults(fleet)
         });
-        let desk = Rc::new(SessionDesk {
-            begun,
+        let context = Rc::new(SessionContext {
+            started_at,
             end: length,
             callers: callers(&addresses.routers),
             workload,
@@ -136,42 +136,42 @@
             tally: RefCell::new(RunTally::default()),
             in_flight: Cell::new(0),
         });
-        let mut run = runtime::run(drive(desk, addresses))?;
+        let mut run = runtime::run(drive(context, addresses))?;
         let disturbed = disturber.join().map_err(|_| "the disturbance thread panicked")?;
         run.disturbance_error = disturbed.err().map(|error| error.to_string());
         Ok(run)
     })
 }
 
-async fn drive(desk: Rc<SessionDesk>, addresses: FleetAddresses) -> RunYield {
+async fn drive(context: Rc<SessionContext>, addresses: FleetAddresses) -> RunResults {
     let samples = Rc::new(RefCell::new(Vec::new()));
-    monoio::spawn(sample_loads(addresses.sampled(), desk.begun, samples.clone()));
-    for chat in 0..desk.workload.chats.len() {
-        monoio::spawn(desk.clone().hold_chat(chat));
+    monoio::spawn(sample_loads(addresses.sampled(), context.started_at, samples.clone()));
+    for chat in 0..context.workload.chats.len() {
+        monoio::spawn(context.clone().run_chat(chat));
     }
-    for call in desk.workload.calls.clone() {
-        monoio::spawn(desk.clone().make_call(call));
+    for call in context.workload.calls.clone() {
+        monoio::spawn(context.clone().run_call(call));
     }
-    sleep_until(desk.begun, desk.end.mul_f64(WARM_UP_SHARE)).await;
-    let counted_from = desk.begun.elapsed();
+    sleep_until(context.started_at, context.end.mul_f64(WARM_UP_SHARE)).await;
+    let counted_from = context.started_at.elapsed();
     let routers_before = read_counts(&addresses.router_operations).await;
     let agents_before = read_counts(&addresses.agent_operations).await;
-    sleep_until(desk.begun, desk.end).await;
-    let seconds = (desk.begun.elapsed() - counted_from).as_secs_f64();
+    sleep_until(context.started_at, context.end).await;
+    let seconds = (context.started_at.elapsed() - counted_from).as_secs_f64();
     let routers_after = read_counts(&addresses.router_operations).await;
     let agents_after = read_counts(&addresses.agent_operations).await;
-    let finish_by = desk.begun.elapsed() + FINISH_WITHIN;
-    while desk.in_flight.get() > 0 && desk.begun.elapsed() < finish_by {
-        monoio::time::sleep(FINISH_LOOK).await;
+    let finish_by = context.started_at.elapsed() + FINISH_TIMEOUT;
+    while context.in_flight.get() > 0 && context.started_at.elapsed() < finish_by {
+        monoio::time::sleep(FINISH_POLL_INTERVAL).await;
     }
-    let (tally, samples) = (desk.tally.borrow().clone(), samples.borrow().clone());
-    RunYield {
+    let (tally, samples) = (context.tally.borrow().clone(), samples.borrow().clone());
+    RunResults {
         tally,
         samples,
         control_router: mean_rate(&routers_before, &routers_after, seconds),
         control_agent: mean_rate(&agents_before, &agents_after, seconds),
-        distinct_blocks: desk.oracle.borrow().blocks(),
-        unfinished: desk.in_flight.get(),
+        distinct_blocks: context.oracle.borrow().blocks(),
+        unfinished: context.in_flight.get(),
         load_average: load_average(),
         disturbance_error: None,
     }
@@ -182,8 +182,8 @@
     std::fs::read_to_string("/proc/loadavg").ok()?.split(' ').next()?.parse().ok()
 }
 
-async fn sleep_until(begun: Instant, at: Duration) {
-    monoio::time::sleep(at.saturating_sub(begun.elapsed())).await;
+async fn sleep_until(started_at: Instant, at: Duration) {
+    monoio::time::sleep(at.saturating_sub(started_at.elapsed())).await;
 }
 
 fn callers(routers: &[SocketAddr]) -> Vec<Vec<Caller>> {
--- a/crates/papayamux-measure/src/routing/load_sampler.rs
+++ b/crates/papayamux-measure/src/routing/load_sampler.rs
@@ -14,14 +14,14 @@
 use serde_json::Value;
 
 /// Time between two samples.
-const SAMPLE_EVERY: Duration = Duration::from_millis(75);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(75);
 /// Timeout of one engine's load query; a sample omits the engines that exceed it.
-const ANSWER_WITHIN: Duration = Duration::from_millis(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// Minimum mean load of a sample that counts towards the skew. Below it, a single request would
 /// dominate the ratio.
-pub const SMALLEST_MEAN: f64 = 2.0;
+pub const MIN_MEAN_LOAD: f64 = 2.0;
 const STATUS_PATH: &str = "/status";
-const LONGEST_ANSWER: u64 = 64 * 1024;
+const MAX_ANSWER_BYTES: u64 = 64 * 1024;
 
 /// The loads of all engines at one point in time.
 #[derive(Debug, Clone, PartialEq)]
@@ -83,7 +83,7 @@
         let timely = samples.iter().filter(|sample| sample.at >= warm_up && sample.at < end);
         let timely: Vec<_> = timely.filter(|sample| !sample.loads.is_empty()).collect();
         let (counted, left_out): (Vec<&LoadSample>, Vec<&LoadSample>) =
-            timely.iter().partition(|sample| sample.mean() >= SMALLEST_MEAN);
+            timely.iter().partition(|sample| sample.mean() >= MIN_MEAN_LOAD);
         let mut skews: Vec<f64> =
             counted.iter().map(|sample| sample.highest() as f64 / sample.mean()).collect();
         skews.sort_by(f64::total_cmp);
@@ -134,14 +134,14 @@
 /// Samples `servers` periodically; the future never completes.
 pub async fn sample_loads(
     servers: Vec<SampledServer>,
-    begun: Instant,
+    started_at: Instant,
     samples: Rc<RefCell<Vec<LoadSample>>>,
 ) {
     loop {
-        monoio::time::sleep(SAMPLE_EVERY).await;
-        let at = begun.elapsed();
+        monoio::time::sleep(SAMPLE_INTERVAL).await;
+        let at = started_at.elapsed();
         let asked =
-            servers.iter().map(|server| monoio::time::timeout(ANSWER_WITHIN, server.sample()));
+            servers.iter().map(|server| monoio::time::timeout(ANSWER_TIMEOUT, server.sample()));
         let answers = join_all(asked).await.into_iter().filter_map(|answer| answer.ok()?);
         let (loads, demands) = answers.unzip();
         samples.borrow_mut().push(LoadSample { at, loads, demands });
@@ -158,6 +158,6 @@
         .ok()?;
     let answer = client.send_idempotent(request).await.ok()?;
     let status = answer.head.status;
-    let body = answer.whole_body(LONGEST_ANSWER).await.ok()?;
+    let body = answer.whole_body(MAX_ANSWER_BYTES).await.ok()?;
     (status == StatusCode::OK).then_some(body)
 }
--- a/crates/papayamux-measure/src/routing/mod.rs
+++ b/crates/papayamux-measure/src/routing/mod.rs
@@ -1,11 +1,11 @@
 //! The measurement `routing`: cache reuse, load skew and control traffic of the policies.
 
-mod best_possible;
 mod control_traffic;
 mod disturbance;
 mod experiment;
 mod load_sampler;
 mod options;
+mod prefix_oracle;
 mod report;
 mod scenario;
 mod session;
@@ -14,11 +14,11 @@
 mod tally;
 mod workload;
 
-pub use best_possible::PrefixOracle;
 pub use control_traffic::control_bytes;
 pub use experiment::measure_routing;
 pub use load_sampler::{LoadSample, SkewSummary};
 pub use options::RoutingOptions;
+pub use prefix_oracle::PrefixOracle;
 pub use report::RoutingReport;
 pub use scenario::Scenario;
 pub use site::{SiteName, SiteProfile};
--- a/crates/papayamux-measure/src/routing/report.rs
+++ b/crates/papayamux-measure/src/routing/report.rs
@@ -13,7 +13,7 @@
 
 /// The raw results of a run.
 #[derive(Debug, Clone, Default)]
-pub struct RunYield {
+pub struct RunResults {
     /// The results observed by callers.
     pub tally: RunTally,
     /// The load samples of the engines.
@@ -148,7 +148,7 @@
 
 impl RoutingReport {
     /// Computes the figures of a run.
-    pub fn new(label: RunLabel, site: &SiteProfile, run: &RunYield) -> Self {
+    pub fn new(label: RunLabel, site: &SiteProfile, run: &RunResults) -> Self {
         let warm_up = Duration::from_secs_f64(label.warm_up_seconds);
         let end = Duration::from_secs_f64(label.seconds);
         let tally = run.tally.after(warm_up);
@@ -202,7 +202,7 @@
             mixed: tally.count(TurnOutcome::Mixed),
             unfinished: run.unfinished,
             token_gap_p50_ms: rounded(tally.token_gap_ms(), 2),
-            offered_load: rounded(offered.places, 3),
+            offered_load: rounded(offered.slots, 3),
             computed_prefill: rounded(offered.prefill * (1.0 - warm_share), 3),
             blocks_over_cache: rounded(run.distinct_blocks as f64 / cache, 2),
             control_bytes_per_s_router: run.control_router.map(|rate| rounded(rate, 0)),
@@ -211,7 +211,7 @@
                 .control_router
                 .map(|rate| rounded(rate / request_rate, 0)),
             load_average: run.load_average,
-            told: tally.told.clone(),
+            told: tally.reported_failures.clone(),
             disturbance_error: run.disturbance_error.clone(),
             label,
         }
@@ -221,7 +221,7 @@
 /// The work offered by the turns, as shares of the engines' capacity.
 struct OfferedLoad {
     /// The share of the batch slots.
-    places: f64,
+    slots: f64,
     /// The share of the prefill capacity that all prompt tokens need if nothing is cached.
     prefill: f64,
 }
@@ -230,15 +230,15 @@
     fn of(tally: &RunTally, site: &SiteProfile, seconds: f64) -> Self {
         let step_seconds = tally.token_gap_ms() / 1_000.0;
         let steps = site.engines as f64 * seconds / step_seconds.max(f64::MIN_POSITIVE);
-        let place_steps = |turn: &TurnRecord| {
+        let slot_steps = |turn: &TurnRecord| {
             let warm = (turn.best_blocks * TOKENS_PER_BLOCK) as u64;
             let cold = turn.prompt_tokens.saturating_sub(warm);
             turn.answer_tokens + 1 + cold.div_ceil(site.prefill)
         };
-        let occupied: u64 = tally.turns.iter().map(place_steps).sum();
+        let occupied: u64 = tally.turns.iter().map(slot_steps).sum();
         let tokens: u64 = tally.turns.iter().map(|turn| turn.prompt_tokens).sum();
         Self {
-            places: occupied as f64 / (steps * site.batch as f64),
+            slots: occupied as f64 / (steps * site.batch as f64),
             prefill: tokens as f64 / (steps * site.prefill as f64),
         }
     }
--- a/crates/papayamux-measure/src/routing/session.rs
+++ b/crates/papayamux-measure/src/routing/session.rs
@@ -14,14 +14,14 @@
 use papayamux_standins::engine::expected_answer;
 use papayamux_testbed::{chat_request, Caller, CallerError, FLEET_MODEL, FLEET_PATH};
 
-use super::best_possible::PrefixOracle;
+use super::prefix_oracle::PrefixOracle;
 use super::tally::{AnsweredTurn, RunTally, TurnOutcome, TurnRecord};
 use super::workload::{CallScript, ChatScript, TurnScript, Workload};
 
 /// State shared by all sessions of a run.
-pub struct SessionDesk {
+pub struct SessionContext {
     /// The start of the run.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// The time after which no turn is sent, since the start of the run.
     pub end: Duration,
     /// The callers, by router and organisation.
@@ -49,13 +49,13 @@
     ChatMessage { role: role.to_string(), content }
 }
 
-impl SessionDesk {
+impl SessionContext {
     async fn wait_until(&self, at: Duration) {
-        monoio::time::sleep(at.saturating_sub(self.begun.elapsed())).await;
+        monoio::time::sleep(at.saturating_sub(self.started_at.elapsed())).await;
     }
 
     /// Runs the chat with the index `index` in the workload.
-    pub async fn hold_chat(self: Rc<Self>, index: usize) {
+    pub async fn run_chat(self: Rc<Self>, index: usize) {
         let workload = self.workload.clone();
         let chat = &workload.chats[index];
         self.wait_until(chat.arrival).await;
@@ -63,14 +63,14 @@
         let mut messages = vec![message("system", document)];
         let mut history_blocks = 0;
         for turn in &chat.turns {
-            if self.begun.elapsed() >= self.end {
+            if self.started_at.elapsed() >= self.end {
                 return;
             }
             messages.push(message("user", turn.text.clone()));
             let prompt = render_prompt(&messages);
             let answer = expected_answer(FLEET_MODEL, &prompt, Some(turn.answer_tokens));
             let record = self.best_case(index, turn, &prompt, history_blocks);
-            let outcome = self.take_turn(chat, turn, &messages, &answer).await;
+            let outcome = self.run_turn(chat, turn, &messages, &answer).await;
             self.tally.borrow_mut().turns.push(TurnRecord { outcome, ..record });
             let blocks = prompt_blocks(&format!("{prompt}assistant: {answer}\n"));
             history_blocks = blocks.len();
@@ -94,7 +94,7 @@
         let best_blocks = oracle.best_blocks(&blocks);
         oracle.store(chat % self.engines, &blocks);
         TurnRecord {
-            sent: self.begun.elapsed(),
+            sent: self.started_at.elapsed(),
             organisation: self.workload.chats[chat].organisation,
             prompt_tokens: prompt_tokens(prompt.len()),
             answer_tokens: u64::from(turn.answer_tokens),
@@ -104,7 +104,7 @@
         }
     }
 
-    async fn take_turn(
+    async fn run_turn(
         &self,
         chat: &ChatScript,
         turn: &TurnScript,
@@ -130,10 +130,10 @@
             Err(error) => {
                 match &error {
                     CallerError::Failure { body, .. } => {
-                        self.tally.borrow_mut().count_told(body.as_bytes());
+                        self.tally.borrow_mut().count_failure(body.as_bytes());
                     }
                     CallerError::Told { failure, .. } => {
-                        self.tally.borrow_mut().count_told(&failure.to_json());
+                        self.tally.borrow_mut().count_failure(&failure.to_json());
                     }
                     _ => {}
                 }
@@ -143,18 +143,18 @@
     }
 
     /// Sends a call to a plain service at its arrival time and records its latency.
-    pub async fn make_call(self: Rc<Self>, call: CallScript) {
+    pub async fn run_call(self: Rc<Self>, call: CallScript) {
         self.wait_until(call.arrival).await;
         let caller = &self.callers[call.router][call.organisation];
-        let (sent, path) = (self.begun.elapsed(), format!("{FLEET_PATH}/gate/7"));
+        let (sent, path) = (self.started_at.elapsed(), format!("{FLEET_PATH}/gate/7"));
         let body = Bytes::from_static(b"{\"ticket\":7}");
         self.in_flight.set(self.in_flight.get() + 1);
         let answer = caller.call(Method::POST, &path, &[], body).await;
         self.in_flight.set(self.in_flight.get() - 1);
         let latency = match answer {
-            Ok((StatusCode::OK, _)) => Some(self.begun.elapsed() - sent),
+            Ok((StatusCode::OK, _)) => Some(self.started_at.elapsed() - sent),
             Ok((_, body)) => {
-                self.tally.borrow_mut().count_told(&body);
+                self.tally.borrow_mut().count_failure(&body);
                 None
             }
             Err(_) => None,
--- a/crates/papayamux-measure/src/routing/tally.rs
+++ b/crates/papayamux-measure/src/routing/tally.rs
@@ -8,8 +8,8 @@
 use papayamux_protocol::failure::FailureEnvelope;
 
 /// The highest value of a histogram, in microseconds; longer times are recorded as this value.
-const LONGEST_MICROS: u64 = 120_000_000;
-const DIGITS: u8 = 3;
+const MAX_MICROS: u64 = 120_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// A complete answer whose bytes are all as expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,12 +87,12 @@
     /// The sending time of each call, and its latency if it was answered.
     pub calls: Vec<(Duration, Option<Duration>)>,
     /// The number of failures reported by routers over the whole run, by code and reason.
-    pub told: BTreeMap<String, u64>,
+    pub reported_failures: BTreeMap<String, u64>,
 }
 
 impl RunTally {
     /// Counts a failure reported by a router, given its response body.
-    pub fn count_told(&mut self, body: &[u8]) {
+    pub fn count_failure(&mut self, body: &[u8]) {
         let label = match serde_json::from_slice::<FailureEnvelope>(body) {
             Ok(FailureEnvelope { error }) => {
                 let code = serde_json::to_value(error.code).unwrap_or_default();
@@ -101,7 +101,7 @@
             }
             Err(_) => "not a failure's body".to_string(),
         };
-        *self.told.entry(label).or_default() += 1;
+        *self.reported_failures.entry(label).or_default() += 1;
     }
 
     /// Returns the tally without the turns and calls sent before `warm_up`. The counts of reported
@@ -112,7 +112,7 @@
         Self {
             turns: turns.copied().collect(),
             calls: calls.copied().collect(),
-            told: self.told.clone(),
+            reported_failures: self.reported_failures.clone(),
         }
     }
 
@@ -148,7 +148,8 @@
 }
 
 fn quantile_ms(times: impl Iterator<Item = Duration>, quantile: f64) -> f64 {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, LONGEST_MICROS, DIGITS) else {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS)
+    else {
         return f64::NAN;
     };
     times.for_each(|time| histogram.saturating_record(time.as_micros() as u64));
--- a/crates/papayamux-measure/src/routing/workload.rs
+++ b/crates/papayamux-measure/src/routing/workload.rs
@@ -99,16 +99,16 @@
 impl Workload {
     /// Generates the workload for a run of `seconds`.
     pub fn generate(seed: u64, site: &SiteProfile, scenario: Scenario, seconds: f64) -> Self {
-        let mut writer = ScriptWriter { random: StdRng::seed_from_u64(seed), site };
+        let mut generator = WorkloadGenerator { random: StdRng::seed_from_u64(seed), site };
         let documents = (0..ORGANISATIONS)
-            .map(|_| (0..site.documents).map(|_| writer.text(site.document_tokens)).collect())
+            .map(|_| (0..site.documents).map(|_| generator.text(site.document_tokens)).collect())
             .collect();
-        let mut chats = writer.usual_chats(scenario, seconds);
+        let mut chats = generator.regular_chats(scenario, seconds);
         if scenario == Scenario::Surge {
-            chats.extend(writer.surge_chats(seconds));
+            chats.extend(generator.surge_chats(seconds));
             chats.sort_by_key(|chat| chat.arrival);
         }
-        let calls = writer.calls(seconds);
+        let calls = generator.calls(seconds);
         Self { documents, chats, calls }
     }
 }
@@ -117,16 +117,16 @@
     (range.start + range.end - 1) as f64 / 2.0
 }
 
-struct ScriptWriter<'a> {
+struct WorkloadGenerator<'a> {
     random: StdRng,
     site: &'a SiteProfile,
 }
 
-impl ScriptWriter<'_> {
-    fn usual_chats(&mut self, scenario: Scenario, seconds: f64) -> Vec<ChatScript> {
+impl WorkloadGenerator<'_> {
+    fn regular_chats(&mut self, scenario: Scenario, seconds: f64) -> Vec<ChatScript> {
         let hot_opening = self.text(self.site.user_tokens.end);
         let mut chats = Vec::new();
-        let fill_rate = self.site.chats_per_second * self.mean_life() / FILL_SECONDS;
+        let fill_rate = self.site.chats_per_second * self.mean_chat_seconds() / FILL_SECONDS;
         let fill = self.arrivals(fill_rate, 0.0, FILL_SECONDS.min(seconds));
         let new = self.arrivals(self.site.chats_per_second, 0.0, seconds);
         let fill = fill.into_iter().map(|arrival| (arrival, true));
@@ -151,7 +151,7 @@
     }
 
     /// Returns the mean duration of a chat in seconds.
-    fn mean_life(&self) -> f64 {
+    fn mean_chat_seconds(&self) -> f64 {
         mean(&self.site.turns) * (self.site.pause.as_secs_f64() + ANSWER_SECONDS)
     }
 
