--- a/crates/papayamux-measure/src/config/scenarios.rs
+++ b/crates/papayamux-measure/src/config/scenarios.rs
@@ -37,7 +37,7 @@
 const LARGE_FILE_BYTES: usize = 1_000_000;
 
 /// A running fleet, its sampler and the seeded generator of changes.
-struct Trial {
+struct ConfigTrial {
     fleet: SpreadFleet,
     random: StdRng,
     sampler: ConfigSampler,
@@ -72,7 +72,7 @@
     text
 }
 
-impl Trial {
+impl ConfigTrial {
     async fn start(options: &ConfigOptions, processes: usize) -> Result<Self, Box<dyn Error>> {
         let seeds = (processes / PROCESSES_PER_SEED).max(MIN_SEEDS);
         let plan = SpreadPlan::builder().processes(processes).seeds(seeds).build();
@@ -127,7 +127,7 @@
         if scenario == ConfigScenario::PartitionHeal {
             return run_partition_heal(options).await;
         }
-        let mut trial = Trial::start(options, processes).await?;
+        let mut trial = ConfigTrial::start(options, processes).await?;
         match scenario {
             ConfigScenario::Healthy => run_changes(&mut trial, Duration::from_secs(3)).await?,
             ConfigScenario::Busy => run_changes(&mut trial, Duration::from_secs(1)).await?,
@@ -156,7 +156,7 @@
     })?
 }
 
-async fn run_changes(trial: &mut Trial, pause: Duration) -> Result<(), Box<dyn Error>> {
+async fn run_changes(trial: &mut ConfigTrial, pause: Duration) -> Result<(), Box<dyn Error>> {
     for _ in 0..CHANGES {
         trial.change().await?;
         let jitter = trial.random.random_range(0.5..1.5);
@@ -167,7 +167,7 @@
 
 /// Applies `faults` to the service, changes files meanwhile, and measures the time from the end
 /// of the faults until the last change is in force.
-async fn run_outage(trial: &mut Trial, faults: ConfigFaults) -> Result<(), Box<dyn Error>> {
+async fn run_outage(trial: &mut ConfigTrial, faults: ConfigFaults) -> Result<(), Box<dyn Error>> {
     trial.fleet.set_faults(faults).await?;
     trial.sample_for(OUTAGE).await?;
     let mut revision = 0;
@@ -180,7 +180,10 @@
     trial.measure_propagation(revision, since).await
 }
 
-async fn run_restart(trial: &mut Trial, outage: Option<Duration>) -> Result<(), Box<dyn Error>> {
+async fn run_restart(
+    trial: &mut ConfigTrial,
+    outage: Option<Duration>,
+) -> Result<(), Box<dyn Error>> {
     trial.sampler.record_steps_down(&trial.fleet);
     let revision = trial.put_any().await?;
     if outage.is_some() {
@@ -197,7 +200,7 @@
     trial.measure_propagation(revision, since).await
 }
 
-async fn run_newcomers(trial: &mut Trial) -> Result<(), Box<dyn Error>> {
+async fn run_newcomers(trial: &mut ConfigTrial) -> Result<(), Box<dyn Error>> {
     let revision = trial.put_any().await?;
     trial.fleet.wait_equal(revision, IN_FORCE_TIMEOUT).await?;
     let faults = ConfigFaults { unavailable: true, ..ConfigFaults::default() };
@@ -212,7 +215,7 @@
     Ok(())
 }
 
-async fn run_large_file(trial: &mut Trial) -> Result<(), Box<dyn Error>> {
+async fn run_large_file(trial: &mut ConfigTrial) -> Result<(), Box<dyn Error>> {
     let text = large_text(&mut trial.random, 1);
     let since = now_ms();
     let revision = trial.fleet.put_file("large", &text).await?;
@@ -226,8 +229,8 @@
 /// Connects two halves, whose services have different states, through one additional process.
 async fn run_partition_heal(options: &ConfigOptions) -> ScenarioResult {
     let half = options.processes / 2;
-    let mut left = Trial::start(options, half).await?;
-    let mut right = Trial::start(options, options.processes - half - 1).await?;
+    let mut left = ConfigTrial::start(options, half).await?;
+    let mut right = ConfigTrial::start(options, options.processes - half - 1).await?;
     let mut highest = 0;
     for _ in 0..5 {
         highest = left.put_any().await?;
@@ -254,7 +257,7 @@
         .wait_equal(highest, IN_FORCE_TIMEOUT)
         .await?
         .ok_or("the right half did not converge after the connection")?;
-    let Trial { fleet: right, sampler, .. } = right;
+    let ConfigTrial { fleet: right, sampler, .. } = right;
     drop(sampler);
     left.sample_for(Duration::from_secs(5)).await?;
     left.sampler.finish(ConfigScenario::PartitionHeal, options.seed, &[&left.fleet, &right]).await
--- a/crates/papayamux-measure/src/control/agent_end.rs
+++ b/crates/papayamux-measure/src/control/agent_standin.rs
@@ -20,7 +20,7 @@
 const RETRY_AFTER_MS: u32 = 500;
 
 /// Starts an agent of `server` and returns its address.
-pub fn start_agent_end(server: &ServerId) -> Result<SocketAddr, Box<dyn Error>> {
+pub fn start_agent_standin(server: &ServerId) -> Result<SocketAddr, Box<dyn Error>> {
     let listener = listen("127.0.0.1:0".parse()?)?;
     let address = listener.local_addr()?;
     monoio::spawn(accept_links(listener, server.clone(), "a".parse()?));
--- a/crates/papayamux-measure/src/control/chats.rs
+++ b/crates/papayamux-measure/src/control/chats.rs
@@ -7,7 +7,7 @@
 use papayamux_testbed::{Fleet, FleetPlan};
 
 use super::meter::MeteredRole;
-use super::router_end::open_router_end;
+use super::router_standin::open_router_standin;
 use super::slope::{CostPoint, CostReading, CostSeries};
 
 /// The numbers of chats announced to the agent. The last one is the most that it remembers.
@@ -19,7 +19,7 @@
 pub async fn measure_moved_chats() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(1).services(0).build())?;
     let agent = &fleet.servers[0].agent;
-    let router = open_router_end(agent.listen()?).await?;
+    let router = open_router_standin(agent.listen()?).await?;
     let (mut announced, mut points) = (0_u64, Vec::new());
     for count in CHATS {
         while announced < count {
--- a/crates/papayamux-measure/src/control/links.rs
+++ b/crates/papayamux-measure/src/control/links.rs
@@ -9,9 +9,9 @@
 use papayamux_testbed::{Caller, Fleet, FleetPlan, ProcessHandle};
 use tempfile::TempDir;
 
-use super::agent_end::start_agent_end;
+use super::agent_standin::start_agent_standin;
 use super::meter::{meter_for, MeteredRole};
-use super::router_end::open_router_end;
+use super::router_standin::open_router_standin;
 use super::slope::{CostPoint, CostSeries};
 
 /// The numbers of routers connected to an agent.
@@ -27,10 +27,10 @@
 pub async fn measure_agent_links() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(0).services(1).build())?;
     let agent = &fleet.servers[0].agent;
-    let (mut ends, mut points) = (Vec::new(), Vec::new());
+    let (mut standins, mut points) = (Vec::new(), Vec::new());
     for count in ROUTERS {
-        while ends.len() < count {
-            ends.push(open_router_end(agent.listen()?).await?);
+        while standins.len() < count {
+            standins.push(open_router_standin(agent.listen()?).await?);
         }
         monoio::time::sleep(SETTLE_TIME).await;
         let cost = meter_for(MeteredRole::Agent, agent, METER_DURATION).await?;
@@ -70,7 +70,7 @@
         .to_string();
     for agent in 0..agents {
         let server = format!("full-{agent}");
-        let address = start_agent_end(&server.parse()?)?;
+        let address = start_agent_standin(&server.parse()?)?;
         let path = path_of(agent);
         write!(text, "[server {server}]\nagent = {address}\npaths = {path}\n")?;
     }
--- a/crates/papayamux-measure/src/control/meter.rs
+++ b/crates/papayamux-measure/src/control/meter.rs
@@ -8,7 +8,7 @@
 use super::slope::CostReading;
 
 /// The resources that a process has used since its start.
-struct Spent {
+struct ResourceTotals {
     bytes_in: f64,
     bytes_out: f64,
     usage: ProcessUsage,
@@ -33,13 +33,16 @@
     }
 }
 
-async fn read_spent(role: MeteredRole, process: &ProcessHandle) -> Result<Spent, Box<dyn Error>> {
+async fn read_totals(
+    role: MeteredRole,
+    process: &ProcessHandle,
+) -> Result<ResourceTotals, Box<dyn Error>> {
     let usage = process.usage()?;
     let metrics = process.metrics().await?;
     let sum = |way: &str| {
         metrics.sum(&format!("papayamux_{}_control_bytes_{way}_total", role.name()), "")
     };
-    Ok(Spent { bytes_in: sum("in"), bytes_out: sum("out"), usage })
+    Ok(ResourceTotals { bytes_in: sum("in"), bytes_out: sum("out"), usage })
 }
 
 /// Meters `process` for the duration `time`. Its metrics are read before and after that interval,
@@ -49,11 +52,11 @@
     process: &ProcessHandle,
     time: Duration,
 ) -> Result<CostReading, Box<dyn Error>> {
-    let before = read_spent(role, process).await?;
+    let before = read_totals(role, process).await?;
     let (started, cpu_before) = (Instant::now(), process.usage()?.cpu);
     monoio::time::sleep(time).await;
     let (seconds, usage) = (started.elapsed().as_secs_f64(), process.usage()?);
-    let after = read_spent(role, process).await?;
+    let after = read_totals(role, process).await?;
     Ok(CostReading {
         bytes_in_per_s: (after.bytes_in - before.bytes_in) / seconds,
         bytes_out_per_s: (after.bytes_out - before.bytes_out) / seconds,
--- a/crates/papayamux-measure/src/control/mod.rs
+++ b/crates/papayamux-measure/src/control/mod.rs
@@ -1,13 +1,13 @@
 //! Measures the cost of control traffic for a process, as slopes against quantities that grow
 //! with the fleet.
 
-mod agent_end;
+mod agent_standin;
 mod chats;
 mod links;
 mod meter;
 mod options;
 mod requests;
-mod router_end;
+mod router_standin;
 mod run;
 mod slope;
 
--- a/crates/papayamux-measure/src/control/requests.rs
+++ b/crates/papayamux-measure/src/control/requests.rs
@@ -14,7 +14,7 @@
 };
 
 use super::meter::{meter_for, MeteredRole};
-use super::router_end::{open_router_end, RouterEnd};
+use super::router_standin::{open_router_standin, RouterStandin};
 use super::slope::{CostPoint, CostReading, CostSeries};
 
 /// Chats per second through the router.
@@ -64,7 +64,7 @@
 pub async fn measure_probes() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(1).services(0).build())?;
     let agent = &fleet.servers[0].agent;
-    let router = open_router_end(agent.listen()?).await?;
+    let router = open_router_standin(agent.listen()?).await?;
     let mut points = Vec::new();
     for rate in PROBE_RATES {
         let probes = at_rate(rate, |number| send_probe(&router, number));
@@ -74,7 +74,7 @@
     Ok(vec![CostSeries { role: MeteredRole::Agent.name(), points }])
 }
 
-fn send_probe(router: &RouterEnd, number: u32) {
+fn send_probe(router: &RouterStandin, number: u32) {
     let group = GroupId::named(FLEET_MODEL);
     let group_load = GroupLoad { group, mean: 1.0, samples: 1.0, servers: 1 };
     let hash = number.wrapping_mul(0x9e37_79b9);
--- a/crates/papayamux-measure/src/control/router_end.rs
+++ b/crates/papayamux-measure/src/control/router_standin.rs
@@ -9,10 +9,10 @@
 use papayamux_transport::link::{connect, start_link, LinkSender};
 
 /// A connection that the agent has accepted. It stays open until the sender is dropped.
-pub type RouterEnd = LinkSender<RouterMessage>;
+pub type RouterStandin = LinkSender<RouterMessage>;
 
 /// Opens a connection as a router does, and keeps reading and discarding the agent's messages.
-pub async fn open_router_end(agent: SocketAddr) -> Result<RouterEnd, Box<dyn Error>> {
+pub async fn open_router_standin(agent: SocketAddr) -> Result<RouterStandin, Box<dyn Error>> {
     let stream = connect(agent).await?;
     let (sender, mut receiver) = start_link::<RouterFrame, AgentFrame, RouterMessage>(stream)?;
     let (incarnation, domain) = (Incarnation::draw(), "a".parse()?);
--- a/crates/papayamux-measure/src/path/throughput.rs
+++ b/crates/papayamux-measure/src/path/throughput.rs
@@ -42,11 +42,11 @@
 
     /// Returns the CPU time used since the start.
     pub fn read(&self) -> Result<CpuReading, Box<dyn Error>> {
-        let spent = |index: usize| -> Result<f64, Box<dyn Error>> {
+        let used = |index: usize| -> Result<f64, Box<dyn Error>> {
             Ok((self.processes[index].usage()?.cpu - self.before[index]).as_secs_f64())
         };
         let seconds = self.started.elapsed().as_secs_f64();
-        Ok(CpuReading { seconds, cores: [spent(0)?, spent(1)?] })
+        Ok(CpuReading { seconds, cores: [used(0)?, used(1)?] })
     }
 }
 
--- a/crates/papayamux-measure/src/routing/disturbance.rs
+++ b/crates/papayamux-measure/src/routing/disturbance.rs
@@ -8,7 +8,7 @@
 use super::scenario::Scenario;
 
 /// Start and end of the replacements or pauses, as shares of the run.
-const CHURN_SHARES: (f64, f64) = (0.3, 0.85);
+const FAULT_SHARES: (f64, f64) = (0.3, 0.85);
 const FLAP_PAUSE: Duration = Duration::from_millis(800);
 const FLAP_PERIOD: Duration = Duration::from_millis(2_000);
 const FLAPPING_ENGINE: usize = 0;
@@ -46,7 +46,7 @@
 
     fn replace_engines(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
         let count = self.scenario.replaced(self.engines);
-        let (from, until) = CHURN_SHARES;
+        let (from, until) = FAULT_SHARES;
         for index in 0..count {
             self.wait_until(from + (until - from) * index as f64 / count as f64);
             let engine = index * self.engines / count;
@@ -57,8 +57,8 @@
     }
 
     fn flap(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
-        self.wait_until(CHURN_SHARES.0);
-        while self.started_at.elapsed() < self.length.mul_f64(CHURN_SHARES.1) {
+        self.wait_until(FAULT_SHARES.0);
+        while self.started_at.elapsed() < self.length.mul_f64(FAULT_SHARES.1) {
             let agent = &fleet.servers[FLAPPING_ENGINE].agent;
             agent.pause()?;
             std::thread::sleep(FLAP_PAUSE);
--- a/crates/papayamux-measure/src/routing/load_sampler.rs
+++ b/crates/papayamux-measure/src/routing/load_sampler.rs
@@ -140,9 +140,9 @@
     loop {
         monoio::time::sleep(SAMPLE_INTERVAL).await;
         let at = started_at.elapsed();
-        let asked =
+        let queries =
             servers.iter().map(|server| monoio::time::timeout(ANSWER_TIMEOUT, server.sample()));
-        let answers = join_all(asked).await.into_iter().filter_map(|answer| answer.ok()?);
+        let answers = join_all(queries).await.into_iter().filter_map(|answer| answer.ok()?);
         let (loads, demands) = answers.unzip();
         samples.borrow_mut().push(LoadSample { at, loads, demands });
     }
