--- a/crates/papayamux-measure/src/config/sampler.rs
+++ b/crates/papayamux-measure/src/config/sampler.rs
@@ -1,4 +1,4 @@
-//! Samples of all processes while a scenario runs.
+//! Samples all processes while a scenario runs.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -9,22 +9,23 @@
 use super::report::ConfigReport;
 use super::scenario::ConfigScenario;
 
-/// How often processes are asked for their bytes.
-const SAMPLE_EVERY: Duration = Duration::from_secs(1);
-/// How often logs are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
-/// The line that a process logs when something has come into force.
-const IN_FORCE: &str = "configuration in force";
+/// Interval between queries of the processes' byte counts.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between checks of the processes' logs.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// The message that a process logs when a configuration has come into force.
+const IN_FORCE_MESSAGE: &str = "configuration in force";
 
-/// Milliseconds since the epoch, as logs have them.
+/// Returns the current time in milliseconds since the Unix epoch, as in logs.
 pub(super) fn now_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since_epoch.as_millis() as u64
 }
 
-/// When the process had a revision in force and was settled.
+/// Returns the time at which the process first had at least `revision` in force and was settled,
+/// in milliseconds since the Unix epoch.
 pub(super) fn in_force_at(process: &ProcessHandle, revision: u64) -> Option<u64> {
-    let lines = process.lines_with(IN_FORCE);
+    let lines = process.lines_with(IN_FORCE_MESSAGE);
     let line = lines.iter().find(|line| {
         line["settled"].as_bool() == Some(true)
             && line["revision"].as_u64().is_some_and(|held| held >= revision)
@@ -32,8 +33,8 @@
     line["time_ms"].as_u64()
 }
 
-fn steps_down(process: &ProcessHandle) -> usize {
-    let lines = process.lines_with(IN_FORCE);
+fn count_steps_down(process: &ProcessHandle) -> usize {
+    let lines = process.lines_with(IN_FORCE_MESSAGE);
     let generations: Vec<u64> = lines
         .iter()
         .filter_map(|line| {
@@ -43,7 +44,7 @@
     generations.windows(2).filter(|pair| pair[1] < pair[0]).count()
 }
 
-/// What a scenario has given so far.
+/// The measurements of a scenario so far.
 #[derive(Default)]
 pub(super) struct ConfigSampler {
     times_ms: Vec<f64>,
@@ -55,16 +56,16 @@
 }
 
 impl ConfigSampler {
-    /// Waits until `revision` is in force at each process, and notes how long after `since_ms`
-    /// that was.
-    pub(super) async fn note_in_force(
+    /// Waits until `revision` is in force at each process, and records each process's delay after
+    /// `since_ms`. Processes that exceed `timeout` are counted as missing.
+    pub(super) async fn record_in_force(
         &mut self,
         fleet: &SpreadFleet,
         revision: u64,
         since_ms: u64,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), Box<dyn Error>> {
-        let deadline = Instant::now() + within;
+        let deadline = Instant::now() + timeout;
         loop {
             self.sample(fleet).await?;
             let times: Vec<_> = fleet
@@ -79,12 +80,12 @@
                 self.missing += missing;
                 return Ok(());
             }
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Samples for a while.
-    pub(super) async fn pass(
+    /// Samples the processes for the duration `time`.
+    pub(super) async fn sample_for(
         &mut self,
         fleet: &SpreadFleet,
         time: Duration,
@@ -92,38 +93,38 @@
         let end = Instant::now() + time;
         while Instant::now() < end {
             self.sample(fleet).await?;
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Notes a time that was measured otherwise.
-    pub(super) fn note_time(&mut self, millis: Option<f64>) {
+    /// Records a delay measured by the caller; `None` counts as missing.
+    pub(super) fn record_delay(&mut self, millis: Option<f64>) {
         match millis {
             Some(millis) => self.times_ms.push(millis),
             None => self.missing += 1,
         }
     }
 
-    /// Counts the steps down of processes that are about to end.
-    pub(super) fn note_steps(&mut self, fleet: &SpreadFleet) {
-        let steps = fleet.processes.iter().map(|process| steps_down(&process.handle));
+    /// Counts the steps to an older configuration in the logs of processes that are about to end.
+    pub(super) fn record_steps_down(&mut self, fleet: &SpreadFleet) {
+        let steps = fleet.processes.iter().map(|process| count_steps_down(&process.handle));
         self.stepped_down += steps.sum::<usize>();
     }
 
     async fn sample(&mut self, fleet: &SpreadFleet) -> Result<(), Box<dyn Error>> {
-        if self.last_sample.is_some_and(|last| last.elapsed() < SAMPLE_EVERY) {
+        if self.last_sample.is_some_and(|last| last.elapsed() < SAMPLE_INTERVAL) {
             return Ok(());
         }
         self.last_sample = Some(Instant::now());
         for (index, process) in fleet.processes.iter().enumerate() {
             let status = fleet.status(index).await?;
-            self.take_bytes(process.handle.id(), status.sent_bytes + status.received_bytes);
+            self.record_bytes(process.handle.id(), status.sent_bytes + status.received_bytes);
         }
         Ok(())
     }
 
-    fn take_bytes(&mut self, process: u32, bytes: u64) {
+    fn record_bytes(&mut self, process: u32, bytes: u64) {
         let now = Instant::now();
         if let Some((last, before)) = self.bytes.insert(process, (now, bytes)) {
             let rate = bytes.saturating_sub(before) as f64 / (now - last).as_secs_f64();
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The report of the scenario.
+    /// Returns the report of the scenario.
     pub(super) async fn finish(
         mut self,
         scenario: ConfigScenario,
@@ -142,7 +143,7 @@
         let mut usages = Vec::new();
         let (mut reads, mut refused) = (0, 0);
         for fleet in fleets {
-            self.note_steps(fleet);
+            self.record_steps_down(fleet);
             statuses.extend(fleet.statuses().await?);
             let counters = fleet.counters().await?;
             reads += counters.highest_per_second;
--- a/crates/papayamux-measure/src/config/scenarios.rs
+++ b/crates/papayamux-measure/src/config/scenarios.rs
@@ -1,4 +1,4 @@
-//! What happens in each scenario.
+//! Implements the scenarios.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -17,26 +17,27 @@
 
 type ScenarioResult = Result<ConfigReport, Box<dyn Error>>;
 
-/// Seeds that each process is told of: one for so many processes, and no fewer than these.
+/// Processes per seed: each process gets one seed for this many processes in the fleet, but at
+/// least `MIN_SEEDS`.
 const PROCESSES_PER_SEED: usize = 16;
-const FEWEST_SEEDS: usize = 3;
-/// Teams, each with a file.
+const MIN_SEEDS: usize = 3;
+/// The number of teams, each with one file.
 const TEAMS: usize = 12;
-/// Models that a team declares.
+/// The number of models that a team declares.
 const MODELS: usize = 20;
-/// Changes of the scenarios that measure changes.
+/// The number of changes in the scenarios that measure sequential changes.
 const CHANGES: usize = 10;
-/// How long the service is not as it should be.
+/// The duration of a fault of the service.
 const OUTAGE: Duration = Duration::from_secs(40);
-/// How long a change is waited for at most.
-const WITHIN: Duration = Duration::from_secs(150);
-/// The time for connections and watchers to settle before anything is measured.
+/// Maximum wait until a change is in force at all processes.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(150);
+/// Wait for connections and watchers to settle before the measurement.
 const WARM_UP: Duration = Duration::from_secs(15);
-/// Bytes of the large file.
-const LARGE_FILE: usize = 1_000_000;
+/// The minimum size of the large file in bytes.
+const LARGE_FILE_BYTES: usize = 1_000_000;
 
-/// A fleet with a seeded choice of changes.
-struct Trial {
+/// A running fleet, its sampler and the seeded generator of changes.
+struct ConfigTrial {
     fleet: SpreadFleet,
     random: StdRng,
     sampler: ConfigSampler,
@@ -54,13 +55,13 @@
     text
 }
 
-/// Text that compresses as declarations of many organisations do: names that differ, keys that
-/// repeat.
+/// Generates a text that compresses like the declarations of many organisations: the names
+/// differ and the keys repeat.
 fn large_text(random: &mut StdRng, version: u64) -> String {
     let mut text =
         format!("[team]\nname = large\n\n[model large]\nversion = {version}\nweights = w\n");
     let mut index = 0;
-    while text.len() < LARGE_FILE {
+    while text.len() < LARGE_FILE_BYTES {
         let (name, version): (u32, u16) = (random.random(), random.random());
         let _ = write!(
             text,
@@ -71,9 +72,9 @@
     text
 }
 
-impl Trial {
+impl ConfigTrial {
     async fn start(options: &ConfigOptions, processes: usize) -> Result<Self, Box<dyn Error>> {
-        let seeds = (processes / PROCESSES_PER_SEED).max(FEWEST_SEEDS);
+        let seeds = (processes / PROCESSES_PER_SEED).max(MIN_SEEDS);
         let plan = SpreadPlan::builder().processes(processes).seeds(seeds).build();
         let fleet = SpreadFleet::start(plan)?;
         let random = StdRng::seed_from_u64(options.seed);
@@ -82,9 +83,9 @@
         for team in 0..TEAMS {
             revision = trial.put(team).await?;
         }
-        let settled = trial.fleet.wait_equal(revision, WITHIN).await?;
-        settled.ok_or("the fleet did not settle")?;
-        trial.sampler.pass(&trial.fleet, WARM_UP).await?;
+        let settled = trial.fleet.wait_equal(revision, IN_FORCE_TIMEOUT).await?;
+        settled.ok_or("the fleet did not converge before the timeout")?;
+        trial.sampler.sample_for(&trial.fleet, WARM_UP).await?;
         Ok(trial)
     }
 
@@ -99,30 +100,34 @@
         self.put(team).await
     }
 
-    async fn note(&mut self, revision: u64, since_ms: u64) -> Result<(), Box<dyn Error>> {
-        self.sampler.note_in_force(&self.fleet, revision, since_ms, WITHIN).await
+    async fn measure_propagation(
+        &mut self,
+        revision: u64,
+        since_ms: u64,
+    ) -> Result<(), Box<dyn Error>> {
+        self.sampler.record_in_force(&self.fleet, revision, since_ms, IN_FORCE_TIMEOUT).await
     }
 
-    async fn pass(&mut self, time: Duration) -> Result<(), Box<dyn Error>> {
-        self.sampler.pass(&self.fleet, time).await
+    async fn sample_for(&mut self, time: Duration) -> Result<(), Box<dyn Error>> {
+        self.sampler.sample_for(&self.fleet, time).await
     }
 
-    /// Puts and measures one change.
+    /// Makes one change and measures its propagation.
     async fn change(&mut self) -> Result<(), Box<dyn Error>> {
         let since = now_ms();
         let revision = self.put_any().await?;
-        self.note(revision, since).await
+        self.measure_propagation(revision, since).await
     }
 }
 
-/// Runs one scenario on a fleet of its own.
+/// Runs one scenario on its own fleet.
 pub(super) fn run_scenario(scenario: ConfigScenario, options: &ConfigOptions) -> ScenarioResult {
     runtime::run(async {
         let (seed, processes) = (options.seed, options.processes);
         if scenario == ConfigScenario::PartitionHeal {
             return run_partition_heal(options).await;
         }
-        let mut trial = Trial::start(options, processes).await?;
+        let mut trial = ConfigTrial::start(options, processes).await?;
         match scenario {
             ConfigScenario::Healthy => run_changes(&mut trial, Duration::from_secs(3)).await?,
             ConfigScenario::Busy => run_changes(&mut trial, Duration::from_secs(1)).await?,
@@ -146,36 +151,40 @@
             ConfigScenario::LargeFile => run_large_file(&mut trial).await?,
             ConfigScenario::PartitionHeal => {}
         }
-        trial.pass(Duration::from_secs(3)).await?;
+        trial.sample_for(Duration::from_secs(3)).await?;
         trial.sampler.finish(scenario, seed, &[&trial.fleet]).await
     })?
 }
 
-async fn run_changes(trial: &mut Trial, pause: Duration) -> Result<(), Box<dyn Error>> {
+async fn run_changes(trial: &mut ConfigTrial, pause: Duration) -> Result<(), Box<dyn Error>> {
     for _ in 0..CHANGES {
         trial.change().await?;
         let jitter = trial.random.random_range(0.5..1.5);
-        trial.pass(pause.mul_f64(jitter)).await?;
+        trial.sample_for(pause.mul_f64(jitter)).await?;
     }
     Ok(())
 }
 
-/// The service is not as it should be for a while, during which files change.
-async fn run_outage(trial: &mut Trial, faults: ConfigFaults) -> Result<(), Box<dyn Error>> {
+/// Applies `faults` to the service, changes files meanwhile, and measures the time from the end
+/// of the faults until the last change is in force.
+async fn run_outage(trial: &mut ConfigTrial, faults: ConfigFaults) -> Result<(), Box<dyn Error>> {
     trial.fleet.set_faults(faults).await?;
-    trial.pass(OUTAGE).await?;
+    trial.sample_for(OUTAGE).await?;
     let mut revision = 0;
     for _ in 0..3 {
         revision = trial.put_any().await?;
     }
-    trial.pass(OUTAGE / 4).await?;
+    trial.sample_for(OUTAGE / 4).await?;
     let since = now_ms();
     trial.fleet.set_faults(ConfigFaults::default()).await?;
-    trial.note(revision, since).await
+    trial.measure_propagation(revision, since).await
 }
 
-async fn run_restart(trial: &mut Trial, outage: Option<Duration>) -> Result<(), Box<dyn Error>> {
-    trial.sampler.note_steps(&trial.fleet);
+async fn run_restart(
+    trial: &mut ConfigTrial,
+    outage: Option<Duration>,
+) -> Result<(), Box<dyn Error>> {
+    trial.sampler.record_steps_down(&trial.fleet);
     let revision = trial.put_any().await?;
     if outage.is_some() {
         let faults = ConfigFaults { unavailable: true, ..ConfigFaults::default() };
@@ -184,61 +193,72 @@
     let mut since = now_ms();
     trial.fleet.restart_all()?;
     if let Some(outage) = outage {
-        trial.pass(outage).await?;
+        trial.sample_for(outage).await?;
         since = now_ms();
         trial.fleet.set_faults(ConfigFaults::default()).await?;
     }
-    trial.note(revision, since).await
+    trial.measure_propagation(revision, since).await
 }
 
-async fn run_newcomers(trial: &mut Trial) -> Result<(), Box<dyn Error>> {
+async fn run_newcomers(trial: &mut ConfigTrial) -> Result<(), Box<dyn Error>> {
     let revision = trial.put_any().await?;
-    trial.fleet.wait_equal(revision, WITHIN).await?;
+    trial.fleet.wait_equal(revision, IN_FORCE_TIMEOUT).await?;
     let faults = ConfigFaults { unavailable: true, ..ConfigFaults::default() };
     trial.fleet.set_faults(faults).await?;
     for _ in 0..5 {
         let since = now_ms();
         let index = trial.fleet.add()?;
-        trial.fleet.wait_equal(revision, WITHIN).await?;
+        trial.fleet.wait_equal(revision, IN_FORCE_TIMEOUT).await?;
         let at = in_force_at(&trial.fleet.processes[index].handle, revision);
-        trial.sampler.note_time(at.map(|at| at.saturating_sub(since) as f64));
+        trial.sampler.record_delay(at.map(|at| at.saturating_sub(since) as f64));
     }
     Ok(())
 }
 
-async fn run_large_file(trial: &mut Trial) -> Result<(), Box<dyn Error>> {
+async fn run_large_file(trial: &mut ConfigTrial) -> Result<(), Box<dyn Error>> {
     let text = large_text(&mut trial.random, 1);
     let since = now_ms();
     let revision = trial.fleet.put_file("large", &text).await?;
-    trial.note(revision, since).await?;
+    trial.measure_propagation(revision, since).await?;
     let edited = text.replacen("weights = w\n", "weights = v\n", 1);
     let since = now_ms();
     let revision = trial.fleet.put_file("large", &edited).await?;
-    trial.note(revision, since).await
+    trial.measure_propagation(revision, since).await
 }
 
-/// Two halves, each with a service that shows another state, meet through one process.
+/// Connects two halves, whose services have different states, through one additional process.
 async fn run_partition_heal(options: &ConfigOptions) -> ScenarioResult {
     let half = options.processes / 2;
-    let mut left = Trial::start(options, half).await?;
-    let mut right = Trial::start(options, options.processes - half - 1).await?;
+    let mut left = ConfigTrial::start(options, half).await?;
+    let mut right = ConfigTrial::start(options, options.processes - half - 1).await?;
     let mut highest = 0;
     for _ in 0..5 {
         highest = left.put_any().await?;
     }
-    left.fleet.wait_equal(highest, WITHIN).await?.ok_or("left did not settle")?;
+    left.fleet
+        .wait_equal(highest, IN_FORCE_TIMEOUT)
+        .await?
+        .ok_or("the left half did not converge before the timeout")?;
     for _ in 0..9 {
         highest = right.put_any().await?;
     }
-    right.fleet.wait_equal(highest, WITHIN).await?.ok_or("right did not settle")?;
+    right
+        .fleet
+        .wait_equal(highest, IN_FORCE_TIMEOUT)
+        .await?
+        .ok_or("the right half did not converge before the timeout")?;
     let since = now_ms();
     let seeds = [left.fleet.processes[0].peers, right.fleet.processes[0].peers];
     let service = right.fleet.service.listen()?;
     right.fleet.add_with(service, &seeds)?;
-    left.note(highest, since).await?;
-    right.fleet.wait_equal(highest, WITHIN).await?.ok_or("right did not settle again")?;
-    let Trial { fleet: right, sampler, .. } = right;
+    left.measure_propagation(highest, since).await?;
+    right
+        .fleet
+        .wait_equal(highest, IN_FORCE_TIMEOUT)
+        .await?
+        .ok_or("the right half did not converge after the connection")?;
+    let ConfigTrial { fleet: right, sampler, .. } = right;
     drop(sampler);
-    left.pass(Duration::from_secs(5)).await?;
+    left.sample_for(Duration::from_secs(5)).await?;
     left.sampler.finish(ConfigScenario::PartitionHeal, options.seed, &[&left.fleet, &right]).await
 }
--- a/crates/papayamux-measure/src/conflicts/history.rs
+++ b/crates/papayamux-measure/src/conflicts/history.rs
@@ -1,4 +1,5 @@
-//! A random history: teams that don't talk edit their files, and processes hear of it in part.
+//! Random histories: teams edit their files without coordination, and processes receive a part
+//! of the submissions.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +8,21 @@
 use rand::seq::IndexedRandom;
 use rand::RngExt;
 
-/// Things that a file starts with.
-const FIRST_ITEMS: usize = 6;
-/// Edits that one submission makes.
-const MOST_EDITS: usize = 3;
+/// The number of items in the first submission of a file.
+const INITIAL_ITEMS: usize = 6;
+/// Maximum number of edits in one submission.
+const MAX_EDITS: usize = 3;
 
-/// How a history is drawn.
+/// The parameters of a random history.
 #[derive(Debug, Clone, Copy)]
 pub struct HistoryPlan {
-    /// Teams, each with its file.
+    /// The number of teams, each with one file.
     pub teams: usize,
-    /// Submissions after the first ones.
+    /// The number of submissions after the first one of each team.
     pub submissions: usize,
-    /// How often a new thing takes a name that any team may take, in percent.
+    /// The percentage of new items whose name any team may use.
     pub shared_names: u32,
-    /// How often a submission is invalid by itself, in percent.
+    /// The percentage of submissions that are invalid by themselves.
     pub invalid: u32,
 }
 
@@ -31,19 +32,19 @@
     revision: u64,
 }
 
-/// All submissions in their order.
-pub fn draw_history(plan: HistoryPlan, random: &mut StdRng) -> Vec<DeclarationFile> {
+/// Generates a history and returns its submissions in order.
+pub fn generate_history(plan: HistoryPlan, random: &mut StdRng) -> Vec<DeclarationFile> {
     let mut files = vec![TeamFile::default(); plan.teams];
     let mut history = Vec::new();
     for team in 0..plan.teams {
-        for _ in 0..FIRST_ITEMS {
+        for _ in 0..INITIAL_ITEMS {
             add_item(plan, team, &mut files, random);
         }
         history.extend(submit(team, &mut files[team], true));
     }
     for _ in 0..plan.submissions {
         let team = random.random_range(0..plan.teams);
-        for _ in 0..random.random_range(1..=MOST_EDITS) {
+        for _ in 0..random.random_range(1..=MAX_EDITS) {
             edit(plan, team, &mut files, random);
         }
         let valid = !random.random_ratio(plan.invalid, 100);
@@ -55,7 +56,7 @@
 fn edit(plan: HistoryPlan, team: usize, files: &mut [TeamFile], random: &mut StdRng) {
     let titles: Vec<_> = files[team].sections.keys().cloned().collect();
     match titles.choose(random) {
-        Some(title) if titles.len() >= FIRST_ITEMS => {
+        Some(title) if titles.len() >= INITIAL_ITEMS => {
             files[team].sections.remove(title);
         }
         _ => add_item(plan, team, files, random),
@@ -87,7 +88,8 @@
     files[team].sections.insert(title, body);
 }
 
-/// A model that some file declares now: what a team sees when it writes a reference.
+/// Samples a model that some file currently declares, as a team sees it when it writes a
+/// reference.
 fn some_model(files: &[TeamFile], random: &mut StdRng) -> Option<String> {
     let titles = files.iter().flat_map(|file| file.sections.keys());
     let models: Vec<_> = titles.filter_map(|title| title.strip_prefix("model ")).collect();
@@ -107,19 +109,20 @@
     Some(DeclarationFile::new(name, file.revision.into(), text))
 }
 
-/// What one process hears of `history`: with `gap` percent of the submissions missed, and the
-/// others up to `lag` places late, as reads are stale and peers pass on what they have.
-pub fn hear(
+/// Returns the submissions of `history` in the order in which one process receives them. `gap`
+/// percent are missed and the others arrive up to `lag` positions late, because reads are stale
+/// and peers relay what they have.
+pub fn sample_received(
     history: &[DeclarationFile],
     (gap, lag): (u32, usize),
     random: &mut StdRng,
 ) -> Vec<DeclarationFile> {
-    let mut heard: Vec<(usize, &DeclarationFile)> = Vec::new();
+    let mut received: Vec<(usize, &DeclarationFile)> = Vec::new();
     for (index, file) in history.iter().enumerate() {
         if !random.random_ratio(gap, 100) {
-            heard.push((index + random.random_range(0..=lag), file));
+            received.push((index + random.random_range(0..=lag), file));
         }
     }
-    heard.sort_by_key(|(place, _)| *place);
-    heard.into_iter().map(|(_, file)| file.clone()).collect()
+    received.sort_by_key(|(position, _)| *position);
+    received.into_iter().map(|(_, file)| file.clone()).collect()
 }
--- a/crates/papayamux-measure/src/control/meter.rs
+++ b/crates/papayamux-measure/src/control/meter.rs
@@ -1,4 +1,4 @@
-//! What a process spends in a span of time.
+//! Meters the resources that a process uses in an interval.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -7,14 +7,14 @@
 
 use super::slope::CostReading;
 
-/// What a process has spent since its start.
-struct Spent {
+/// The resources that a process has used since its start.
+struct ResourceTotals {
     bytes_in: f64,
     bytes_out: f64,
     usage: ProcessUsage,
 }
 
-/// The role of a process, as its metrics are named.
+/// The role of a process, which is part of its metric names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MeteredRole {
     /// A router.
@@ -24,7 +24,7 @@
 }
 
 impl MeteredRole {
-    /// The name.
+    /// Returns the role's name in metrics.
     pub const fn name(self) -> &'static str {
         match self {
             MeteredRole::Router => "router",
@@ -33,26 +33,30 @@
     }
 }
 
-async fn read_spent(role: MeteredRole, process: &ProcessHandle) -> Result<Spent, Box<dyn Error>> {
+async fn read_totals(
+    role: MeteredRole,
+    process: &ProcessHandle,
+) -> Result<ResourceTotals, Box<dyn Error>> {
     let usage = process.usage()?;
     let metrics = process.metrics().await?;
     let sum = |way: &str| {
         metrics.sum(&format!("papayamux_{}_control_bytes_{way}_total", role.name()), "")
     };
-    Ok(Spent { bytes_in: sum("in"), bytes_out: sum("out"), usage })
+    Ok(ResourceTotals { bytes_in: sum("in"), bytes_out: sum("out"), usage })
 }
 
-/// Meters `process` for `time`. Reading its metrics is outside of the span.
+/// Meters `process` for the duration `time`. Its metrics are read before and after that interval,
+/// so that the CPU time doesn't include the reading.
 pub async fn meter_for(
     role: MeteredRole,
     process: &ProcessHandle,
     time: Duration,
 ) -> Result<CostReading, Box<dyn Error>> {
-    let before = read_spent(role, process).await?;
+    let before = read_totals(role, process).await?;
     let (started, cpu_before) = (Instant::now(), process.usage()?.cpu);
     monoio::time::sleep(time).await;
     let (seconds, usage) = (started.elapsed().as_secs_f64(), process.usage()?);
-    let after = read_spent(role, process).await?;
+    let after = read_totals(role, process).await?;
     Ok(CostReading {
         bytes_in_per_s: (after.bytes_in - before.bytes_in) / seconds,
         bytes_out_per_s: (after.bytes_out - before.bytes_out) / seconds,
--- a/crates/papayamux-measure/src/control/requests.rs
+++ b/crates/papayamux-measure/src/control/requests.rs
@@ -1,4 +1,4 @@
-//! Requests and probes at fixed rates.
+//! Measures the cost of requests and probes at fixed rates.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -14,56 +14,57 @@
 };
 
 use super::meter::{meter_for, MeteredRole};
-use super::router_end::{open_router_end, RouterEnd};
+use super::router_standin::{open_router_standin, RouterStandin};
 use super::slope::{CostPoint, CostReading, CostSeries};
 
-/// Chats a second through the router.
+/// Chats per second through the router.
 const CHAT_RATES: [u32; 4] = [0, 50, 100, 200];
-/// Probes a second at the agent.
+/// Probes per second at the agent.
 const PROBE_RATES: [u32; 4] = [0, 100, 200, 400];
-/// How long each rate is metered.
-const METER_FOR: Duration = Duration::from_secs(4);
-/// Time at a rate before it is metered.
-const SETTLE: Duration = Duration::from_secs(1);
-/// Engines behind the router.
+/// The metering period of each rate.
+const METER_DURATION: Duration = Duration::from_secs(4);
+/// The time at each rate before metering begins.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// The number of engines behind the router.
 const ENGINES: usize = 2;
-/// Declared servers that serve other models.
+/// The numbers of declared servers of other models.
 const DECLARED_SERVERS: [usize; 3] = [0, 300, 600];
-/// Models of those servers.
+/// The number of different models of those servers.
 const OTHER_MODELS: usize = 26;
-/// Chats a second while declared servers are counted.
+/// Chats per second while the number of declared servers varies.
 const DECLARED_RATE: u32 = 50;
-/// Checkpoints of a prompt in a probe.
+/// The number of prompt checkpoints in a probe.
 const CHECKPOINTS: u32 = 6;
 
-/// Does `act` so many times a second, for as long as a rate is metered, and lets the last end.
+/// Calls `act` `per_second` times a second for the metering period with a margin before and
+/// after it, then waits for the last requests to complete.
 async fn at_rate(per_second: u32, mut act: impl FnMut(u32)) {
     if per_second == 0 {
         return;
     }
     let mut ticks = monoio::time::interval(Duration::from_secs(1) / per_second);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
-    let all = (METER_FOR + 2 * SETTLE).as_secs() as u32 * per_second;
+    let all = (METER_DURATION + 2 * SETTLE_TIME).as_secs() as u32 * per_second;
     for number in 0..all {
         ticks.tick().await;
         act(number);
     }
-    monoio::time::sleep(SETTLE).await;
+    monoio::time::sleep(SETTLE_TIME).await;
 }
 
 async fn meter_settled(
     role: MeteredRole,
     process: &ProcessHandle,
 ) -> Result<CostReading, Box<dyn Error>> {
-    monoio::time::sleep(SETTLE).await;
-    meter_for(role, process, METER_FOR).await
+    monoio::time::sleep(SETTLE_TIME).await;
+    meter_for(role, process, METER_DURATION).await
 }
 
-/// Probes at one agent, as routers send them at a decision.
+/// Measures probes at one agent, as routers send them for a placement decision.
 pub async fn measure_probes() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let fleet = Fleet::start(FleetPlan::builder().routers(0).engines(1).services(0).build())?;
     let agent = &fleet.servers[0].agent;
-    let router = open_router_end(agent.listen()?).await?;
+    let router = open_router_standin(agent.listen()?).await?;
     let mut points = Vec::new();
     for rate in PROBE_RATES {
         let probes = at_rate(rate, |number| send_probe(&router, number));
@@ -73,7 +74,7 @@
     Ok(vec![CostSeries { role: MeteredRole::Agent.name(), points }])
 }
 
-fn send_probe(router: &RouterEnd, number: u32) {
+fn send_probe(router: &RouterStandin, number: u32) {
     let group = GroupId::named(FLEET_MODEL);
     let group_load = GroupLoad { group, mean: 1.0, samples: 1.0, servers: 1 };
     let hash = number.wrapping_mul(0x9e37_79b9);
@@ -93,7 +94,8 @@
     Fleet::start(plan.router_lines(router_lines).build())
 }
 
-/// The same rate of chats through routers that know more and more servers of other models.
+/// Measures a fixed rate of chats through routers with increasing numbers of declared servers of
+/// other models.
 pub async fn measure_declared_servers() -> Result<Vec<CostSeries>, Box<dyn Error>> {
     let mut points = Vec::new();
     for count in DECLARED_SERVERS {
@@ -112,7 +114,7 @@
     Ok(vec![CostSeries { role: MeteredRole::Router.name(), points }])
 }
 
-/// New chats of one short turn through one router, under `policy`.
+/// Measures new chats with one short turn each through one router under `policy`.
 pub async fn measure_chat_rates(
     policy: &str,
     roles: [&'static str; 2],
--- a/crates/papayamux-measure/src/routing/disturbance.rs
+++ b/crates/papayamux-measure/src/routing/disturbance.rs
@@ -1,4 +1,4 @@
-//! What a scenario does to the processes during a run, on a thread of its own.
+//! Applies a scenario's faults to the processes during a run, on a separate thread.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -7,30 +7,31 @@
 
 use super::scenario::Scenario;
 
-/// When replacements begin and end, as shares of the run.
-const CHURN_SHARES: (f64, f64) = (0.3, 0.85);
+/// Start and end of the replacements or pauses, as shares of the run.
+const FAULT_SHARES: (f64, f64) = (0.3, 0.85);
 const FLAP_PAUSE: Duration = Duration::from_millis(800);
 const FLAP_PERIOD: Duration = Duration::from_millis(2_000);
 const FLAPPING_ENGINE: usize = 0;
 
-/// A run's time and what it tells the best placement.
+/// The faults of one run: their scenario and timing, and the mask that reports replaced engines
+/// to the prefix oracle.
 #[derive(Debug, Clone, Copy)]
 pub struct DisturbancePlan<'a> {
-    /// The scenario.
+    /// The scenario that determines the faults.
     pub scenario: Scenario,
-    /// Engines of the site.
+    /// The number of engines at the site.
     pub engines: usize,
-    /// When the run began.
-    pub begun: Instant,
-    /// How long it goes on.
+    /// The start of the run.
+    pub started_at: Instant,
+    /// The duration of the run.
     pub length: Duration,
-    /// Engines that have been replaced, as a bit mask.
+    /// Bit mask of the engines replaced and not yet processed by the prefix oracle.
     pub replaced: &'a AtomicU64,
 }
 
 impl DisturbancePlan<'_> {
-    /// Disturbs the fleet until the scenario has nothing left to do.
-    pub fn carry_out(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
+    /// Applies all faults of the scenario to `fleet` and blocks until the last one.
+    pub fn apply_faults(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
         match self.scenario {
             Scenario::Churn10 | Scenario::Churn30 => self.replace_engines(fleet),
             Scenario::Flap => self.flap(fleet),
@@ -40,12 +41,12 @@
 
     fn wait_until(&self, share: f64) {
         let at = self.length.mul_f64(share);
-        std::thread::sleep(at.saturating_sub(self.begun.elapsed()));
+        std::thread::sleep(at.saturating_sub(self.started_at.elapsed()));
     }
 
     fn replace_engines(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
         let count = self.scenario.replaced(self.engines);
-        let (from, until) = CHURN_SHARES;
+        let (from, until) = FAULT_SHARES;
         for index in 0..count {
             self.wait_until(from + (until - from) * index as f64 / count as f64);
             let engine = index * self.engines / count;
@@ -56,8 +57,8 @@
     }
 
     fn flap(&self, fleet: &mut Fleet) -> Result<(), TestbedError> {
-        self.wait_until(CHURN_SHARES.0);
-        while self.begun.elapsed() < self.length.mul_f64(CHURN_SHARES.1) {
+        self.wait_until(FAULT_SHARES.0);
+        while self.started_at.elapsed() < self.length.mul_f64(FAULT_SHARES.1) {
             let agent = &fleet.servers[FLAPPING_ENGINE].agent;
             agent.pause()?;
             std::thread::sleep(FLAP_PAUSE);
