--- a/crates/papayamux-measure/src/promises/answer_check.rs
+++ b/crates/papayamux-measure/src/promises/answer_check.rs
@@ -12,7 +12,7 @@
         CallerOutcome::Broken(CallerError::Short(answer)) => {
             AnswerFlaws { short: true, ..check_part(&answer.text, expected) }
         }
-        CallerOutcome::Broken(CallerError::Nonsense(_)) => mixed(),
+        CallerOutcome::Broken(CallerError::InvalidAnswer(_)) => mixed(),
         CallerOutcome::Broken(error) => error
             .partial_answer()
             .map_or_else(AnswerFlaws::default, |answer| check_part(&answer.text, expected)),
--- a/crates/papayamux-measure/src/promises/request_record.rs
+++ b/crates/papayamux-measure/src/promises/request_record.rs
@@ -101,12 +101,12 @@
     match outcome {
         CallerOutcome::Answered(_) => LearnedOutcome::Answered,
         CallerOutcome::Unsent => LearnedOutcome::Unsent,
-        CallerOutcome::Told(failure) => match failure.outcome {
+        CallerOutcome::Reported(failure) => match failure.outcome {
             FailureOutcome::NotRun => LearnedOutcome::NotRun,
             FailureOutcome::Unknown => LearnedOutcome::Unknown,
             FailureOutcome::Failed => LearnedOutcome::Failed,
         },
-        CallerOutcome::Broken(CallerError::Told { failure, .. })
+        CallerOutcome::Broken(CallerError::Reported { failure, .. })
             if failure.outcome == FailureOutcome::Failed =>
         {
             LearnedOutcome::Failed
--- a/crates/papayamux-measure/src/promises/workload.rs
+++ b/crates/papayamux-measure/src/promises/workload.rs
@@ -236,7 +236,7 @@
         sent,
         ended: Instant::now(),
         told: outcome.as_ref().and_then(|outcome| match outcome {
-            CallerOutcome::Told(failure) => Some(failure.clone()),
+            CallerOutcome::Reported(failure) => Some(failure.clone()),
             _ => None,
         }),
         learned: outcome.as_ref().map_or(LearnedOutcome::Unknown, learned_of),
@@ -250,7 +250,7 @@
 /// What came of an answer that may go on elsewhere.
 fn resumable(outcome: &Option<CallerOutcome<CallerAnswer>>) -> Option<CallerAnswer> {
     let Some(CallerOutcome::Broken(error)) = outcome else { return None };
-    let is_cut = matches!(error, CallerError::Partial { .. } | CallerError::Told { .. });
+    let is_cut = matches!(error, CallerError::Partial { .. } | CallerError::Reported { .. });
     let partial = error.partial_answer().filter(|partial| !partial.last_event.is_empty());
     partial.filter(|_| is_cut).cloned()
 }
--- a/crates/papayamux-measure/src/routing/session.rs
+++ b/crates/papayamux-measure/src/routing/session.rs
@@ -132,7 +132,7 @@
                     CallerError::Failure { body, .. } => {
                         self.tally.borrow_mut().count_told(body.as_bytes());
                     }
-                    CallerError::Told { failure, .. } => {
+                    CallerError::Reported { failure, .. } => {
                         self.tally.borrow_mut().count_told(&failure.to_json());
                     }
                     _ => {}
@@ -172,7 +172,7 @@
             _ => TurnOutcome::Failed,
         },
         CallerError::Short(answer) if expected.starts_with(&answer.text) => TurnOutcome::Short,
-        CallerError::Partial { answer, .. } | CallerError::Told { answer, .. }
+        CallerError::Partial { answer, .. } | CallerError::Reported { answer, .. }
             if expected.starts_with(&answer.text) =>
         {
             TurnOutcome::Cut
--- a/crates/papayamux-testbed/src/caller.rs
+++ b/crates/papayamux-testbed/src/caller.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 /// Bytes of the longest answer that a caller reads.
-pub(crate) const LONGEST_ANSWER: u64 = 64 * 1024 * 1024;
+pub(crate) const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
 /// The kind of the event by which a router ends a stream that it can't go on with.
 const FAILURE_EVENT: &str = "error";
@@ -34,7 +34,7 @@
     },
     /// The answer is not what an engine sends.
     #[error("the answer makes no sense: {0}")]
-    Nonsense(String),
+    InvalidAnswer(String),
     /// The answer ended well, yet without its last event.
     #[error("{}: ended after {} bytes without its last event", .0.server, .0.text.len())]
     Short(Box<CallerAnswer>),
@@ -48,7 +48,7 @@
     },
     /// The router said in the middle of the answer that it can't go on.
     #[error("{}: after {} bytes: {}", .answer.server, .answer.text.len(), .failure.message)]
-    Told {
+    Reported {
         /// The answer up to there.
         answer: Box<CallerAnswer>,
         /// What the router said.
@@ -65,7 +65,7 @@
         match self {
             CallerError::Short(answer)
             | CallerError::Partial { answer, .. }
-            | CallerError::Told { answer, .. } => Some(answer),
+            | CallerError::Reported { answer, .. } => Some(answer),
             _ => None,
         }
     }
@@ -153,7 +153,7 @@
     ) -> Result<(StatusCode, Bytes), CallerError> {
         let answer = self.send(method, path, headers, body).await?;
         let status = answer.head.status;
-        Ok((status, answer.whole_body(LONGEST_ANSWER).await?))
+        Ok((status, answer.whole_body(MAX_ANSWER_BYTES).await?))
     }
 
     /// Sends a chat and reads its streamed answer to the end.
@@ -185,7 +185,7 @@
 
 fn chat_body(request: &ChatRequest) -> Result<Bytes, CallerError> {
     let body = serde_json::to_vec(request);
-    Ok(body.map_err(|error| CallerError::Nonsense(error.to_string()))?.into())
+    Ok(body.map_err(|error| CallerError::InvalidAnswer(error.to_string()))?.into())
 }
 
 async fn read_answer(
@@ -195,7 +195,7 @@
 ) -> Result<CallerAnswer, CallerError> {
     if answer.head.status != StatusCode::OK {
         let status = answer.head.status;
-        let body = answer.whole_body(LONGEST_ANSWER).await?;
+        let body = answer.whole_body(MAX_ANSWER_BYTES).await?;
         let body = String::from_utf8_lossy(&body).into_owned();
         return Err(CallerError::Failure { status, body });
     }
@@ -220,11 +220,11 @@
         pending.extend_from_slice(&piece);
         while let Some(end) = pending.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = pending.drain(..end + 2).collect();
-            match take_event(&event, sent, &mut whole)? {
+            match apply_event(&event, sent, &mut whole)? {
                 EventKind::Chunk => {}
                 EventKind::End => ended = true,
                 EventKind::Failure(failure) => {
-                    return Err(CallerError::Told { answer: Box::new(whole), failure });
+                    return Err(CallerError::Reported { answer: Box::new(whole), failure });
                 }
             }
         }
@@ -244,20 +244,20 @@
 }
 
 /// Adds one event to the answer.
-fn take_event(
+fn apply_event(
     event: &[u8],
     sent: Instant,
     whole: &mut CallerAnswer,
 ) -> Result<EventKind, CallerError> {
-    let nonsense = |text: &str| CallerError::Nonsense(text.to_string());
-    let text = std::str::from_utf8(event).map_err(|_| nonsense("an event is not UTF-8"))?;
+    let invalid_answer = |text: &str| CallerError::InvalidAnswer(text.to_string());
+    let text = std::str::from_utf8(event).map_err(|_| invalid_answer("an event is not UTF-8"))?;
     let field = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
-    let data = field("data: ").ok_or_else(|| nonsense("an event without data"))?;
+    let data = field("data: ").ok_or_else(|| invalid_answer("an event without data"))?;
     if field("event: ") == Some(FAILURE_EVENT) {
         let envelope = serde_json::from_str::<FailureEnvelope>(data);
         return match envelope {
             Ok(envelope) => Ok(EventKind::Failure(envelope.error)),
-            Err(error) => Err(nonsense(&error.to_string())),
+            Err(error) => Err(invalid_answer(&error.to_string())),
         };
     }
     whole.last_event = field("id: ").unwrap_or_default().to_string();
@@ -265,7 +265,7 @@
         return Ok(EventKind::End);
     }
     let chunk: ChatChunk =
-        serde_json::from_str(data).map_err(|error| nonsense(&error.to_string()))?;
+        serde_json::from_str(data).map_err(|error| invalid_answer(&error.to_string()))?;
     for choice in &chunk.choices {
         if !choice.delta.content.is_empty() {
             if whole.events == 0 {
--- a/crates/papayamux-testbed/src/chat_stream.rs
+++ b/crates/papayamux-testbed/src/chat_stream.rs
@@ -7,7 +7,7 @@
 use papayamux_protocol::headers::{LAST_EVENT_ID, SERVED_BY};
 use papayamux_transport::http::ClientAnswer;
 
-use crate::caller::{Caller, CallerAnswer, CallerError, LONGEST_ANSWER};
+use crate::caller::{Caller, CallerAnswer, CallerError, MAX_ANSWER_BYTES};
 
 /// One server-sent event.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -41,12 +41,12 @@
         request: &ChatRequest,
         last_id: Option<&str>,
     ) -> Result<Self, CallerError> {
-        let body = serde_json::to_vec(request).map_err(nonsense)?;
+        let body = serde_json::to_vec(request).map_err(invalid_answer)?;
         let headers: Vec<_> = last_id.map(|id| (LAST_EVENT_ID, id)).into_iter().collect();
         let answer = caller.send_once(Method::POST, CHAT_PATH, &headers, body.into()).await?;
         if answer.head.status != StatusCode::OK {
             let status = answer.head.status;
-            let body: Bytes = answer.whole_body(LONGEST_ANSWER).await?;
+            let body: Bytes = answer.whole_body(MAX_ANSWER_BYTES).await?;
             let body = String::from_utf8_lossy(&body).into_owned();
             return Err(CallerError::Failure { status, body });
         }
@@ -66,7 +66,7 @@
         loop {
             if let Some(end) = self.pending.windows(2).position(|pair| pair == b"\n\n") {
                 let event: Vec<u8> = self.pending.drain(..end + 2).collect();
-                return self.take_event(&String::from_utf8_lossy(&event)).map(Some);
+                return self.apply_event(&String::from_utf8_lossy(&event)).map(Some);
             }
             match self.answer.next_piece().await {
                 None => return Ok(None),
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    fn take_event(&mut self, text: &str) -> Result<StreamEvent, CallerError> {
+    fn apply_event(&mut self, text: &str) -> Result<StreamEvent, CallerError> {
         let field = |name: &str| {
             let mut lines = text.lines();
             lines.find_map(|line| line.strip_prefix(name)).unwrap_or_default().to_string()
@@ -113,13 +113,13 @@
         if event.kind.is_empty() && event.data == STREAM_END {
             self.is_whole = true;
         } else if event.kind.is_empty() {
-            let chunk: ChatChunk = serde_json::from_str(&event.data).map_err(nonsense)?;
+            let chunk: ChatChunk = serde_json::from_str(&event.data).map_err(invalid_answer)?;
             chunk.choices.iter().for_each(|choice| self.text.push_str(&choice.delta.content));
         }
         Ok(event)
     }
 }
 
-fn nonsense(error: serde_json::Error) -> CallerError {
-    CallerError::Nonsense(error.to_string())
+fn invalid_answer(error: serde_json::Error) -> CallerError {
+    CallerError::InvalidAnswer(error.to_string())
 }
--- a/crates/papayamux-testbed/src/fleet.rs
+++ b/crates/papayamux-testbed/src/fleet.rs
@@ -93,7 +93,7 @@
 }
 
 /// How long after its time the witnesses' readiness is waited for.
-const CLAIMS_OPEN_WITHIN: Duration = Duration::from_secs(2);
+const CLAIMS_OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
 const ANY_PORT: &str = "127.0.0.1:0";
 
@@ -135,7 +135,7 @@
 
     /// Waits until the agents grant keys to calls.
     pub async fn wait_claims_open(&self) -> Result<(), TestbedError> {
-        let within = self.plan.claims_open_in + CLAIMS_OPEN_WITHIN;
+        let within = self.plan.claims_open_in + CLAIMS_OPEN_TIMEOUT;
         for server in &self.servers {
             let read = async || server.agent.status::<AgentStatus>().await;
             wait_until(within, read, |status| status.witness_ready_in_ms == 0).await?;
--- a/crates/papayamux-testbed/src/http_reader.rs
+++ b/crates/papayamux-testbed/src/http_reader.rs
@@ -11,7 +11,7 @@
 use crate::process::TestbedError;
 
 /// Bytes of the longest answer that is read.
-const LONGEST_ANSWER: u64 = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 
 /// Sends a request and reads the bytes of its answer, which must be a success.
 pub async fn read_bytes(
@@ -24,7 +24,7 @@
         Request::builder().method(method).uri(path).header(HOST, address.to_string()).body(body)?;
     let answer = HttpClient::new(address).send_once(request).await?;
     let status = answer.head.status;
-    let body = answer.whole_body(LONGEST_ANSWER).await?;
+    let body = answer.whole_body(MAX_ANSWER_BYTES).await?;
     if !status.is_success() {
         let body = String::from_utf8_lossy(&body).into_owned();
         return Err(TestbedError::Status { path: path.to_string(), status, body });
--- a/crates/papayamux-testbed/src/link_control.rs
+++ b/crates/papayamux-testbed/src/link_control.rs
@@ -17,7 +17,7 @@
 use crate::waiting::wait_until;
 
 /// How long a link's report is waited for.
-const REPORT_WITHIN: Duration = Duration::from_secs(30);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A link that leads through a fault proxy of its own; clones share it.
 #[derive(Debug, Clone)]
@@ -100,7 +100,7 @@
         &self,
         is_wanted: impl Fn(&ConnectionReport) -> bool,
     ) -> Result<ConnectionReport, TestbedError> {
-        wait_until(REPORT_WITHIN, async || self.report().await, is_wanted).await
+        wait_until(REPORT_TIMEOUT, async || self.report().await, is_wanted).await
     }
 
     async fn order(
--- a/crates/papayamux-testbed/src/outcome.rs
+++ b/crates/papayamux-testbed/src/outcome.rs
@@ -15,16 +15,16 @@
     /// The router was not reached: the request never left the caller.
     Unsent,
     /// The router told a failure, with what became of the request.
-    Told(FailureBody),
+    Reported(FailureBody),
     /// The connection broke off, or the answer makes no sense.
     Broken(CallerError),
 }
 
 impl<A> CallerOutcome<A> {
     /// What the router told, where it told a failure.
-    pub fn told(&self) -> Option<FailureOutcome> {
+    pub fn reported_outcome(&self) -> Option<FailureOutcome> {
         match self {
-            CallerOutcome::Told(failure) => Some(failure.outcome),
+            CallerOutcome::Reported(failure) => Some(failure.outcome),
             _ => None,
         }
     }
@@ -34,7 +34,7 @@
             Ok(answer) => CallerOutcome::Answered(answer),
             Err(CallerError::Client(error)) if error.nothing_was_sent() => CallerOutcome::Unsent,
             Err(CallerError::Failure { status, body }) => match serde_json::from_str(&body) {
-                Ok(FailureEnvelope { error }) => CallerOutcome::Told(error),
+                Ok(FailureEnvelope { error }) => CallerOutcome::Reported(error),
                 Err(_) => CallerOutcome::Broken(CallerError::Failure { status, body }),
             },
             Err(error) => CallerOutcome::Broken(error),
@@ -81,7 +81,7 @@
     ) -> Result<Bytes, CallerError> {
         let answer = self.send_once(method, path, headers, body).await?;
         let status = answer.head.status;
-        let body = answer.whole_body(crate::caller::LONGEST_ANSWER).await?;
+        let body = answer.whole_body(crate::caller::MAX_ANSWER_BYTES).await?;
         if status == StatusCode::OK {
             return Ok(body);
         }
--- a/crates/papayamux-testbed/src/process.rs
+++ b/crates/papayamux-testbed/src/process.rs
@@ -16,7 +16,7 @@
 /// The environment variable that, when set, has all logs of the fleet printed.
 const SHOW_LOGS: &str = "PAPAYAMUX_SHOW_LOGS";
 /// How long a process may take to say that it has started.
-const START_WITHIN: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Why a process of the fleet can't be used.
 #[derive(Debug, Error)]
@@ -96,7 +96,7 @@
 }
 
 #[derive(Debug, Default)]
-struct LogBook {
+struct ProcessLog {
     lines: Mutex<Vec<Value>>,
     grown: Condvar,
 }
@@ -106,7 +106,7 @@
 pub struct ProcessHandle {
     program: String,
     child: Child,
-    log: Arc<LogBook>,
+    log: Arc<ProcessLog>,
     start_line: Value,
     started: Instant,
 }
@@ -133,7 +133,7 @@
             .stdout(Stdio::piped())
             .spawn()
             .map_err(started)?;
-        let log = Arc::new(LogBook::default());
+        let log = Arc::new(ProcessLog::default());
         if let Some(stdout) = child.stdout.take() {
             let log = log.clone();
             std::thread::spawn(move || collect_log(BufReader::new(stdout), &log));
@@ -141,7 +141,7 @@
         let program = program.to_string();
         let started = Instant::now();
         let mut process = Self { program, child, log, start_line: Value::Null, started };
-        process.start_line = process.wait_for_line("started", START_WITHIN)?;
+        process.start_line = process.wait_for_line("started", START_TIMEOUT)?;
         Ok(process)
     }
 
@@ -264,7 +264,7 @@
     }
 }
 
-fn collect_log(reader: impl BufRead, log: &LogBook) {
+fn collect_log(reader: impl BufRead, log: &ProcessLog) {
     let shown = std::env::var_os(SHOW_LOGS).is_some();
     for line in reader.lines().map_while(Result::ok) {
         if shown {
--- a/crates/papayamux-testbed/src/running_server.rs
+++ b/crates/papayamux-testbed/src/running_server.rs
@@ -16,7 +16,7 @@
 use crate::waiting::wait_until;
 
 /// How long runs are waited for.
-const RUNS_WITHIN: Duration = Duration::from_secs(30);
+const RUNS_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A backend server with its agent.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
 
     /// Waits until the server has run at least `least` requests.
     pub async fn wait_runs(&self, least: u64) -> Result<u64, TestbedError> {
-        wait_until(RUNS_WITHIN, async || self.all_runs().await, |runs| *runs >= least).await
+        wait_until(RUNS_TIMEOUT, async || self.all_runs().await, |runs| *runs >= least).await
     }
 }
 
--- a/crates/papayamux-testbed/src/spread_fleet.rs
+++ b/crates/papayamux-testbed/src/spread_fleet.rs
@@ -19,7 +19,7 @@
 use crate::process::{ProcessHandle, TestbedError};
 
 /// How often the processes' state is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a fleet of routers that spread files consists of.
 #[derive(Debug, Clone, Builder)]
@@ -238,7 +238,7 @@
             if Instant::now() > deadline {
                 return Ok(None);
             }
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/papayamux-testbed/src/waiting.rs
+++ b/crates/papayamux-testbed/src/waiting.rs
@@ -6,7 +6,7 @@
 use crate::process::TestbedError;
 
 /// How often the state is read.
-const READ_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Reads a state until it is as wanted, and gives it; fails after `within`.
 pub async fn wait_until<T: Debug>(
@@ -23,6 +23,6 @@
         if Instant::now() > deadline {
             return Err(TestbedError::NotReached { found: format!("{state:?}"), within });
         }
-        monoio::time::sleep(READ_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/papayamux-testbed/tests/at_most_once.rs
+++ b/crates/papayamux-testbed/tests/at_most_once.rs
@@ -20,7 +20,7 @@
 const ENGINE: usize = 0;
 const FIRST_SERVICE: usize = 1;
 const SECOND_SERVICE: usize = 2;
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const CALL_MS: &str = "200";
 
 /// Two routers with different lists.
@@ -60,14 +60,14 @@
 #[derive(Debug)]
 enum Booking {
     Answered(Bytes),
-    Told(FailureBody),
+    Reported(FailureBody),
 }
 
 impl Booking {
     fn of(outcome: CallerOutcome<Bytes>) -> Result<Self, Box<dyn Error>> {
         match outcome {
             CallerOutcome::Answered(body) => Ok(Self::Answered(body)),
-            CallerOutcome::Told(failure) => Ok(Self::Told(failure)),
+            CallerOutcome::Reported(failure) => Ok(Self::Reported(failure)),
             other => Err(format!("neither an answer nor a failure: {other:?}").into()),
         }
     }
@@ -75,13 +75,13 @@
     fn answer(self) -> Result<Bytes, Box<dyn Error>> {
         match self {
             Self::Answered(body) => Ok(body),
-            Self::Told(failure) => Err(format!("no answer: {failure:?}").into()),
+            Self::Reported(failure) => Err(format!("no answer: {failure:?}").into()),
         }
     }
 
     fn failure(self) -> Result<FailureBody, Box<dyn Error>> {
         match self {
-            Self::Told(failure) => Ok(failure),
+            Self::Reported(failure) => Ok(failure),
             Self::Answered(body) => Err(format!("answered: {body:?}").into()),
         }
     }
@@ -97,20 +97,20 @@
 }
 
 #[test]
-fn twins_through_both_routers_run_once() -> TestResult {
+fn concurrent_calls_with_one_key_run_once() -> TestResult {
     with_fleet(async |fleet| {
         let mut answered = 0;
         for number in 0..20 {
             let key = format!("twin-{number}");
-            let twins = [0, 1].map(|router| {
+            let attempts = [0, 1].map(|router| {
                 let (caller, key) = (caller(fleet, router), key.clone());
                 monoio::spawn(async move { Some(book(caller.ok()?, &key, "{}").await) })
             });
             let mut answers = Vec::new();
-            for twin in twins {
-                match Booking::of(twin.await.ok_or("no caller")?)? {
+            for attempt in attempts {
+                match Booking::of(attempt.await.ok_or("no caller")?)? {
                     Booking::Answered(answer) => answers.push(answer),
-                    Booking::Told(failure) => {
+                    Booking::Reported(failure) => {
                         assert_eq!(failure.outcome, FailureOutcome::Unknown, "{failure:?}");
                     }
                 }
@@ -198,7 +198,7 @@
         assert_eq!(failure.outcome, FailureOutcome::Unknown, "{failure:?}");
         agent.wake()?;
         let refused = "reason=\"deadline_passed\"";
-        agent.wait_metric("papayamux_agent_refusals_total", refused, 1.0, WITHIN).await?;
+        agent.wait_metric("papayamux_agent_refusals_total", refused, 1.0, TIMEOUT).await?;
         let failure = book_at(fleet, 1, "paused").await?.failure()?;
         assert_eq!(failure.outcome, FailureOutcome::Unknown, "{failure:?}");
         assert_eq!(runs_of(fleet, "paused").await?, 0);
@@ -212,7 +212,7 @@
         let first = book_at(fleet, 0, "kept").await?.answer()?;
         let granted = "papayamux_agent_claims_granted_total";
         for server in &fleet.servers {
-            server.agent.wait_metric(granted, "", 1.0, WITHIN).await?;
+            server.agent.wait_metric(granted, "", 1.0, TIMEOUT).await?;
         }
         fleet.restart_agent(ENGINE)?;
         book_at(fleet, 1, "two-of-three").await?.answer()?;
--- a/crates/papayamux-testbed/tests/configuration_spread.rs
+++ b/crates/papayamux-testbed/tests/configuration_spread.rs
@@ -12,7 +12,7 @@
 type TestResult = Result<(), Box<dyn Error>>;
 
 /// A bound for what awaits an event; far above what it takes.
-const WITHIN: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A pause that the timer service notices.
 const PAUSE: Duration = Duration::from_secs(1);
@@ -34,9 +34,9 @@
     with_fleet(6, async |fleet| {
         fleet.put_file("caverns", &team_file("caverns", 1)).await?;
         let revision = fleet.put_file("pensions", &team_file("pensions", 1)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let revision = fleet.put_file("caverns", &team_file("caverns", 2)).await?;
-        let statuses = fleet.wait_equal(revision, WITHIN).await?.ok_or("the routers differ")?;
+        let statuses = fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers differ")?;
         let in_force = &statuses[0].in_force;
         assert_eq!((in_force.models, in_force.refused_files), (2, 0));
         assert!(statuses.iter().all(|status| status.in_force == *in_force));
@@ -48,11 +48,11 @@
 fn a_refused_revision_leaves_the_last_accepted_one_in_force_also_for_newcomers() -> TestResult {
     with_fleet(3, async |fleet| {
         let accepted = fleet.put_file("caverns", &team_file("caverns", 1)).await?;
-        assert!(fleet.wait_equal(accepted, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(accepted, TIMEOUT).await?.is_some());
         let revision = fleet.put_file("caverns", "[team]\nname = caverns\n[model\n").await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         fleet.add()?;
-        let statuses = fleet.wait_equal(revision, WITHIN).await?.ok_or("the routers differ")?;
+        let statuses = fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers differ")?;
         for status in statuses {
             let in_force = status.in_force;
             assert_eq!((in_force.models, in_force.refused_files), (1, 1));
@@ -65,11 +65,11 @@
 fn a_router_that_starts_while_the_service_is_down_learns_from_its_peers() -> TestResult {
     with_fleet(4, async |fleet| {
         let revision = fleet.put_file("caverns", &team_file("caverns", 1)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let down = ConfigFaults { unavailable: true, ..ConfigFaults::default() };
         fleet.set_faults(down).await?;
         fleet.add()?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         Ok(())
     })
 }
@@ -79,23 +79,23 @@
     with_fleet(4, async |fleet| {
         let old = fleet.put_file("caverns", &team_file("caverns", 1)).await?;
         let revision = fleet.put_file("caverns", &team_file("caverns", 2)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let rolled_back = ConfigFaults { view: ServedView::At(old), ..ConfigFaults::default() };
         fleet.set_faults(rolled_back).await?;
         let newcomer = fleet.add()?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let newcomer = &fleet.processes[newcomer].handle;
-        let settled = newcomer.wait_for_line("configuration settled", WITHIN)?;
+        let settled = newcomer.wait_for_line("configuration settled", TIMEOUT)?;
         assert_eq!(settled["revision"], revision, "it served with less than its peers held");
         fleet.set_faults(ConfigFaults::default()).await?;
         let revision = fleet.put_file("caverns", &team_file("caverns", 3)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         Ok(())
     })
 }
 
 #[test]
-fn halves_that_were_parted_become_equal_without_loss() -> TestResult {
+fn partitioned_halves_converge_without_loss() -> TestResult {
     with_fleet(3, async |left| {
         let mut right = SpreadFleet::start(SpreadPlan::builder().processes(3).build())?;
         left.put_file("caverns", &team_file("caverns", 1)).await?;
@@ -103,12 +103,12 @@
         right.put_file("caverns", &team_file("caverns", 1)).await?;
         right.put_file("pensions", &team_file("pensions", 1)).await?;
         let revision = right.put_file("pensions", &team_file("pensions", 2)).await?;
-        assert!(left.wait_equal(left_revision, WITHIN).await?.is_some());
-        assert!(right.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(left.wait_equal(left_revision, TIMEOUT).await?.is_some());
+        assert!(right.wait_equal(revision, TIMEOUT).await?.is_some());
         let seeds = [left.processes[0].peers, right.processes[0].peers];
         right.add_with(right.service.listen()?, &seeds)?;
-        let left_statuses = left.wait_equal(revision, WITHIN).await?.ok_or("left differs")?;
-        let right_statuses = right.wait_equal(revision, WITHIN).await?.ok_or("right differs")?;
+        let left_statuses = left.wait_equal(revision, TIMEOUT).await?.ok_or("left differs")?;
+        let right_statuses = right.wait_equal(revision, TIMEOUT).await?.ok_or("right differs")?;
         assert_eq!(left_statuses[0].digest, right_statuses[0].digest);
         Ok(())
     })
@@ -121,16 +121,16 @@
     let mut fleet = SpreadFleet::start(plan)?;
     runtime::run(async {
         let revision = fleet.put_file("caverns", &team_file("caverns", 1)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let service = SpreadFleet::start(SpreadPlan::builder().processes(0).build())?;
         fleet.plan.router_lines = "secret = another-secret-altogether".to_string();
         let seeds = [fleet.processes[0].peers];
         let stranger = fleet.add_with(service.service.listen()?, &seeds)?;
         let stranger = &fleet.processes[stranger].handle;
         let lost = "papayamux_spread_lost_links_total";
-        stranger.wait_metric(lost, "reason=\"proof\"", 2.0, WITHIN).await?;
+        stranger.wait_metric(lost, "reason=\"proof\"", 2.0, TIMEOUT).await?;
         let asked = &fleet.processes[0].handle;
-        asked.wait_metric(lost, "reason=\"proof\"", 1.0, WITHIN).await?;
+        asked.wait_metric(lost, "reason=\"proof\"", 1.0, TIMEOUT).await?;
         assert_eq!(stranger.metrics().await?.sum("papayamux_spread_files", ""), 0.0);
         Ok(())
     })?
@@ -148,10 +148,10 @@
             let _ = write!(text, "\n[model m-{name:016x}]\nversion = {number}\nweights = w\n");
         }
         let revision = fleet.put_file("caverns", &text).await?;
-        let statuses = fleet.wait_equal(revision, WITHIN).await?.ok_or("the routers differ")?;
+        let statuses = fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers differ")?;
         assert!(statuses.iter().all(|status| status.in_force.models == 4_001));
         let revision = fleet.put_file("caverns", &text.replacen("= 17\n", "= 18\n", 1)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         Ok(())
     })?
 }
@@ -160,16 +160,16 @@
 fn a_router_that_was_paused_asks_its_peers_before_anything_else() -> TestResult {
     with_fleet(4, async |fleet| {
         let revision = fleet.put_file("caverns", &team_file("caverns", 1)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let paused = fleet.processes.pop().ok_or("no router")?;
         paused.handle.signal(Signal::SIGSTOP)?;
         let revision = fleet.put_file("caverns", &team_file("caverns", 2)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         monoio::time::sleep(PAUSE).await;
         paused.handle.signal(Signal::SIGCONT)?;
-        paused.handle.wait_metric("papayamux_spread_pauses_total", "", 1.0, WITHIN).await?;
+        paused.handle.wait_metric("papayamux_spread_pauses_total", "", 1.0, TIMEOUT).await?;
         fleet.processes.push(paused);
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         Ok(())
     })
 }
@@ -179,12 +179,12 @@
     let fleet = SpreadFleet::start(SpreadPlan::builder().processes(80).domains(2).build())?;
     runtime::run(async {
         let revision = fleet.put_file("caverns", &team_file("caverns", 1)).await?;
-        assert!(fleet.wait_equal(revision, WITHIN).await?.is_some());
+        assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let read = async || {
             let statuses = fleet.statuses().await?;
             Ok(statuses.iter().filter(|status| status.watching).count())
         };
-        wait_until(WITHIN, read, |watching| *watching == 4).await?;
+        wait_until(TIMEOUT, read, |watching| *watching == 4).await?;
         Ok(())
     })?
 }
--- a/crates/papayamux-testbed/tests/declared_servers.rs
+++ b/crates/papayamux-testbed/tests/declared_servers.rs
@@ -17,7 +17,7 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-const WITHIN: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn put(standin: &ProcessHandle, path: &str, body: String) -> TestResult {
     let address = standin.listen()?;
@@ -47,12 +47,12 @@
         let status: Value = process.status().await?;
         Ok(status["configuration"]["in_force"][key].as_u64())
     };
-    wait_until(WITHIN, read, |found| *found == Some(value)).await?;
+    wait_until(TIMEOUT, read, |found| *found == Some(value)).await?;
     Ok(())
 }
 
 #[test]
-fn a_declared_server_gets_work_until_it_leaves() -> TestResult {
+fn a_declared_server_gets_work_until_it_drains() -> TestResult {
     let service = ProcessHandle::start("papayamux-standins", &["config-service".to_string()])?;
     let instances = ProcessHandle::start("papayamux-standins", &["instance-list".to_string()])?;
     let lines = format!(
--- a/crates/papayamux-testbed/tests/ending_requests.rs
+++ b/crates/papayamux-testbed/tests/ending_requests.rs
@@ -13,13 +13,13 @@
 type TestResult = Result<(), Box<dyn Error>>;
 
 /// What engines end on.
-const FATAL: &str = "ends every engine";
+const CRASH_TEXT: &str = "ends every engine";
 /// Engines.
-const ENGINES: usize = 9;
+const ENGINE_COUNT: usize = 9;
 /// Time after the third engine has ended in which routers may still learn of it.
-const LEARNT_WITHIN: Duration = Duration::from_secs(3);
+const CRASH_NOTICE_DELAY: Duration = Duration::from_secs(3);
 /// Engines that may end: three, and three that get the chat after that.
-const MOST_ENDED: usize = 6;
+const MAX_CRASHED_ENGINES: usize = 6;
 /// How often the chat comes back.
 const REPETITIONS: usize = 8;
 
@@ -28,18 +28,18 @@
     chat_request(FLEET_MODEL, vec![message], 5)
 }
 
-fn ended(fleet: &mut Fleet) -> Result<usize, Box<dyn Error>> {
-    let mut ended = 0;
+fn crashed(fleet: &mut Fleet) -> Result<usize, Box<dyn Error>> {
+    let mut crashed = 0;
     for server in &mut fleet.servers {
-        ended += usize::from(server.standin.try_exit()?.is_some());
+        crashed += usize::from(server.standin.try_exit()?.is_some());
     }
-    Ok(ended)
+    Ok(crashed)
 }
 
 #[test]
-fn chat_under_which_engines_end_is_kept_from_the_others_by_agents_and_routers() -> TestResult {
-    let arguments = vec!["--ends-on".to_string(), FATAL.to_string()];
-    let plan = FleetPlan::builder().engines(ENGINES).services(0).engine_arguments(arguments);
+fn a_chat_that_crashes_engines_is_quarantined_by_agents_and_routers() -> TestResult {
+    let arguments = vec!["--ends-on".to_string(), CRASH_TEXT.to_string()];
+    let plan = FleetPlan::builder().engines(ENGINE_COUNT).services(0).engine_arguments(arguments);
     let mut fleet = Fleet::start(plan.build())?;
     runtime::run(async {
         let callers =
@@ -53,14 +53,14 @@
         }
         for repetition in 0..REPETITIONS {
             let caller = &callers[repetition % callers.len()];
-            let answer = caller.chat(&chat(FATAL)).await;
+            let answer = caller.chat(&chat(CRASH_TEXT)).await;
             assert!(answer.is_err(), "no engine can answer it");
             if repetition == 1 {
-                monoio::time::sleep(LEARNT_WITHIN).await;
+                monoio::time::sleep(CRASH_NOTICE_DELAY).await;
             }
         }
-        let ended = ended(&mut fleet)?;
-        assert!(ended <= MOST_ENDED, "{ended} of {ENGINES} engines ended");
+        let crashed = crashed(&mut fleet)?;
+        assert!(crashed <= MAX_CRASHED_ENGINES, "{crashed} of {ENGINE_COUNT} engines crashed");
         Ok(())
     })?
 }
--- a/crates/papayamux-testbed/tests/graceful_shutdown.rs
+++ b/crates/papayamux-testbed/tests/graceful_shutdown.rs
@@ -15,7 +15,7 @@
 type TestResult = Result<(), Box<dyn Error>>;
 
 const TOKENS: u32 = 300;
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn chat(text: &str) -> ChatRequest {
     let message = ChatMessage { role: "user".to_string(), content: text.to_string() };
@@ -43,50 +43,50 @@
 }
 
 #[test]
-fn a_router_that_is_told_to_end_cuts_nothing_off() -> TestResult {
+fn a_terminated_router_truncates_no_stream() -> TestResult {
     with_fleet(plan(1), async |fleet| {
         let request = chat("Which gate is nearest to the coach park?");
         let mut idle = TcpStream::connect(fleet.routers[0].listen()?)?;
         let mut stream = begin_chat(fleet, &request).await?;
         fleet.routers[0].signal(Signal::SIGTERM)?;
-        fleet.routers[0].wait_for_line("router drains", WITHIN)?;
+        fleet.routers[0].wait_for_line("router drains", TIMEOUT)?;
         stream.read_rest().await?;
         assert!(stream.is_whole);
         assert_eq!(stream.text, expected(&request));
-        assert!(fleet.routers[0].wait_exit(WITHIN)?.success());
+        assert!(fleet.routers[0].wait_exit(TIMEOUT)?.success());
         assert_eq!(idle.read(&mut [0; 1])?, 0);
         Ok(())
     })
 }
 
 #[test]
-fn an_agent_that_is_told_to_end_cuts_nothing_off_even_if_its_link_breaks() -> TestResult {
+fn a_terminated_agent_truncates_no_stream_even_if_its_link_breaks() -> TestResult {
     with_fleet(plan(1), async |fleet| {
         let request = chat("Which gate is nearest to the station?");
         let mut stream = begin_chat(fleet, &request).await?;
         fleet.servers[0].agent.signal(Signal::SIGTERM)?;
-        fleet.servers[0].agent.wait_for_line("agent drains", WITHIN)?;
+        fleet.servers[0].agent.wait_for_line("agent drains", TIMEOUT)?;
         stream.read_events(20).await?;
         fleet.link(0, 0)?.cut().await?;
         stream.read_rest().await?;
         assert!(stream.is_whole);
         assert_eq!(stream.text, expected(&request));
-        assert!(fleet.servers[0].agent.wait_exit(WITHIN)?.success());
+        assert!(fleet.servers[0].agent.wait_exit(TIMEOUT)?.success());
         Ok(())
     })
 }
 
 #[test]
-fn a_second_signal_ends_at_once_and_says_what_it_cut() -> TestResult {
+fn a_second_signal_exits_at_once_and_logs_what_it_truncated() -> TestResult {
     with_fleet(plan(1), async |fleet| {
         let stream = begin_chat(fleet, &chat("How long is the tour?")).await?;
         for process in [&mut fleet.routers[0], &mut fleet.servers[0].agent] {
             process.signal(Signal::SIGTERM)?;
-            process.wait_for_line("drains", WITHIN)?;
+            process.wait_for_line("drains", TIMEOUT)?;
             process.signal(Signal::SIGTERM)?;
-            let line = process.wait_for_line("drain cut off", WITHIN)?;
+            let line = process.wait_for_line("drain cut off", TIMEOUT)?;
             assert_eq!(line["requests"].to_string().trim_matches('"'), "1");
-            assert_eq!(process.wait_exit(WITHIN)?.code(), Some(1));
+            assert_eq!(process.wait_exit(TIMEOUT)?.code(), Some(1));
         }
         drop(stream);
         Ok(())
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_agent_that_leaves_gets_no_new_work() -> TestResult {
+fn a_draining_agent_gets_no_new_work() -> TestResult {
     with_fleet(plan(2), async |fleet| {
         let request = chat("Which mine has the longest slide?");
         let mut stream = begin_chat(fleet, &request).await?;
@@ -103,7 +103,7 @@
             _ => 0,
         };
         fleet.servers[busy].agent.signal(Signal::SIGTERM)?;
-        fleet.servers[busy].agent.wait_for_line("agent drains", WITHIN)?;
+        fleet.servers[busy].agent.wait_for_line("agent drains", TIMEOUT)?;
         let caller = Caller::new(fleet.routers[0].listen()?, "yanchang-desk");
         for number in 0..20 {
             let mut other = chat(&format!("Visitor {number} asks for the opening hours."));
@@ -114,7 +114,7 @@
         stream.read_rest().await?;
         assert_eq!(stream.text, expected(&request));
         assert_eq!(fleet.servers[busy].all_runs().await?, 1);
-        assert!(fleet.servers[busy].agent.wait_exit(WITHIN)?.success());
+        assert!(fleet.servers[busy].agent.wait_exit(TIMEOUT)?.success());
         Ok(())
     })
 }
--- a/crates/papayamux-testbed/tests/hostile_input.rs
+++ b/crates/papayamux-testbed/tests/hostile_input.rs
@@ -13,12 +13,12 @@
 type TestResult = Result<(), Box<dyn Error>>;
 
 /// How long a port may take to answer before the test fails.
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Sends bytes and reads until the other side closes or has sent `enough` bytes.
 fn exchange(address: SocketAddr, bytes: &[u8], enough: usize) -> std::io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(ANSWER_WITHIN))?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     // The other side may answer and close before it has read all: that is an answer too.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -26,7 +26,7 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn with_fleet(plan: FleetPlan, test: impl AsyncFnOnce(&mut Fleet) -> TestResult) -> TestResult {
     let mut fleet = Fleet::start(plan)?;
@@ -60,7 +60,7 @@
 
 fn failure_of(outcome: CallerOutcome<Bytes>) -> Result<FailureBody, Box<dyn Error>> {
     match outcome {
-        CallerOutcome::Told(failure) => Ok(failure),
+        CallerOutcome::Reported(failure) => Ok(failure),
         other => Err(format!("no failure was told: {other:?}").into()),
     }
 }
@@ -108,7 +108,7 @@
         fleet.link(0, home)?.silence().await?;
         assert_eq!(caller.chat(&chat).await?.text, expected);
         let lost = "papayamux_router_lost_links_total";
-        fleet.routers[0].wait_metric(lost, "reason=\"silent\"", 1.0, WITHIN).await?;
+        fleet.routers[0].wait_metric(lost, "reason=\"silent\"", 1.0, TIMEOUT).await?;
         let answer = caller.chat(&chat).await?;
         assert_eq!((answer.text.as_str(), place_of(fleet, &answer)?), (expected.as_str(), home));
         Ok(())
@@ -142,8 +142,8 @@
         let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
         let link = fleet.link(0, 0)?;
         link.hold_ways(FaultyWays::ToTarget).await?;
-        let told = failure_of(start_booking(&caller).await)?.outcome;
-        assert_eq!(told, FailureOutcome::Unknown);
+        let reported_outcome = failure_of(start_booking(&caller).await)?.outcome;
+        assert_eq!(reported_outcome, FailureOutcome::Unknown);
         link.heal().await?;
         let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("healed") };
         assert_eq!(fleet.servers[0].all_runs().await?, 2);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn every_call_told_not_run_did_not_run() -> TestResult {
+fn every_call_reported_not_run_did_not_run() -> TestResult {
     let plan = FleetPlan::builder().routers(1).engines(0).services(1).faulty_links(true);
     let plan = plan.agent_server_lines("capacity = 1\nqueue = 0".to_string());
     let plan = plan.service_arguments(["--call-ms", "300"].map(str::to_string).into()).build();
@@ -181,7 +181,7 @@
         link.refuse().await?;
         link.cut().await?;
         let lost = "papayamux_router_lost_links_total";
-        fleet.routers[0].wait_metric(lost, "", 1.0, WITHIN).await?;
+        fleet.routers[0].wait_metric(lost, "", 1.0, TIMEOUT).await?;
         let refused = failure_of(start_booking(&caller).await)?;
         link.heal().await?;
         fleet.servers[0].agent.kill()?;
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_chat_that_may_have_run_is_not_told_not_run_after_a_further_refusal() -> TestResult {
+fn a_chat_that_may_have_run_is_not_reported_not_run_after_a_further_refusal() -> TestResult {
     with_fleet(two_engines(), async |fleet| {
         let caller = caller_of(fleet)?;
         let (chat, _) = long_chat();
@@ -209,7 +209,7 @@
         let hold = FaultyWays::ToClient;
         link.set(LinkFaults { hold, refuse: true, ..LinkFaults::default() }).await?;
         link.cut().await?;
-        assert_eq!(second.await.told(), Some(FailureOutcome::Unknown));
+        assert_eq!(second.await.reported_outcome(), Some(FailureOutcome::Unknown));
         Ok(())
     })
 }
@@ -242,11 +242,11 @@
         let booking = start_booking(&caller);
         link.wait_report(|report| report.kept_to_target > 0).await?;
         fleet.servers[0].agent.terminate()?;
-        fleet.servers[0].agent.wait_for_line("agent drains", WITHIN)?;
+        fleet.servers[0].agent.wait_for_line("agent drains", TIMEOUT)?;
         link.heal().await?;
         let failure = failure_of(booking.await)?;
         assert_eq!(failure.outcome, FailureOutcome::NotRun, "{}", failure.message);
-        assert!(fleet.servers[0].agent.wait_exit(WITHIN)?.success());
+        assert!(fleet.servers[0].agent.wait_exit(TIMEOUT)?.success());
         assert_eq!(fleet.servers[0].all_runs().await?, 1);
         Ok(())
     })
--- a/crates/papayamux-testbed/tests/logs.rs
+++ b/crates/papayamux-testbed/tests/logs.rs
@@ -8,7 +8,7 @@
 use papayamux_testbed::{Caller, Fleet, FleetPlan};
 use papayamux_transport::runtime;
 
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const SECRET: &str = "a secret of the fleet";
 const PROMPT: &str = "the pensioner's birthday";
 
@@ -23,7 +23,7 @@
     let body = Bytes::from(format!("{{\"model\":\"itinerary\",\"messages\":\"{PROMPT}\"}}"));
     let path = "/v1/chat/completions";
     runtime::run(async { caller.call(Method::POST, path, &[], body).await })??;
-    let line = fleet.routers[0].wait_for_line("request failed", WITHIN)?;
+    let line = fleet.routers[0].wait_for_line("request failed", TIMEOUT)?;
     assert_eq!(line["code"], "invalid_request");
     assert_eq!(line["level"], "info");
     assert_eq!(line["program"], "papayamux-router");
--- a/crates/papayamux-testbed/tests/orders.rs
+++ b/crates/papayamux-testbed/tests/orders.rs
@@ -12,8 +12,8 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-const SOON: Duration = Duration::from_secs(60);
-const QUICK: &str = "look_every = 100ms\nevidence_for = 1s\nload_rate = 100\n";
+const TIMEOUT: Duration = Duration::from_secs(60);
+const FAST_ORDERS: &str = "look_every = 100ms\nevidence_for = 1s\nload_rate = 100\n";
 
 fn with_fleet(plan: OrderPlan, test: impl AsyncFnOnce(OrderFleet) -> TestResult) -> TestResult {
     let fleet = OrderFleet::start(plan)?;
@@ -32,7 +32,7 @@
         let status: AgentStatus = agent.status().await?;
         status.orders.ok_or_else(|| TestbedError::NoPart("orders".to_string()))
     };
-    wait_until(SOON, read, is_wanted).await
+    wait_until(TIMEOUT, read, is_wanted).await
 }
 
 #[test]
@@ -41,17 +41,17 @@
     let engine = arguments(&["--ignore-fencing", "--load-ms", "20"]);
     let plan = OrderPlan::builder().engines(1).loaded("itinerary".into()).engine_arguments(engine);
     with_fleet(plan.build(), async |mut fleet| {
-        let old = format!("{QUICK}models = itinerary@1\nrevision = 1");
+        let old = format!("{FAST_ORDERS}models = itinerary@1\nrevision = 1");
         let old = fleet.start_agent(0, &old, &[])?;
         wait_orders(&old, |orders| orders.as_declared).await?;
         let old_fence = fleet.engine_state(0).await?.fence.ok_or("no order")?;
         let old_orders = old.metrics().await?.sum("papayamux_agent_orders_total", "");
         old.pause()?;
         fleet.renew_addresses()?;
-        let new = format!("{QUICK}models = itinerary@2, refunds@5\nrevision = 2");
+        let new = format!("{FAST_ORDERS}models = itinerary@2, refunds@5\nrevision = 2");
         let new = fleet.start_agent(0, &new, &[])?;
         let wanted = ["itinerary@2", "refunds@5"];
-        let state = fleet.wait_models(0, &wanted, SOON).await?;
+        let state = fleet.wait_models(0, &wanted, TIMEOUT).await?;
         let new_fence = state.fence.ok_or("no order")?;
         assert!(new_fence > old_fence);
         let late = EngineOrder {
@@ -62,15 +62,15 @@
         };
         fleet.send_order(0, &late).await?;
         let label = "reason=\"late_order\"";
-        new.wait_metric("papayamux_agent_order_fences_total", label, 1.0, SOON).await?;
-        let undone = fleet.wait_models(0, &wanted, SOON).await?;
+        new.wait_metric("papayamux_agent_order_fences_total", label, 1.0, TIMEOUT).await?;
+        let undone = fleet.wait_models(0, &wanted, TIMEOUT).await?;
         assert!(undone.fence > Some(new_fence));
         old.wake()?;
         wait_orders(&old, |orders| orders.superseded).await?;
         let orders = old.metrics().await?.sum("papayamux_agent_orders_total", "");
         assert_eq!(orders, old_orders, "the predecessor ordered after it woke");
         wait_orders(&new, |orders| orders.as_declared && !orders.superseded).await?;
-        fleet.wait_models(0, &wanted, SOON).await?;
+        fleet.wait_models(0, &wanted, TIMEOUT).await?;
         Ok(())
     })
 }
@@ -80,16 +80,16 @@
     let plan = OrderPlan::builder().engines(1).store_rate(100);
     let plan = plan.engine_arguments(arguments(&["--load-ms", "20"])).build();
     with_fleet(plan, async |mut fleet| {
-        let orders = format!("{QUICK}models = itinerary@3");
+        let orders = format!("{FAST_ORDERS}models = itinerary@3");
         let mut old = fleet.start_agent(0, &orders, &[])?;
-        let first = fleet.wait_models(0, &["itinerary@3"], SOON).await?;
+        let first = fleet.wait_models(0, &["itinerary@3"], TIMEOUT).await?;
         old.kill()?;
         let new = fleet.start_agent(0, &orders, &[])?;
-        let claimed = fleet.wait_state(0, SOON, |state| state.fence > first.fence).await?;
+        let claimed = fleet.wait_state(0, TIMEOUT, |state| state.fence > first.fence).await?;
         assert!(papayamux_testbed::has_models(&claimed, &["itinerary@3"]));
         assert_eq!(fleet.store_counters().await?.calls.calls, 1);
         fleet.replace_engine(0)?;
-        fleet.wait_models(0, &["itinerary@3"], SOON).await?;
+        fleet.wait_models(0, &["itinerary@3"], TIMEOUT).await?;
         wait_orders(&new, |orders| orders.as_declared).await?;
         assert_eq!(fleet.store_counters().await?.calls.calls, 2);
         Ok(())
@@ -108,7 +108,7 @@
             agents.push(fleet.start_agent(engine, orders, &peers)?);
         }
         for engine in 0..6 {
-            fleet.wait_models(engine, &["itinerary@3", "refunds@1"], SOON).await?;
+            fleet.wait_models(engine, &["itinerary@3", "refunds@1"], TIMEOUT).await?;
         }
         let counters = fleet.store_counters().await?;
         assert_eq!((counters.calls.calls, counters.calls.refused), (12, 0));
@@ -121,13 +121,13 @@
     let plan = OrderPlan::builder().engines(4).store_rate(1);
     let plan = plan.engine_arguments(arguments(&["--load-ms", "20"])).build();
     with_fleet(plan, async |fleet| {
-        let orders = format!("{QUICK}models = itinerary@3");
+        let orders = format!("{FAST_ORDERS}models = itinerary@3");
         let mut agents = Vec::new();
         for engine in 0..4 {
             agents.push(fleet.start_agent(engine, &orders, &["itinerary"; 4])?);
         }
         for engine in 0..4 {
-            fleet.wait_models(engine, &["itinerary@3"], SOON).await?;
+            fleet.wait_models(engine, &["itinerary@3"], TIMEOUT).await?;
         }
         let counters = fleet.store_counters().await?;
         assert!(counters.calls.refused > 0);
@@ -141,12 +141,12 @@
     let plan = OrderPlan::builder().engines(2).loaded("itinerary,refunds".into());
     let plan = plan.engine_arguments(arguments(&["--load-ms", "20"])).build();
     with_fleet(plan, async |fleet| {
-        let both = format!("{QUICK}models = itinerary, refunds");
+        let both = format!("{FAST_ORDERS}models = itinerary, refunds");
         let keeper = fleet.start_agent(1, &both, &["itinerary, refunds"; 2])?;
         wait_orders(&keeper, |orders| orders.as_declared).await?;
-        let fewer = format!("{QUICK}models = refunds\nin_force = itinerary");
+        let fewer = format!("{FAST_ORDERS}models = refunds\nin_force = itinerary");
         let mut leaver = fleet.start_agent(0, &fewer, &["refunds", "itinerary, refunds"])?;
-        fleet.wait_models(0, &["refunds@1"], SOON).await?;
+        fleet.wait_models(0, &["refunds@1"], TIMEOUT).await?;
         let metrics = leaver.metrics().await?;
         assert_eq!(metrics.sum("papayamux_agent_serving_asked_total", "reason=\"serves\""), 1.0);
         let mut keeper = keeper;
@@ -154,7 +154,7 @@
         let last = fleet.start_agent(1, &fewer, &["refunds", "refunds"])?;
         wait_orders(&last, |orders| orders.waits.iter().any(|wait| wait == "last_server")).await?;
         let label = "reason=\"last_server\"";
-        last.wait_metric("papayamux_agent_order_waits_total", label, 20.0, SOON).await?;
+        last.wait_metric("papayamux_agent_order_waits_total", label, 20.0, TIMEOUT).await?;
         assert!(papayamux_testbed::has_models(
             &fleet.engine_state(1).await?,
             &["itinerary@1", "refunds@1"]
@@ -168,10 +168,10 @@
 fn without_an_answer_of_the_others_a_server_keeps_its_model() -> TestResult {
     let plan = OrderPlan::builder().engines(2).loaded("itinerary".into()).build();
     with_fleet(plan, async |fleet| {
-        let none = format!("{QUICK}models =\nin_force = itinerary");
+        let none = format!("{FAST_ORDERS}models =\nin_force = itinerary");
         let agent = fleet.start_agent(0, &none, &["", "itinerary"])?;
         let label = "reason=\"too_few_keepers\"";
-        agent.wait_metric("papayamux_agent_order_waits_total", label, 3.0, SOON).await?;
+        agent.wait_metric("papayamux_agent_order_waits_total", label, 3.0, TIMEOUT).await?;
         assert!(papayamux_testbed::has_models(&fleet.engine_state(0).await?, &["itinerary@1"]));
         Ok(())
     })
@@ -182,13 +182,13 @@
     let plan = OrderPlan::builder().engines(3).loaded("itinerary".into());
     let plan = plan.engine_arguments(arguments(&["--load-ms", "50"])).build();
     with_fleet(plan, async |fleet| {
-        let orders = format!("{QUICK}models = itinerary@2");
+        let orders = format!("{FAST_ORDERS}models = itinerary@2");
         let mut agents = Vec::new();
         for engine in 0..3 {
             agents.push(fleet.start_agent(engine, &orders, &["itinerary"; 3])?);
         }
         for engine in 0..3 {
-            fleet.wait_models(engine, &["itinerary@2"], SOON).await?;
+            fleet.wait_models(engine, &["itinerary@2"], TIMEOUT).await?;
         }
         for agent in &agents {
             wait_orders(agent, |orders| orders.as_declared).await?;
@@ -218,13 +218,13 @@
         };
         declare(2).await?;
         let orders = format!(
-            "{QUICK}[spread]\nservice = {}\nlisten = 127.0.0.1:0",
+            "{FAST_ORDERS}[spread]\nservice = {}\nlisten = 127.0.0.1:0",
             spread.service.listen()?
         );
         let agent = fleet.start_agent(0, &orders, &[])?;
-        fleet.wait_models(0, &["itinerary@2"], SOON).await?;
+        fleet.wait_models(0, &["itinerary@2"], TIMEOUT).await?;
         declare(3).await?;
-        let state = fleet.wait_models(0, &["itinerary@3"], SOON).await?;
+        let state = fleet.wait_models(0, &["itinerary@3"], TIMEOUT).await?;
         assert_eq!(state.role, "both");
         wait_orders(&agent, |orders| orders.as_declared).await?;
         Ok(())
--- a/crates/papayamux-testbed/tests/peer_proofs.rs
+++ b/crates/papayamux-testbed/tests/peer_proofs.rs
@@ -19,7 +19,7 @@
 
 async fn chat(fleet: &Fleet) -> Result<(), CallerError> {
     let address =
-        fleet.routers[0].listen().map_err(|error| CallerError::Nonsense(error.to_string()))?;
+        fleet.routers[0].listen().map_err(|error| CallerError::InvalidAnswer(error.to_string()))?;
     let content = "Are dogs allowed?".to_string();
     let messages = vec![ChatMessage { role: "user".to_string(), content }];
     Caller::new(address, "desk").chat(&chat_request(FLEET_MODEL, messages, 3)).await.map(drop)
--- a/crates/papayamux-testbed/tests/routing.rs
+++ b/crates/papayamux-testbed/tests/routing.rs
@@ -16,7 +16,7 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const ADMITTED: &str = "papayamux_agent_admitted_requests_total";
 
 fn with_fleet(plan: FleetPlan, test: impl AsyncFnOnce(&mut Fleet) -> TestResult) -> TestResult {
@@ -106,7 +106,7 @@
             (expected(&long_chat()).as_str(), 1 - home)
         );
         let silent = "papayamux_router_probes_total";
-        fleet.routers[0].wait_metric(silent, "reason=\"silent\"", 1.0, WITHIN).await?;
+        fleet.routers[0].wait_metric(silent, "reason=\"silent\"", 1.0, TIMEOUT).await?;
         Ok(())
     })
 }
--- a/crates/papayamux-testbed/tests/streams_go_on.rs
+++ b/crates/papayamux-testbed/tests/streams_go_on.rs
@@ -21,7 +21,7 @@
 const TOKENS: u32 = 300;
 /// Events after which a test brings its fault about.
 const BEFORE_FAULT: usize = 40;
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn chat() -> ChatRequest {
     let content = "Draft a day at the salt mines for forty pensioners.".to_string();
@@ -96,7 +96,7 @@
         fleet.link(0, 0)?.hold().await?;
         let agent = &fleet.servers[0].agent;
         let failures = "papayamux_agent_link_failures_total";
-        agent.wait_metric(failures, "silent", 1.0, WITHIN).await?;
+        agent.wait_metric(failures, "silent", 1.0, TIMEOUT).await?;
         drop(stream);
         Ok(())
     })
@@ -178,7 +178,7 @@
 }
 
 /// A fleet whose agents ask a silent server soon, with these arguments for engine and service.
-fn watchful_plan(engine: &[&str], service: &[&str]) -> FleetPlan {
+fn short_progress_plan(engine: &[&str], service: &[&str]) -> FleetPlan {
     let owned = |arguments: &[&str]| arguments.iter().map(|text| text.to_string()).collect();
     let plan = FleetPlan::builder().engines(1).services(1).routers(1).faulty_links(true);
     let plan = plan.agent_server_lines("progress_within = 300ms".to_string());
@@ -187,7 +187,7 @@
 
 #[test]
 fn an_engine_connection_cut_or_silent_mid_stream_is_resumed() -> TestResult {
-    with_fleet(watchful_plan(&["--cancel-grace-ms", "5000"], &[]), async |fleet| {
+    with_fleet(short_progress_plan(&["--cancel-grace-ms", "5000"], &[]), async |fleet| {
         let mut stream = begin_chat(fleet).await?;
         fleet.servers[0].link()?.cut().await?;
         stream.read_events(BEFORE_FAULT).await?;
@@ -198,7 +198,7 @@
 
 #[test]
 fn an_engine_that_can_not_resume_ends_the_answer_with_an_error() -> TestResult {
-    with_fleet(watchful_plan(&["--cancel-grace-ms", "0"], &[]), async |fleet| {
+    with_fleet(short_progress_plan(&["--cancel-grace-ms", "0"], &[]), async |fleet| {
         let stream = begin_chat(fleet).await?;
         fleet.servers[0].standin.kill()?;
         assert_error_event(stream, FailureOutcome::Failed).await
@@ -207,28 +207,31 @@
 
 #[test]
 fn a_slow_but_living_server_is_not_given_up() -> TestResult {
-    with_fleet(watchful_plan(&["--step-us", "700000"], &["--call-ms", "1500"]), async |fleet| {
-        let caller = caller_at(fleet, 0)?;
-        let mut request = chat();
-        request.max_tokens = Some(3);
-        let expected = expected_answer(FLEET_MODEL, &render_prompt(&request.messages), Some(3));
-        assert_eq!(caller.chat(&request).await?.text, expected);
-        request.stream = false;
-        let body = serde_json::to_vec(&request)?;
-        let (_, body) = caller.call(Method::POST, CHAT_PATH, &[], body.into()).await?;
-        let completion: ChatCompletion = serde_json::from_slice(&body)?;
-        assert_eq!(completion.choices[0].message.content, expected);
-        let call = caller.call(Method::POST, "/tickets/slow", &[], Bytes::new());
-        assert_eq!(call.await?.0, StatusCode::OK);
-        assert_eq!(fleet.servers[0].all_runs().await?, 2);
-        assert_eq!(fleet.servers[1].all_runs().await?, 1);
-        Ok(())
-    })
+    with_fleet(
+        short_progress_plan(&["--step-us", "700000"], &["--call-ms", "1500"]),
+        async |fleet| {
+            let caller = caller_at(fleet, 0)?;
+            let mut request = chat();
+            request.max_tokens = Some(3);
+            let expected = expected_answer(FLEET_MODEL, &render_prompt(&request.messages), Some(3));
+            assert_eq!(caller.chat(&request).await?.text, expected);
+            request.stream = false;
+            let body = serde_json::to_vec(&request)?;
+            let (_, body) = caller.call(Method::POST, CHAT_PATH, &[], body.into()).await?;
+            let completion: ChatCompletion = serde_json::from_slice(&body)?;
+            assert_eq!(completion.choices[0].message.content, expected);
+            let call = caller.call(Method::POST, "/tickets/slow", &[], Bytes::new());
+            assert_eq!(call.await?.0, StatusCode::OK);
+            assert_eq!(fleet.servers[0].all_runs().await?, 2);
+            assert_eq!(fleet.servers[1].all_runs().await?, 1);
+            Ok(())
+        },
+    )
 }
 
 #[test]
 fn a_server_silent_on_every_connection_is_given_up_as_unknown() -> TestResult {
-    with_fleet(watchful_plan(&[], &[]), async |fleet| {
+    with_fleet(short_progress_plan(&[], &[]), async |fleet| {
         let caller = caller_at(fleet, 0)?;
         fleet.servers[1].link()?.hold().await?;
         let call = caller.call(Method::POST, "/tickets/lost", &[], Bytes::new());
@@ -259,7 +262,7 @@
 }
 
 #[test]
-fn a_way_to_the_agent_that_died_is_found_while_answers_still_flow() -> TestResult {
+fn a_dead_request_direction_is_detected_while_answers_arrive() -> TestResult {
     with_fleet(slow_plan(), async |fleet| {
         let mut first = ChatStream::start(&caller_at(fleet, 0)?, &chat(), None).await?;
         first.read_events(2).await?;
