--- a/crates/papayamux-testbed/src/caller.rs
+++ b/crates/papayamux-testbed/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests to a router and reads the answers as they come.
+//! A client that sends requests to a router and reads the streamed answers.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,55 +12,55 @@
 use papayamux_transport::http::{ClientAnswer, HttpClient, HttpClientError};
 use thiserror::Error;
 
-/// Bytes of the longest answer that a caller reads.
+/// Maximum size of an answer that a caller reads.
 pub(crate) const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
-/// The kind of the event by which a router ends a stream that it can't go on with.
+/// Type of the server-sent event with which a router ends a stream that it can't continue.
 const FAILURE_EVENT: &str = "error";
 
-/// Why a caller got no whole answer.
+/// The reason why a caller received no complete answer.
 #[derive(Debug, Error)]
 pub enum CallerError {
-    /// The connection failed.
+    /// The request failed at the transport.
     #[error(transparent)]
     Client(#[from] HttpClientError),
-    /// The router told a failure.
+    /// The answer's status is not 200.
     #[error("status {status}: {body}")]
     Failure {
-        /// The status.
+        /// The HTTP status of the answer.
         status: StatusCode,
-        /// The body.
+        /// The body of the answer.
         body: String,
     },
-    /// The answer is not what an engine sends.
-    #[error("the answer makes no sense: {0}")]
+    /// The request couldn't be encoded, or the answer couldn't be decoded.
+    #[error("invalid answer: {0}")]
     InvalidAnswer(String),
-    /// The answer ended well, yet without its last event.
-    #[error("{}: ended after {} bytes without its last event", .0.server, .0.text.len())]
+    /// The body of the answer is complete, but its last event is missing.
+    #[error("{}: the answer ended after {} bytes without its last event", .0.server, .0.text.len())]
     Short(Box<CallerAnswer>),
-    /// The connection broke off in the middle of the answer.
+    /// The connection failed in the middle of the answer.
     #[error("{}: after {} bytes: {error}", .answer.server, .answer.text.len())]
     Partial {
-        /// The answer up to there.
+        /// The part of the answer that was received.
         answer: Box<CallerAnswer>,
-        /// What broke.
+        /// The error of the connection.
         error: HttpClientError,
     },
-    /// The router said in the middle of the answer that it can't go on.
+    /// The router ended a started answer with a failure event.
     #[error("{}: after {} bytes: {}", .answer.server, .answer.text.len(), .failure.message)]
     Reported {
-        /// The answer up to there.
+        /// The part of the answer that was received.
         answer: Box<CallerAnswer>,
-        /// What the router said.
+        /// The failure that the router reported.
         failure: FailureBody,
     },
-    /// The request could not be built.
+    /// The request couldn't be built.
     #[error(transparent)]
     Request(#[from] http::Error),
 }
 
 impl CallerError {
-    /// The part of a streamed answer that came before it failed.
+    /// Returns the part of a streamed answer that was received before the error.
     pub fn partial_answer(&self) -> Option<&CallerAnswer> {
         match self {
             CallerError::Short(answer)
@@ -71,24 +71,24 @@
     }
 }
 
-/// A streamed answer, whole or as far as it came.
+/// A streamed answer, complete or truncated.
 #[derive(Debug, Clone, Default)]
 pub struct CallerAnswer {
-    /// The text.
+    /// The received text.
     pub text: String,
-    /// The server that gave it.
+    /// The server that generated it.
     pub server: String,
-    /// Token counts.
+    /// The token counts.
     pub usage: UsageReport,
-    /// Time from sending to the first token.
+    /// The time from sending the request to the first event with text.
     pub first_token: Duration,
-    /// Events with text.
+    /// The number of events with text.
     pub events: u64,
-    /// The id of the last event, by which the answer can be resumed; empty without one.
+    /// The id of the last event, from which the answer can be resumed. Empty if it had none.
     pub last_event: String,
 }
 
-/// A caller of one organisation at one router.
+/// An HTTP client of one organisation at one router.
 #[derive(Clone)]
 pub struct Caller {
     client: HttpClient,
@@ -96,12 +96,13 @@
 }
 
 impl Caller {
-    /// A caller of `organisation` at the router (or engine) at `address`.
+    /// Creates a caller of `organisation` for the router or engine at `address`.
     pub fn new(address: SocketAddr, organisation: &str) -> Self {
         Self { client: HttpClient::new(address), organisation: organisation.to_string() }
     }
 
-    /// Sends any request and gives its answer's head, with the body still to be read.
+    /// Sends a request and returns the head of its answer, with the body unread. The request must
+    /// be idempotent, because the client may send it again.
     pub async fn send(
         &self,
         method: Method,
@@ -113,7 +114,7 @@
         Ok(self.client.send_idempotent(request).await?)
     }
 
-    /// Like [`Self::send`], over a connection of its own, and never sent again.
+    /// Sends a request like [`Self::send`], but over a new connection and without retries.
     pub async fn send_once(
         &self,
         method: Method,
@@ -143,7 +144,7 @@
         Ok(request.body(body)?)
     }
 
-    /// Sends any request and reads its whole answer.
+    /// Sends a request like [`Self::send`] and reads the complete answer.
     pub async fn call(
         &self,
         method: Method,
@@ -156,15 +157,16 @@
         Ok((status, answer.whole_body(MAX_ANSWER_BYTES).await?))
     }
 
-    /// Sends a chat and reads its streamed answer to the end.
+    /// Sends a chat request and reads its streamed answer to the end.
     pub async fn chat(&self, request: &ChatRequest) -> Result<CallerAnswer, CallerError> {
         let sent = Instant::now();
         let answer = self.send(Method::POST, CHAT_PATH, &[], chat_body(request)?).await?;
         read_answer(answer, sent, CallerAnswer::default()).await
     }
 
-    /// Like [`Self::chat`], over a connection of its own, with further headers, and never sent
-    /// again; adds to what came of the answer `before`, after its last event.
+    /// Sends a chat request like [`Self::chat`], but over a new connection, with additional headers
+    /// and without retries. Appends to the answer `before` and, if that has a last event, resumes
+    /// after it.
     pub(crate) async fn stream_once(
         &self,
         request: &ChatRequest,
@@ -236,23 +238,24 @@
     Ok(whole)
 }
 
-/// What an event says.
+/// The kind of a server-sent event.
 enum EventKind {
     Chunk,
     End,
     Failure(FailureBody),
 }
 
-/// Adds one event to the answer.
+/// Parses one event, appends it to the answer and returns its kind.
 fn apply_event(
     event: &[u8],
     sent: Instant,
     whole: &mut CallerAnswer,
 ) -> Result<EventKind, CallerError> {
     let invalid_answer = |text: &str| CallerError::InvalidAnswer(text.to_string());
-    let text = std::str::from_utf8(event).map_err(|_| invalid_answer("an event is not UTF-8"))?;
+    let text =
+        std::str::from_utf8(event).map_err(|_| invalid_answer("an event is not valid UTF-8"))?;
     let field = |name: &str| text.lines().find_map(|line| line.strip_prefix(name));
-    let data = field("data: ").ok_or_else(|| invalid_answer("an event without data"))?;
+    let data = field("data: ").ok_or_else(|| invalid_answer("an event has no data field"))?;
     if field("event: ") == Some(FAILURE_EVENT) {
         let envelope = serde_json::from_str::<FailureEnvelope>(data);
         return match envelope {
@@ -279,7 +282,7 @@
     Ok(EventKind::Chunk)
 }
 
-/// A streamed chat request with the given turns.
+/// Creates a chat request with the given messages and a streamed answer.
 pub fn chat_request(model: &str, messages: Vec<ChatMessage>, max_tokens: u32) -> ChatRequest {
     ChatRequest {
         model: model.to_string(),
--- a/crates/papayamux-testbed/src/chat_stream.rs
+++ b/crates/papayamux-testbed/src/chat_stream.rs
@@ -1,4 +1,5 @@
-//! A streamed chat read event by event, with the ids that let its caller go on elsewhere.
+//! A streamed chat that is read event by event, with the event ids from which it can be resumed at
+//! another router.
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
@@ -9,33 +10,33 @@
 
 use crate::caller::{Caller, CallerAnswer, CallerError, MAX_ANSWER_BYTES};
 
-/// One server-sent event.
+/// A server-sent event.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id, or nothing.
+    /// The event's id, or an empty string.
     pub id: String,
-    /// Its kind, or nothing.
+    /// The event's type, or an empty string.
     pub kind: String,
-    /// Its data.
+    /// The event's data, or an empty string.
     pub data: String,
 }
 
-/// A streamed chat that is being read.
+/// The streamed answer to a chat request.
 pub struct ChatStream {
     answer: ClientAnswer,
     pending: Vec<u8>,
-    /// The server that gives it.
+    /// The server that generates the answer.
     pub server: String,
-    /// The text so far.
+    /// The text received so far.
     pub text: String,
-    /// The id of the last event.
+    /// The id of the last event that had one.
     pub last_id: String,
-    /// Whether the event that ends the stream has come.
+    /// Whether the event that ends the stream was received.
     pub is_whole: bool,
 }
 
 impl ChatStream {
-    /// Sends a chat, or asks for the rest of one after the event `last_id`.
+    /// Sends a chat request, or resumes one after the event `last_id`.
     pub async fn start(
         caller: &Caller,
         request: &ChatRequest,
@@ -61,7 +62,7 @@
         })
     }
 
-    /// The next event; `None` at the end of the body.
+    /// Reads the next event. Returns `None` at the end of the body.
     pub async fn next_event(&mut self) -> Result<Option<StreamEvent>, CallerError> {
         loop {
             if let Some(end) = self.pending.windows(2).position(|pair| pair == b"\n\n") {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Reads events until `count` more have come, or the end.
+    /// Reads `count` events, or fewer if the body ends before.
     pub async fn read_events(&mut self, count: usize) -> Result<(), CallerError> {
         for _ in 0..count {
             if self.next_event().await?.is_none() {
@@ -94,7 +95,7 @@
         Ok(())
     }
 
-    /// Reads to the end of the body.
+    /// Reads the remaining events.
     pub async fn read_rest(&mut self) -> Result<(), CallerError> {
         while self.next_event().await?.is_some() {}
         Ok(())
--- a/crates/papayamux-testbed/src/fleet.rs
+++ b/crates/papayamux-testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet on loopback: stand-ins, an agent beside each, and routers before them.
+//! A fleet on loopback: stand-in servers, one agent for each of them, and routers.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -15,52 +15,52 @@
 use crate::running_server::RunningServer;
 use crate::waiting::wait_until;
 
-/// What a fleet consists of.
+/// The composition and settings of a [`Fleet`].
 #[derive(Debug, Clone, Builder)]
 pub struct FleetPlan {
-    /// Routers.
+    /// The number of routers.
     #[builder(default = 2)]
     pub routers: usize,
-    /// Model engines.
+    /// The number of model engines.
     #[builder(default = 3)]
     pub engines: usize,
-    /// Plain services.
+    /// The number of plain services.
     #[builder(default = 1)]
     pub services: usize,
-    /// Whether a fault proxy stands between each router and each agent, and between each agent
+    /// Whether to put a fault proxy between each router and each agent, and between each agent
     /// and its server.
     #[builder(default)]
     pub faulty_links: bool,
-    /// For each router, the places in [`Fleet::servers`] of those it knows; a router without an
-    /// entry knows all.
+    /// The servers that each router knows, as indexes into [`Fleet::servers`]. A router without an
+    /// entry knows all servers.
     #[builder(default)]
     pub known_servers: Vec<Vec<usize>>,
-    /// Further arguments for each engine stand-in.
+    /// Additional arguments for each engine stand-in.
     #[builder(default)]
     pub engine_arguments: Vec<String>,
-    /// Further arguments for each service stand-in.
+    /// Additional arguments for each service stand-in.
     #[builder(default)]
     pub service_arguments: Vec<String>,
-    /// Further lines for the `[agent]` section of each agent.
+    /// Additional lines for the `[agent]` section of each agent.
     #[builder(default)]
     pub agent_lines: String,
-    /// Further lines for the `[server]` section of each agent.
+    /// Additional lines for the `[server]` section of each agent.
     #[builder(default)]
     pub agent_server_lines: String,
-    /// How long witnesses remember a key.
+    /// The duration for which witnesses remember a key, as written in the settings.
     #[builder(default = "15m".to_string())]
     pub claim_retention: String,
-    /// How long after the fleet's start it takes its first calls with keys. Agents that take
-    /// longer to start grant nothing before they have lived for the retention.
+    /// The time from the fleet's start until witnesses grant claims on idempotency keys. An agent
+    /// that takes longer to start grants none until it has run for the retention.
     #[builder(default = Duration::from_secs(3))]
     pub claims_open_in: Duration,
-    /// Further lines for the `[router]` section of each router.
+    /// Additional lines for the `[router]` section of each router.
     #[builder(default)]
     pub router_lines: String,
 }
 
 impl FleetPlan {
-    /// The names of all servers: the engines, then the plain services.
+    /// Returns the names of all servers: first the engines, then the plain services.
     fn server_names(&self) -> Vec<String> {
         let engines = (0..self.engines).map(|index| format!("engine-{index}"));
         let services = (0..self.services).map(|index| format!("service-{index}"));
@@ -68,23 +68,23 @@
     }
 }
 
-/// The first whole second since 1970 that is at least `later` from now.
+/// Returns a Unix time in whole seconds that is at least `later` from now.
 fn seconds_since_epoch(later: Duration) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     (now + later).as_secs() + 1
 }
 
-/// The model that a fleet's engines have loaded.
+/// The model that all engines of a fleet have loaded.
 pub const FLEET_MODEL: &str = "itinerary";
-/// The path that leads to a fleet's plain services.
+/// The path that is routed to the plain services of a fleet.
 pub const FLEET_PATH: &str = "/tickets";
 
-/// A running fleet; dropping it stops all of it.
+/// A running fleet. Dropping it stops all of its processes.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The routers.
+    /// The running routers.
     pub routers: Vec<ProcessHandle>,
-    /// The backend servers.
+    /// The running backend servers: first the engines, then the plain services.
     pub servers: Vec<RunningServer>,
     links: BTreeMap<(usize, usize), LinkControl>,
     folder: TempDir,
@@ -92,13 +92,13 @@
     claims_open_at: u64,
 }
 
-/// How long after its time the witnesses' readiness is waited for.
+/// Additional time to wait for the witnesses after [`FleetPlan::claims_open_in`].
 const CLAIMS_OPEN_TIMEOUT: Duration = Duration::from_secs(2);
 
 const ANY_PORT: &str = "127.0.0.1:0";
 
 impl Fleet {
-    /// Starts a fleet and waits until all of it has started.
+    /// Starts all processes of a fleet and waits until each has logged its start.
     pub fn start(plan: FleetPlan) -> Result<Self, TestbedError> {
         let folder = TempDir::new()?;
         let (routers, servers, links) = (Vec::new(), Vec::new(), BTreeMap::new());
@@ -113,7 +113,7 @@
         Ok(fleet)
     }
 
-    /// The link between a router and a server's agent, by their places in the fleet.
+    /// Returns the link between a router and a server's agent, by their indexes in the fleet.
     pub fn link(&self, router: usize, server: usize) -> Result<&LinkControl, TestbedError> {
         let name = || format!("faulty link between router {router} and server {server}");
         self.links.get(&(router, server)).ok_or_else(|| TestbedError::NoPart(name()))
@@ -133,7 +133,7 @@
         self.plan.faulty_links.then(|| LinkControl::start(target)).transpose()
     }
 
-    /// Waits until the agents grant keys to calls.
+    /// Waits until all agents, as witnesses, are ready to grant claims.
     pub async fn wait_claims_open(&self) -> Result<(), TestbedError> {
         let within = self.plan.claims_open_in + CLAIMS_OPEN_TIMEOUT;
         for server in &self.servers {
@@ -143,7 +143,7 @@
         Ok(())
     }
 
-    /// Starts an agent for the server called `name` at `address`.
+    /// Starts an agent for the server `name` at `address`.
     pub fn start_agent(
         &self,
         name: &str,
@@ -172,7 +172,7 @@
         ProcessHandle::start("papayamux-agent", &["--settings".to_string(), file])
     }
 
-    /// Kills a server's agent and starts its successor, with empty memory, at the same address.
+    /// Kills a server's agent and starts a new one, without its state, at the same address.
     pub fn restart_agent(&mut self, server: usize) -> Result<(), TestbedError> {
         let no_server = || TestbedError::NoPart(format!("server {server}"));
         let running = self.servers.get_mut(server).ok_or_else(no_server)?;
@@ -180,7 +180,7 @@
         self.replace_agent(server)
     }
 
-    /// Starts the successor of an agent that has ended, at the same address.
+    /// Starts a new agent at the address of one that has exited.
     pub fn replace_agent(&mut self, server: usize) -> Result<(), TestbedError> {
         let no_server = || TestbedError::NoPart(format!("server {server}"));
         let running = self.servers.get(server).ok_or_else(no_server)?;
@@ -190,7 +190,8 @@
         Ok(())
     }
 
-    /// Kills a server and its agent, and starts empty ones at the same addresses.
+    /// Kills a server and its agent, and starts new ones, without their state, at the same
+    /// addresses.
     pub fn replace_server(&mut self, server: usize) -> Result<(), TestbedError> {
         let no_server = || TestbedError::NoPart(format!("server {server}"));
         let running = self.servers.get_mut(server).ok_or_else(no_server)?;
@@ -202,7 +203,7 @@
         self.replace_agent(server)
     }
 
-    /// Starts one more router, before the servers that the plan lets it know.
+    /// Starts another router in front of the servers that it knows according to the plan.
     pub fn start_router(&mut self) -> Result<&ProcessHandle, TestbedError> {
         let index = self.routers.len();
         for server in 0..self.servers.len() {
@@ -216,7 +217,7 @@
         Ok(&self.routers[index])
     }
 
-    /// Starts the successor of a router that has ended, at the same address.
+    /// Starts a new router at the address of one that has exited.
     pub fn replace_router(&mut self, index: usize) -> Result<(), TestbedError> {
         let no_router = || TestbedError::NoPart(format!("router {index}"));
         let listen = self.routers.get(index).ok_or_else(no_router)?.listen()?;
@@ -239,14 +240,16 @@
     }
 }
 
-/// A server as one router is to see it: each is declared, and may be known to the router or not.
+/// A server in the settings of one router: always listed as a witness, and as a server only if the
+/// router knows it.
 struct RouterServer<'a> {
     server: &'a RunningServer,
     address: SocketAddr,
     is_known: bool,
 }
 
-/// The settings of a router before `agents`, each at the address that the router is to use.
+/// Returns the settings of a router in front of `agents`, each at the address that the router
+/// connects to.
 fn router_settings(plan: &FleetPlan, listen: &str, agents: &[RouterServer<'_>]) -> String {
     let mut text = format!(
         "[router]\nlisten = {listen}\noperations = {ANY_PORT}\nfailure_domain = a\n\
--- a/crates/papayamux-testbed/src/http_reader.rs
+++ b/crates/papayamux-testbed/src/http_reader.rs
@@ -1,4 +1,4 @@
-//! Reading typed answers of the fleet's processes.
+//! Reads typed answers from the processes of a fleet.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
 
 use crate::process::TestbedError;
 
-/// Bytes of the longest answer that is read.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Sends a request and reads the bytes of its answer, which must be a success.
+/// Sends a request and reads the bytes of its answer. Fails if its status is not a success.
 pub async fn read_bytes(
     address: SocketAddr,
     method: Method,
@@ -32,7 +32,7 @@
     Ok(body)
 }
 
-/// Sends a request and reads its answer, which must be a success with JSON.
+/// Sends a request and decodes its answer as JSON. Fails if its status is not a success.
 pub async fn read_json<T: DeserializeOwned>(
     address: SocketAddr,
     method: Method,
--- a/crates/papayamux-testbed/src/lib.rs
+++ b/crates/papayamux-testbed/src/lib.rs
@@ -1,4 +1,6 @@
-//! Real processes for the demo, the tests and the measurements: started here, stopped on drop.
+//! Starts and controls real fleet processes for the demo, the tests and the measurements.
+//!
+//! Dropping a handle stops its processes.
 
 mod caller;
 mod chat_stream;
--- a/crates/papayamux-testbed/src/order_fleet.rs
+++ b/crates/papayamux-testbed/src/order_fleet.rs
@@ -1,4 +1,5 @@
-//! Engines with their agents and a weight store, for orders: no routers.
+//! A fleet for tests of engine orders: engines with their agents and a weight store, without
+//! routers.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -17,36 +18,37 @@
 
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// What a fleet of engines consists of.
+/// The composition of an [`OrderFleet`].
 #[derive(Debug, Clone, Builder)]
 pub struct OrderPlan {
-    /// Engines.
+    /// The number of engines.
     pub engines: usize,
-    /// Models that the engines have loaded at the start, parted by commas.
+    /// Models that the engines have loaded at the start, separated by commas.
     #[builder(default)]
     pub loaded: String,
-    /// Further arguments for each engine stand-in.
+    /// Additional arguments for each engine stand-in.
     #[builder(default)]
     pub engine_arguments: Vec<String>,
-    /// Loads a second that the weight store answers; no store where this is missing.
+    /// Maximum loads per second that the weight store serves. `None` starts no store.
     pub store_rate: Option<u64>,
 }
 
-/// Running engines, and the addresses that their agents are to have.
+/// Running engines and the addresses reserved for their agents. Dropping it stops the engines and
+/// the store.
 #[derive(Debug)]
 pub struct OrderFleet {
     /// The weight store, if the plan has one.
     pub store: Option<ProcessHandle>,
-    /// The engines.
+    /// The running engines.
     pub engines: Vec<ProcessHandle>,
-    /// Where the agent of each engine is to listen.
+    /// The address at which the agent of each engine is to listen.
     pub addresses: Vec<SocketAddr>,
     plan: OrderPlan,
     folder: TempDir,
 }
 
 impl OrderFleet {
-    /// Starts the store and the engines, and no agent yet.
+    /// Starts the store and the engines, but no agents.
     pub fn start(plan: OrderPlan) -> Result<Self, TestbedError> {
         let store = plan.store_rate.map(start_store).transpose()?;
         let addresses = (0..plan.engines).map(|_| reserve_address());
@@ -76,7 +78,7 @@
         ProcessHandle::start("papayamux-standins", &arguments)
     }
 
-    /// Kills an engine and starts an empty one at the same address.
+    /// Kills an engine and starts one without loaded models at the same address.
     pub fn replace_engine(&mut self, index: usize) -> Result<(), TestbedError> {
         self.engines[index].kill()?;
         let listen = self.engines[index].listen()?.to_string();
@@ -84,8 +86,8 @@
         Ok(())
     }
 
-    /// Gives the agents that are started from now on other addresses, so that they can stand
-    /// beside those that run.
+    /// Reserves new addresses for agents that are started later, so that they can run beside the
+    /// present ones.
     pub fn renew_addresses(&mut self) -> Result<(), TestbedError> {
         for address in &mut self.addresses {
             *address = reserve_address()?;
@@ -93,8 +95,9 @@
         Ok(())
     }
 
-    /// Starts an agent for an engine; `orders` are the lines of its section `[orders]`, and
-    /// `peer_models` what each of the other engines is declared to serve.
+    /// Starts an agent for an engine. `orders` are the lines of its `[orders]` section, and
+    /// `peer_models` the models that each engine is declared to serve, by engine index; the agent's
+    /// own entry is ignored.
     pub fn start_agent(
         &self,
         index: usize,
@@ -117,7 +120,7 @@
         ProcessHandle::start("papayamux-agent", &arguments)
     }
 
-    /// Gives an engine an order past its agent, as one that was long on its way.
+    /// Sends an order directly to an engine, like an order that was delayed in the network.
     pub async fn send_order(&self, index: usize, order: &EngineOrder) -> Result<(), TestbedError> {
         let body = Bytes::from(serde_json::to_vec(order)?);
         let address = self.engines[index].listen()?;
@@ -125,12 +128,12 @@
         Ok(())
     }
 
-    /// What an engine says of itself.
+    /// Reads the state that an engine reports.
     pub async fn engine_state(&self, index: usize) -> Result<EngineState, TestbedError> {
         read_json(self.engines[index].listen()?, Method::GET, STATE_PATH, Bytes::new()).await
     }
 
-    /// Waits until an engine's state is as wanted.
+    /// Waits until `is_wanted` accepts an engine's state, and returns it.
     pub async fn wait_state(
         &self,
         index: usize,
@@ -140,7 +143,7 @@
         wait_until(within, async || self.engine_state(index).await, is_wanted).await
     }
 
-    /// Waits until an engine has exactly these models loaded, as `NAME@VERSION`, and loads none.
+    /// Waits until [`has_models`] is true of an engine's state, and returns the state.
     pub async fn wait_models(
         &self,
         index: usize,
@@ -150,7 +153,7 @@
         self.wait_state(index, within, |state| has_models(state, models)).await
     }
 
-    /// What the weight store has counted.
+    /// Reads the counters of the weight store.
     pub async fn store_counters(&self) -> Result<StoreCounters, TestbedError> {
         let no_store = || TestbedError::NoPart("weight store".to_string());
         let address = self.store.as_ref().ok_or_else(no_store)?.listen()?;
@@ -158,13 +161,14 @@
     }
 }
 
-/// Whether an engine has exactly these models loaded, as `NAME@VERSION`, and loads none.
+/// Returns whether an engine has loaded exactly these models, given as `NAME@VERSION` in the order
+/// of the state, and is loading none.
 pub fn has_models(state: &EngineState, models: &[&str]) -> bool {
     let loaded = state.models.iter().map(|model| format!("{}@{}", model.name, model.version));
     state.loading.is_empty() && loaded.eq(models.iter().copied())
 }
 
-/// The name of the engine at a place of the fleet.
+/// Returns the name of the engine at an index of the fleet.
 fn server_name(index: usize) -> String {
     format!("engine-{index}")
 }
@@ -177,8 +181,9 @@
     ProcessHandle::start("papayamux-standins", &arguments)
 }
 
-/// An address that an agent can be given before it starts: free now, on a loopback address that
-/// only this process uses, so that nothing else takes the port in between.
+/// Returns an address that can be configured for an agent before it starts. The port is free, and
+/// its loopback address is used by this process only, so that nothing else takes the port in the
+/// meantime.
 fn reserve_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
--- a/crates/papayamux-testbed/src/outcome.rs
+++ b/crates/papayamux-testbed/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller learns of a request, whatever happens on the way.
+//! The outcome of a request from its caller's point of view.
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
@@ -7,21 +7,21 @@
 
 use crate::caller::{Caller, CallerAnswer, CallerError};
 
-/// What a caller knows of a request in the end.
+/// The outcome of a request, as far as its caller knows.
 #[derive(Debug)]
 pub enum CallerOutcome<A> {
-    /// The whole answer came.
+    /// The complete answer was received.
     Answered(A),
-    /// The router was not reached: the request never left the caller.
+    /// The router couldn't be reached, and no part of the request was sent.
     Unsent,
-    /// The router told a failure, with what became of the request.
+    /// The router reported a failure and the outcome of the request.
     Reported(FailureBody),
-    /// The connection broke off, or the answer makes no sense.
+    /// The connection failed, or the answer is invalid, truncated or ended by a failure event.
     Broken(CallerError),
 }
 
 impl<A> CallerOutcome<A> {
-    /// What the router told, where it told a failure.
+    /// Returns the outcome that the router reported, if it reported a failure.
     pub fn reported_outcome(&self) -> Option<FailureOutcome> {
         match self {
             CallerOutcome::Reported(failure) => Some(failure.outcome),
@@ -43,7 +43,7 @@
 }
 
 impl Caller {
-    /// Sends a call exactly once and gives what came of it.
+    /// Sends a call exactly once, without retries, and returns its outcome.
     pub async fn call_once(
         &self,
         method: Method,
@@ -54,7 +54,7 @@
         CallerOutcome::of(self.exchange_once(method, path, headers, body).await)
     }
 
-    /// Sends a chat exactly once and gives what came of it.
+    /// Sends a chat request exactly once, without retries, and returns its outcome.
     pub async fn chat_once(
         &self,
         request: &ChatRequest,
@@ -63,7 +63,7 @@
         CallerOutcome::of(self.stream_once(request, headers, CallerAnswer::default()).await)
     }
 
-    /// Goes on, at this caller's router, with an answer that came as far as `before`.
+    /// Resumes the partial answer `before` at this caller's router.
     pub async fn resume_once(
         &self,
         request: &ChatRequest,
--- a/crates/papayamux-testbed/src/process.rs
+++ b/crates/papayamux-testbed/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of the fleet, with its log.
+//! A process of the fleet and its log.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -13,84 +13,84 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// The environment variable that, when set, has all logs of the fleet printed.
+/// Environment variable that, if set, prints the logs of all processes to standard error.
 const SHOW_LOGS: &str = "PAPAYAMUX_SHOW_LOGS";
-/// How long a process may take to say that it has started.
+/// Maximum time until a process logs that it has started.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why a process of the fleet can't be used.
+/// An error of starting, controlling or querying a process of the fleet.
 #[derive(Debug, Error)]
 pub enum TestbedError {
-    /// The program could not be started.
+    /// The program couldn't be started.
     #[error("{program}: {source}")]
     Start {
-        /// The program.
+        /// The name of the program.
         program: String,
-        /// What failed.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The expected log line did not come.
-    #[error("{program}: no log line {message:?} within {within:?}; its log:\n{log}")]
+    /// The process didn't log the expected line in time.
+    #[error("{program}: no log line with {message:?} within {within:?}; log:\n{log}")]
     NoLine {
-        /// The program.
+        /// The name of the program.
         program: String,
-        /// The line that was waited for.
+        /// The expected part of the message.
         message: String,
-        /// How long it was waited for.
+        /// The timeout.
         within: Duration,
-        /// What it logged instead.
+        /// The log of the process up to the timeout.
         log: String,
     },
-    /// A log line lacks an address.
-    #[error("{program}: its start line has no address {field:?}")]
+    /// The start line of a process's log has no valid address in the expected field.
+    #[error("{program}: the start line of the log has no valid address in the field {field:?}")]
     NoAddress {
-        /// The program.
+        /// The name of the program.
         program: String,
-        /// The field that was expected.
+        /// The expected field.
         field: &'static str,
     },
-    /// A file or socket failed.
+    /// An operation on a file or socket failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A signal could not be sent.
-    #[error("signal: {0}")]
+    /// A signal couldn't be sent.
+    #[error("can't send the signal: {0}")]
     Signal(#[from] nix::Error),
-    /// A process could not be asked.
+    /// An HTTP request to a process failed.
     #[error(transparent)]
     Client(#[from] papayamux_transport::http::HttpClientError),
-    /// A request to a process could not be built.
+    /// A request to a process couldn't be built.
     #[error(transparent)]
     Request(#[from] http::Error),
-    /// A process answered with other JSON than expected.
+    /// JSON sent to or received from a process couldn't be encoded or decoded.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A process refused to answer.
+    /// A process answered with an error status.
     #[error("{path}: status {status}: {body}")]
     Status {
-        /// The path asked for.
+        /// The requested path.
         path: String,
-        /// The status.
+        /// The HTTP status of the answer.
         status: http::StatusCode,
-        /// The body.
+        /// The body of the answer.
         body: String,
     },
-    /// A state that was waited for did not come.
-    #[error("still {found} after {within:?}")]
+    /// The expected state wasn't reached in time.
+    #[error("state not reached within {within:?}; last state: {found}")]
     NotReached {
-        /// The state last seen.
+        /// The last observed state.
         found: String,
-        /// How long it was waited for.
+        /// The timeout.
         within: Duration,
     },
-    /// The fleet has no such link, router or server.
+    /// The fleet has no such part, for example a link, router or server.
     #[error("the fleet has no {0}")]
     NoPart(String),
-    /// The process did not end.
-    #[error("{program}: did not end within {within:?}")]
+    /// The process didn't exit in time.
+    #[error("{program}: did not exit within {within:?}")]
     NoExit {
-        /// The program.
+        /// The name of the program.
         program: String,
-        /// How long it was waited for.
+        /// The timeout.
         within: Duration,
     },
 }
@@ -101,7 +101,7 @@
     grown: Condvar,
 }
 
-/// A running process; dropping it kills it.
+/// A running process. Dropping the handle kills it.
 #[derive(Debug)]
 pub struct ProcessHandle {
     program: String,
@@ -111,8 +111,8 @@
     started: Instant,
 }
 
-/// The folder that holds the workspace's programs: that of the running program, or its parent
-/// for a test.
+/// Returns the folder of the workspace's programs: the folder of the running program, or its parent
+/// if that is a test.
 fn program_folder() -> std::io::Result<PathBuf> {
     let mut folder = std::env::current_exe()?;
     folder.pop();
@@ -145,7 +145,7 @@
         Ok(process)
     }
 
-    /// Waits until a log line's message contains `part`.
+    /// Waits for a log line whose message contains `part`, and returns the first one.
     pub fn wait_for_line(&self, part: &str, within: Duration) -> Result<Value, TestbedError> {
         let deadline = Instant::now() + within;
         let mut lines = self.log.lines.lock();
@@ -166,7 +166,7 @@
         }
     }
 
-    /// All log lines whose message contains `part`.
+    /// Returns all log lines whose message contains `part`.
     pub fn lines_with(&self, part: &str) -> Vec<Value> {
         let lines = self.log.lines.lock();
         let has_part =
@@ -174,17 +174,17 @@
         lines.iter().filter(has_part).cloned().collect()
     }
 
-    /// Where the process listens for peers.
+    /// Returns the address at which the process accepts peers.
     pub fn peers(&self) -> Result<SocketAddr, TestbedError> {
         self.address("peers")
     }
 
-    /// Where the process listens.
+    /// Returns the address at which the process serves its clients.
     pub fn listen(&self) -> Result<SocketAddr, TestbedError> {
         self.address("listen")
     }
 
-    /// Where the process answers operators.
+    /// Returns the address of the process's port for operators.
     pub fn operations(&self) -> Result<SocketAddr, TestbedError> {
         self.address("operations")
     }
@@ -196,54 +196,54 @@
             .ok_or_else(|| TestbedError::NoAddress { program: self.program.clone(), field })
     }
 
-    /// How long ago the process was started.
+    /// Returns the time since the process was started.
     pub fn age(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The process's id.
+    /// Returns the operating system's process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> Result<(), TestbedError> {
         Ok(kill(Pid::from_raw(self.child.id() as i32), signal)?)
     }
 
-    /// Stops the process where it stands (SIGSTOP), until [`Self::wake`].
+    /// Suspends the process (SIGSTOP) until [`Self::wake`].
     pub fn pause(&self) -> Result<(), TestbedError> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets a paused process go on (SIGCONT).
+    /// Resumes a suspended process (SIGCONT).
     pub fn wake(&self) -> Result<(), TestbedError> {
         self.signal(Signal::SIGCONT)
     }
 
-    /// Asks the process to end gracefully (SIGTERM).
+    /// Requests a graceful shutdown (SIGTERM).
     pub fn terminate(&self) -> Result<(), TestbedError> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// Asks the process to read its settings again (SIGHUP).
+    /// Requests a reload of the settings (SIGHUP).
     pub fn reload(&self) -> Result<(), TestbedError> {
         self.signal(Signal::SIGHUP)
     }
 
-    /// Ends the process at once (SIGKILL) and waits until it has gone.
+    /// Kills the process (SIGKILL) and waits until it has exited.
     pub fn kill(&mut self) -> Result<(), TestbedError> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// How the process ended, if it has.
+    /// Returns the exit status if the process has exited.
     pub fn try_exit(&mut self) -> Result<Option<ExitStatus>, TestbedError> {
         Ok(self.child.try_wait()?)
     }
 
-    /// Waits for the process to end.
+    /// Waits until the process has exited and returns its exit status.
     pub fn wait_exit(&mut self, within: Duration) -> Result<ExitStatus, TestbedError> {
         let deadline = Instant::now() + within;
         loop {
--- a/crates/papayamux-testbed/src/process_view.rs
+++ b/crates/papayamux-testbed/src/process_view.rs
@@ -1,4 +1,4 @@
-//! What a process shows its operators, as typed values.
+//! Typed views of the status and metrics that a process reports to operators.
 
 use std::time::Duration;
 
@@ -14,58 +14,58 @@
 /// The parts of a router's `/status` that tests read.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct RouterStatus {
-    /// The router's life.
+    /// The router's incarnation, which changes at each start.
     pub incarnation: String,
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send callers to this router.
     pub ready: bool,
-    /// Backend servers that the router knows.
+    /// The number of backend servers that the router knows.
     pub servers: u64,
-    /// Requests of callers since the start.
+    /// The number of callers' requests since the start.
     pub requests: u64,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: u64,
 }
 
 /// The parts of an agent's `/status` that tests read.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct AgentStatus {
-    /// The agent's life.
+    /// The agent's incarnation, which changes at each start.
     pub incarnation: String,
-    /// The backend server that it stands beside.
+    /// The name of the agent's backend server.
     pub server: String,
-    /// Whether it takes no new work.
+    /// Whether the agent is draining and takes no new work.
     pub leaving: bool,
-    /// Requests admitted and not finished.
+    /// The number of admitted requests that aren't finished.
     pub running: u64,
-    /// Connections of routers.
+    /// The number of connections from routers.
     pub router_links: u64,
-    /// Milliseconds until the agent grants keys to calls.
+    /// The time, in milliseconds, until the agent as a witness grants claims on keys.
     pub witness_ready_in_ms: u64,
-    /// Keys that the agent has granted and remembers.
+    /// The number of granted keys that the agent remembers.
     pub held_keys: u64,
-    /// How its orders stand, where it gives any.
+    /// The state of the agent's orders to its engine, if it sends any.
     #[serde(default)]
     pub orders: Option<OrderStatus>,
 }
 
-/// The parts of an agent's `/status` that tell how its orders stand.
+/// The parts of an agent's `/status` that describe its orders to the engine.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct OrderStatus {
-    /// Whether the engine is as its target says.
+    /// Whether the engine matches its declared target.
     pub as_declared: bool,
-    /// Whether a newer agent orders the engine.
+    /// Whether a newer agent has taken over the engine.
     pub superseded: bool,
-    /// What is waited for.
+    /// The conditions for which the agent waits.
     pub waits: Vec<String>,
 }
 
-/// One reading of `/metrics`.
+/// The text of `/metrics` at one time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MetricsReading(String);
 
 impl MetricsReading {
-    /// The sum of the samples called `name` whose labels include `label` (for instance
-    /// `reason="closed"`, or nothing for all); 0 where there are none.
+    /// Returns the sum of the samples with the name `name` and the text `label` in their labels,
+    /// for example `reason="closed"`. An empty `label` matches all. Returns 0 if no sample matches.
     pub fn sum(&self, name: &str, label: &str) -> f64 {
         let samples = self.0.lines().filter_map(|line| line.rsplit_once(' '));
         samples
@@ -76,18 +76,18 @@
 }
 
 impl ProcessHandle {
-    /// Reads the process's metrics.
+    /// Reads the metrics of the process.
     pub async fn metrics(&self) -> Result<MetricsReading, TestbedError> {
         let body = read_bytes(self.operations()?, Method::GET, "/metrics", Bytes::new()).await?;
         Ok(MetricsReading(String::from_utf8_lossy(&body).into_owned()))
     }
 
-    /// Reads the process's status, [`RouterStatus`] or [`AgentStatus`].
+    /// Reads the status of the process, for example as [`RouterStatus`] or [`AgentStatus`].
     pub async fn status<S: DeserializeOwned>(&self) -> Result<S, TestbedError> {
         read_json(self.operations()?, Method::GET, "/status", Bytes::new()).await
     }
 
-    /// Waits until [`MetricsReading::sum`] is at least `least`.
+    /// Waits until [`MetricsReading::sum`] for `name` and `label` is at least `least`.
     pub async fn wait_metric(
         &self,
         name: &str,
--- a/crates/papayamux-testbed/src/running_server.rs
+++ b/crates/papayamux-testbed/src/running_server.rs
@@ -1,4 +1,4 @@
-//! A backend server of the fleet with its agent, and what it has run.
+//! A backend server of a fleet with its agent, and the requests that it has run.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,66 +15,66 @@
 use crate::process::{ProcessHandle, TestbedError};
 use crate::waiting::wait_until;
 
-/// How long runs are waited for.
+/// Maximum wait in [`RunningServer::wait_runs`].
 const RUNS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A backend server with its agent.
+/// A running backend server with its agent.
 #[derive(Debug)]
 pub struct RunningServer {
-    /// The server's name.
+    /// The name of the server.
     pub name: String,
-    /// The stand-in.
+    /// The stand-in process of the server.
     pub standin: ProcessHandle,
-    /// The agent.
+    /// The agent process of the server.
     pub agent: ProcessHandle,
     pub(crate) link: Option<LinkControl>,
     pub(crate) is_engine: bool,
 }
 
 impl RunningServer {
-    /// The link between the agent and the server.
+    /// Returns the link between the agent and the server.
     pub fn link(&self) -> Result<&LinkControl, TestbedError> {
         let name = || format!("faulty link between {} and its agent", self.name);
         self.link.as_ref().ok_or_else(|| TestbedError::NoPart(name()))
     }
 
-    /// Where the agent reaches the server.
+    /// Returns the address at which the agent reaches the server.
     pub(crate) fn server_address(&self) -> Result<SocketAddr, TestbedError> {
         self.link.as_ref().map_or_else(|| self.standin.listen(), LinkControl::listen)
     }
 
-    /// What a plain service has run, as it counted itself.
+    /// Reads the runs that a plain service has counted.
     pub async fn service_runs(&self) -> Result<ServiceRuns, TestbedError> {
         read_json(self.standin.listen()?, Method::GET, RUNS_PATH, Bytes::new()).await
     }
 
-    /// How often an engine has started each request id, as it counted itself.
+    /// Reads how often an engine has started each request id, as counted by the engine.
     pub async fn engine_runs(&self) -> Result<HashMap<String, u64>, TestbedError> {
         read_json(self.standin.listen()?, Method::GET, RUNS_PATH, Bytes::new()).await
     }
 
-    /// How often a request with each tag was started, as the server counted itself.
+    /// Reads how often requests with each tag were started, as counted by the server.
     pub async fn tag_runs(&self) -> Result<HashMap<String, u64>, TestbedError> {
         read_json(self.standin.listen()?, Method::GET, TAG_RUNS_PATH, Bytes::new()).await
     }
 
-    /// All runs of a server, of whichever kind.
+    /// Reads the total number of runs, of an engine or a plain service.
     pub async fn all_runs(&self) -> Result<u64, TestbedError> {
         self.runs_reader()?.all_runs().await
     }
 
-    /// Reads the runs without borrowing the server.
+    /// Returns a reader of the runs that doesn't borrow the server.
     pub fn runs_reader(&self) -> Result<RunsReader, TestbedError> {
         Ok(RunsReader { address: self.standin.listen()?, is_engine: self.is_engine })
     }
 
-    /// Waits until the server has run at least `least` requests.
+    /// Waits until the server has counted at least `least` runs, and returns the number.
     pub async fn wait_runs(&self, least: u64) -> Result<u64, TestbedError> {
         wait_until(RUNS_TIMEOUT, async || self.all_runs().await, |runs| *runs >= least).await
     }
 }
 
-/// Reads how much a server has run.
+/// Reads the number of runs of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct RunsReader {
     address: SocketAddr,
@@ -82,7 +82,7 @@
 }
 
 impl RunsReader {
-    /// All runs of the server.
+    /// Reads the total number of runs.
     pub async fn all_runs(&self) -> Result<u64, TestbedError> {
         if self.is_engine {
             let runs: HashMap<String, u64> = self.read().await?;
--- a/crates/papayamux-testbed/src/spread_fleet.rs
+++ b/crates/papayamux-testbed/src/spread_fleet.rs
@@ -1,4 +1,4 @@
-//! Routers that spread the files of a configuration service stand-in.
+//! A fleet of routers that spread the files of a stand-in configuration service.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,73 +18,73 @@
 use crate::http_reader::{read_bytes, read_json};
 use crate::process::{ProcessHandle, TestbedError};
 
-/// How often the processes' state is looked at.
+/// Interval at which the status of the routers is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a fleet of routers that spread files consists of.
+/// The composition and settings of a [`SpreadFleet`].
 #[derive(Debug, Clone, Builder)]
 pub struct SpreadPlan {
-    /// Routers.
+    /// The number of routers.
     pub processes: usize,
-    /// Failure domains that they are in by turns.
+    /// The number of failure domains, to which routers are assigned round-robin.
     #[builder(default = 3)]
     pub domains: usize,
-    /// Processes that a new one is told of.
+    /// The number of running routers that are configured as peers of a new one.
     #[builder(default = 3)]
     pub seeds: usize,
-    /// Further lines for the `[spread]` section of each.
+    /// Additional lines for the `[spread]` section of each router.
     #[builder(default)]
     pub spread_lines: String,
-    /// Further lines for the `[router]` section of each.
+    /// Additional lines for the `[router]` section of each router.
     #[builder(default)]
     pub router_lines: String,
 }
 
-/// One router of the fleet.
+/// A router of a [`SpreadFleet`].
 #[derive(Debug)]
 pub struct SpreadProcess {
-    /// The process.
+    /// The running process.
     pub handle: ProcessHandle,
-    /// Where it listens for peers.
+    /// The address at which it accepts peers.
     pub peers: SocketAddr,
     index: usize,
 }
 
-/// What a router says of its configuration.
+/// The parts of a router's `/status` that describe its configuration.
 #[derive(Debug, Clone, Deserialize)]
 pub struct SpreadStatus {
-    /// Whether it has asked its peers.
+    /// Whether it has queried its peers since its start or its last pause.
     pub settled: bool,
-    /// The highest revision held.
+    /// The highest revision that it holds.
     pub revision: u64,
-    /// Digest of all versions held.
+    /// The digest of all file versions that it holds.
     pub digest: String,
-    /// Age of the reading that they reflect.
+    /// The age, in milliseconds, of the read of the service that these versions reflect.
     pub age_ms: Option<u64>,
-    /// Whether it watches the service.
+    /// Whether it is a watcher of the service.
     pub watching: bool,
-    /// Connections to peers.
+    /// The number of connections to peers.
     pub links: u64,
-    /// Bytes sent to peers.
+    /// The number of bytes sent to peers.
     pub sent_bytes: u64,
-    /// Bytes received from peers.
+    /// The number of bytes received from peers.
     pub received_bytes: u64,
-    /// Bytes read from the service.
+    /// The number of bytes read from the service.
     pub service_bytes: u64,
-    /// What is in force.
+    /// The configuration in force.
     pub in_force: InForceStatus,
 }
 
-/// What a router says of what is in force.
+/// The parts of a router's `/status` that describe its configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct InForceStatus {
-    /// The revision of the service that it was derived at.
+    /// The service's revision from which it was derived.
     pub revision: u64,
-    /// Digest of all that is in force.
+    /// The digest of the whole configuration in force.
     pub digest: String,
-    /// Models in force.
+    /// The number of models in force.
     pub models: u64,
-    /// Files whose newest revision is refused.
+    /// The number of files whose newest revision is refused.
     pub refused_files: u64,
 }
 
@@ -93,20 +93,21 @@
     configuration: SpreadStatus,
 }
 
-/// A running fleet; dropping it stops all of it.
+/// A running fleet of routers and a configuration service. Dropping it stops all of its processes.
 #[derive(Debug)]
 pub struct SpreadFleet {
-    /// The configuration service.
+    /// The stand-in configuration service.
     pub service: ProcessHandle,
-    /// The routers.
+    /// The running routers.
     pub processes: Vec<SpreadProcess>,
-    /// What the fleet consists of; processes started later follow its present state.
+    /// The plan of the fleet. Routers that are started later follow changes made to it.
     pub plan: SpreadPlan,
     folder: TempDir,
 }
 
 impl SpreadFleet {
-    /// Starts a service without files, and routers that each know some of those before them.
+    /// Starts a service without files, and the routers, of which each is given the first
+    /// [`SpreadPlan::seeds`] routers started before it as peers.
     pub fn start(plan: SpreadPlan) -> Result<Self, TestbedError> {
         let service = ProcessHandle::start("papayamux-standins", &["config-service".to_string()])?;
         let folder = TempDir::new()?;
@@ -117,7 +118,7 @@
         Ok(fleet)
     }
 
-    /// Starts one more router, which knows the first ones.
+    /// Starts another router with the first routers of the fleet as peers, and returns its index.
     pub fn add(&mut self) -> Result<usize, TestbedError> {
         let seeds: Vec<_> =
             self.processes.iter().take(self.plan.seeds).map(|process| process.peers).collect();
@@ -125,7 +126,7 @@
         self.add_with(service, &seeds)
     }
 
-    /// Starts one more router with the given service and seeds; gives its index.
+    /// Starts another router with the given service and seeds, and returns its index.
     pub fn add_with(
         &mut self,
         service: SocketAddr,
@@ -159,7 +160,7 @@
         Ok(SpreadProcess { handle, peers, index })
     }
 
-    /// Kills all routers and starts them again at the same time, at the same addresses.
+    /// Kills all routers, then starts all of them concurrently at their previous peer addresses.
     pub fn restart_all(&mut self) -> Result<(), TestbedError> {
         let before = std::mem::take(&mut self.processes);
         let places: Vec<_> = before.iter().map(|process| (process.index, process.peers)).collect();
@@ -181,7 +182,7 @@
         Ok(())
     }
 
-    /// Puts a file at the service.
+    /// Stores a file in the service and returns its revision.
     pub async fn put_file(&self, name: &str, text: &str) -> Result<u64, TestbedError> {
         let (address, path) = (self.service.listen()?, standin_file_path(name));
         let body = text.to_string().into();
@@ -189,25 +190,25 @@
         Ok(file.revision)
     }
 
-    /// Brings faults about at the service.
+    /// Replaces the faults that the service simulates.
     pub async fn set_faults(&self, faults: ConfigFaults) -> Result<(), TestbedError> {
         let body = serde_json::to_vec(&faults)?;
         read_bytes(self.service.listen()?, Method::PUT, FAULTS_PATH, body.into()).await?;
         Ok(())
     }
 
-    /// The service's counters.
+    /// Reads the call counters of the service.
     pub async fn counters(&self) -> Result<CallCounters, TestbedError> {
         read_json(self.service.listen()?, Method::GET, COUNTERS_PATH, Bytes::new()).await
     }
 
-    /// What one router says of its configuration.
+    /// Reads the configuration status of one router.
     pub async fn status(&self, index: usize) -> Result<SpreadStatus, TestbedError> {
         let status: ConfigurationStatus = self.processes[index].handle.status().await?;
         Ok(status.configuration)
     }
 
-    /// What all routers say of their configuration.
+    /// Reads the configuration status of all routers.
     pub async fn statuses(&self) -> Result<Vec<SpreadStatus>, TestbedError> {
         let mut statuses = Vec::new();
         for index in 0..self.processes.len() {
@@ -216,8 +217,8 @@
         Ok(statuses)
     }
 
-    /// Waits until all routers hold the same, up to `revision`, and are settled; `None` when that
-    /// takes longer than `within`.
+    /// Waits until all routers are settled, hold equal versions and have `revision` held and in
+    /// force. Returns `None` if that takes longer than `within`.
     pub async fn wait_equal(
         &self,
         revision: u64,
@@ -243,8 +244,8 @@
     }
 }
 
-/// A loopback address of a process's own, with a port that the kernel picks: no other process can
-/// take that port while this one is started again.
+/// Returns a loopback address that only this router uses, with a port that the kernel selects. No
+/// other process can take that port while the router restarts.
 fn own_address(index: usize) -> SocketAddr {
     let [.., high, low] = (index as u32 + 1).to_be_bytes();
     SocketAddr::from(([127, 1, high, low], 0))
@@ -253,7 +254,7 @@
 fn join_start(
     thread: std::thread::ScopedJoinHandle<'_, Result<SpreadProcess, TestbedError>>,
 ) -> Result<SpreadProcess, TestbedError> {
-    let broken = || std::io::Error::other("the thread that starts a process ended early");
+    let broken = || std::io::Error::other("the thread that starts a process panicked");
     thread.join().unwrap_or_else(|_| Err(broken().into()))
 }
 
--- a/crates/papayamux-testbed/src/usage.rs
+++ b/crates/papayamux-testbed/src/usage.rs
@@ -1,4 +1,4 @@
-//! What a process has used of the machine, read from `/proc`.
+//! The processor time and memory that a process has used, read from `/proc`.
 
 use std::io::{Error, ErrorKind};
 use std::time::Duration;
@@ -7,29 +7,29 @@
 
 use crate::process::{ProcessHandle, TestbedError};
 
-/// Bytes of one page of memory.
+/// Size of a memory page, the unit of `statm`.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The line of a process's status that holds the most resident memory, in kilobytes.
+/// Line of `/proc/PID/status` with the peak resident memory, in units of [`PEAK_UNIT`].
 const PEAK_LINE: &str = "VmHWM:";
-/// Bytes of one of them.
+/// Bytes of a kilobyte in `/proc/PID/status`.
 const PEAK_UNIT: u64 = 1_024;
 
-/// Processor time and memory of a process.
+/// The processor time and memory of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProcessUsage {
-    /// Time on a core since the start, over all threads.
+    /// The processor time of all present threads since the start.
     pub cpu: Duration,
-    /// Resident memory.
+    /// The resident memory.
     pub resident: ByteCount,
-    /// The part of it that is mapped from files: the program and its libraries.
+    /// The part of the resident memory that is mapped from files: the program and its libraries.
     pub mapped: ByteCount,
-    /// The most resident memory so far.
+    /// The peak of the resident memory since the start.
     pub peak: ByteCount,
 }
 
 impl ProcessHandle {
-    /// What the process has used so far.
+    /// Reads what the process has used so far.
     pub fn usage(&self) -> Result<ProcessUsage, TestbedError> {
         let folder = format!("/proc/{}", self.id());
         let mut nanos = 0;
@@ -42,13 +42,16 @@
         let mapped = ByteCount::new(number_in(&memory, 2) * PAGE_BYTES);
         let status = std::fs::read_to_string(format!("{folder}/status"))?;
         let peak = status.lines().find(|line| line.starts_with(PEAK_LINE));
-        let peak = peak.ok_or_else(|| Error::new(ErrorKind::InvalidData, "no line VmHWM"))?;
+        let peak = peak.ok_or_else(|| {
+            Error::new(ErrorKind::InvalidData, "the status of the process has no line VmHWM")
+        })?;
         let peak = ByteCount::new(number_in(peak, 1) * PEAK_UNIT);
         Ok(ProcessUsage { cpu: Duration::from_nanos(nanos), resident, mapped, peak })
     }
 }
 
-/// The number in field `index` of a line of numbers.
+/// Returns the number in the field `index` of a line that is separated by spaces, or 0 if the field
+/// isn't a number.
 fn number_in(line: &str, index: usize) -> u64 {
     line.split_whitespace().nth(index).and_then(|text| text.parse().ok()).unwrap_or_default()
 }
--- a/crates/papayamux-testbed/src/waiting.rs
+++ b/crates/papayamux-testbed/src/waiting.rs
@@ -1,14 +1,15 @@
-//! Waiting for a state of the fleet that is read again and again.
+//! Polling for a state of the fleet.
 
 use std::fmt::Debug;
 use std::time::{Duration, Instant};
 
 use crate::process::TestbedError;
 
-/// How often the state is read.
+/// Pause between two reads of the state.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Reads a state until it is as wanted, and gives it; fails after `within`.
+/// Polls a state until `is_wanted` accepts it, and returns it. Fails with
+/// [`TestbedError::NotReached`] after `within`.
 pub async fn wait_until<T: Debug>(
     within: Duration,
     mut read: impl AsyncFnMut() -> Result<T, TestbedError>,
--- a/crates/papayamux-testbed/tests/at_most_once.rs
+++ b/crates/papayamux-testbed/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Calls with an idempotency key through routers that know different servers: each key runs at
-//! most once, and a repeat gets the first answer or a failure that says what is known.
+//! Calls with an idempotency key through routers that know different servers. Each key runs at most
+//! once, and a retry gets the first answer or a failure that reports what is known of the first
+//! run.
 
 use std::error::Error;
 use std::time::Duration;
@@ -15,15 +16,15 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// Places in the fleet. Router 0 knows the engine and the first service, router 1 the engine and
-/// the second; the agents of all three are the witnesses of every key.
+/// Indexes of the servers in the fleet. Router 0 knows the engine and the first service, router 1
+/// the engine and the second service. The agents of all three are the witnesses of every key.
 const ENGINE: usize = 0;
 const FIRST_SERVICE: usize = 1;
 const SECOND_SERVICE: usize = 2;
 const TIMEOUT: Duration = Duration::from_secs(30);
 const CALL_MS: &str = "200";
 
-/// Two routers with different lists.
+/// Returns a plan with two routers that know different servers.
 fn plan() -> FleetPlan {
     FleetPlan::builder()
         .engines(1)
@@ -56,7 +57,7 @@
     Booking::of(book(caller(fleet, router)?, key, "{\"coach\":1}").await)
 }
 
-/// What a caller learned of a booking.
+/// The result of a booking that was sent and got a valid answer.
 #[derive(Debug)]
 enum Booking {
     Answered(Bytes),
@@ -119,7 +120,7 @@
             assert!(answers.windows(2).all(|pair| pair[0] == pair[1]), "{answers:?}");
             assert_eq!(runs_of(fleet, &key).await?, u64::from(!answers.is_empty()));
         }
-        println!("{answered} of 40 twins were answered");
+        println!("{answered} of 40 concurrent calls were answered");
         assert!(answered >= 20);
         Ok(())
     })
--- a/crates/papayamux-testbed/tests/configuration_spread.rs
+++ b/crates/papayamux-testbed/tests/configuration_spread.rs
@@ -1,4 +1,5 @@
-//! Files of the configuration service in real routers: in force everywhere, never older.
+//! Routers spread the files of the configuration service: each change comes into force at all
+//! routers, and no router returns to an older revision.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -11,10 +12,10 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// A bound for what awaits an event; far above what it takes.
+/// Maximum wait for an event, far above the time that it needs.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A pause that the timer service notices.
+/// Duration of a pause of the process that the timer service detects.
 const PAUSE: Duration = Duration::from_secs(1);
 
 fn team_file(team: &str, version: u64) -> String {
@@ -86,7 +87,10 @@
         assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let newcomer = &fleet.processes[newcomer].handle;
         let settled = newcomer.wait_for_line("configuration settled", TIMEOUT)?;
-        assert_eq!(settled["revision"], revision, "it served with less than its peers held");
+        assert_eq!(
+            settled["revision"], revision,
+            "the router settled on an older revision than its peers hold"
+        );
         fleet.set_faults(ConfigFaults::default()).await?;
         let revision = fleet.put_file("caverns", &team_file("caverns", 3)).await?;
         assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
--- a/crates/papayamux-testbed/tests/declared_servers.rs
+++ b/crates/papayamux-testbed/tests/declared_servers.rs
@@ -1,4 +1,4 @@
-//! Routers use the servers that are declared, and none that is leaving.
+//! Routers use the declared servers, except those that are draining.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-/// Declares the engines of a fleet.
+/// Returns a file that declares the engines of a fleet.
 fn declaration(fleet: &Fleet) -> Result<String, TestbedError> {
     let mut text =
         format!("[team]\nname = caverns\n\n[model {FLEET_MODEL}]\nversion = 1\nweights = w\n");
--- a/crates/papayamux-testbed/tests/ending_requests.rs
+++ b/crates/papayamux-testbed/tests/ending_requests.rs
@@ -1,7 +1,8 @@
-//! A chat ended each engine that began to run it, and came back through any router. Nothing outlived its
-//! call, so that each call went from engine to engine for as long as the retry budget let it: all nine ended.
-//! Where it had gone over a kept connection, the agent's log said `"message":"server unreachable"` with
-//! `Connection refused`, as if the engine had ended before.
+//! Guards against a chat that crashes every engine on which it runs and is retried through any
+//! router. Without a record of crashes that outlives the call, each call crashed one engine after
+//! the other until the retry budget was used up: all nine crashed. After a crash under a request on
+//! a reused connection, the agent logged `"message":"server unreachable"` with `Connection
+//! refused`, as if the engine had crashed before the request.
 
 use std::error::Error;
 use std::time::Duration;
@@ -12,15 +13,15 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// What engines end on.
+/// Text of a prompt at which the stand-in engines crash.
 const CRASH_TEXT: &str = "ends every engine";
-/// Engines.
+/// Number of engines in the fleet.
 const ENGINE_COUNT: usize = 9;
-/// Time after the third engine has ended in which routers may still learn of it.
+/// Time after the third crash in which routers may still be notified of it.
 const CRASH_NOTICE_DELAY: Duration = Duration::from_secs(3);
-/// Engines that may end: three, and three that get the chat after that.
+/// Maximum number of crashed engines: three, and three that receive the chat after the third crash.
 const MAX_CRASHED_ENGINES: usize = 6;
-/// How often the chat comes back.
+/// Number of times that the chat is sent.
 const REPETITIONS: usize = 8;
 
 fn chat(text: &str) -> ChatRequest {
@@ -45,7 +46,7 @@
         let callers =
             fleet.routers.iter().map(|router| Ok(Caller::new(router.listen()?, "yanchang-desk")));
         let callers = callers.collect::<Result<Vec<_>, Box<dyn Error>>>()?;
-        // Routers connect to agents by other chats first, as in any fleet with traffic.
+        // Other chats make the routers connect to the agents first, as in a fleet with traffic.
         for number in 0..40 {
             for caller in &callers {
                 caller.chat(&chat(&format!("harmless {number}"))).await?;
@@ -54,7 +55,7 @@
         for repetition in 0..REPETITIONS {
             let caller = &callers[repetition % callers.len()];
             let answer = caller.chat(&chat(CRASH_TEXT)).await;
-            assert!(answer.is_err(), "no engine can answer it");
+            assert!(answer.is_err(), "a chat that crashes every engine was answered");
             if repetition == 1 {
                 monoio::time::sleep(CRASH_NOTICE_DELAY).await;
             }
--- a/crates/papayamux-testbed/tests/graceful_shutdown.rs
+++ b/crates/papayamux-testbed/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A shutdown cuts nothing off, and a server that leaves gets no new work.
+//! A graceful shutdown truncates no stream, and a draining server gets no new work.
 
 use std::error::Error;
 use std::io::Read;
--- a/crates/papayamux-testbed/tests/hostile_input.rs
+++ b/crates/papayamux-testbed/tests/hostile_input.rs
@@ -1,4 +1,5 @@
-//! Broken and hostile input on every port: a clear error, and the process serves on.
+//! Malformed and hostile input on every port gets a clear error, and the process continues to
+//! serve.
 
 use std::error::Error;
 use std::io::{Read, Write};
@@ -12,14 +13,14 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// How long a port may take to answer before the test fails.
+/// Maximum time until a port answers.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sends bytes and reads until the other side closes or has sent `enough` bytes.
+/// Sends bytes and reads until the peer closes the connection or has sent at least `enough` bytes.
 fn exchange(address: SocketAddr, bytes: &[u8], enough: usize) -> std::io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-    // The other side may answer and close before it has read all: that is an answer too.
+    // A write error is ignored: the peer may answer and close before it has read everything.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let mut buffer = [0; 4_096];
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -1,4 +1,5 @@
-//! What callers are told, and what really ran, when links between routers and agents fail.
+//! The outcomes that callers receive and the runs that servers count when links between routers and
+//! agents, or agents and servers, fail.
 
 use std::error::Error;
 use std::time::Duration;
@@ -52,7 +53,7 @@
     Ok(Caller::new(fleet.routers[0].listen()?, "yanchang-desk"))
 }
 
-/// The place in the fleet of the server that gave an answer.
+/// Returns the index in the fleet of the server that generated an answer.
 fn place_of(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
     let place = fleet.servers.iter().position(|server| server.name == answer.server);
     place.ok_or_else(|| format!("no server is called {:?}", answer.server).into())
@@ -65,7 +66,7 @@
     }
 }
 
-/// Starts a call that may run at most once, on a task of its own.
+/// Starts a call that may run at most once, in a new task.
 fn start_booking(caller: &Caller) -> monoio::task::JoinHandle<CallerOutcome<Bytes>> {
     let caller = caller.clone();
     let body = Bytes::from_static(b"{\"ticket\":7}");
@@ -74,7 +75,7 @@
 
 #[test]
 fn a_chat_whose_link_is_cut_before_its_answer_is_whole_from_another_server() -> TestResult {
-    // The product's own policy would see that the home is silent, and ask elsewhere at once.
+    // The default policy would detect that the home is silent and immediately use another server.
     let plan = FleetPlan::builder().routers(1).engines(2).services(0).faulty_links(true);
     let plan = plan.router_lines("policy = consistent-hash".to_string()).build();
     with_fleet(plan, async |fleet| {
@@ -120,14 +121,18 @@
     with_fleet(one_service(), async |fleet| {
         let caller = caller_of(fleet)?;
         let link = fleet.link(0, 0)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         link.hold_ways(FaultyWays::ToClient).await?;
         let booking = start_booking(&caller);
         fleet.servers[0].wait_runs(2).await?;
         link.cut().await?;
         assert_eq!(failure_of(booking.await)?.outcome, FailureOutcome::Unknown);
         link.heal().await?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("healed") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer after the link was healed")
+        };
         assert_eq!(fleet.servers[0].all_runs().await?, 3);
         Ok(())
     })
@@ -139,13 +144,17 @@
     let plan = plan.router_lines("start_within = 2s".to_string()).build();
     with_fleet(plan, async |fleet| {
         let caller = caller_of(fleet)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         let link = fleet.link(0, 0)?;
         link.hold_ways(FaultyWays::ToTarget).await?;
         let reported_outcome = failure_of(start_booking(&caller).await)?.outcome;
         assert_eq!(reported_outcome, FailureOutcome::Unknown);
         link.heal().await?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("healed") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer after the link was healed")
+        };
         assert_eq!(fleet.servers[0].all_runs().await?, 2);
         Ok(())
     })
@@ -176,7 +185,9 @@
         fleet.servers[0].wait_runs(1).await?;
         let at_capacity = failure_of(start_booking(&caller).await)?;
         assert_eq!(at_capacity.reason.as_deref(), Some(RefusalReason::AtCapacity.label()));
-        let CallerOutcome::Answered(_) = first.await else { panic!("the first was answered") };
+        let CallerOutcome::Answered(_) = first.await else {
+            panic!("the first call was not answered")
+        };
         let link = fleet.link(0, 0)?;
         link.refuse().await?;
         link.cut().await?;
@@ -236,7 +247,9 @@
 fn a_booking_under_way_to_an_agent_that_ends_is_refused_and_not_lost() -> TestResult {
     with_fleet(one_service(), async |fleet| {
         let caller = caller_of(fleet)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         let link = fleet.link(0, 0)?;
         link.hold_ways(FaultyWays::ToTarget).await?;
         let booking = start_booking(&caller);
@@ -264,12 +277,15 @@
         assert_eq!(notice, RefusalReason::WrongIncarnation);
         assert_eq!(fleet.servers[0].all_runs().await?, 0);
         let caller = caller_of(fleet)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         Ok(())
     })
 }
 
-/// Offers a booking, as a router would, to the agent's life `agent`; gives why it was refused.
+/// Sends a booking like a router to the incarnation `agent` of an agent, and returns the reason of
+/// its refusal.
 async fn offer_to(
     address: std::net::SocketAddr,
     agent: Incarnation,
--- a/crates/papayamux-testbed/tests/logs.rs
+++ b/crates/papayamux-testbed/tests/logs.rs
@@ -1,4 +1,4 @@
-//! What the logs of the daemons hold, and what they never hold.
+//! The daemons log failed requests by code, and never prompts or secrets.
 
 use std::error::Error;
 use std::time::Duration;
--- a/crates/papayamux-testbed/tests/orders.rs
+++ b/crates/papayamux-testbed/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Agents bring their engines to what is declared, whatever happens to either.
+//! Agents bring their engines to the declared state, also after restarts, pauses and failed loads.
 
 use std::error::Error;
 use std::time::Duration;
@@ -68,7 +68,7 @@
         old.wake()?;
         wait_orders(&old, |orders| orders.superseded).await?;
         let orders = old.metrics().await?.sum("papayamux_agent_orders_total", "");
-        assert_eq!(orders, old_orders, "the predecessor ordered after it woke");
+        assert_eq!(orders, old_orders, "the predecessor sent an order after it was resumed");
         wait_orders(&new, |orders| orders.as_declared && !orders.superseded).await?;
         fleet.wait_models(0, &wanted, TIMEOUT).await?;
         Ok(())
@@ -194,7 +194,10 @@
             wait_orders(agent, |orders| orders.as_declared).await?;
             let given = agent.metrics().await?;
             let given = given.sum("papayamux_agent_serving_asked_total", "reason=\"serves\"");
-            assert!(given >= 1.0, "a version changed without evidence");
+            assert!(
+                given >= 1.0,
+                "a version changed before another server was confirmed to serve the model"
+            );
         }
         Ok(())
     })
--- a/crates/papayamux-testbed/tests/peer_proofs.rs
+++ b/crates/papayamux-testbed/tests/peer_proofs.rs
@@ -1,5 +1,4 @@
-//! Only those who know the fleet's secret may give work or take it, and only from addresses that
-//! are allowed.
+//! Routers and agents accept only peers that know the fleet's secret and have allowed addresses.
 
 use std::error::Error;
 
@@ -25,8 +24,8 @@
     Caller::new(address, "desk").chat(&chat_request(FLEET_MODEL, messages, 3)).await.map(drop)
 }
 
-/// Runs a chat in a fleet; gives whether it was answered, and what router and agent counted under
-/// the two names and reasons.
+/// Runs a chat in a fleet. Returns whether it was answered, and the sums of the given metric and
+/// label at the router and at the agent.
 fn try_chat(
     plan: FleetPlan,
     router: (&str, &str),
--- a/crates/papayamux-testbed/tests/platform_rules.rs
+++ b/crates/papayamux-testbed/tests/platform_rules.rs
@@ -1,4 +1,4 @@
-//! What the users' platform forbids: io_uring, child processes.
+//! The daemons use no io_uring and start no child processes, which the users' platform forbids.
 
 use std::error::Error;
 
--- a/crates/papayamux-testbed/tests/routing.rs
+++ b/crates/papayamux-testbed/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where chats go.
+//! The servers to which routers send chats and calls.
 
 use std::error::Error;
 use std::time::Duration;
--- a/crates/papayamux-testbed/tests/streams_go_on.rs
+++ b/crates/papayamux-testbed/tests/streams_go_on.rs
@@ -1,4 +1,5 @@
-//! Answers stay whole when connections are cut or go silent, and go on through another router.
+//! Streams stay complete when connections are closed or become silent, and can be resumed through
+//! another router.
 
 use std::error::Error;
 use std::time::Duration;
@@ -19,7 +20,7 @@
 
 const ORGANISATION: &str = "yanchang-desk";
 const TOKENS: u32 = 300;
-/// Events after which a test brings its fault about.
+/// Number of events that are read before each fault.
 const BEFORE_FAULT: usize = 40;
 const TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -36,7 +37,7 @@
     FleetPlan::builder().engines(1).services(1).faulty_links(true).build()
 }
 
-/// A fleet whose engine needs many seconds for an answer.
+/// Returns a plan whose engine needs many seconds for an answer.
 fn slow_plan() -> FleetPlan {
     let plan = FleetPlan::builder().engines(1).services(0).routers(1).faulty_links(true);
     plan.engine_arguments(["--step-us", "50000"].map(str::to_string).into()).build()
@@ -159,7 +160,8 @@
     })
 }
 
-/// The stream has to end with an event that tells `outcome`, and then to be cut.
+/// Asserts that the stream ends with a failure event that reports `outcome`, and that the
+/// connection is then aborted.
 async fn assert_error_event(mut stream: ChatStream, outcome: FailureOutcome) -> TestResult {
     let mut last = None;
     let end = loop {
@@ -177,7 +179,8 @@
     Ok(())
 }
 
-/// A fleet whose agents ask a silent server soon, with these arguments for engine and service.
+/// Returns a plan whose agents query a silent server soon, with the given arguments for the engine
+/// and the service.
 fn short_progress_plan(engine: &[&str], service: &[&str]) -> FleetPlan {
     let owned = |arguments: &[&str]| arguments.iter().map(|text| text.to_string()).collect();
     let plan = FleetPlan::builder().engines(1).services(1).routers(1).faulty_links(true);
--- a/crates/papayamux-testbed/tests/whole_path.rs
+++ b/crates/papayamux-testbed/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A chat and a plain call from a caller through router and agent to a server and back.
+//! Chats and plain calls pass from a caller through router and agent to a server and back.
 
 use std::error::Error;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use papayamux_testbed::{chat_request, Caller, Fleet, FleetPlan, FLEET_MODEL};
 use papayamux_transport::runtime;
 
-/// Tokens of an answer that fits into no window and no socket buffers on the way.
+/// Number of tokens of an answer that exceeds all windows and socket buffers on its path.
 const TOKENS_BEYOND_BUFFERS: u32 = 100_000;
-/// The token counts and the event that ends a stream.
+/// Number of events after the text: the token counts and the end of the stream.
 const EVENTS_AT_THE_END: usize = 2;
 
 type TestResult = Result<(), Box<dyn Error>>;
