--- a/crates/papayamux-testbed/src/spread_fleet.rs
+++ b/crates/papayamux-testbed/src/spread_fleet.rs
@@ -133,7 +133,7 @@
         seeds: &[SocketAddr],
     ) -> Result<usize, TestbedError> {
         let index = self.processes.len();
-        let process = self.start_process(index, own_address(index), service, seeds)?;
+        let process = self.start_process(index, loopback_address(index), service, seeds)?;
         self.processes.push(process);
         Ok(index)
     }
@@ -246,7 +246,7 @@
 
 /// Returns a loopback address that only this router uses, with a port that the kernel selects. No
 /// other process can take that port while the router restarts.
-fn own_address(index: usize) -> SocketAddr {
+fn loopback_address(index: usize) -> SocketAddr {
     let [.., high, low] = (index as u32 + 1).to_be_bytes();
     SocketAddr::from(([127, 1, high, low], 0))
 }
--- a/crates/papayamux-testbed/tests/at_most_once.rs
+++ b/crates/papayamux-testbed/tests/at_most_once.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_repeat_gets_the_first_answer_and_another_call_is_refused() -> TestResult {
+fn a_retry_gets_the_first_answer_and_another_call_is_refused() -> TestResult {
     with_fleet(async |fleet| {
         let first = book_at(fleet, 0, "repeat").await?.answer()?;
         for router in [1, 0, 1] {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_leaves_its_answer_for_a_repeat() -> TestResult {
+fn a_disconnected_caller_leaves_its_answer_for_a_retry() -> TestResult {
     with_fleet(async |fleet| {
         let caller = caller(fleet, 0)?;
         let gone = std::pin::pin!(book(caller, "gone", "{\"coach\":1}"));
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn an_agent_woken_past_the_deadline_does_not_run_the_call() -> TestResult {
+fn an_agent_resumed_after_the_deadline_does_not_run_the_call() -> TestResult {
     with_fleet(async |fleet| {
         let agent = &fleet.servers[FIRST_SERVICE].agent;
         book_at(fleet, 0, "before").await?.answer()?;
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn witnesses_without_memory_let_no_key_run_again() -> TestResult {
+fn restarted_witnesses_let_no_key_run_again() -> TestResult {
     with_fleet(async |fleet| {
         let first = book_at(fleet, 0, "kept").await?.answer()?;
         let granted = "papayamux_agent_claims_granted_total";
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -54,7 +54,7 @@
 }
 
 /// Returns the index in the fleet of the server that generated an answer.
-fn place_of(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
+fn server_index(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
     let place = fleet.servers.iter().position(|server| server.name == answer.server);
     place.ok_or_else(|| format!("no server is called {:?}", answer.server).into())
 }
@@ -81,7 +81,7 @@
     with_fleet(plan, async |fleet| {
         let caller = caller_of(fleet)?;
         let (chat, expected) = long_chat();
-        let home = place_of(fleet, &caller.chat(&chat).await?)?;
+        let home = server_index(fleet, &caller.chat(&chat).await?)?;
         let link = fleet.link(0, home)?;
         link.hold_ways(FaultyWays::ToClient).await?;
         let (second, again) = (caller.clone(), chat.clone());
@@ -90,7 +90,7 @@
         link.cut().await?;
         let answer = second.await?;
         assert_eq!(answer.text, expected);
-        assert_ne!(place_of(fleet, &answer)?, home);
+        assert_ne!(server_index(fleet, &answer)?, home);
         let metrics = fleet.routers[0].metrics().await?;
         assert_eq!(
             metrics.sum("papayamux_router_retries_total", "reason=\"connection_lost\""),
@@ -105,13 +105,16 @@
     with_fleet(two_engines(), async |fleet| {
         let caller = caller_of(fleet)?;
         let (chat, expected) = long_chat();
-        let home = place_of(fleet, &caller.chat(&chat).await?)?;
+        let home = server_index(fleet, &caller.chat(&chat).await?)?;
         fleet.link(0, home)?.silence().await?;
         assert_eq!(caller.chat(&chat).await?.text, expected);
         let lost = "papayamux_router_lost_links_total";
         fleet.routers[0].wait_metric(lost, "reason=\"silent\"", 1.0, TIMEOUT).await?;
         let answer = caller.chat(&chat).await?;
-        assert_eq!((answer.text.as_str(), place_of(fleet, &answer)?), (expected.as_str(), home));
+        assert_eq!(
+            (answer.text.as_str(), server_index(fleet, &answer)?),
+            (expected.as_str(), home)
+        );
         Ok(())
     })
 }
@@ -139,7 +142,7 @@
 }
 
 #[test]
-fn a_booking_let_go_after_its_deadline_never_runs() -> TestResult {
+fn a_booking_released_after_its_deadline_never_runs() -> TestResult {
     let plan = FleetPlan::builder().routers(1).engines(0).services(1).faulty_links(true);
     let plan = plan.router_lines("start_within = 2s".to_string()).build();
     with_fleet(plan, async |fleet| {
@@ -166,8 +169,8 @@
     with_fleet(plan, async |fleet| {
         let server = &fleet.servers[0];
         let status: AgentStatus = server.agent.status().await?;
-        let life = status.incarnation.parse()?;
-        let reason = offer_to(server.agent.listen()?, life, AgentClock(0)).await?;
+        let agent_incarnation = status.incarnation.parse()?;
+        let reason = offer_to(server.agent.listen()?, agent_incarnation, AgentClock(0)).await?;
         assert_eq!(reason, RefusalReason::DeadlinePassed);
         assert_eq!(server.all_runs().await?, 0);
         Ok(())
@@ -210,7 +213,7 @@
     with_fleet(two_engines(), async |fleet| {
         let caller = caller_of(fleet)?;
         let (chat, _) = long_chat();
-        let home = place_of(fleet, &caller.chat(&chat).await?)?;
+        let home = server_index(fleet, &caller.chat(&chat).await?)?;
         fleet.servers[1 - home].agent.kill()?;
         let link = fleet.link(0, home)?;
         link.hold_ways(FaultyWays::ToClient).await?;
--- a/crates/papayamux-testbed/tests/routing.rs
+++ b/crates/papayamux-testbed/tests/routing.rs
@@ -37,7 +37,7 @@
     expected_answer(FLEET_MODEL, &render_prompt(&request.messages), request.max_tokens)
 }
 
-fn place_of(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
+fn server_index(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
     let place = fleet.servers.iter().position(|server| server.name == answer.server);
     place.ok_or_else(|| format!("no server is called {:?}", answer.server).into())
 }
@@ -86,7 +86,7 @@
         };
         let second = caller.chat(&long_chat()).await?;
         assert_eq!(second.text, expected(&long_chat()));
-        assert_eq!(place_of(fleet, &second)?, 1 - home);
+        assert_eq!(server_index(fleet, &second)?, 1 - home);
         let first = first.await?;
         assert_eq!((first.text, first.server), (expected(&slow), fleet.servers[home].name.clone()));
         Ok(())
@@ -98,11 +98,11 @@
     let plan = FleetPlan::builder().routers(1).engines(2).services(0).faulty_links(true).build();
     with_fleet(plan, async |fleet| {
         let caller = Caller::new(fleet.routers[0].listen()?, "yanchang-desk");
-        let home = place_of(fleet, &caller.chat(&long_chat()).await?)?;
+        let home = server_index(fleet, &caller.chat(&long_chat()).await?)?;
         fleet.link(0, home)?.hold_ways(FaultyWays::ToClient).await?;
         let answer = caller.chat(&long_chat()).await?;
         assert_eq!(
-            (answer.text.as_str(), place_of(fleet, &answer)?),
+            (answer.text.as_str(), server_index(fleet, &answer)?),
             (expected(&long_chat()).as_str(), 1 - home)
         );
         let silent = "papayamux_router_probes_total";
