--- a/crates/papayamux-testbed/tests/at_most_once.rs
+++ b/crates/papayamux-testbed/tests/at_most_once.rs
@@ -57,7 +57,7 @@
     Booking::of(book(caller(fleet, router)?, key, "{\"coach\":1}").await)
 }
 
-/// The result of a booking that was sent and got a valid answer.
+/// The result of a booking: an answer, or a failure that the router reported.
 #[derive(Debug)]
 enum Booking {
     Answered(Bytes),
@@ -76,14 +76,19 @@
     fn answer(self) -> Result<Bytes, Box<dyn Error>> {
         match self {
             Self::Answered(body) => Ok(body),
-            Self::Reported(failure) => Err(format!("no answer: {failure:?}").into()),
+            Self::Reported(failure) => {
+                Err(format!("expected an answer, but the router reported {failure:?}").into())
+            }
         }
     }
 
     fn failure(self) -> Result<FailureBody, Box<dyn Error>> {
         match self {
             Self::Reported(failure) => Ok(failure),
-            Self::Answered(body) => Err(format!("answered: {body:?}").into()),
+            Self::Answered(body) => {
+                Err(format!("expected a failure, but the booking was answered with {body:?}")
+                    .into())
+            }
         }
     }
 }
@@ -109,7 +114,9 @@
             });
             let mut answers = Vec::new();
             for attempt in attempts {
-                match Booking::of(attempt.await.ok_or("no caller")?)? {
+                match Booking::of(
+                    attempt.await.ok_or("the caller of the router can't be created")?,
+                )? {
                     Booking::Answered(answer) => answers.push(answer),
                     Booking::Reported(failure) => {
                         assert_eq!(failure.outcome, FailureOutcome::Unknown, "{failure:?}");
@@ -155,7 +162,9 @@
         let runs = std::pin::pin!(fleet.servers[FIRST_SERVICE].wait_runs(1));
         let ran = match futures_util::future::select(gone, runs).await {
             futures_util::future::Either::Right((ran, _gone)) => ran?,
-            futures_util::future::Either::Left(_) => return Err("answered too early".into()),
+            futures_util::future::Either::Left(_) => {
+                return Err("the booking was answered before the server counted its run".into())
+            }
         };
         assert_eq!(ran, 1);
         book_at(fleet, 1, "gone").await?.answer()?;
--- a/crates/papayamux-testbed/tests/configuration_spread.rs
+++ b/crates/papayamux-testbed/tests/configuration_spread.rs
@@ -37,7 +37,8 @@
         let revision = fleet.put_file("pensions", &team_file("pensions", 1)).await?;
         assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         let revision = fleet.put_file("caverns", &team_file("caverns", 2)).await?;
-        let statuses = fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers differ")?;
+        let statuses =
+            fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers did not converge")?;
         let in_force = &statuses[0].in_force;
         assert_eq!((in_force.models, in_force.refused_files), (2, 0));
         assert!(statuses.iter().all(|status| status.in_force == *in_force));
@@ -53,7 +54,8 @@
         let revision = fleet.put_file("caverns", "[team]\nname = caverns\n[model\n").await?;
         assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
         fleet.add()?;
-        let statuses = fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers differ")?;
+        let statuses =
+            fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers did not converge")?;
         for status in statuses {
             let in_force = status.in_force;
             assert_eq!((in_force.models, in_force.refused_files), (1, 1));
@@ -111,8 +113,10 @@
         assert!(right.wait_equal(revision, TIMEOUT).await?.is_some());
         let seeds = [left.processes[0].peers, right.processes[0].peers];
         right.add_with(right.service.listen()?, &seeds)?;
-        let left_statuses = left.wait_equal(revision, TIMEOUT).await?.ok_or("left differs")?;
-        let right_statuses = right.wait_equal(revision, TIMEOUT).await?.ok_or("right differs")?;
+        let left_statuses =
+            left.wait_equal(revision, TIMEOUT).await?.ok_or("the left half did not converge")?;
+        let right_statuses =
+            right.wait_equal(revision, TIMEOUT).await?.ok_or("the right half did not converge")?;
         assert_eq!(left_statuses[0].digest, right_statuses[0].digest);
         Ok(())
     })
@@ -152,7 +156,8 @@
             let _ = write!(text, "\n[model m-{name:016x}]\nversion = {number}\nweights = w\n");
         }
         let revision = fleet.put_file("caverns", &text).await?;
-        let statuses = fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers differ")?;
+        let statuses =
+            fleet.wait_equal(revision, TIMEOUT).await?.ok_or("the routers did not converge")?;
         assert!(statuses.iter().all(|status| status.in_force.models == 4_001));
         let revision = fleet.put_file("caverns", &text.replacen("= 17\n", "= 18\n", 1)).await?;
         assert!(fleet.wait_equal(revision, TIMEOUT).await?.is_some());
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -56,13 +56,13 @@
 /// Returns the index in the fleet of the server that generated an answer.
 fn server_index(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
     let place = fleet.servers.iter().position(|server| server.name == answer.server);
-    place.ok_or_else(|| format!("no server is called {:?}", answer.server).into())
+    place.ok_or_else(|| format!("no server in the fleet has the name {:?}", answer.server).into())
 }
 
 fn failure_of(outcome: CallerOutcome<Bytes>) -> Result<FailureBody, Box<dyn Error>> {
     match outcome {
         CallerOutcome::Reported(failure) => Ok(failure),
-        other => Err(format!("no failure was told: {other:?}").into()),
+        other => Err(format!("expected a reported failure, got {other:?}").into()),
     }
 }
 
--- a/crates/papayamux-testbed/tests/orders.rs
+++ b/crates/papayamux-testbed/tests/orders.rs
@@ -44,7 +44,8 @@
         let old = format!("{FAST_ORDERS}models = itinerary@1\nrevision = 1");
         let old = fleet.start_agent(0, &old, &[])?;
         wait_orders(&old, |orders| orders.as_declared).await?;
-        let old_fence = fleet.engine_state(0).await?.fence.ok_or("no order")?;
+        let old_fence =
+            fleet.engine_state(0).await?.fence.ok_or("the engine has no fence of an order")?;
         let old_orders = old.metrics().await?.sum("papayamux_agent_orders_total", "");
         old.pause()?;
         fleet.renew_addresses()?;
@@ -52,7 +53,7 @@
         let new = fleet.start_agent(0, &new, &[])?;
         let wanted = ["itinerary@2", "refunds@5"];
         let state = fleet.wait_models(0, &wanted, TIMEOUT).await?;
-        let new_fence = state.fence.ok_or("no order")?;
+        let new_fence = state.fence.ok_or("the engine has no fence of an order")?;
         assert!(new_fence > old_fence);
         let late = EngineOrder {
             fence: old_fence + 1,
--- a/crates/papayamux-testbed/tests/routing.rs
+++ b/crates/papayamux-testbed/tests/routing.rs
@@ -39,7 +39,7 @@
 
 fn server_index(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
     let place = fleet.servers.iter().position(|server| server.name == answer.server);
-    place.ok_or_else(|| format!("no server is called {:?}", answer.server).into())
+    place.ok_or_else(|| format!("no server in the fleet has the name {:?}", answer.server).into())
 }
 
 #[test]
--- a/crates/papayamux-testbed/tests/streams_go_on.rs
+++ b/crates/papayamux-testbed/tests/streams_go_on.rs
@@ -147,7 +147,7 @@
             Ok(())
         }
         Err(error) => Err(error.into()),
-        Ok(_) => Err("an answer that must not be given was given".into()),
+        Ok(_) => Err("a caller received an answer that it must not receive".into()),
     }
 }
 
@@ -171,7 +171,7 @@
         }
     };
     assert!(matches!(end, Err(CallerError::Partial { .. })));
-    let last = last.ok_or("no event")?;
+    let last = last.ok_or("the stream had no event before its end")?;
     assert_eq!(last.kind, "error");
     let failure: FailureEnvelope = serde_json::from_str(&last.data)?;
     assert_eq!(failure.error.outcome, outcome);
