--- a/crates/papayamux-measure/src/promises/workload.rs
+++ b/crates/papayamux-measure/src/promises/workload.rs
@@ -238,7 +238,7 @@
         sent,
         ended: Instant::now(),
         told: outcome.as_ref().and_then(|outcome| match outcome {
-            CallerOutcome::Told(failure) => Some(failure.clone()),
+            CallerOutcome::Reported(failure) => Some(failure.clone()),
             _ => None,
         }),
         learned: outcome.as_ref().map_or(LearnedOutcome::Unknown, learned_of),
@@ -252,7 +252,7 @@
 /// Returns the partial answer if the caller may resume it at another router.
 fn resumable(outcome: &Option<CallerOutcome<CallerAnswer>>) -> Option<CallerAnswer> {
     let Some(CallerOutcome::Broken(error)) = outcome else { return None };
-    let is_cut = matches!(error, CallerError::Partial { .. } | CallerError::Told { .. });
+    let is_cut = matches!(error, CallerError::Partial { .. } | CallerError::Reported { .. });
     let partial = error.partial_answer().filter(|partial| !partial.last_event.is_empty());
     partial.filter(|_| is_cut).cloned()
 }
--- a/crates/papayamux-testbed/tests/at_most_once.rs
+++ b/crates/papayamux-testbed/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Calls with an idempotency key through routers that know different servers: each key runs at
-//! most once, and a repeat gets the first answer or a failure that says what is known.
+//! Calls with an idempotency key through routers that know different servers. Each key runs at most
+//! once, and a retry gets the first answer or a failure that reports what is known of the first
+//! run.
 
 use std::error::Error;
 use std::time::Duration;
@@ -15,15 +16,15 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-/// Places in the fleet. Router 0 knows the engine and the first service, router 1 the engine and
-/// the second; the agents of all three are the witnesses of every key.
+/// Indexes of the servers in the fleet. Router 0 knows the engine and the first service, router 1
+/// the engine and the second service. The agents of all three are the witnesses of every key.
 const ENGINE: usize = 0;
 const FIRST_SERVICE: usize = 1;
 const SECOND_SERVICE: usize = 2;
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const CALL_MS: &str = "200";
 
-/// Two routers with different lists.
+/// Returns a plan with two routers that know different servers.
 fn plan() -> FleetPlan {
     FleetPlan::builder()
         .engines(1)
@@ -56,18 +57,18 @@
     Booking::of(book(caller(fleet, router)?, key, "{\"coach\":1}").await)
 }
 
-/// What a caller learned of a booking.
+/// The result of a booking: an answer, or a failure that the router reported.
 #[derive(Debug)]
 enum Booking {
     Answered(Bytes),
-    Told(FailureBody),
+    Reported(FailureBody),
 }
 
 impl Booking {
     fn of(outcome: CallerOutcome<Bytes>) -> Result<Self, Box<dyn Error>> {
         match outcome {
             CallerOutcome::Answered(body) => Ok(Self::Answered(body)),
-            CallerOutcome::Told(failure) => Ok(Self::Told(failure)),
+            CallerOutcome::Reported(failure) => Ok(Self::Reported(failure)),
             other => Err(format!("neither an answer nor a failure: {other:?}").into()),
         }
     }
@@ -75,14 +76,19 @@
     fn answer(self) -> Result<Bytes, Box<dyn Error>> {
         match self {
             Self::Answered(body) => Ok(body),
-            Self::Told(failure) => Err(format!("no answer: {failure:?}").into()),
+            Self::Reported(failure) => {
+                Err(format!("expected an answer, but the router reported {failure:?}").into())
+            }
         }
     }
 
     fn failure(self) -> Result<FailureBody, Box<dyn Error>> {
         match self {
-            Self::Told(failure) => Ok(failure),
-            Self::Answered(body) => Err(format!("answered: {body:?}").into()),
+            Self::Reported(failure) => Ok(failure),
+            Self::Answered(body) => {
+                Err(format!("expected a failure, but the booking was answered with {body:?}")
+                    .into())
+            }
         }
     }
 }
@@ -97,20 +103,22 @@
 }
 
 #[test]
-fn twins_through_both_routers_run_once() -> TestResult {
+fn concurrent_calls_with_one_key_run_once() -> TestResult {
     with_fleet(async |fleet| {
         let mut answered = 0;
         for number in 0..20 {
             let key = format!("twin-{number}");
-            let twins = [0, 1].map(|router| {
+            let attempts = [0, 1].map(|router| {
                 let (caller, key) = (caller(fleet, router), key.clone());
                 monoio::spawn(async move { Some(book(caller.ok()?, &key, "{}").await) })
             });
             let mut answers = Vec::new();
-            for twin in twins {
-                match Booking::of(twin.await.ok_or("no caller")?)? {
+            for attempt in attempts {
+                match Booking::of(
+                    attempt.await.ok_or("the caller of the router can't be created")?,
+                )? {
                     Booking::Answered(answer) => answers.push(answer),
-                    Booking::Told(failure) => {
+                    Booking::Reported(failure) => {
                         assert_eq!(failure.outcome, FailureOutcome::Unknown, "{failure:?}");
                     }
                 }
@@ -119,14 +127,14 @@
             assert!(answers.windows(2).all(|pair| pair[0] == pair[1]), "{answers:?}");
             assert_eq!(runs_of(fleet, &key).await?, u64::from(!answers.is_empty()));
         }
-        println!("{answered} of 40 twins were answered");
+        println!("{answered} of 40 concurrent calls were answered");
         assert!(answered >= 20);
         Ok(())
     })
 }
 
 #[test]
-fn a_repeat_gets_the_first_answer_and_another_call_is_refused() -> TestResult {
+fn a_retry_gets_the_first_answer_and_another_call_is_refused() -> TestResult {
     with_fleet(async |fleet| {
         let first = book_at(fleet, 0, "repeat").await?.answer()?;
         for router in [1, 0, 1] {
@@ -147,14 +155,16 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_leaves_its_answer_for_a_repeat() -> TestResult {
+fn a_disconnected_caller_leaves_its_answer_for_a_retry() -> TestResult {
     with_fleet(async |fleet| {
         let caller = caller(fleet, 0)?;
         let gone = std::pin::pin!(book(caller, "gone", "{\"coach\":1}"));
         let runs = std::pin::pin!(fleet.servers[FIRST_SERVICE].wait_runs(1));
         let ran = match futures_util::future::select(gone, runs).await {
             futures_util::future::Either::Right((ran, _gone)) => ran?,
-            futures_util::future::Either::Left(_) => return Err("answered too early".into()),
+            futures_util::future::Either::Left(_) => {
+                return Err("the booking was answered before the server counted its run".into())
+            }
         };
         assert_eq!(ran, 1);
         book_at(fleet, 1, "gone").await?.answer()?;
@@ -187,7 +197,7 @@
 }
 
 #[test]
-fn an_agent_woken_past_the_deadline_does_not_run_the_call() -> TestResult {
+fn an_agent_resumed_after_the_deadline_does_not_run_the_call() -> TestResult {
     with_fleet(async |fleet| {
         let agent = &fleet.servers[FIRST_SERVICE].agent;
         book_at(fleet, 0, "before").await?.answer()?;
@@ -198,7 +208,7 @@
         assert_eq!(failure.outcome, FailureOutcome::Unknown, "{failure:?}");
         agent.wake()?;
         let refused = "reason=\"deadline_passed\"";
-        agent.wait_metric("papayamux_agent_refusals_total", refused, 1.0, WITHIN).await?;
+        agent.wait_metric("papayamux_agent_refusals_total", refused, 1.0, TIMEOUT).await?;
         let failure = book_at(fleet, 1, "paused").await?.failure()?;
         assert_eq!(failure.outcome, FailureOutcome::Unknown, "{failure:?}");
         assert_eq!(runs_of(fleet, "paused").await?, 0);
@@ -207,12 +217,12 @@
 }
 
 #[test]
-fn witnesses_without_memory_let_no_key_run_again() -> TestResult {
+fn restarted_witnesses_let_no_key_run_again() -> TestResult {
     with_fleet(async |fleet| {
         let first = book_at(fleet, 0, "kept").await?.answer()?;
         let granted = "papayamux_agent_claims_granted_total";
         for server in &fleet.servers {
-            server.agent.wait_metric(granted, "", 1.0, WITHIN).await?;
+            server.agent.wait_metric(granted, "", 1.0, TIMEOUT).await?;
         }
         fleet.restart_agent(ENGINE)?;
         book_at(fleet, 1, "two-of-three").await?.answer()?;
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -1,4 +1,5 @@
-//! What callers are told, and what really ran, when links between routers and agents fail.
+//! The outcomes that callers receive and the runs that servers count when links between routers and
+//! agents, or agents and servers, fail.
 
 use std::error::Error;
 use std::time::Duration;
@@ -26,7 +27,7 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn with_fleet(plan: FleetPlan, test: impl AsyncFnOnce(&mut Fleet) -> TestResult) -> TestResult {
     let mut fleet = Fleet::start(plan)?;
@@ -52,20 +53,20 @@
     Ok(Caller::new(fleet.routers[0].listen()?, "yanchang-desk"))
 }
 
-/// The place in the fleet of the server that gave an answer.
-fn place_of(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
+/// Returns the index in the fleet of the server that generated an answer.
+fn server_index(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
     let place = fleet.servers.iter().position(|server| server.name == answer.server);
-    place.ok_or_else(|| format!("no server is called {:?}", answer.server).into())
+    place.ok_or_else(|| format!("no server in the fleet has the name {:?}", answer.server).into())
 }
 
 fn failure_of(outcome: CallerOutcome<Bytes>) -> Result<FailureBody, Box<dyn Error>> {
     match outcome {
-        CallerOutcome::Told(failure) => Ok(failure),
-        other => Err(format!("no failure was told: {other:?}").into()),
+        CallerOutcome::Reported(failure) => Ok(failure),
+        other => Err(format!("expected a reported failure, got {other:?}").into()),
     }
 }
 
-/// Starts a call that may run at most once, on a task of its own.
+/// Starts a call that may run at most once, in a new task.
 fn start_booking(caller: &Caller) -> monoio::task::JoinHandle<CallerOutcome<Bytes>> {
     let caller = caller.clone();
     let body = Bytes::from_static(b"{\"ticket\":7}");
@@ -74,13 +75,13 @@
 
 #[test]
 fn a_chat_whose_link_is_cut_before_its_answer_is_whole_from_another_server() -> TestResult {
-    // The product's own policy would see that the home is silent, and ask elsewhere at once.
+    // The default policy would detect that the home is silent and immediately use another server.
     let plan = FleetPlan::builder().routers(1).engines(2).services(0).faulty_links(true);
     let plan = plan.router_lines("policy = consistent-hash".to_string()).build();
     with_fleet(plan, async |fleet| {
         let caller = caller_of(fleet)?;
         let (chat, expected) = long_chat();
-        let home = place_of(fleet, &caller.chat(&chat).await?)?;
+        let home = server_index(fleet, &caller.chat(&chat).await?)?;
         let link = fleet.link(0, home)?;
         link.hold_ways(FaultyWays::ToClient).await?;
         let (second, again) = (caller.clone(), chat.clone());
@@ -89,7 +90,7 @@
         link.cut().await?;
         let answer = second.await?;
         assert_eq!(answer.text, expected);
-        assert_ne!(place_of(fleet, &answer)?, home);
+        assert_ne!(server_index(fleet, &answer)?, home);
         let metrics = fleet.routers[0].metrics().await?;
         assert_eq!(
             metrics.sum("papayamux_router_retries_total", "reason=\"connection_lost\""),
@@ -104,13 +105,16 @@
     with_fleet(two_engines(), async |fleet| {
         let caller = caller_of(fleet)?;
         let (chat, expected) = long_chat();
-        let home = place_of(fleet, &caller.chat(&chat).await?)?;
+        let home = server_index(fleet, &caller.chat(&chat).await?)?;
         fleet.link(0, home)?.silence().await?;
         assert_eq!(caller.chat(&chat).await?.text, expected);
         let lost = "papayamux_router_lost_links_total";
-        fleet.routers[0].wait_metric(lost, "reason=\"silent\"", 1.0, WITHIN).await?;
+        fleet.routers[0].wait_metric(lost, "reason=\"silent\"", 1.0, TIMEOUT).await?;
         let answer = caller.chat(&chat).await?;
-        assert_eq!((answer.text.as_str(), place_of(fleet, &answer)?), (expected.as_str(), home));
+        assert_eq!(
+            (answer.text.as_str(), server_index(fleet, &answer)?),
+            (expected.as_str(), home)
+        );
         Ok(())
     })
 }
@@ -120,32 +124,40 @@
     with_fleet(one_service(), async |fleet| {
         let caller = caller_of(fleet)?;
         let link = fleet.link(0, 0)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         link.hold_ways(FaultyWays::ToClient).await?;
         let booking = start_booking(&caller);
         fleet.servers[0].wait_runs(2).await?;
         link.cut().await?;
         assert_eq!(failure_of(booking.await)?.outcome, FailureOutcome::Unknown);
         link.heal().await?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("healed") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer after the link was healed")
+        };
         assert_eq!(fleet.servers[0].all_runs().await?, 3);
         Ok(())
     })
 }
 
 #[test]
-fn a_booking_let_go_after_its_deadline_never_runs() -> TestResult {
+fn a_booking_released_after_its_deadline_never_runs() -> TestResult {
     let plan = FleetPlan::builder().routers(1).engines(0).services(1).faulty_links(true);
     let plan = plan.router_lines("start_within = 2s".to_string()).build();
     with_fleet(plan, async |fleet| {
         let caller = caller_of(fleet)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         let link = fleet.link(0, 0)?;
         link.hold_ways(FaultyWays::ToTarget).await?;
-        let told = failure_of(start_booking(&caller).await)?.outcome;
-        assert_eq!(told, FailureOutcome::Unknown);
+        let reported_outcome = failure_of(start_booking(&caller).await)?.outcome;
+        assert_eq!(reported_outcome, FailureOutcome::Unknown);
         link.heal().await?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("healed") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer after the link was healed")
+        };
         assert_eq!(fleet.servers[0].all_runs().await?, 2);
         Ok(())
     })
@@ -157,8 +169,8 @@
     with_fleet(plan, async |fleet| {
         let server = &fleet.servers[0];
         let status: AgentStatus = server.agent.status().await?;
-        let life = status.incarnation.parse()?;
-        let reason = offer_to(server.agent.listen()?, life, AgentClock(0)).await?;
+        let agent_incarnation = status.incarnation.parse()?;
+        let reason = offer_to(server.agent.listen()?, agent_incarnation, AgentClock(0)).await?;
         assert_eq!(reason, RefusalReason::DeadlinePassed);
         assert_eq!(server.all_runs().await?, 0);
         Ok(())
@@ -166,7 +178,7 @@
 }
 
 #[test]
-fn every_call_told_not_run_did_not_run() -> TestResult {
+fn every_call_reported_not_run_did_not_run() -> TestResult {
     let plan = FleetPlan::builder().routers(1).engines(0).services(1).faulty_links(true);
     let plan = plan.agent_server_lines("capacity = 1\nqueue = 0".to_string());
     let plan = plan.service_arguments(["--call-ms", "300"].map(str::to_string).into()).build();
@@ -176,12 +188,14 @@
         fleet.servers[0].wait_runs(1).await?;
         let at_capacity = failure_of(start_booking(&caller).await)?;
         assert_eq!(at_capacity.reason.as_deref(), Some(RefusalReason::AtCapacity.label()));
-        let CallerOutcome::Answered(_) = first.await else { panic!("the first was answered") };
+        let CallerOutcome::Answered(_) = first.await else {
+            panic!("the first call was not answered")
+        };
         let link = fleet.link(0, 0)?;
         link.refuse().await?;
         link.cut().await?;
         let lost = "papayamux_router_lost_links_total";
-        fleet.routers[0].wait_metric(lost, "", 1.0, WITHIN).await?;
+        fleet.routers[0].wait_metric(lost, "", 1.0, TIMEOUT).await?;
         let refused = failure_of(start_booking(&caller).await)?;
         link.heal().await?;
         fleet.servers[0].agent.kill()?;
@@ -195,11 +209,11 @@
 }
 
 #[test]
-fn a_chat_that_may_have_run_is_not_told_not_run_after_a_further_refusal() -> TestResult {
+fn a_chat_that_may_have_run_is_not_reported_not_run_after_a_further_refusal() -> TestResult {
     with_fleet(two_engines(), async |fleet| {
         let caller = caller_of(fleet)?;
         let (chat, _) = long_chat();
-        let home = place_of(fleet, &caller.chat(&chat).await?)?;
+        let home = server_index(fleet, &caller.chat(&chat).await?)?;
         fleet.servers[1 - home].agent.kill()?;
         let link = fleet.link(0, home)?;
         link.hold_ways(FaultyWays::ToClient).await?;
@@ -209,7 +223,7 @@
         let hold = FaultyWays::ToClient;
         link.set(LinkFaults { hold, refuse: true, ..LinkFaults::default() }).await?;
         link.cut().await?;
-        assert_eq!(second.await.told(), Some(FailureOutcome::Unknown));
+        assert_eq!(second.await.reported_outcome(), Some(FailureOutcome::Unknown));
         Ok(())
     })
 }
@@ -236,17 +250,19 @@
 fn a_booking_under_way_to_an_agent_that_ends_is_refused_and_not_lost() -> TestResult {
     with_fleet(one_service(), async |fleet| {
         let caller = caller_of(fleet)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         let link = fleet.link(0, 0)?;
         link.hold_ways(FaultyWays::ToTarget).await?;
         let booking = start_booking(&caller);
         link.wait_report(|report| report.kept_to_target > 0).await?;
         fleet.servers[0].agent.terminate()?;
-        fleet.servers[0].agent.wait_for_line("agent drains", WITHIN)?;
+        fleet.servers[0].agent.wait_for_line("agent drains", TIMEOUT)?;
         link.heal().await?;
         let failure = failure_of(booking.await)?;
         assert_eq!(failure.outcome, FailureOutcome::NotRun, "{}", failure.message);
-        assert!(fleet.servers[0].agent.wait_exit(WITHIN)?.success());
+        assert!(fleet.servers[0].agent.wait_exit(TIMEOUT)?.success());
         assert_eq!(fleet.servers[0].all_runs().await?, 1);
         Ok(())
     })
@@ -264,12 +280,15 @@
         assert_eq!(notice, RefusalReason::WrongIncarnation);
         assert_eq!(fleet.servers[0].all_runs().await?, 0);
         let caller = caller_of(fleet)?;
-        let CallerOutcome::Answered(_) = start_booking(&caller).await else { panic!("no fault") };
+        let CallerOutcome::Answered(_) = start_booking(&caller).await else {
+            panic!("no answer without a fault")
+        };
         Ok(())
     })
 }
 
-/// Offers a booking, as a router would, to the agent's life `agent`; gives why it was refused.
+/// Sends a booking like a router to the incarnation `agent` of an agent, and returns the reason of
+/// its refusal.
 async fn offer_to(
     address: std::net::SocketAddr,
     agent: Incarnation,
--- a/crates/papayamux-testbed/tests/routing.rs
+++ b/crates/papayamux-testbed/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where chats go.
+//! The servers to which routers send chats and calls.
 
 use std::error::Error;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 type TestResult = Result<(), Box<dyn Error>>;
 
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 const ADMITTED: &str = "papayamux_agent_admitted_requests_total";
 
 fn with_fleet(plan: FleetPlan, test: impl AsyncFnOnce(&mut Fleet) -> TestResult) -> TestResult {
@@ -37,9 +37,9 @@
     expected_answer(FLEET_MODEL, &render_prompt(&request.messages), request.max_tokens)
 }
 
-fn place_of(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
+fn server_index(fleet: &Fleet, answer: &CallerAnswer) -> Result<usize, Box<dyn Error>> {
     let place = fleet.servers.iter().position(|server| server.name == answer.server);
-    place.ok_or_else(|| format!("no server is called {:?}", answer.server).into())
+    place.ok_or_else(|| format!("no server in the fleet has the name {:?}", answer.server).into())
 }
 
 #[test]
@@ -86,7 +86,7 @@
         };
         let second = caller.chat(&long_chat()).await?;
         assert_eq!(second.text, expected(&long_chat()));
-        assert_eq!(place_of(fleet, &second)?, 1 - home);
+        assert_eq!(server_index(fleet, &second)?, 1 - home);
         let first = first.await?;
         assert_eq!((first.text, first.server), (expected(&slow), fleet.servers[home].name.clone()));
         Ok(())
@@ -98,15 +98,15 @@
     let plan = FleetPlan::builder().routers(1).engines(2).services(0).faulty_links(true).build();
     with_fleet(plan, async |fleet| {
         let caller = Caller::new(fleet.routers[0].listen()?, "yanchang-desk");
-        let home = place_of(fleet, &caller.chat(&long_chat()).await?)?;
+        let home = server_index(fleet, &caller.chat(&long_chat()).await?)?;
         fleet.link(0, home)?.hold_ways(FaultyWays::ToClient).await?;
         let answer = caller.chat(&long_chat()).await?;
         assert_eq!(
-            (answer.text.as_str(), place_of(fleet, &answer)?),
+            (answer.text.as_str(), server_index(fleet, &answer)?),
             (expected(&long_chat()).as_str(), 1 - home)
         );
         let silent = "papayamux_router_probes_total";
-        fleet.routers[0].wait_metric(silent, "reason=\"silent\"", 1.0, WITHIN).await?;
+        fleet.routers[0].wait_metric(silent, "reason=\"silent\"", 1.0, TIMEOUT).await?;
         Ok(())
     })
 }
