--- a/crates/papayamux-agent/src/admitted_run.rs
+++ b/crates/papayamux-agent/src/admitted_run.rs
@@ -80,7 +80,7 @@
         }
         self.attachment.send_on_connection(self.core.load_message(group_of(open)));
         let message = AgentMessage::Refused(notice);
-        self.core.metrics.control_bytes.send(agent_control_length(&message));
+        self.core.metrics.control_bytes.record_sent(agent_control_length(&message));
         self.attachment.send(message);
     }
 }
@@ -96,7 +96,7 @@
     /// Creates the load report that accompanies another message.
     fn load_message(&self, group: Option<GroupId>) -> AgentMessage {
         let message = AgentMessage::Load(self.load(group));
-        self.metrics.control_bytes.send(agent_control_length(&message));
+        self.metrics.control_bytes.record_sent(agent_control_length(&message));
         message
     }
 }
--- a/crates/papayamux-agent/src/router_link.rs
+++ b/crates/papayamux-agent/src/router_link.rs
@@ -143,7 +143,7 @@
     }
 
     fn take_message(&self, stream: u64, message: RouterMessage) {
-        self.core.metrics.control_bytes.receive(router_control_length(&message));
+        self.core.metrics.control_bytes.record_received(router_control_length(&message));
         let key = AttachmentKey { link: self.number, stream };
         match message {
             RouterMessage::Open(open) => self.open(stream, *open),
@@ -216,7 +216,7 @@
     }
 
     fn send(&self, stream: u64, message: AgentMessage) {
-        self.core.metrics.control_bytes.send(agent_control_length(&message));
+        self.core.metrics.control_bytes.record_sent(agent_control_length(&message));
         self.sender.send(stream, message);
     }
 
--- a/crates/papayamux-coordination/src/placement/placer.rs
+++ b/crates/papayamux-coordination/src/placement/placer.rs
@@ -113,10 +113,10 @@
 /// mean includes all sound servers: if some of them accept nothing, as in an evacuated failure
 /// domain, the others carry more, and the least loaded of them take the excess.
 fn load_bound(candidates: &[PlacementCandidate], factor: f64) -> f64 {
-    let sound = |candidate: &&PlacementCandidate| {
+    let in_service = |candidate: &&PlacementCandidate| {
         candidate.serves && candidate.standing != ServerStanding::Ejected
     };
-    let counted: Vec<_> = candidates.iter().filter(sound).collect();
+    let counted: Vec<_> = candidates.iter().filter(in_service).collect();
     let requests: f64 = counted.iter().map(|candidate| f64::from(candidate.load.requests)).sum();
     let mean = requests / counted.len().max(1) as f64;
     factor * USED_BOUND_FRACTION * mean + BOUND_SLACK
@@ -159,12 +159,15 @@
             within.min_by_key(|(_, candidate)| candidate.rank).or(usable.first()).copied()
         }
         PlacementPolicy::Warm | PlacementPolicy::LeastWait => {
-            let blind = |candidate: &PlacementCandidate| {
-                let blind =
+            let uncached_cost = |candidate: &PlacementCandidate| {
+                let uncached =
                     PlacementCandidate { warm: TokenCount::default(), rank: 1, ..*candidate };
-                cost_ms(request, &blind, None)
+                cost_ms(request, &uncached, None)
             };
-            usable.iter().min_by(|left, right| blind(left.1).total_cmp(&blind(right.1))).copied()
+            usable
+                .iter()
+                .min_by(|left, right| uncached_cost(left.1).total_cmp(&uncached_cost(right.1)))
+                .copied()
         }
     };
     chosen.map(|(index, _)| index)
@@ -176,11 +179,11 @@
     candidates: &[PlacementCandidate],
     held: impl Fn(&PlacementCandidate) -> TokenCount,
 ) -> Option<(usize, TokenCount)> {
-    let sound = candidates
+    let good = candidates
         .iter()
         .enumerate()
         .filter(|(_, candidate)| candidate.standing == ServerStanding::Good);
-    let held = sound.map(|(index, candidate)| (index, held(candidate)));
+    let held = good.map(|(index, candidate)| (index, held(candidate)));
     held.max_by_key(|(_, tokens)| *tokens).filter(|(_, tokens)| tokens.get() > 0)
 }
 
@@ -203,10 +206,10 @@
     let plain = request.prompt.get() == 0;
     let speed = &candidate.speed;
     let messages = MESSAGES_PER_PLAIN_CALL + speed.events(request.answer);
-    let late = 1.0 - (1.0 - candidate.excess_delay_rate).powf(messages);
+    let late_probability = 1.0 - (1.0 - candidate.excess_delay_rate).powf(messages);
     let risk = candidate.round_trip_ms
         + candidate.excess_failure_rate * FAILURE_COST_MS
-        + late * LATE_ANSWER_COST_MS;
+        + late_probability * LATE_ANSWER_COST_MS;
     if plain {
         let slots = f64::from(candidate.slots.max(1));
         return risk + f64::from(candidate.load.requests) / slots * speed.call_ms;
--- a/crates/papayamux-coordination/tests/claim_model/mod.rs
+++ b/crates/papayamux-coordination/tests/claim_model/mod.rs
@@ -25,11 +25,11 @@
 /// A message in flight, or a call that an agent has accepted but not executed yet.
 #[derive(Debug, Clone)]
 pub enum Pending {
-    Claim { attempt: usize, witness: usize, ask: ClaimQuery },
+    Claim { attempt: usize, witness: usize, query: ClaimQuery },
     Reply { attempt: usize, witness: usize, reply: ClaimReply },
     Release { attempt: usize, witness: usize },
     Open { attempt: usize, deadline: Duration },
-    Act { deadline: Duration },
+    Execute { deadline: Duration },
     Refusal { attempt: usize },
 }
 
@@ -37,7 +37,7 @@
 struct Witness {
     table: ClaimTable,
     started_at: Duration,
-    view: usize,
+    fleet_index: usize,
 }
 
 #[derive(Debug, Clone)]
@@ -45,7 +45,7 @@
     claim: ClaimId,
     round: ClaimRound,
     all_witnesses: Vec<usize>,
-    started: Duration,
+    started_at: Duration,
     decided: bool,
 }
 
@@ -56,12 +56,12 @@
     pub now: Duration,
     fleets: Vec<FleetView>,
     routers: Vec<FleetWindow>,
-    router_views: Vec<usize>,
+    router_fleet_indexes: Vec<usize>,
     witnesses: Vec<Witness>,
     attempts: Vec<Attempt>,
     pub pending: Vec<Pending>,
     pub runs: Vec<Duration>,
-    changed: Option<Duration>,
+    fleet_changed_at: Option<Duration>,
 }
 
 pub fn key() -> ClaimKey {
@@ -90,17 +90,17 @@
         let now = RETENTION;
         let mut table = ClaimTable::new(RETENTION, MAX_CLAIMS);
         table.declare_view(fleets[0].digest(), Duration::ZERO);
-        let witness = Witness { table, started_at: Duration::ZERO, view: 0 };
+        let witness = Witness { table, started_at: Duration::ZERO, fleet_index: 0 };
         Self {
             origin: Instant::now(),
             now,
             routers: vec![FleetWindow::new(fleets[0].clone(), RETENTION); routers],
-            router_views: vec![0; routers],
+            router_fleet_indexes: vec![0; routers],
             witnesses: vec![witness; 5],
             attempts: Vec::new(),
             pending: Vec::new(),
             runs: Vec::new(),
-            changed: None,
+            fleet_changed_at: None,
             fleets,
         }
     }
@@ -116,57 +116,57 @@
         let all_witnesses: Vec<_> = round.all_witnesses().iter().map(index).collect();
         let attempt = self.attempts.len();
         for witness in all_witnesses.iter().copied() {
-            let ask = ClaimQuery { key: key(), fingerprint, claim, views: views.clone() };
-            self.pending.push(Pending::Claim { attempt, witness, ask });
+            let query = ClaimQuery { key: key(), fingerprint, claim, views: views.clone() };
+            self.pending.push(Pending::Claim { attempt, witness, query });
         }
         self.attempts.push(Attempt {
             claim,
             round,
             all_witnesses,
-            started: self.now,
+            started_at: self.now,
             decided: false,
         });
     }
 
     /// Restarts a witness, which loses its claims and knows only the fleet in force.
-    pub fn restart(&mut self, witness: usize) {
-        let view = match self.changed {
+    pub fn restart_witness(&mut self, witness: usize) {
+        let fleet_index = match self.fleet_changed_at {
             Some(_) => 1,
             None => 0,
         };
         let mut table = ClaimTable::new(RETENTION, MAX_CLAIMS);
-        table.declare_view(self.fleets[view].digest(), Duration::ZERO);
-        self.witnesses[witness] = Witness { table, started_at: self.now, view };
+        table.declare_view(self.fleets[fleet_index].digest(), Duration::ZERO);
+        self.witnesses[witness] = Witness { table, started_at: self.now, fleet_index };
     }
 
     /// Restarts a router, which then knows the fleet in force and no earlier one.
     pub fn restart_router(&mut self, router: usize) {
-        self.router_views[router] = usize::from(self.changed.is_some());
-        let view = self.fleets[self.router_views[router]].clone();
+        self.router_fleet_indexes[router] = usize::from(self.fleet_changed_at.is_some());
+        let view = self.fleets[self.router_fleet_indexes[router]].clone();
         self.routers[router] = FleetWindow::new(view, RETENTION);
     }
 
     /// Declares the second fleet.
     pub fn change_fleet(&mut self) {
-        if self.fleets.len() > 1 && self.changed.is_none() {
-            self.changed = Some(self.now);
+        if self.fleets.len() > 1 && self.fleet_changed_at.is_none() {
+            self.fleet_changed_at = Some(self.now);
         }
     }
 
     /// Has a router put the second fleet in force, if declared.
-    pub fn learn_router(&mut self, router: usize) {
-        if self.changed.is_some() && self.router_views[router] == 0 {
-            self.router_views[router] = 1;
+    pub fn apply_fleet_at_router(&mut self, router: usize) {
+        if self.fleet_changed_at.is_some() && self.router_fleet_indexes[router] == 0 {
+            self.router_fleet_indexes[router] = 1;
             let at = self.origin + self.now;
             self.routers[router].replace(self.fleets[1].clone(), at);
         }
     }
 
     /// Has a witness put the second fleet in force, if declared.
-    pub fn learn_witness(&mut self, witness: usize) {
+    pub fn apply_fleet_at_witness(&mut self, witness: usize) {
         let witness = &mut self.witnesses[witness];
-        if self.changed.is_some() && witness.view == 0 {
-            witness.view = 1;
+        if self.fleet_changed_at.is_some() && witness.fleet_index == 0 {
+            witness.fleet_index = 1;
             witness.table.declare_view(self.fleets[1].digest(), self.now - witness.started_at);
         }
     }
@@ -174,13 +174,13 @@
     /// Advances the time. No process lags behind a declaration by more than [`MAX_LAG`].
     pub fn advance(&mut self, by: Duration) {
         let target = self.now + by;
-        let lag_deadline = self.changed.map(|changed| changed + MAX_LAG);
+        let lag_deadline = self.fleet_changed_at.map(|fleet_changed_at| fleet_changed_at + MAX_LAG);
         if let Some(lag_deadline) =
             lag_deadline.filter(|lag_deadline| *lag_deadline > self.now && *lag_deadline <= target)
         {
             self.now = lag_deadline;
-            (0..self.routers.len()).for_each(|router| self.learn_router(router));
-            (0..self.witnesses.len()).for_each(|witness| self.learn_witness(witness));
+            (0..self.routers.len()).for_each(|router| self.apply_fleet_at_router(router));
+            (0..self.witnesses.len()).for_each(|witness| self.apply_fleet_at_witness(witness));
         }
         self.now = target;
     }
@@ -193,9 +193,9 @@
     /// Delivers a message. With `refuses`, an agent refuses a call instead of executing it.
     pub fn deliver(&mut self, message: usize, refuses: bool) {
         match self.pending.remove(message) {
-            Pending::Claim { attempt, witness, ask } => {
+            Pending::Claim { attempt, witness, query } => {
                 let (now, started_at) = (self.now, self.witnesses[witness].started_at);
-                let claimed = self.witnesses[witness].table.claim(&ask, now - started_at);
+                let claimed = self.witnesses[witness].table.claim(&query, now - started_at);
                 let reply = reply_to(claimed);
                 self.pending.push(Pending::Reply { attempt, witness, reply });
             }
@@ -211,10 +211,10 @@
                 self.pending.push(Pending::Refusal { attempt });
             }
             Pending::Open { deadline, .. } if self.now < deadline => {
-                self.pending.push(Pending::Act { deadline });
+                self.pending.push(Pending::Execute { deadline });
             }
-            Pending::Act { deadline } if self.now < deadline => self.runs.push(self.now),
-            Pending::Open { .. } | Pending::Act { .. } => {}
+            Pending::Execute { deadline } if self.now < deadline => self.runs.push(self.now),
+            Pending::Open { .. } | Pending::Execute { .. } => {}
             Pending::Refusal { attempt } => self.release(attempt),
         }
     }
@@ -255,7 +255,7 @@
         entry.decided = true;
         match entry.round.verdict() {
             ClaimVerdict::Won => {
-                let deadline = entry.started + START_TIMEOUT;
+                let deadline = entry.started_at + START_TIMEOUT;
                 self.pending.push(Pending::Open { attempt, deadline });
             }
             _ => self.release(attempt),
@@ -269,7 +269,7 @@
     }
 
     /// Returns the shortest time between two runs.
-    pub fn closest_runs(&self) -> Option<Duration> {
+    pub fn shortest_run_interval(&self) -> Option<Duration> {
         let mut runs = self.runs.clone();
         runs.sort_unstable();
         runs.windows(2).map(|pair| pair[1] - pair[0]).min()
@@ -283,7 +283,7 @@
             | Pending::Release { attempt, .. }
             | Pending::Open { attempt, .. }
             | Pending::Refusal { attempt } => Some(*attempt),
-            Pending::Act { .. } => None,
+            Pending::Execute { .. } => None,
         };
         self.pending.iter().filter_map(attempt_of).collect::<HashSet<_>>().len()
     }
@@ -292,8 +292,8 @@
 fn reply_to(claimed: Result<(), ClaimRefusal>) -> ClaimReply {
     match claimed {
         Ok(()) => ClaimReply::Granted,
-        Err(objection) => {
-            let held = match objection {
+        Err(refusal) => {
+            let held = match refusal {
                 ClaimRefusal::Held(held) => Some(held),
                 _ => None,
             };
--- a/crates/papayamux-coordination/tests/claims_run_once.rs
+++ b/crates/papayamux-coordination/tests/claims_run_once.rs
@@ -26,18 +26,18 @@
         10 => simulation.advance(START_TIMEOUT / 4),
         11 => simulation.advance(START_TIMEOUT + Duration::from_millis(1)),
         12 if argument < 4 => simulation.advance(RETENTION / 2),
-        12 => simulation.restart(argument % 5),
+        12 => simulation.restart_witness(argument % 5),
         13 if argument < 2 => simulation.restart_router(argument % routers),
         13 if argument < 4 => simulation.change_fleet(),
-        13 => simulation.learn_router(argument % routers),
-        14 => simulation.learn_witness(argument % 5),
+        13 => simulation.apply_fleet_at_router(argument % routers),
+        14 => simulation.apply_fleet_at_witness(argument % 5),
         _ if simulation.busy_attempts() < 3 => simulation.begin(argument % routers),
         _ => {}
     }
 }
 
 fn assert_run_once(simulation: &Simulation, min_distance: Duration) {
-    if let Some(closest) = simulation.closest_runs() {
+    if let Some(closest) = simulation.shortest_run_interval() {
         assert!(closest >= min_distance, "two runs within {closest:?}: {:?}", simulation.runs);
     }
 }
@@ -112,7 +112,7 @@
     if budget.disturbances > 0 {
         let budget = FaultBudget { disturbances: budget.disturbances - 1, ..budget };
         for witness in 0..3 {
-            go(&|simulation| simulation.restart(witness), budget);
+            go(&|simulation| simulation.restart_witness(witness), budget);
         }
         go(&|simulation| simulation.advance(RETENTION), budget);
     }
--- a/crates/papayamux-coordination/tests/crash_quarantine.rs
+++ b/crates/papayamux-coordination/tests/crash_quarantine.rs
@@ -136,8 +136,8 @@
             quarantine.record_crash(fingerprint, sent, 0.0, now);
         }
     }
-    let mut announced = |most| -> Vec<u64> {
-        let notices = quarantine.next_unannounced(NoticeOrigin::Observed, most, now);
+    let mut announced = |limit| -> Vec<u64> {
+        let notices = quarantine.next_unannounced(NoticeOrigin::Observed, limit, now);
         notices.iter().map(|notice| notice.fingerprint.0).collect()
     };
     assert_eq!(announced(2), [3, 2]);
--- a/crates/papayamux-daemon/src/metrics.rs
+++ b/crates/papayamux-daemon/src/metrics.rs
@@ -39,12 +39,12 @@
 
 impl ControlBytes {
     /// Adds `bytes` to the received bytes.
-    pub fn receive(&self, bytes: u64) {
+    pub fn record_received(&self, bytes: u64) {
         self.0.get_or_create(&DirectionLabel { way: "in" }).inc_by(bytes);
     }
 
     /// Adds `bytes` to the sent bytes.
-    pub fn send(&self, bytes: u64) {
+    pub fn record_sent(&self, bytes: u64) {
         self.0.get_or_create(&DirectionLabel { way: "out" }).inc_by(bytes);
     }
 
--- a/crates/papayamux-measure/src/promises/graceful_shutdown.rs
+++ b/crates/papayamux-measure/src/promises/graceful_shutdown.rs
@@ -53,7 +53,7 @@
 
     async fn runs_of(&self, server: usize) -> Result<u64, TestbedError> {
         let reader = self.fleet.borrow().servers[server].runs_reader()?;
-        reader.all_runs().await
+        reader.total_runs().await
     }
 
     async fn wait_exit(&self, member: FleetMember) -> Result<(), TestbedError> {
--- a/crates/papayamux-measure/src/surge/callers.rs
+++ b/crates/papayamux-measure/src/surge/callers.rs
@@ -11,17 +11,17 @@
 use crate::tasks::TaskError;
 
 /// Deadline of a request.
-const DEADLINE: Duration = Duration::from_secs(3);
+const REQUEST_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Maximum pause before a retry: a third of the deadline.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 /// Maximum number of tokens in an answer: six for each of its eight events.
-const ANSWER_TOKENS: u64 = 48;
+const MAX_ANSWER_TOKENS: u64 = 48;
 /// First identifier of callers' own prompt parts, above those of shared parts.
-const OWN_PARTS_FROM: u64 = 0x10_000;
+const FIRST_OWN_PART_ID: u64 = 0x10_000;
 
 /// Returns the key of an organisation.
-pub(super) fn key_of(organisation: usize) -> String {
+pub(super) fn organisation_key(organisation: usize) -> String {
     format!("key-{organisation}")
 }
 
@@ -30,14 +30,14 @@
     calls: &[PlannedCall],
     routers: &[SocketAddr],
 ) -> Result<Vec<CallOutcome>, TaskError> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     std::thread::scope(|scope| {
         let running: Vec<_> = calls
             .iter()
             .enumerate()
             .map(|(number, call)| {
-                let due = begun + call.at;
-                std::thread::sleep(due.saturating_duration_since(Instant::now()));
+                let send_at = started_at + call.at;
+                std::thread::sleep(send_at.saturating_duration_since(Instant::now()));
                 scope.spawn(move || run_call(number, *call, routers))
             })
             .collect();
@@ -47,21 +47,21 @@
 }
 
 fn run_call(number: usize, call: PlannedCall, routers: &[SocketAddr]) -> CallOutcome {
-    let begun = Instant::now();
-    let first = try_call(number, 0, call, routers, DEADLINE);
+    let started_at = Instant::now();
+    let first = send_attempt(number, 0, call, routers, REQUEST_DEADLINE);
     let pause = first.as_ref().and_then(pause_before_retry);
-    let (answer, tried) = match pause {
+    let (answer, retried_after) = match pause {
         None => (first, Duration::ZERO),
         Some(pause) => {
             std::thread::sleep(pause);
-            let tried = begun.elapsed();
-            let left = DEADLINE.saturating_sub(tried);
-            (try_call(number, 1, call, routers, left), tried)
+            let retried_after = started_at.elapsed();
+            let left = REQUEST_DEADLINE.saturating_sub(retried_after);
+            (send_attempt(number, 1, call, routers, left), retried_after)
         }
     };
     let told = answer.as_ref().is_some_and(Answer::promises_not_run);
     let served = answer.filter(|answer| answer.status == 200 && answer.whole);
-    let first_event = served.map(|answer| tried + answer.head_after);
+    let first_event = served.map(|answer| retried_after + answer.head_after);
     CallOutcome { organisation: call.organisation, first_event, told }
 }
 
@@ -71,7 +71,7 @@
     Some(pause.min(MAX_PAUSE))
 }
 
-fn try_call(
+fn send_attempt(
     number: usize,
     attempt: usize,
     call: PlannedCall,
@@ -80,13 +80,13 @@
 ) -> Option<Answer> {
     let router = routers[(number + attempt) % routers.len()];
     let shared = CallPart { id: call.part + 1, tokens: SHARED_TOKENS };
-    let own = CallPart { id: OWN_PARTS_FROM + number as u64, tokens: OWN_TOKENS };
+    let own = CallPart { id: FIRST_OWN_PART_ID + number as u64, tokens: OWN_TOKENS };
     let request = CallerRequest::builder()
         .route(CallRoute::ResumableStream)
         .id(format!("{number:x}-{attempt}"))
-        .key(key_of(call.organisation))
+        .key(organisation_key(call.organisation))
         .left(left)
-        .prompt(CallPrompt { parts: vec![shared, own], answer_tokens: ANSWER_TOKENS })
+        .prompt(CallPrompt { parts: vec![shared, own], answer_tokens: MAX_ANSWER_TOKENS })
         .build();
-    send(router, &request.text(), DEADLINE)
+    send(router, &request.text(), REQUEST_DEADLINE)
 }
--- a/crates/papayamux-measure/src/surge/run.rs
+++ b/crates/papayamux-measure/src/surge/run.rs
@@ -11,7 +11,7 @@
 use papayamux_state::quantities::ByteCount;
 use papayamux_testbed::{ProcessHandle, ProcessUsage};
 
-use super::callers::{key_of, run_calls};
+use super::callers::{organisation_key, run_calls};
 use super::engine_kind::{EngineKind, EngineTraits};
 use super::engine_model::{EngineRegistry, OWN_TOKENS, SHARED_TOKENS};
 use super::footprint::RouterFootprint;
@@ -129,7 +129,7 @@
 fn configuration(traits: EngineTraits) -> ConfigurationDraft {
     let organisations = (0..ORGANISATIONS).map(|number| OrganisationDraft {
         name: format!("organisation-{number}"),
-        keys: vec![key_of(number)],
+        keys: vec![organisation_key(number)],
     });
     ConfigurationDraft {
         organisations: organisations.collect(),
--- a/crates/papayamux-router/src/agents/agent_link.rs
+++ b/crates/papayamux-router/src/agents/agent_link.rs
@@ -204,7 +204,7 @@
     }
 
     pub(super) fn send(&self, stream: u64, message: RouterMessage) -> bool {
-        self.metrics.control_bytes.send(router_control_length(&message));
+        self.metrics.control_bytes.record_sent(router_control_length(&message));
         self.sender.send(stream, message)
     }
 
@@ -323,7 +323,7 @@
 
 /// Handles a message. Returns `false` if it matches no stream, probe or state of the connection.
 fn handle_message(link: &AgentLink, stream: u64, message: AgentMessage) -> bool {
-    link.metrics.control_bytes.receive(agent_control_length(&message));
+    link.metrics.control_bytes.record_received(agent_control_length(&message));
     match message {
         AgentMessage::Load(report) => link.probes.record_load(report),
         AgentMessage::Probed(reply) => return link.probes.deliver_reply(stream, reply),
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -25,8 +25,8 @@
     /// Removes servers whose entries have been expired for too long, and departed servers that have
     /// terminated.
     pub(in crate::direct) fn expire_servers(&self) {
-        let ended = self.departures.borrow_mut().expire(Instant::now());
-        ended.iter().for_each(|id| self.forget_server(id));
+        let terminated = self.departures.borrow_mut().expire(Instant::now());
+        terminated.iter().for_each(|id| self.forget_server(id));
         if !self.awaits_renewals() {
             return;
         }
@@ -69,7 +69,7 @@
 
     /// Records that an entry was removed.
     pub fn record_departed_server(&self, name: &ServerName, now: Instant) {
-        let Some(known) = self.listed_server(name) else { return };
+        let Some(known) = self.journal_departed_server(name) else { return };
         let change = self.presence.borrow_mut().record_removal(&known.id, now);
         self.record_server_departure(&known, change, now);
     }
@@ -84,7 +84,7 @@
                 suppressed = suppressed; "entry names no server"
             );
         }
-        let known = fault.name.as_ref().and_then(|name| self.listed_server(name));
+        let known = fault.name.as_ref().and_then(|name| self.journal_departed_server(name));
         if let Some(known) = known {
             let change = self.presence.borrow_mut().record_overwrite(&known.id);
             self.record_server_departure(&known, change, now);
@@ -103,7 +103,7 @@
     /// Adopts a departure reported by such a router. `is_terminating` tells that the server is
     /// terminating: it still finishes its work.
     pub(super) fn adopt_departure(&self, name: &ServerName, is_terminating: bool, now: Instant) {
-        let Some(known) = self.listed_server(name) else { return };
+        let Some(known) = self.journal_departed_server(name) else { return };
         let change = self.presence.borrow_mut().record_overwrite(&known.id);
         match is_terminating && known.phase == ServerPhase::Serving {
             true => {
@@ -116,7 +116,7 @@
 
     /// Returns the server of this name, whose entry is removed. The departure is journaled in any
     /// case, since followers may know a server that isn't known here.
-    fn listed_server(&self, name: &ServerName) -> Option<Rc<BackendServer>> {
+    fn journal_departed_server(&self, name: &ServerName) -> Option<Rc<BackendServer>> {
         self.journal_departure(name);
         self.presence.borrow().catalog().named(name).cloned()
     }
@@ -167,7 +167,7 @@
                 log::info!(server:% = id; "server is gone");
             }
             PresenceChange::Arrived => {
-                self.forget_connections(id);
+                self.close_idle_connections(id);
                 log::info!(server:% = id; "server is there");
             }
             PresenceChange::Draining => log::info!(server:% = id; "server is draining"),
@@ -199,7 +199,7 @@
 
     /// Closes the idle connections to the address of a new server, since they lead to the previous
     /// one.
-    fn forget_connections(&self, id: &ServerId) {
+    fn close_idle_connections(&self, id: &ServerId) {
         if let Some(server) = self.presence.borrow().catalog().get(id) {
             self.pool.close_idle(server.address);
         }
--- a/crates/papayamux-testbed/src/running_server.rs
+++ b/crates/papayamux-testbed/src/running_server.rs
@@ -59,8 +59,8 @@
     }
 
     /// Reads the total number of runs, of an engine or a plain service.
-    pub async fn all_runs(&self) -> Result<u64, TestbedError> {
-        self.runs_reader()?.all_runs().await
+    pub async fn total_runs(&self) -> Result<u64, TestbedError> {
+        self.runs_reader()?.total_runs().await
     }
 
     /// Returns a reader of the runs that doesn't borrow the server.
@@ -69,8 +69,8 @@
     }
 
     /// Waits until the server has counted at least `least` runs, and returns the number.
-    pub async fn wait_runs(&self, least: u64) -> Result<u64, TestbedError> {
-        wait_until(RUNS_TIMEOUT, async || self.all_runs().await, |runs| *runs >= least).await
+    pub async fn wait_runs(&self, min_runs: u64) -> Result<u64, TestbedError> {
+        wait_until(RUNS_TIMEOUT, async || self.total_runs().await, |runs| *runs >= min_runs).await
     }
 }
 
@@ -83,7 +83,7 @@
 
 impl RunsReader {
     /// Reads the total number of runs.
-    pub async fn all_runs(&self) -> Result<u64, TestbedError> {
+    pub async fn total_runs(&self) -> Result<u64, TestbedError> {
         if self.is_engine {
             let runs: HashMap<String, u64> = self.read().await?;
             return Ok(runs.values().sum());
--- a/crates/papayamux-testbed/tests/graceful_shutdown.rs
+++ b/crates/papayamux-testbed/tests/graceful_shutdown.rs
@@ -98,7 +98,7 @@
     with_fleet(plan(2), async |fleet| {
         let request = chat("Which mine has the longest slide?");
         let mut stream = begin_chat(fleet, &request).await?;
-        let busy = match fleet.servers[0].all_runs().await? {
+        let busy = match fleet.servers[0].total_runs().await? {
             0 => 1,
             _ => 0,
         };
@@ -113,7 +113,7 @@
         }
         stream.read_rest().await?;
         assert_eq!(stream.text, expected(&request));
-        assert_eq!(fleet.servers[busy].all_runs().await?, 1);
+        assert_eq!(fleet.servers[busy].total_runs().await?, 1);
         assert!(fleet.servers[busy].agent.wait_exit(TIMEOUT)?.success());
         Ok(())
     })
--- a/crates/papayamux-testbed/tests/link_faults.rs
+++ b/crates/papayamux-testbed/tests/link_faults.rs
@@ -136,7 +136,7 @@
         let CallerOutcome::Answered(_) = start_booking(&caller).await else {
             panic!("no answer after the link was healed")
         };
-        assert_eq!(fleet.servers[0].all_runs().await?, 3);
+        assert_eq!(fleet.servers[0].total_runs().await?, 3);
         Ok(())
     })
 }
@@ -158,7 +158,7 @@
         let CallerOutcome::Answered(_) = start_booking(&caller).await else {
             panic!("no answer after the link was healed")
         };
-        assert_eq!(fleet.servers[0].all_runs().await?, 2);
+        assert_eq!(fleet.servers[0].total_runs().await?, 2);
         Ok(())
     })
 }
@@ -172,7 +172,7 @@
         let agent_incarnation = status.incarnation.parse()?;
         let reason = offer_to(server.agent.listen()?, agent_incarnation, AgentClock(0)).await?;
         assert_eq!(reason, RefusalReason::DeadlinePassed);
-        assert_eq!(server.all_runs().await?, 0);
+        assert_eq!(server.total_runs().await?, 0);
         Ok(())
     })
 }
@@ -203,7 +203,7 @@
         for failure in [at_capacity, refused, without_agent] {
             assert_eq!(failure.outcome, FailureOutcome::NotRun, "{}", failure.message);
         }
-        assert_eq!(fleet.servers[0].all_runs().await?, 1);
+        assert_eq!(fleet.servers[0].total_runs().await?, 1);
         Ok(())
     })
 }
@@ -241,7 +241,7 @@
         let streams = "papayamux_agent_server_streams_total";
         let metrics = fleet.servers[0].agent.metrics().await?;
         assert_eq!(metrics.sum(streams, "reason=\"gone\""), 1.0);
-        assert_eq!(fleet.servers[0].all_runs().await?, 2);
+        assert_eq!(fleet.servers[0].total_runs().await?, 2);
         Ok(())
     })
 }
@@ -263,7 +263,7 @@
         let failure = failure_of(booking.await)?;
         assert_eq!(failure.outcome, FailureOutcome::NotRun, "{}", failure.message);
         assert!(fleet.servers[0].agent.wait_exit(TIMEOUT)?.success());
-        assert_eq!(fleet.servers[0].all_runs().await?, 1);
+        assert_eq!(fleet.servers[0].total_runs().await?, 1);
         Ok(())
     })
 }
@@ -278,7 +278,7 @@
         let address = fleet.servers[0].agent.listen()?;
         let notice = offer_to(address, before.incarnation.parse()?, AgentClock(u64::MAX)).await?;
         assert_eq!(notice, RefusalReason::WrongIncarnation);
-        assert_eq!(fleet.servers[0].all_runs().await?, 0);
+        assert_eq!(fleet.servers[0].total_runs().await?, 0);
         let caller = caller_of(fleet)?;
         let CallerOutcome::Answered(_) = start_booking(&caller).await else {
             panic!("no answer without a fault")
--- a/crates/papayamux-testbed/tests/streams_go_on.rs
+++ b/crates/papayamux-testbed/tests/streams_go_on.rs
@@ -62,7 +62,7 @@
     stream.read_rest().await?;
     assert!(stream.is_whole);
     assert_eq!(stream.text, expected());
-    assert_eq!(fleet.servers[0].all_runs().await?, 1);
+    assert_eq!(fleet.servers[0].total_runs().await?, 1);
     Ok(())
 }
 
@@ -118,7 +118,7 @@
         assert_eq!(again.text, rest.text);
         let mut nothing = ChatStream::start(&other, &chat(), Some(&rest.last_id)).await?;
         assert_eq!(nothing.next_event().await?, None);
-        assert_eq!(fleet.servers[0].all_runs().await?, 1);
+        assert_eq!(fleet.servers[0].total_runs().await?, 1);
         Ok(())
     })
 }
@@ -132,7 +132,7 @@
         assert_gone(&stranger, &stream.last_id).await?;
         fleet.restart_agent(0)?;
         assert_gone(&caller_at(fleet, 1)?, &stream.last_id).await?;
-        assert_eq!(fleet.servers[0].all_runs().await?, 1);
+        assert_eq!(fleet.servers[0].total_runs().await?, 1);
         Ok(())
     })
 }
@@ -225,8 +225,8 @@
             assert_eq!(completion.choices[0].message.content, expected);
             let call = caller.call(Method::POST, "/tickets/slow", &[], Bytes::new());
             assert_eq!(call.await?.0, StatusCode::OK);
-            assert_eq!(fleet.servers[0].all_runs().await?, 2);
-            assert_eq!(fleet.servers[1].all_runs().await?, 1);
+            assert_eq!(fleet.servers[0].total_runs().await?, 2);
+            assert_eq!(fleet.servers[1].total_runs().await?, 1);
             Ok(())
         },
     )
@@ -257,7 +257,7 @@
         fleet.link(0, 1)?.set(faults).await?;
         let (status, _) = caller.call(Method::POST, "/tickets/late", &[], body()).await?;
         assert_eq!(status, StatusCode::OK);
-        assert_eq!(fleet.servers[1].all_runs().await?, 2);
+        assert_eq!(fleet.servers[1].total_runs().await?, 2);
         let metrics = fleet.servers[1].agent.metrics().await?;
         assert_eq!(metrics.sum("papayamux_agent_resumes_total", "never_arrived"), 1.0);
         Ok(())
@@ -294,7 +294,7 @@
         fleet.link(0, 0)?.set(faults).await?;
         let (status, _) = caller.call(Method::POST, "/tickets/once", &[], body()).await?;
         assert_eq!(status, StatusCode::OK);
-        assert_eq!(fleet.servers[0].all_runs().await?, 2);
+        assert_eq!(fleet.servers[0].total_runs().await?, 2);
         Ok(())
     })
 }
--- a/crates/papayamux-testbed/tests/whole_path.rs
+++ b/crates/papayamux-testbed/tests/whole_path.rs
@@ -105,7 +105,7 @@
         let refusals =
             refusals.sum("papayamux_agent_refusals_total", "reason=\"model_not_loaded\"");
         assert!(refusals >= 1.0);
-        assert_eq!(fleet.servers[0].all_runs().await?, 0);
+        assert_eq!(fleet.servers[0].total_runs().await?, 0);
         Ok(())
     })
 }
