--- a/crates/papayamux-agent/src/engine_follower.rs
+++ b/crates/papayamux-agent/src/engine_follower.rs
@@ -115,7 +115,7 @@
         let exchange = async {
             let answer = client.send_idempotent(request).await.ok()?;
             let status = answer.head.status;
-            let body = answer.whole_body(MAX_ANSWER_BYTES).await.ok()?;
+            let body = answer.read_body(MAX_ANSWER_BYTES).await.ok()?;
             (status == StatusCode::OK).then_some(body)
         };
         let body = monoio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok().flatten();
--- a/crates/papayamux-agent/src/orders/engine_client.rs
+++ b/crates/papayamux-agent/src/orders/engine_client.rs
@@ -137,7 +137,7 @@
     let exchange = async {
         let answer = client.send_once(request).await?;
         let status = answer.head.status;
-        Ok((status, answer.whole_body(MAX_STATE_BYTES).await?))
+        Ok((status, answer.read_body(MAX_STATE_BYTES).await?))
     };
     match monoio::time::timeout(ANSWER_TIMEOUT, exchange).await {
         Ok(outcome) => outcome,
--- a/crates/papayamux-command/src/status.rs
+++ b/crates/papayamux-command/src/status.rs
@@ -98,7 +98,7 @@
     if status != StatusCode::OK {
         return Err(StatusError::Refused(status));
     }
-    let body = answer.whole_body(MAX_STATUS_BYTES).await?;
+    let body = answer.read_body(MAX_STATUS_BYTES).await?;
     Ok(serde_json::from_slice(&body)?)
 }
 
--- a/crates/papayamux-measure/src/routing/load_sampler.rs
+++ b/crates/papayamux-measure/src/routing/load_sampler.rs
@@ -158,6 +158,6 @@
         .ok()?;
     let answer = client.send_idempotent(request).await.ok()?;
     let status = answer.head.status;
-    let body = answer.whole_body(MAX_ANSWER_BYTES).await.ok()?;
+    let body = answer.read_body(MAX_ANSWER_BYTES).await.ok()?;
     (status == StatusCode::OK).then_some(body)
 }
--- a/crates/papayamux-spread/src/service/service_client.rs
+++ b/crates/papayamux-spread/src/service/service_client.rs
@@ -129,7 +129,7 @@
         let exchange = async {
             let answer = self.client.send_idempotent(request).await?;
             match answer.head.status {
-                StatusCode::OK => Ok(answer.whole_body(MAX_ANSWER_BYTES).await?),
+                StatusCode::OK => Ok(answer.read_body(MAX_ANSWER_BYTES).await?),
                 StatusCode::TOO_MANY_REQUESTS => Err(ServiceError::RateLimited),
                 status => Err(ServiceError::Status(status)),
             }
--- a/crates/papayamux-standins/src/engine/model_loader.rs
+++ b/crates/papayamux-standins/src/engine/model_loader.rs
@@ -119,7 +119,7 @@
         let describe = |error: HttpClientError| format!("weight store: {error}");
         let answer = store.send_idempotent(request).await.map_err(describe)?;
         let status = answer.head.status;
-        answer.whole_body(MAX_WEIGHTS_BYTES as u64).await.map_err(describe)?;
+        answer.read_body(MAX_WEIGHTS_BYTES as u64).await.map_err(describe)?;
         match status {
             StatusCode::OK => Ok(()),
             other => Err(format!("weight store: status {other}")),
--- a/crates/papayamux-standins/tests/fault_proxy.rs
+++ b/crates/papayamux-standins/tests/fault_proxy.rs
@@ -186,7 +186,7 @@
         send(&mut target, "held").await?;
         link.wait_report(|report| report.kept_to_client == 4).await;
         let request = Request::get(CONNECTIONS_PATH).body(Bytes::new())?;
-        let body = control.send_once(request).await?.whole_body(1_024).await?;
+        let body = control.send_once(request).await?.read_body(1_024).await?;
         let report: ConnectionReport = serde_json::from_slice(&body)?;
         assert_eq!((report.open, report.kept_to_client), (1, 4));
         control.send_once(Request::post(CUT_PATH).body(Bytes::new())?).await?;
--- a/crates/papayamux-standins/tests/support/mod.rs
+++ b/crates/papayamux-standins/tests/support/mod.rs
@@ -70,7 +70,7 @@
         let request = Request::builder().method(method).uri(path).header("host", "standin");
         let answer = self.send(request.body(body).unwrap()).await;
         let status = answer.head.status;
-        (status, answer.whole_body(MAX_ANSWER_BYTES).await.unwrap())
+        (status, answer.read_body(MAX_ANSWER_BYTES).await.unwrap())
     }
 
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> T {
--- a/crates/papayamux-testbed/src/caller.rs
+++ b/crates/papayamux-testbed/src/caller.rs
@@ -154,7 +154,7 @@
     ) -> Result<(StatusCode, Bytes), CallerError> {
         let answer = self.send(method, path, headers, body).await?;
         let status = answer.head.status;
-        Ok((status, answer.whole_body(MAX_ANSWER_BYTES).await?))
+        Ok((status, answer.read_body(MAX_ANSWER_BYTES).await?))
     }
 
     /// Sends a chat request and reads its streamed answer to the end.
@@ -197,7 +197,7 @@
 ) -> Result<CallerAnswer, CallerError> {
     if answer.head.status != StatusCode::OK {
         let status = answer.head.status;
-        let body = answer.whole_body(MAX_ANSWER_BYTES).await?;
+        let body = answer.read_body(MAX_ANSWER_BYTES).await?;
         let body = String::from_utf8_lossy(&body).into_owned();
         return Err(CallerError::Failure { status, body });
     }
--- a/crates/papayamux-testbed/src/chat_stream.rs
+++ b/crates/papayamux-testbed/src/chat_stream.rs
@@ -47,7 +47,7 @@
         let answer = caller.send_once(Method::POST, CHAT_PATH, &headers, body.into()).await?;
         if answer.head.status != StatusCode::OK {
             let status = answer.head.status;
-            let body: Bytes = answer.whole_body(MAX_ANSWER_BYTES).await?;
+            let body: Bytes = answer.read_body(MAX_ANSWER_BYTES).await?;
             let body = String::from_utf8_lossy(&body).into_owned();
             return Err(CallerError::Failure { status, body });
         }
--- a/crates/papayamux-testbed/src/http_reader.rs
+++ b/crates/papayamux-testbed/src/http_reader.rs
@@ -24,7 +24,7 @@
         Request::builder().method(method).uri(path).header(HOST, address.to_string()).body(body)?;
     let answer = HttpClient::new(address).send_once(request).await?;
     let status = answer.head.status;
-    let body = answer.whole_body(MAX_ANSWER_BYTES).await?;
+    let body = answer.read_body(MAX_ANSWER_BYTES).await?;
     if !status.is_success() {
         let body = String::from_utf8_lossy(&body).into_owned();
         return Err(TestbedError::Status { path: path.to_string(), status, body });
--- a/crates/papayamux-testbed/src/outcome.rs
+++ b/crates/papayamux-testbed/src/outcome.rs
@@ -81,7 +81,7 @@
     ) -> Result<Bytes, CallerError> {
         let answer = self.send_once(method, path, headers, body).await?;
         let status = answer.head.status;
-        let body = answer.whole_body(crate::caller::MAX_ANSWER_BYTES).await?;
+        let body = answer.read_body(crate::caller::MAX_ANSWER_BYTES).await?;
         if status == StatusCode::OK {
             return Ok(body);
         }
--- a/crates/papayamux-transport/src/http/client.rs
+++ b/crates/papayamux-transport/src/http/client.rs
@@ -207,7 +207,7 @@
     }
 
     /// Reads the complete body, up to `limit` bytes.
-    pub async fn whole_body(mut self, limit: u64) -> Result<Bytes, HttpClientError> {
+    pub async fn read_body(mut self, limit: u64) -> Result<Bytes, HttpClientError> {
         let mut body = bytes::BytesMut::new();
         while let Some(piece) = self.next_piece().await {
             body.extend_from_slice(&piece?);
