--- a/crates/papayamux-coordination/src/placement/placer.rs
+++ b/crates/papayamux-coordination/src/placement/placer.rs
@@ -39,7 +39,8 @@
 /// Fraction of the load bound that is used, because the newest requests of other routers are not
 /// known yet.
 const USED_BOUND_FRACTION: f64 = 0.8;
-/// Number of requests above the mean that are tolerated on any server.
+/// Number of requests added to the load bound, so that a server may have a few even if the mean is
+/// close to zero.
 const BOUND_SLACK: f64 = 2.0;
 
 /// Chooses the server for a request; `None` if no server accepts requests.
@@ -110,8 +111,9 @@
 }
 
 /// Returns the number of requests from which a server is passed over while others have fewer. The
-/// mean includes all sound servers: if some of them accept nothing, as in an evacuated failure
-/// domain, the others carry more, and the least loaded of them take the excess.
+/// mean includes all servers in service that are not ejected. If some of them accept nothing, as in
+/// an evacuated failure domain, the others carry more, and the least loaded of them take the
+/// excess.
 fn load_bound(candidates: &[PlacementCandidate], factor: f64) -> f64 {
     let in_service = |candidate: &&PlacementCandidate| {
         candidate.serves && candidate.standing != ServerStanding::Ejected
@@ -122,7 +124,9 @@
     factor * USED_BOUND_FRACTION * mean + BOUND_SLACK
 }
 
-/// Returns the server with the lowest cost, preferring servers within the load bound.
+/// Returns the server with the lowest cost, preferring servers within the load bound. `elsewhere`
+/// is the number of prompt tokens that a server is known to hold, and from which they can be
+/// copied.
 fn cheapest(
     request: PlacementRequest,
     usable: &[IndexedCandidate<'_>],
@@ -173,8 +177,8 @@
     chosen.map(|(index, _)| index)
 }
 
-/// Returns the sound server that holds most of the prompt according to `held`, and the number of
-/// tokens it holds.
+/// Returns the server in good standing that holds most of the prompt according to `held`, and the
+/// number of tokens it holds; `None` if no such server holds any.
 fn warmest(
     candidates: &[PlacementCandidate],
     held: impl Fn(&PlacementCandidate) -> TokenCount,
--- a/crates/papayamux-coordination/tests/claim_model/mod.rs
+++ b/crates/papayamux-coordination/tests/claim_model/mod.rs
@@ -15,14 +15,15 @@
 
 /// Retention of claims.
 pub const RETENTION: Duration = Duration::from_millis(1_000);
-/// Maximum time from the start of an attempt to its run.
+/// Maximum time from the start of an attempt to the execution of its call.
 pub const START_TIMEOUT: Duration = Duration::from_millis(100);
-/// Maximum time between two processes' putting the same declared fleet in force.
+/// Maximum time from the declaration of a fleet until every process has applied it.
 pub const MAX_LAG: Duration = Duration::from_millis(200);
 
 const MAX_CLAIMS: usize = 1_000;
 
-/// A message in flight, or a call that an agent has accepted but not executed yet.
+/// A message in flight, or a call that an agent has accepted but not executed yet. `Open` is a call on
+/// its way to the agent, `Execute` the accepted call.
 #[derive(Debug, Clone)]
 pub enum Pending {
     Claim { attempt: usize, witness: usize, query: ClaimQuery },
@@ -49,7 +50,7 @@
     decided: bool,
 }
 
-/// State of routers, witnesses and messages at one time.
+/// The state of routers, witnesses and messages, and the times of all runs so far.
 #[derive(Debug, Clone)]
 pub struct Simulation {
     origin: Instant,
@@ -83,8 +84,8 @@
 }
 
 impl Simulation {
-    /// Creates `routers` routers, and witnesses that have been running for one retention. `fleets[0]` is in
-    /// force; `fleets[1]`, if given, may replace it.
+    /// Creates `routers` routers, and five witnesses that have been running for one retention period.
+    /// `fleets[0]` is in force; `fleets[1]`, if given, may replace it.
     pub fn new(routers: usize, fleets: &[&[usize]]) -> Self {
         let fleets: Vec<_> = fleets.iter().map(|servers| fleet(servers)).collect();
         let now = RETENTION;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Has a router put the second fleet in force, if declared.
+    /// Applies the second fleet at a router, if it has been declared.
     pub fn apply_fleet_at_router(&mut self, router: usize) {
         if self.fleet_changed_at.is_some() && self.router_fleet_indexes[router] == 0 {
             self.router_fleet_indexes[router] = 1;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Has a witness put the second fleet in force, if declared.
+    /// Applies the second fleet at a witness, if it has been declared.
     pub fn apply_fleet_at_witness(&mut self, witness: usize) {
         let witness = &mut self.witnesses[witness];
         if self.fleet_changed_at.is_some() && witness.fleet_index == 0 {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Advances the time. No process lags behind a declaration by more than [`MAX_LAG`].
+    /// Advances the time. Processes that have not applied a declared fleet after [`MAX_LAG`] apply it then.
     pub fn advance(&mut self, by: Duration) {
         let target = self.now + by;
         let lag_deadline = self.fleet_changed_at.map(|fleet_changed_at| fleet_changed_at + MAX_LAG);
@@ -237,7 +238,8 @@
         }
     }
 
-    /// Returns whether delivering this message is a different step from delivering the previous one.
+    /// Returns whether delivering this message differs from delivering the previous pending one. It
+    /// doesn't if both are releases of one attempt, which are delivered together.
     pub fn is_distinct_step(&self, message: usize) -> bool {
         let released = |pending: &Pending| match pending {
             Pending::Release { attempt, .. } => Some(*attempt),
--- a/crates/papayamux-coordination/tests/crash_quarantine.rs
+++ b/crates/papayamux-coordination/tests/crash_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers are quarantined, and no others.
+//! Tests that requests that crash servers are quarantined, and that no others are.
 #![allow(clippy::unwrap_used, reason = "helpers of tests, which may panic")]
 
 use std::time::{Duration, Instant};
@@ -172,8 +172,8 @@
     quarantine.record_crash(FATAL, sent, 0.0, now);
 }
 
-/// Guards against the refusal of harmless requests. They ran on two servers in a row that something
-/// else had killed, one after the other or together with their failure domain.
+/// Guards against quarantining a harmless request because it ran on two servers in a row that
+/// crashed for another reason, one after the other or together with their failure domain.
 #[test]
 fn two_crashes_do_not_quarantine_while_other_servers_crash() {
     let (mut quarantine, now) = (CrashQuarantine::default(), Instant::now());
--- a/crates/papayamux-measure/src/surge/callers.rs
+++ b/crates/papayamux-measure/src/surge/callers.rs
@@ -10,7 +10,8 @@
 use super::summary::CallOutcome;
 use crate::tasks::TaskError;
 
-/// Deadline of a request.
+/// Deadline of a request, including its retry. A caller also waits at most this long for the answer
+/// to one attempt.
 const REQUEST_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Maximum pause before a retry: a third of the deadline.
@@ -20,7 +21,7 @@
 /// First identifier of callers' own prompt parts, above those of shared parts.
 const FIRST_OWN_PART_ID: u64 = 0x10_000;
 
-/// Returns the key of an organisation.
+/// Returns the API key of an organisation.
 pub(super) fn organisation_key(organisation: usize) -> String {
     format!("key-{organisation}")
 }
--- a/crates/papayamux-router/src/direct/fleet/known_servers.rs
+++ b/crates/papayamux-router/src/direct/fleet/known_servers.rs
@@ -12,7 +12,8 @@
 use super::Fleet;
 
 impl Fleet {
-    /// Records that the list of servers answered; `failed` tells that reads had failed before.
+    /// Records that a read of the server list succeeded. `failed` is `true` if reads have failed
+    /// since the last success.
     pub fn record_list_contact(&self, failed: bool, now: Instant) {
         self.presence.borrow_mut().record_contact(failed, now);
     }
@@ -34,7 +35,8 @@
         self.remove_expired(&expired);
     }
 
-    /// Adopts the time for which expired entries may still be renewed.
+    /// Adopts the time for which expired entries may still be renewed, as reported by another
+    /// router.
     pub(super) fn adopt_grace(&self, left: Duration, now: Instant) {
         let expired = self.presence.borrow_mut().adopt_grace(left, now);
         self.remove_expired(&expired);
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Records an entry of the list.
+    /// Records a single entry of the list.
     pub fn record_server(&self, server: BackendServer, now: Instant) {
         let (id, cold_left) = (server.id.clone(), server.cold_left);
         let changes = self.presence.borrow_mut().record_entry(server, now);
@@ -74,8 +76,8 @@
         self.record_server_departure(&known, change, now);
     }
 
-    /// Records that an entry names no server. The server that it named before may still run, but
-    /// must not be used until its own entry is back.
+    /// Records that an entry doesn't describe a server. The server that it described before may
+    /// still run, but must not be used until its own entry is back.
     pub fn record_entry_fault(&self, fault: &EntryFault, now: Instant) {
         self.metrics.entry_faults.count(fault.kind.label());
         if let Some(suppressed) = self.fault_log_limit.borrow_mut().next(now) {
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Returns the server of this name, whose entry is removed. The departure is journaled in any
-    /// case, since followers may know a server that isn't known here.
+    /// Journals the departure of the server of this name and returns the server if it is known. The
+    /// departure is journaled in any case, since followers may know a server that isn't known here.
     fn journal_departed_server(&self, name: &ServerName) -> Option<Rc<BackendServer>> {
         self.journal_departure(name);
         self.presence.borrow().catalog().named(name).cloned()
@@ -182,8 +184,9 @@
         self.departures.borrow_mut().forget(id);
     }
 
-    /// Avoids the servers that had the address of a new server before. Their entries remain for a
-    /// while after their end, and longer if the list was unavailable at that time.
+    /// Records evidence against the servers that had the address of a new server before, so that
+    /// they are avoided. Their entries remain for a while after they have crashed or terminated,
+    /// and longer if the list was unavailable at that time.
     fn displace_others(&self, id: &ServerId) {
         let displaced: Vec<_> = {
             let presence = self.presence.borrow();
@@ -205,7 +208,8 @@
         }
     }
 
-    /// Returns whether a server has ended for certain, because its name belongs to a later start.
+    /// Returns whether a server is certain to run no longer, because its name belongs to a later
+    /// start of it.
     pub(in crate::direct) fn has_restarted(&self, server: &BackendServer) -> bool {
         let presence = self.presence.borrow();
         presence.catalog().named(&server.name).is_some_and(|known| known.id != server.id)
--- a/crates/papayamux-testbed/src/running_server.rs
+++ b/crates/papayamux-testbed/src/running_server.rs
@@ -1,4 +1,4 @@
-//! A backend server of a fleet with its agent, and the requests that it has run.
+//! A backend server of a fleet with its agent, and readers of the runs that the server has counted.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -32,23 +32,25 @@
 }
 
 impl RunningServer {
-    /// Returns the link between the agent and the server.
+    /// Returns the control of the faulty link between the agent and the server; an error if they
+    /// are connected directly.
     pub fn link(&self) -> Result<&LinkControl, TestbedError> {
         let name = || format!("faulty link between {} and its agent", self.name);
         self.link.as_ref().ok_or_else(|| TestbedError::NoPart(name()))
     }
 
-    /// Returns the address at which the agent reaches the server.
+    /// Returns the address at which the agent reaches the server: that of the faulty link if there
+    /// is one.
     pub(crate) fn server_address(&self) -> Result<SocketAddr, TestbedError> {
         self.link.as_ref().map_or_else(|| self.standin.listen(), LinkControl::listen)
     }
 
-    /// Reads the runs that a plain service has counted.
+    /// Reads the runs that the server has counted, if it is a plain service.
     pub async fn service_runs(&self) -> Result<ServiceRuns, TestbedError> {
         read_json(self.standin.listen()?, Method::GET, RUNS_PATH, Bytes::new()).await
     }
 
-    /// Reads how often an engine has started each request id, as counted by the engine.
+    /// Reads how often the server has started each request id, if it is an engine.
     pub async fn engine_runs(&self) -> Result<HashMap<String, u64>, TestbedError> {
         read_json(self.standin.listen()?, Method::GET, RUNS_PATH, Bytes::new()).await
     }
--- a/crates/papayamux-transport/src/http/client.rs
+++ b/crates/papayamux-transport/src/http/client.rs
@@ -35,7 +35,7 @@
     #[error(transparent)]
     Connect(#[from] LinkError),
     /// The request was no longer allowed when the connection was open; nothing was sent.
-    #[error("the request was given up before it was sent")]
+    #[error("the request was no longer allowed when the connection was open; nothing was sent")]
     NotAllowed,
     /// The connection failed after sending had begun.
     #[error("the connection failed: {0}")]
@@ -44,7 +44,9 @@
     #[error("the server closed the connection before its answer")]
     Closed,
     /// The answer's body exceeds its limit.
-    #[error("the answer has {length} bytes, the bound is {MAX_FIXED_BODY_BYTES}")]
+    #[error(
+        "the answer of {length} bytes exceeds its limit ({MAX_FIXED_BODY_BYTES} if announced)"
+    )]
     TooLong {
         /// Announced or received size in bytes.
         length: u64,
@@ -176,7 +178,8 @@
 }
 
 impl ClientAnswer {
-    /// Returns the next piece of the body, or `None` after the complete body.
+    /// Returns the next piece of the body, or `None` after the last one. A body with an announced
+    /// length is a single piece, and `None` follows it also if reading it failed.
     pub async fn next_piece(&mut self) -> Option<Result<Bytes, HttpClientError>> {
         if self.ended {
             return None;
@@ -219,8 +222,8 @@
         Ok(body.freeze())
     }
 
-    /// Returns the connection to the idle ones if the body was read completely. Dropping the answer
-    /// closes the connection instead.
+    /// Keeps the connection for the next request if the body was read completely and the server
+    /// doesn't close the connection. Dropping the answer closes the connection instead.
     pub fn finish(self) {
         let close = self
             .head
