--- a/crates/papayamux-transport/src/http/client.rs
+++ b/crates/papayamux-transport/src/http/client.rs
@@ -35,7 +35,7 @@
     #[error(transparent)]
     Connect(#[from] LinkError),
     /// The request was no longer allowed when the connection was open; nothing was sent.
-    #[error("the request was no longer allowed when the connection was open; nothing was sent")]
+    #[error("the request was given up before it was sent")]
     NotAllowed,
     /// The connection failed after sending had begun.
     #[error("the connection failed: {0}")]
@@ -44,9 +44,7 @@
     #[error("the server closed the connection before its answer")]
     Closed,
     /// The answer's body exceeds its limit.
-    #[error(
-        "the answer of {length} bytes exceeds its limit ({MAX_FIXED_BODY_BYTES} if announced)"
-    )]
+    #[error("the answer has {length} bytes, the bound is {MAX_FIXED_BODY_BYTES}")]
     TooLong {
         /// Announced or received size in bytes.
         length: u64,
