--- a/crates/papayamux-coordination/src/placement/placer.rs
+++ b/crates/papayamux-coordination/src/placement/placer.rs
@@ -39,7 +39,8 @@
 /// Fraction of the load bound that is used, because the newest requests of other routers are not
 /// known yet.
 const USED_BOUND_FRACTION: f64 = 0.8;
-/// Number of requests above the mean that are tolerated on any server.
+/// Number of requests added to the load bound, so that a server may have a few even if the mean is
+/// close to zero.
 const BOUND_SLACK: f64 = 2.0;
 
 /// Chooses the server for a request; `None` if no server accepts requests.
@@ -110,19 +111,22 @@
 }
 
 /// Returns the number of requests from which a server is passed over while others have fewer. The
-/// mean includes all sound servers: if some of them accept nothing, as in an evacuated failure
-/// domain, the others carry more, and the least loaded of them take the excess.
+/// mean includes all servers in service that are not ejected. If some of them accept nothing, as in
+/// an evacuated failure domain, the others carry more, and the least loaded of them take the
+/// excess.
 fn load_bound(candidates: &[PlacementCandidate], factor: f64) -> f64 {
-    let sound = |candidate: &&PlacementCandidate| {
+    let in_service = |candidate: &&PlacementCandidate| {
         candidate.serves && candidate.standing != ServerStanding::Ejected
     };
-    let counted: Vec<_> = candidates.iter().filter(sound).collect();
+    let counted: Vec<_> = candidates.iter().filter(in_service).collect();
     let requests: f64 = counted.iter().map(|candidate| f64::from(candidate.load.requests)).sum();
     let mean = requests / counted.len().max(1) as f64;
     factor * USED_BOUND_FRACTION * mean + BOUND_SLACK
 }
 
-/// Returns the server with the lowest cost, preferring servers within the load bound.
+/// Returns the server with the lowest cost, preferring servers within the load bound. `elsewhere`
+/// is the number of prompt tokens that a server is known to hold, and from which they can be
+/// copied.
 fn cheapest(
     request: PlacementRequest,
     usable: &[IndexedCandidate<'_>],
@@ -159,28 +163,31 @@
             within.min_by_key(|(_, candidate)| candidate.rank).or(usable.first()).copied()
         }
         PlacementPolicy::Warm | PlacementPolicy::LeastWait => {
-            let blind = |candidate: &PlacementCandidate| {
-                let blind =
+            let uncached_cost = |candidate: &PlacementCandidate| {
+                let uncached =
                     PlacementCandidate { warm: TokenCount::default(), rank: 1, ..*candidate };
-                cost_ms(request, &blind, None)
+                cost_ms(request, &uncached, None)
             };
-            usable.iter().min_by(|left, right| blind(left.1).total_cmp(&blind(right.1))).copied()
+            usable
+                .iter()
+                .min_by(|left, right| uncached_cost(left.1).total_cmp(&uncached_cost(right.1)))
+                .copied()
         }
     };
     chosen.map(|(index, _)| index)
 }
 
-/// Returns the sound server that holds most of the prompt according to `held`, and the number of
-/// tokens it holds.
+/// Returns the server in good standing that holds most of the prompt according to `held`, and the
+/// number of tokens it holds; `None` if no such server holds any.
 fn warmest(
     candidates: &[PlacementCandidate],
     held: impl Fn(&PlacementCandidate) -> TokenCount,
 ) -> Option<(usize, TokenCount)> {
-    let sound = candidates
+    let good = candidates
         .iter()
         .enumerate()
         .filter(|(_, candidate)| candidate.standing == ServerStanding::Good);
-    let held = sound.map(|(index, candidate)| (index, held(candidate)));
+    let held = good.map(|(index, candidate)| (index, held(candidate)));
     held.max_by_key(|(_, tokens)| *tokens).filter(|(_, tokens)| tokens.get() > 0)
 }
 
@@ -203,10 +210,10 @@
     let plain = request.prompt.get() == 0;
     let speed = &candidate.speed;
     let messages = MESSAGES_PER_PLAIN_CALL + speed.events(request.answer);
-    let late = 1.0 - (1.0 - candidate.excess_delay_rate).powf(messages);
+    let late_probability = 1.0 - (1.0 - candidate.excess_delay_rate).powf(messages);
     let risk = candidate.round_trip_ms
         + candidate.excess_failure_rate * FAILURE_COST_MS
-        + late * LATE_ANSWER_COST_MS;
+        + late_probability * LATE_ANSWER_COST_MS;
     if plain {
         let slots = f64::from(candidate.slots.max(1));
         return risk + f64::from(candidate.load.requests) / slots * speed.call_ms;
--- a/crates/papayamux-transport/src/http/client.rs
+++ b/crates/papayamux-transport/src/http/client.rs
@@ -176,7 +176,8 @@
 }
 
 impl ClientAnswer {
-    /// Returns the next piece of the body, or `None` after the complete body.
+    /// Returns the next piece of the body, or `None` after the last one. A body with an announced
+    /// length is a single piece, and `None` follows it also if reading it failed.
     pub async fn next_piece(&mut self) -> Option<Result<Bytes, HttpClientError>> {
         if self.ended {
             return None;
@@ -207,7 +208,7 @@
     }
 
     /// Reads the complete body, up to `limit` bytes.
-    pub async fn whole_body(mut self, limit: u64) -> Result<Bytes, HttpClientError> {
+    pub async fn read_body(mut self, limit: u64) -> Result<Bytes, HttpClientError> {
         let mut body = bytes::BytesMut::new();
         while let Some(piece) = self.next_piece().await {
             body.extend_from_slice(&piece?);
@@ -219,8 +220,8 @@
         Ok(body.freeze())
     }
 
-    /// Returns the connection to the idle ones if the body was read completely. Dropping the answer
-    /// closes the connection instead.
+    /// Keeps the connection for the next request if the body was read completely and the server
+    /// doesn't close the connection. Dropping the answer closes the connection instead.
     pub fn finish(self) {
         let close = self
             .head
